--- a/crates/kingcuploft-entry/src/cold.rs
+++ b/crates/kingcuploft-entry/src/cold_servers.rs
@@ -19,7 +19,7 @@
 type NewlyCold = (BackendServerName, Duration);
 
 /// Reads for how long a server stays cold, by its answer to a probe; zero if it says nothing of it.
-pub fn read(context: &Context, headers: &Headers) -> Duration {
+pub fn parse_header(context: &Context, headers: &Headers) -> Duration {
     let told = headers.get(context.vocabulary.cold_ms);
     let told_ms = told.and_then(|told| told.parse::<f64>().ok());
     let cold_for = told_ms.and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
@@ -27,14 +27,19 @@
 }
 
 /// Takes in for how long a server stays cold, as it says itself, asked at this moment.
-pub fn heard(context: &Context, upstream: &Upstream, cold_for: Duration, asked_at: Instant) {
+pub fn apply_probe_answer(
+    context: &Context,
+    upstream: &Upstream,
+    cold_for: Duration,
+    asked_at: Instant,
+) {
     if !cold_for.is_zero() {
-        let turned = turned_cold(context, upstream, cold_for);
+        let turned = mark_cold(context, upstream, cold_for);
         return log_cold(context, turned.as_slice());
     }
     upstream.is_not_cold(asked_at);
     let server = &upstream.server.name;
-    let part = |per_s| limits::part(context, server, per_s);
+    let part = |per_s| limits::own_part(context, server, per_s);
     let mut all = context.limits.borrow_mut();
     if all.is_warm(clock::now(), server, asked_at, part) {
         log_warm(std::slice::from_ref(server));
@@ -42,31 +47,31 @@
 }
 
 /// Takes in for how long servers stay cold, as the platform's store says.
-pub fn told(context: &Context, cold: &[(BackendServerName, Duration)]) {
+pub fn apply_store_report(context: &Context, cold: &[(BackendServerName, Duration)]) {
     let turned = cold.iter().filter_map(|(server, cold_for)| {
         let upstream = context.upstream(server)?;
-        turned_cold(context, &upstream, *cold_for)
+        mark_cold(context, &upstream, *cold_for)
     });
     let turned: Vec<_> = turned.collect();
     log_cold(context, &turned);
 }
 
 /// Keeps the servers that are cold to what they bear by the configuration that has just come into force.
-pub fn configured(context: &Context) {
+pub fn apply_configuration(context: &Context) {
     let now = clock::now();
     let all = context.all_upstreams().into_iter();
     let cold = all.map(|upstream| (upstream.server.name.clone(), upstream.cold_for(now)));
     let cold: Vec<_> = cold.filter(|(_, cold_for)| !cold_for.is_zero()).collect();
-    told(context, &cold);
+    apply_store_report(context, &cold);
 }
 
 /// Keeps a server to what it bears; returns it if it was not known to be cold.
-fn turned_cold(context: &Context, upstream: &Upstream, cold_for: Duration) -> Option<NewlyCold> {
+fn mark_cold(context: &Context, upstream: &Upstream, cold_for: Duration) -> Option<NewlyCold> {
     let now = clock::now();
     upstream.is_cold_until(now + cold_for);
     let cold_start = cold_start(context, &upstream.server.service)?;
     let server = &upstream.server.name;
-    let part = |per_s| limits::part(context, server, per_s);
+    let part = |per_s| limits::own_part(context, server, per_s);
     let (per_s, chance) = (cold_start.per_s(), fastrand::f64());
     let mut all = context.limits.borrow_mut();
     let turned = all.turned_cold(now, server, per_s, cold_for, part, chance);
@@ -98,7 +103,7 @@
     if context.limits.borrow().cold_count() == 0 {
         return;
     }
-    let part = |server: &BackendServerName, per_s| limits::part(context, server, per_s);
+    let part = |server: &BackendServerName, per_s| limits::own_part(context, server, per_s);
     let warm = context.limits.borrow_mut().end_cold(now, part);
     log_warm(&warm);
 }
@@ -106,7 +111,7 @@
 /// Has the servers of a zone that is taken back say first whether they are cold.
 ///
 /// Failure: the zone's servers have turned cold while nobody looked, are near and idle, and get the zone's whole load at once.
-pub fn zone_taken_back(context: &Context, zone: &AvailabilityZone) {
+pub fn require_cold_reports(context: &Context, zone: &AvailabilityZone) {
     let now = clock::now();
     let all = context.all_upstreams().into_iter();
     for upstream in all.filter(|upstream| upstream.server.zone == *zone) {
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -27,9 +27,9 @@
 use kingcuploft::world::ids::{RuleName, ServiceName, VmName};
 use tokio::sync::Notify;
 
+use crate::active_configuration::InForce;
 use crate::clock;
-use crate::edge::room::Room;
-use crate::in_force::InForce;
+use crate::edge::body_memory::Room;
 use crate::metrics::Metrics;
 use crate::network::{Network, Tcp};
 use crate::notice_writes::NoticeWrites;
--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -6,7 +6,7 @@
 use kingcuploft::entry::placement::{Candidate, Reading};
 use kingcuploft::entry::verdict::AttemptEnd;
 
-use super::flight::Flight;
+use super::active_request::Flight;
 use super::suspect::Run;
 use crate::clock;
 use crate::limits;
@@ -24,7 +24,7 @@
         let left = sent.left;
         let has_turn = |at: &Rc<Upstream>| Rc::ptr_eq(at, upstream);
         if !self.turn_at.as_ref().is_some_and(has_turn) {
-            limits::sent(self.context, upstream, sent.at);
+            limits::count_sent(self.context, upstream, sent.at);
         }
         let run = Run::begin(self, upstream);
         let ended = exchange::attempt(self.context, upstream, self.request, left).await;
--- a/crates/kingcuploft-entry/src/edge/connection.rs
+++ b/crates/kingcuploft-entry/src/edge/connection.rs
@@ -14,8 +14,8 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use super::answer::Answer;
+use super::caller_disconnect::Gone;
 use super::dispatch;
-use super::gone::Gone;
 use super::request::Request;
 use crate::context::Context;
 use crate::http::body::{BodyError, BodyReader};
@@ -119,7 +119,7 @@
     async fn read_requests(&mut self) -> End {
         loop {
             let limits = self.limits();
-            let parsed = head::request(&self.buffer);
+            let parsed = head::parse_request(&self.buffer);
             match parsed {
                 Ok(Some((_, length))) if length > limits.header_bytes => {
                     return self.refuse(431, "the head is too long").await;
--- a/crates/kingcuploft-entry/src/edge/dispatch.rs
+++ b/crates/kingcuploft-entry/src/edge/dispatch.rs
@@ -7,11 +7,11 @@
 use kingcuploft::world::contract::Contract;
 use tokio::sync::oneshot;
 
+use super::active_request::{Begun, Flight};
 use super::answer::Answer;
-use super::choosing::Chosen;
-use super::flight::{Begun, Flight};
-use super::gone::Gone;
+use super::caller_disconnect::Gone;
 use super::request::Request;
+use super::selection::Chosen;
 use crate::budgets::WantedRepeat;
 use crate::clock;
 use crate::context::Context;
--- a/crates/kingcuploft-entry/src/edge/second_look.rs
+++ b/crates/kingcuploft-entry/src/edge/hedge.rs
@@ -7,8 +7,8 @@
 use kingcuploft::entry::second_look::{self, Look};
 use kingcuploft::entry::verdict::AttemptEnd;
 
-use super::choosing::AWAIT_STEP;
-use super::flight::Flight;
+use super::active_request::Flight;
+use super::selection::AWAIT_STEP;
 use crate::clock;
 use crate::upstream::exchange::Ended;
 use crate::upstream::{Upstream, probe};
@@ -69,7 +69,7 @@
         }
         let service = self.configuration.services.get(&self.service)?;
         let asked_at = clock::now();
-        probe::ask(self.context, upstream, &service.health_path);
+        probe::start(self.context, upstream, &service.health_path);
         tokio::time::sleep(SECOND_LOOK_PATIENCE).await;
         let now = clock::now();
         let age = upstream.reading(now).map(|(age, _)| age);
--- a/crates/kingcuploft-entry/src/edge/limited.rs
+++ b/crates/kingcuploft-entry/src/edge/limited_servers.rs
@@ -6,8 +6,8 @@
 use kingcuploft::entry::placement::MARGIN;
 use kingcuploft::entry::server_limit::Turn;
 
-use super::flight::Flight;
-use super::gone::Gone;
+use super::active_request::Flight;
+use super::caller_disconnect::Gone;
 use crate::clock;
 use crate::limits;
 use crate::peers::turns;
@@ -28,7 +28,7 @@
         gone: &Gone,
         patience: Duration,
     ) -> Result<Rc<Upstream>, Duration> {
-        let mut limited = limits::limited(self.context, &self.service);
+        let mut limited = limits::limited_upstreams(self.context, &self.service);
         let share = self.context.connection_share(&self.service);
         let now = clock::now();
         limited.retain(|upstream| {
--- a/crates/kingcuploft-entry/src/edge/mod.rs
+++ b/crates/kingcuploft-entry/src/edge/mod.rs
@@ -1,15 +1,15 @@
 //! Where callers come in: connections, requests as they come, answers in their order.
 
+mod active_request;
 pub mod answer;
 mod attempt;
-mod choosing;
+pub mod body_memory;
+pub mod caller_disconnect;
 pub mod connection;
 pub mod dispatch;
-mod flight;
-pub mod gone;
-mod limited;
+mod hedge;
+mod limited_servers;
 pub mod readiness;
 pub mod request;
-pub mod room;
-mod second_look;
+mod selection;
 mod suspect;
--- a/crates/kingcuploft-entry/src/edge/readiness.rs
+++ b/crates/kingcuploft-entry/src/edge/readiness.rs
@@ -47,7 +47,7 @@
 ) -> std::io::Result<()> {
     let mut bytes = Vec::with_capacity(512);
     loop {
-        match head::request(&bytes) {
+        match head::parse_request(&bytes) {
             Ok(Some((request, _))) => {
                 let path = request.target.split('?').next().unwrap_or_default();
                 let (status, body) = match path {
--- a/crates/kingcuploft-entry/src/edge/request.rs
+++ b/crates/kingcuploft-entry/src/edge/request.rs
@@ -5,7 +5,7 @@
 
 use kingcuploft::entry::fingerprint::{Fingerprint, Recurring};
 
-use super::room::Held;
+use super::body_memory::Held;
 use crate::clock;
 use crate::http::head::RequestHead;
 use crate::settings::Vocabulary;
--- a/crates/kingcuploft-entry/src/edge/choosing.rs
+++ b/crates/kingcuploft-entry/src/edge/selection.rs
@@ -6,8 +6,8 @@
 use kingcuploft::entry::asked::asked;
 use kingcuploft::entry::placement::{Candidate, Need, Reach, Step, place};
 
-use super::flight::Flight;
-use super::gone::Gone;
+use super::active_request::Flight;
+use super::caller_disconnect::Gone;
 use super::suspect::Clearance;
 use crate::clock;
 use crate::evacuation;
@@ -55,12 +55,12 @@
                 }
                 Clearance::Refuse(after) => return Chosen::Quarantined(after),
             }
-            if let Some(after) = evacuation::refuses(self.context, &self.service) {
+            if let Some(after) = evacuation::retry_after(self.context, &self.service) {
                 return Chosen::Evacuated(after);
             }
             let now = clock::now();
             let upstreams = self.usable(now, reach);
-            let has_limited = !limits::limited(self.context, &self.service).is_empty();
+            let has_limited = !limits::limited_upstreams(self.context, &self.service).is_empty();
             if upstreams.is_empty() && has_limited {
                 return match self.take_turn(gone, self.patience()).await {
                     Ok(upstream) => Chosen::Upstream(upstream),
@@ -115,7 +115,7 @@
         let mut all = self.context.upstreams(&self.service);
         let share = self.context.connection_share(&self.service);
         all.retain(|upstream| upstream.has_room(share));
-        all.retain(|upstream| limits::wait(self.context, upstream, now).is_zero());
+        all.retain(|upstream| limits::wait_before_send(self.context, upstream, now).is_zero());
         let untried = all.iter().filter(|u| !self.was_tried(u));
         let audible: Vec<_> = untried.filter(|u| !u.is_mute(now)).cloned().collect();
         if !audible.is_empty() {
@@ -143,7 +143,7 @@
         };
         let health_path = &service.health_path;
         let asked = upstreams.iter().filter(|_| fastrand::f64() < share);
-        asked.for_each(|upstream| probe::ask(self.context, upstream, health_path));
+        asked.for_each(|upstream| probe::start(self.context, upstream, health_path));
     }
 
     pub(super) fn need(&self, now: Instant, look_begun: Instant, reach: Reach) -> Need {
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -9,12 +9,12 @@
 use kingcuploft::entry::verdict::AttemptEnd;
 use kingcuploft::planted::{self, Planted};
 
-use super::flight::Flight;
+use super::active_request::Flight;
 use crate::clock;
 use crate::context::Context;
 use crate::notice_writes::Write;
 use crate::notices;
-use crate::upstream::after_loss::{self, AfterLoss};
+use crate::upstream::crash_check::{self, AfterLoss};
 use crate::upstream::{HoldsSuspect, Upstream};
 
 /// Whether a request may be sent on.
@@ -78,7 +78,7 @@
 
     fn clear(&self) {
         let fingerprint = self.request.fingerprint();
-        let ids = notices::logged(self.context, fingerprint, || {
+        let ids = notices::log_quarantine_change(self.context, fingerprint, || {
             self.context.quarantine.borrow_mut().answered(fingerprint)
         });
         tracing::info!(
@@ -93,11 +93,11 @@
 
     /// Looks whether a server has ended that lost an answer, and tells the others if so.
     async fn look_after_loss(&self, upstream: &Rc<Upstream>, known: u32) {
-        let found = after_loss::look(&*self.context.network, upstream).await;
+        let found = crash_check::check(&*self.context.network, upstream).await;
         let fingerprint = self.request.fingerprint();
         let server = &upstream.server.name;
         let report = (found == AfterLoss::Ended).then(|| {
-            notices::logged(self.context, fingerprint, || {
+            notices::log_quarantine_change(self.context, fingerprint, || {
                 let mut quarantine = self.context.quarantine.borrow_mut();
                 quarantine.server_ended(clock::now(), fingerprint, server, known)
             })
--- a/crates/kingcuploft-entry/src/http/client.rs
+++ b/crates/kingcuploft-entry/src/http/client.rs
@@ -193,7 +193,7 @@
 
     async fn receive_head(&mut self, method: &str) -> Result<ResponseHead, ReceiveError> {
         loop {
-            let parsed = head::response(&self.buffer, method);
+            let parsed = head::parse_response(&self.buffer, method);
             match parsed.map_err(|_| ReceiveError::Malformed)? {
                 Some((head, length)) => {
                     let _ = self.buffer.split_to(length);
--- a/crates/kingcuploft-entry/src/http/head.rs
+++ b/crates/kingcuploft-entry/src/http/head.rs
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// Returns an error for bytes that are no request, or one that can be read in two ways.
-pub fn request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
+pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
     let mut slots = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut parsed = httparse::Request::new(&mut slots);
     let status = parsed.parse(bytes).map_err(|_| HeadError::Malformed)?;
@@ -86,7 +86,10 @@
 /// # Errors
 ///
 /// Returns an error for bytes that are no response, or one that can be read in two ways.
-pub fn response(bytes: &[u8], method: &str) -> Result<Option<(ResponseHead, usize)>, HeadError> {
+pub fn parse_response(
+    bytes: &[u8],
+    method: &str,
+) -> Result<Option<(ResponseHead, usize)>, HeadError> {
     let mut slots = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut parsed = httparse::Response::new(&mut slots);
     let status = parsed.parse(bytes).map_err(|_| HeadError::Malformed)?;
--- a/crates/kingcuploft-entry/src/lib.rs
+++ b/crates/kingcuploft-entry/src/lib.rs
@@ -1,22 +1,20 @@
 //! The event-driven entry VM: one thread, sockets and timers around the decisions of `kingcuploft`.
 //!
-//! Callers come in at [`edge`], backend servers are dealt with in [`upstream`], and [`keeper`] holds
+//! Callers come in at [`edge`], backend servers are dealt with in [`upstream`], and [`store_watcher`] holds
 //! what the platform's store says. Names of headers, paths and store entries come from outside, by
 //! [`settings::Vocabulary`] and [`store::Store`].
 
 mod budgets;
 pub mod clock;
-pub mod cold;
+pub mod cold_servers;
 pub mod context;
 
+pub mod active_configuration;
 pub mod edge;
 pub mod evacuation;
 pub mod fields;
 mod gauges;
 pub mod http;
-mod impatience;
-pub mod in_force;
-pub mod keeper;
 pub mod limits;
 pub mod logs;
 pub mod metrics;
@@ -24,13 +22,15 @@
 pub mod notice_writes;
 pub mod notices;
 pub mod peers;
-pub mod pulse;
 pub mod rewinds;
 pub mod roster;
 pub mod run;
-pub mod server_news;
+pub mod server_updates;
 pub mod settings;
-pub mod sign_of_life;
 pub mod store;
+pub mod store_access;
+mod store_fallback;
+pub mod store_liveness;
+pub mod store_watcher;
 pub mod upstream;
 mod zone_list;
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -19,7 +19,7 @@
 
 /// What named a limit, or did not.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Answer {
+pub enum AnswerKind {
     /// The answer to a request that ran.
     OfRequest,
     /// Another answer, which may lack a limit that holds.
@@ -27,34 +27,39 @@
 }
 
 /// Takes in what a server's answer says of its limit.
-pub fn heard(context: &Context, server: &BackendServerName, headers: &Headers, answer: Answer) {
+pub fn apply_header(
+    context: &Context,
+    server: &BackendServerName,
+    headers: &Headers,
+    answer: AnswerKind,
+) {
     let named = headers.get(context.vocabulary.limit);
     let named = named.filter(|_| !planted::is_on(Planted::IgnoresLimits));
-    let per_s = named.and_then(read);
+    let per_s = named.and_then(parse_limit);
     match (named, per_s, answer) {
         (Some(value), None, _) => {
             if context.writes_ordinary_line(clock::now()) {
                 tracing::info!(event = "limit_unreadable", %server, value);
             }
         }
-        (None, _, Answer::Other) => {}
-        (None, _, Answer::OfRequest) if context.limits.borrow().is_empty() => {}
-        _ => take(context, server, per_s),
+        (None, _, AnswerKind::Other) => {}
+        (None, _, AnswerKind::OfRequest) if context.limits.borrow().is_empty() => {}
+        _ => apply_limit(context, server, per_s),
     }
 }
 
-fn read(value: &str) -> Option<PerSecond> {
+fn parse_limit(value: &str) -> Option<PerSecond> {
     let per_s: PerSecond = value.parse().ok()?;
     (per_s.is_finite() && per_s >= 0.0).then_some(per_s)
 }
 
-fn take(context: &Context, server: &BackendServerName, per_s: Option<PerSecond>) {
-    match news(context, server, per_s) {
-        Some(News::Named(notice)) => tell_all(context, notice),
+fn apply_limit(context: &Context, server: &BackendServerName, per_s: Option<PerSecond>) {
+    match update(context, server, per_s) {
+        Some(News::Named(notice)) => publish(context, notice),
         Some(News::Changed { before }) => {
             let per_s = per_s.unwrap_or_default();
             tracing::info!(event = "limit_changed", %server, per_s, before);
-            tell_keepers(context, server, per_s, before);
+            notify_keepers(context, server, per_s, before);
         }
         Some(News::Ended(id)) => {
             tracing::info!(event = "limit_ended", %server);
@@ -65,20 +70,20 @@
     }
 }
 
-fn news(context: &Context, server: &BackendServerName, per_s: Option<PerSecond>) -> Option<News> {
-    let part = |per_s| part(context, server, per_s);
+fn update(context: &Context, server: &BackendServerName, per_s: Option<PerSecond>) -> Option<News> {
+    let part = |per_s| own_part(context, server, per_s);
     let mut limits = context.limits.borrow_mut();
     limits.heard(clock::now(), server, per_s, part, fastrand::f64())
 }
 
-fn tell_all(context: &Context, notice: LimitNotice) {
+fn publish(context: &Context, notice: LimitNotice) {
     log_named(context, &notice);
     let notice = Notice::Limit(notice);
     context.notice_writes.send(Write::Tell(notice));
 }
 
 /// Tells those that keep a limit, or kept it, that it has changed: they give turns, and may send nothing themselves.
-fn tell_keepers(
+fn notify_keepers(
     context: &Context,
     server: &BackendServerName,
     per_s: PerSecond,
@@ -99,9 +104,9 @@
 }
 
 /// Takes in that a server names another limit than before, as another VM has heard.
-pub fn changed(context: &Context, server: &BackendServerName, per_s: PerSecond) {
-    match news(context, server, Some(per_s)) {
-        Some(News::Named(notice)) => tell_all(context, notice),
+pub fn apply_peer_change(context: &Context, server: &BackendServerName, per_s: PerSecond) {
+    match update(context, server, Some(per_s)) {
+        Some(News::Named(notice)) => publish(context, notice),
         Some(News::Changed { before }) => {
             tracing::info!(event = "limit_changed", %server, per_s, before);
         }
@@ -110,8 +115,8 @@
 }
 
 /// Takes in a notice that the store has; returns whether it is news.
-pub fn told(context: &Context, notice: &LimitNotice) -> bool {
-    let part = part(context, &notice.server, notice.per_s);
+pub fn apply_notice(context: &Context, notice: &LimitNotice) -> bool {
+    let part = own_part(context, &notice.server, notice.per_s);
     let mut limits = context.limits.borrow_mut();
     let is_known = limits.per_s(&notice.server).is_some();
     let is_news = limits.told(clock::now(), notice, part, fastrand::f64());
@@ -123,7 +128,7 @@
 }
 
 /// Takes in that a notice is withdrawn.
-pub fn withdrawn(context: &Context, id: &str) {
+pub fn apply_withdrawal(context: &Context, id: &str) {
     let known = context.limits.borrow_mut().withdrawn(id);
     if let (true, Some(server)) = (known, LimitNotice::parse_id(id)) {
         tracing::info!(event = "limit_ended", server);
@@ -131,16 +136,16 @@
 }
 
 /// Divides the limits anew, as other VMs are known.
-pub fn divide(context: &Context) {
+pub fn redistribute(context: &Context) {
     if context.limits.borrow().is_empty() {
         return;
     }
-    let part = |server: &BackendServerName, per_s| part(context, server, per_s);
+    let part = |server: &BackendServerName, per_s| own_part(context, server, per_s);
     context.limits.borrow_mut().divide(clock::now(), part);
 }
 
 /// Returns when a request may be sent to a server: at once if that is zero.
-pub fn wait(context: &Context, upstream: &Upstream, now: Instant) -> Duration {
+pub fn wait_before_send(context: &Context, upstream: &Upstream, now: Instant) -> Duration {
     let mut limits = context.limits.borrow_mut();
     if limits.is_empty() || planted::is_on(Planted::ForgetsColdServers) {
         return Duration::ZERO;
@@ -149,13 +154,13 @@
 }
 
 /// Takes note that a request is sent to a server.
-pub fn sent(context: &Context, upstream: &Upstream, now: Instant) {
+pub fn count_sent(context: &Context, upstream: &Upstream, now: Instant) {
     let mut limits = context.limits.borrow_mut();
     limits.sent(now, &upstream.server.name, fastrand::f64());
 }
 
 /// Returns the servers of a service that name limits.
-pub fn limited(context: &Context, service: &ServiceName) -> Vec<Rc<Upstream>> {
+pub fn limited_upstreams(context: &Context, service: &ServiceName) -> Vec<Rc<Upstream>> {
     if context.limits.borrow().is_empty() {
         return Vec::new();
     }
@@ -166,13 +171,13 @@
 }
 
 /// Returns whether this VM keeps a server's limit, or its part of it.
-pub fn is_kept_here(context: &Context, server: &BackendServerName) -> bool {
+pub fn is_keeper(context: &Context, server: &BackendServerName) -> bool {
     let per_s = context.limits.borrow().per_s(server);
-    per_s.is_some_and(|per_s| matches!(part(context, server, per_s), Part::OneOf(_)))
+    per_s.is_some_and(|per_s| matches!(own_part(context, server, per_s), Part::OneOf(_)))
 }
 
 /// Returns a VM that keeps a server's limit.
-pub fn keeper(context: &Context, server: &BackendServerName) -> Option<VmEntry> {
+pub fn pick_keeper(context: &Context, server: &BackendServerName) -> Option<VmEntry> {
     let per_s = context.limits.borrow().per_s(server)?;
     let records = context.readers.borrow().records();
     let keepers = server_limit::keepers(server, &zone(context, server), per_s, &records);
@@ -185,7 +190,7 @@
 }
 
 /// Returns which part of a server's limit this VM uses.
-pub fn part(context: &Context, server: &BackendServerName, per_s: PerSecond) -> Part {
+pub fn own_part(context: &Context, server: &BackendServerName, per_s: PerSecond) -> Part {
     if context.settings.peers.is_none() {
         return Part::OneOf(1);
     }
@@ -196,7 +201,7 @@
 }
 
 fn log_named(context: &Context, notice: &LimitNotice) {
-    let part = part(context, &notice.server, notice.per_s);
+    let part = own_part(context, &notice.server, notice.per_s);
     tracing::info!(
         event = "limit_named",
         server = %notice.server,
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -17,8 +17,8 @@
 use crate::notice_writes::Write;
 use crate::peers::frame::Frame;
 use crate::peers::standing::standing;
-use crate::pulse::Pulse;
 use crate::store::{Recorded, Store, StoreError};
+use crate::store_access::Pulse;
 
 /// The pause between two tries, at least; chance adds as much again.
 const PAUSE: Duration = Duration::from_millis(500);
@@ -27,7 +27,7 @@
 const LOOK_EVERY: Duration = Duration::from_secs(5);
 
 /// Writes to the store until the process ends.
-pub async fn write<S: Store>(
+pub async fn write_to_store<S: Store>(
     context: Rc<Context>,
     store: Rc<S>,
     pulse: Rc<Pulse>,
@@ -37,9 +37,9 @@
     while let Some(write) = writes.recv().await {
         match write {
             Write::Tell(notice) => {
-                let holds = || holds(&context, &notice);
-                if until_done(is_there, holds, || store.tell(&notice)).await {
-                    told(&context, vec![notice]);
+                let holds = || still_holds(&context, &notice);
+                if retry_until_done(is_there, holds, || store.tell(&notice)).await {
+                    apply_notices(&context, vec![notice]);
                 }
             }
             // Whoever asked waits no longer.
@@ -48,19 +48,19 @@
                 let written = store.tell(&notice).await;
                 let is_first = matches!(written, Ok(Recorded::Done));
                 if written.is_ok() {
-                    told(&context, vec![notice]);
+                    apply_notices(&context, vec![notice]);
                 }
                 let _ = claimed.send(is_first);
             }
             Write::Withdraw(id) => {
-                until_done(is_there, || true, || store.withdraw(&id)).await;
+                retry_until_done(is_there, || true, || store.withdraw(&id)).await;
             }
         }
     }
 }
 
 /// Returns whether this VM still believes what a notice says.
-fn holds(context: &Context, notice: &Notice) -> bool {
+fn still_holds(context: &Context, notice: &Notice) -> bool {
     match notice {
         Notice::Crash(report) => {
             let quarantine = context.quarantine.borrow();
@@ -71,7 +71,7 @@
 }
 
 /// Calls the store whenever it is there until the call is done, and returns whether it was: no longer than it is of use.
-async fn until_done<T, F: Future<Output = Result<T, StoreError>>>(
+async fn retry_until_done<T, F: Future<Output = Result<T, StoreError>>>(
     is_there: impl Fn() -> bool,
     is_of_use: impl Fn() -> bool,
     mut call: impl FnMut() -> F,
@@ -91,7 +91,7 @@
 }
 
 /// Forgets what is outdated until the process ends, and has a VM that reads the store withdraw it.
-pub async fn tidy(context: Rc<Context>, pulse: Rc<Pulse>) {
+pub async fn expire_outdated(context: Rc<Context>, pulse: Rc<Pulse>) {
     loop {
         tokio::time::sleep(LOOK_EVERY).await;
         let mut outdated = context.quarantine.borrow().outdated(clock::now());
@@ -104,14 +104,14 @@
 }
 
 /// Takes in notices that the store has, and passes on what is news.
-pub fn told(context: &Context, mut notices: Vec<Notice>) {
+pub fn apply_notices(context: &Context, mut notices: Vec<Notice>) {
     let now = clock::now();
     notices.retain(|notice| match notice {
-        Notice::Crash(report) => logged(context, report.fingerprint, || {
+        Notice::Crash(report) => log_quarantine_change(context, report.fingerprint, || {
             let mut quarantine = context.quarantine.borrow_mut();
             quarantine.told(now, report) == Told::News
         }),
-        Notice::Limit(notice) => limits::told(context, notice),
+        Notice::Limit(notice) => limits::apply_notice(context, notice),
     });
     if !notices.is_empty() {
         context.followers.tell_notices(&Frame::Notices(notices));
@@ -119,7 +119,11 @@
 }
 
 /// Takes in news of a request, and writes down whether it is refused from now on, or no longer.
-pub fn logged<T>(context: &Context, fingerprint: Fingerprint, take: impl FnOnce() -> T) -> T {
+pub fn log_quarantine_change<T>(
+    context: &Context,
+    fingerprint: Fingerprint,
+    take: impl FnOnce() -> T,
+) -> T {
     let is_refused = || context.quarantine.borrow().is_refused(fingerprint);
     let before = is_refused();
     let taken = take();
@@ -136,14 +140,14 @@
 }
 
 /// Takes in that notices are withdrawn, and passes it on: followers may know what this VM has forgotten already.
-pub fn withdrawn(context: &Context, ids: Vec<NoticeId>) {
+pub fn apply_withdrawals(context: &Context, ids: Vec<NoticeId>) {
     for id in &ids {
         context.rewinds.withdrawn(clock::now(), id);
         match CrashReport::parse_id(id) {
-            Some((fingerprint, _)) => logged(context, fingerprint, || {
+            Some((fingerprint, _)) => log_quarantine_change(context, fingerprint, || {
                 context.quarantine.borrow_mut().withdrawn(id);
             }),
-            None => limits::withdrawn(context, id),
+            None => limits::apply_withdrawal(context, id),
         }
     }
     context.followers.tell_notices(&Frame::NoticesGone(ids));
@@ -151,7 +155,7 @@
 
 /// Takes in which notices the store has at all, and passes them on. What a store lacks that came back from a copy is written
 /// again by whoever reads it.
-pub fn all_told(context: &Context, ids: impl Iterator<Item = NoticeId>) {
+pub fn apply_stored_ids(context: &Context, ids: impl Iterator<Item = NoticeId>) {
     let ids: HashSet<NoticeId> = ids.collect();
     if context.rewinds.is_recent(clock::now()) {
         let lost = stored(context).into_iter();
@@ -166,15 +170,15 @@
             .followers
             .tell_notices(&Frame::AllNotices(stored(context)));
     }
-    take_all(context, &ids);
+    apply_ids(context, &ids);
 }
 
 /// Takes in which notices there are by the VM that this one follows, and passes them on.
-pub fn followed(context: &Context, ids: impl Iterator<Item = NoticeId>) {
-    take_all(context, &ids.collect());
+pub fn apply_feeder_ids(context: &Context, ids: impl Iterator<Item = NoticeId>) {
+    apply_ids(context, &ids.collect());
 }
 
-fn take_all(context: &Context, ids: &HashSet<NoticeId>) {
+fn apply_ids(context: &Context, ids: &HashSet<NoticeId>) {
     context.quarantine.borrow_mut().all_told(ids);
     context.limits.borrow_mut().all_told(ids);
     let all = Frame::AllNotices(stored(context));
--- a/crates/kingcuploft-entry/src/peers/away.rs
+++ b/crates/kingcuploft-entry/src/peers/away.rs
@@ -10,7 +10,7 @@
 use kingcuploft::entry::joining;
 
 use crate::context::Context;
-use crate::pulse::Pulse;
+use crate::store_access::Pulse;
 
 /// How often it is looked whether the reader has the store.
 const STEP: Duration = Duration::from_millis(50);
--- a/crates/kingcuploft-entry/src/peers/feed.rs
+++ b/crates/kingcuploft-entry/src/peers/feed.rs
@@ -16,9 +16,9 @@
 use super::writing::{timed_out, write};
 use crate::context::Context;
 use crate::evacuation;
-use crate::keeper;
 use crate::notices;
-use crate::pulse::Pulse;
+use crate::store_access::Pulse;
+use crate::store_watcher;
 
 /// The time between two heartbeats. A follower that misses two and a bit leaves.
 pub(super) const HEARTBEAT: Duration = Duration::from_millis(250);
@@ -101,7 +101,7 @@
         if self.speaks >= TAKES_EVACUATIONS {
             let frame = match planted::is_on(Planted::JoinersLackEvacuations) {
                 true => Frame::Evacuations(Vec::new()),
-                false => evacuation::frame(self.context),
+                false => evacuation::to_frame(self.context),
             };
             greeting.extend(frame.to_line());
         }
@@ -128,7 +128,7 @@
         else {
             return Ok(());
         };
-        keeper::configuration_exists(self.context, newer);
+        store_watcher::note_configuration_version(self.context, newer);
         match self.speaks >= TAKES_EVACUATIONS {
             true => self.tell(&Frame::Lacks).await,
             false => Ok(()),
--- a/crates/kingcuploft-entry/src/peers/follower.rs
+++ b/crates/kingcuploft-entry/src/peers/follower.rs
@@ -21,11 +21,11 @@
 use crate::clock;
 use crate::context::Context;
 use crate::evacuation;
-use crate::keeper;
 use crate::notices;
-use crate::pulse::Pulse;
-use crate::server_news;
+use crate::server_updates;
 use crate::store::Collection;
+use crate::store_access::Pulse;
+use crate::store_watcher;
 
 /// How long a link may take to be opened by a VM that knows what the store held a moment ago.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(150);
@@ -178,7 +178,7 @@
             Frame::Wait => context.promised.set(true),
             Frame::Standing(standing) => {
                 if let Some(era) = standing.era() {
-                    keeper::era(context, era);
+                    store_watcher::note_era(context, era);
                 }
                 check(context, pulse, &standing)?;
                 match led {
@@ -307,24 +307,26 @@
 fn take(context: &Context, frame: Frame) -> Result<(), LinkError> {
     let now = clock::now();
     match frame {
-        Frame::Configuration(configuration) => keeper::configuration(context, *configuration),
-        Frame::Newer(version) => keeper::configuration_exists(context, version),
-        Frame::Server(server) => server_news::told(context, now, vec![server]),
-        Frame::Servers(table) => server_news::told(context, now, table.servers()?),
-        Frame::ServerGone(name) => server_news::gone(context, now, &name),
+        Frame::Configuration(configuration) => {
+            store_watcher::adopt_configuration(context, *configuration)
+        }
+        Frame::Newer(version) => store_watcher::note_configuration_version(context, version),
+        Frame::Server(server) => server_updates::apply_servers(context, now, vec![server]),
+        Frame::Servers(table) => server_updates::apply_servers(context, now, table.servers()?),
+        Frame::ServerGone(name) => server_updates::apply_removal(context, now, &name),
         Frame::AllServers(table) => all_servers(context, now, table)?,
-        Frame::Zones(records) => keeper::zones(context, records),
-        Frame::Notices(notices) => notices::told(context, notices),
-        Frame::NoticesGone(ids) => notices::withdrawn(context, ids),
+        Frame::Zones(records) => store_watcher::apply_zone_records(context, records),
+        Frame::Notices(notices) => notices::apply_notices(context, notices),
+        Frame::NoticesGone(ids) => notices::apply_withdrawals(context, ids),
         Frame::AllNotices(notices) => {
             let ids: Vec<NoticeId> = notices.iter().map(Notice::id).collect();
-            notices::told(context, notices);
-            notices::followed(context, ids.into_iter());
+            notices::apply_notices(context, notices);
+            notices::apply_feeder_ids(context, ids.into_iter());
         }
-        Frame::Evacuations(zones) => evacuation::followed(context, zones),
-        Frame::Era(era) => keeper::era(context, era),
+        Frame::Evacuations(zones) => evacuation::apply_feeder_list(context, zones),
+        Frame::Era(era) => store_watcher::note_era(context, era),
         Frame::Lacks => context.feeder_lacks.notify_one(),
-        Frame::StoreReturned => keeper::store_returned(context),
+        Frame::StoreReturned => store_watcher::note_store_return(context),
         Frame::Hello(_)
         | Frame::WhoReads
         | Frame::Below(_)
@@ -348,7 +350,7 @@
         Taken::More | Taken::Known => Ok(()),
         Taken::Whole(configuration) => {
             transfer.end(configuration.version);
-            keeper::configuration(context, *configuration);
+            store_watcher::adopt_configuration(context, *configuration);
             Ok(())
         }
         Taken::OutOfStep => Err(LinkError::OutOfStep),
@@ -358,6 +360,6 @@
 fn all_servers(context: &Context, now: Instant, table: ServerTable) -> Result<(), LinkError> {
     let servers: Vec<BackendServer> = table.servers()?;
     let names: Vec<String> = servers.iter().map(|s| s.name.to_string()).collect();
-    server_news::all_told(context, now, servers, &names);
+    server_updates::apply_full_list(context, now, servers, &names);
     Ok(())
 }
--- a/crates/kingcuploft-entry/src/peers/reader.rs
+++ b/crates/kingcuploft-entry/src/peers/reader.rs
@@ -12,7 +12,7 @@
 use super::standing::standing;
 use super::writing::{WRITE_PATIENCE, timed_out, write};
 use crate::context::Context;
-use crate::pulse::Pulse;
+use crate::store_access::Pulse;
 
 /// The bytes read at once of what a follower says.
 const HELLO_BYTES: usize = 256;
@@ -73,7 +73,7 @@
     match serde_json::from_slice(&line) {
         Ok(Frame::WhoReads) => tell(&mut write, &zones(context)).await,
         Ok(Frame::Zones(records)) => {
-            crate::keeper::zones(context, records);
+            crate::store_watcher::apply_zone_records(context, records);
             Ok(())
         }
         Ok(Frame::Hello(hello)) => lead(context, pulse, hello, lines, write).await,
@@ -142,7 +142,9 @@
         }
         match serde_json::from_slice(&line) {
             Ok(Frame::Below(below)) => context.followers.has_below(id, below),
-            Ok(Frame::Configuration(newer)) => crate::keeper::configuration(context, *newer),
+            Ok(Frame::Configuration(newer)) => {
+                crate::store_watcher::adopt_configuration(context, *newer)
+            }
             Ok(Frame::Ahead) => catch_up(context, pulse),
             Ok(_) | Err(_) => {}
         }
--- a/crates/kingcuploft-entry/src/peers/readings.rs
+++ b/crates/kingcuploft-entry/src/peers/readings.rs
@@ -15,7 +15,7 @@
 use super::turns;
 use super::zone_socket::{Told, ZoneSocket};
 use crate::clock;
-use crate::cold;
+use crate::cold_servers;
 use crate::context::Context;
 use crate::limits;
 
@@ -99,7 +99,7 @@
             if let Some(upstream) = context.upstream(server) {
                 if let Some(cold_for) = cold_ms.map(Duration::from_millis) {
                     let asked_at = now.checked_sub(TOLD_WITHIN).unwrap_or(now);
-                    cold::heard(context, &upstream, cold_for, asked_at);
+                    cold_servers::apply_probe_answer(context, &upstream, cold_for, asked_at);
                 }
                 upstream.told(now, reading);
                 context.readings.notify_waiters();
@@ -126,7 +126,7 @@
             after_ms,
             given,
         } => turns::answered(context, ask, Duration::from_millis(after_ms), given),
-        Told::Limit { ref server, per_s } => limits::changed(context, server, per_s),
+        Told::Limit { ref server, per_s } => limits::apply_peer_change(context, server, per_s),
         Told::Repeats { ref vm, ref used } => repeat_copies::told(context, vm, used),
         Told::AskRepeats { ref vm } => repeat_copies::asked(context, vm, from),
         Told::KeptRepeats { ref used } => repeat_copies::answered(context, used, from),
--- a/crates/kingcuploft-entry/src/peers/standing.rs
+++ b/crates/kingcuploft-entry/src/peers/standing.rs
@@ -2,8 +2,8 @@
 
 use super::frame::Standing;
 use crate::context::Context;
-use crate::pulse::Pulse;
 use crate::store::Collection;
+use crate::store_access::Pulse;
 
 /// Returns how far this VM knows the store.
 pub fn standing(context: &Context, pulse: &Pulse) -> Standing {
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -18,11 +18,11 @@
 
 /// Asks for a turn at a server for a request that waits so long at most.
 pub async fn ask(context: &Context, server: &BackendServerName, patience: Duration) -> Turn {
-    if limits::is_kept_here(context, server) {
+    if limits::is_keeper(context, server) {
         let mut limits = context.limits.borrow_mut();
         return limits.give_turn(clock::now(), server, patience);
     }
-    let keeper = limits::keeper(context, server);
+    let keeper = limits::pick_keeper(context, server);
     let (Some(keeper), Some(socket)) = (keeper, context.peer_readings.get()) else {
         return Turn::TooLate(ASK_AGAIN);
     };
--- a/crates/kingcuploft-entry/src/roster/leading.rs
+++ b/crates/kingcuploft-entry/src/roster/leading.rs
@@ -6,10 +6,10 @@
 
 use super::{CATCH_UP, LOOK_EVERY, PAUSE, Roster};
 use crate::clock;
-use crate::keeper;
 use crate::peers::dial::Dial;
 use crate::peers::seeds;
 use crate::store::{Recorded, Recording, Store, StoreError};
+use crate::store_watcher;
 use crate::zone_list::Staleness;
 
 impl<S: Store, D: Dial + Clone + 'static> Roster<'_, S, D> {
@@ -45,7 +45,7 @@
         };
         if let Some(record) = handed_over(&old, &seen) {
             tracing::info!(event = "reader_hands_over", version = record.version);
-            keeper::zones(self.context, vec![record]);
+            store_watcher::apply_zone_records(self.context, vec![record]);
             // What the followers are told last must be on its way before their links end.
             tokio::time::sleep(CATCH_UP).await;
             return followers.let_go();
@@ -59,7 +59,7 @@
             return;
         }
         if let Some(record) = renewed(&old, &seen, holds, settled) {
-            keeper::zones(self.context, vec![record]);
+            store_watcher::apply_zone_records(self.context, vec![record]);
         }
         let alone = seen.followers.is_empty() && holds > 1;
         self.doubt_stored();
@@ -88,7 +88,7 @@
             Ok(Recorded::Done | Recorded::IsNotThere) => {
                 tracing::info!(event = "zone_recorded", version = record.version);
                 self.stored.set(record.version);
-                keeper::zones(self.context, vec![record.clone()]);
+                store_watcher::apply_zone_records(self.context, vec![record.clone()]);
                 seeds::tell(self.network, self.context.settings.seeds.clone(), record);
             }
             Err(error) => self.not_recorded(&error).await,
@@ -115,7 +115,7 @@
                 tracing::info!(event = "zone_recorded", version, count);
                 self.stored.set(version);
                 self.stored_after.set(self.context.rewinds.count());
-                keeper::zones(self.context, vec![record]);
+                store_watcher::apply_zone_records(self.context, vec![record]);
             }
             Err(error) => self.not_recorded(&error).await,
         }
--- a/crates/kingcuploft-entry/src/roster/mod.rs
+++ b/crates/kingcuploft-entry/src/roster/mod.rs
@@ -14,15 +14,15 @@
 
 use crate::clock;
 use crate::context::Context;
-use crate::impatience;
-use crate::keeper;
 use crate::peers::away;
 use crate::peers::dial::Dial;
 use crate::peers::follower::{self, Link};
 use crate::peers::link_error::LinkError;
 use crate::peers::seeds;
-use crate::pulse::Pulse;
 use crate::store::Store;
+use crate::store_access::Pulse;
+use crate::store_fallback;
+use crate::store_watcher;
 use crate::zone_list::{Staleness, list_all};
 
 /// The time between two lists of the zones by one that reads the store. Other zones grow meanwhile, and what all use
@@ -76,7 +76,7 @@
         stored_after: Cell::default(),
         count: Cell::default(),
     };
-    let impatience = impatience::without_knowledge(context.clone(), pulse.clone());
+    let impatience = store_fallback::read_store_if_uninformed(context.clone(), pulse.clone());
     let impatience = tokio::task::spawn_local(impatience);
     if context.settings.all_start {
         tokio::time::sleep(joining::claim_after(&own, fastrand::f64())).await;
@@ -179,7 +179,7 @@
         let settings = &self.context.settings;
         loop {
             let told = seeds::ask(self.network, &settings.seeds, settings.control).await;
-            keeper::zones(self.context, told);
+            store_watcher::apply_zone_records(self.context, told);
             if self.record().is_some() {
                 return;
             }
@@ -200,7 +200,7 @@
                 if self.stored_after.get() == self.context.rewinds.count() {
                     self.stored.set(self.stored.get().max(stored));
                 }
-                keeper::zones(self.context, records);
+                store_watcher::apply_zone_records(self.context, records);
                 true
             }
             Err(error) => {
@@ -296,7 +296,7 @@
         };
         let record = zone_record::taken_over(&old, self.own);
         tracing::info!(event = "reader_taken_over", version = record.version);
-        keeper::zones(self.context, vec![record.clone()]);
+        store_watcher::apply_zone_records(self.context, vec![record.clone()]);
         let first = old.vms.first().unwrap_or(feeder);
         seeds::tell(self.network, vec![first.address, feeder.address], record);
     }
--- a/crates/kingcuploft-entry/src/run.rs
+++ b/crates/kingcuploft-entry/src/run.rs
@@ -13,18 +13,18 @@
 use crate::clock;
 use crate::context::Context;
 use crate::edge::{connection, readiness};
-use crate::keeper;
 use crate::notices;
 use crate::peers::dial::{self, Dial};
 use crate::peers::reader;
 use crate::peers::readings;
 use crate::peers::repeat_copies;
 use crate::peers::zone_socket::ZoneSocket;
-use crate::pulse::Pulse;
 use crate::roster;
 use crate::settings::{EntrySettings, Vocabulary};
-use crate::sign_of_life;
 use crate::store::{Collection, Store};
+use crate::store_access::Pulse;
+use crate::store_liveness;
+use crate::store_watcher;
 
 /// New connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -175,18 +175,18 @@
 
 /// Reads the store, and writes what this VM tells it.
 fn read_store<S: Store + 'static>(context: &Rc<Context>, store: &Rc<S>, pulse: &Rc<Pulse>) {
-    let feeling = sign_of_life::watch_over(context.clone(), store.clone(), pulse.clone());
+    let feeling = store_liveness::monitor(context.clone(), store.clone(), pulse.clone());
     tokio::task::spawn_local(feeling);
     let waiting = context.notice_writes.open();
-    let writing = notices::write(context.clone(), store.clone(), pulse.clone(), waiting);
+    let writing = notices::write_to_store(context.clone(), store.clone(), pulse.clone(), waiting);
     tokio::task::spawn_local(writing);
-    tokio::task::spawn_local(notices::tidy(context.clone(), pulse.clone()));
+    tokio::task::spawn_local(notices::expire_outdated(context.clone(), pulse.clone()));
     for collection in Collection::WATCHED {
         let (context, store) = (context.clone(), store.clone());
-        let following = keeper::follow(context, store, pulse.clone(), collection);
+        let following = store_watcher::sync_collection(context, store, pulse.clone(), collection);
         tokio::task::spawn_local(following);
     }
-    tokio::task::spawn_local(keeper::expire(context.clone()));
+    tokio::task::spawn_local(store_watcher::run_expiry(context.clone()));
 }
 
 /// Joins the other VMs, which reach this one at an address, and reads the store where it falls to this VM; its tasks run
--- a/crates/kingcuploft-entry/src/server_news.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -6,7 +6,7 @@
 use kingcuploft::entry::server_table::ServerTable;
 use kingcuploft::world::ids::BackendServerName;
 
-use crate::cold;
+use crate::cold_servers;
 use crate::context::Context;
 use crate::peers::frame::Frame;
 
@@ -15,7 +15,7 @@
 
 /// Takes in what is said of backend servers, and passes on what is news: a list repeats what is known, and hundreds of
 /// lines at once are more than a follower's queue holds.
-pub fn told(context: &Context, now: Instant, mut servers: Vec<BackendServer>) {
+pub fn apply_servers(context: &Context, now: Instant, mut servers: Vec<BackendServer>) {
     context.servers(|known| servers.retain(|server| !known.is_known(server)));
     match &servers[..] {
         [] => return,
@@ -31,7 +31,7 @@
         context.servers(|known| told.filter_map(|s| known.told(s)).collect());
     log_changes(&changes);
     context.apply_all(now, &changes);
-    cold::told(context, &cold);
+    cold_servers::apply_store_report(context, &cold);
 }
 
 /// Returns which of these servers are cold, and for how long.
@@ -42,10 +42,10 @@
 }
 
 /// Takes in that a backend server's entry is gone, and passes it on.
-pub fn gone(context: &Context, now: Instant, name: &str) {
+pub fn apply_removal(context: &Context, now: Instant, name: &str) {
     context.followers.tell(&Frame::ServerGone(name.to_owned()));
     if let Some(change) = context.servers(|servers| servers.gone(now, name)) {
-        apply(context, now, &change);
+        apply_change(context, now, &change);
     }
 }
 
@@ -53,7 +53,12 @@
 ///
 /// Load pattern: after an outage every VM learns of hundreds of servers at once. Each is taken in alone, but they are
 /// told and logged together: a line for each takes a small VM longer than all the rest of its start.
-pub fn all_told(context: &Context, now: Instant, servers: Vec<BackendServer>, names: &[String]) {
+pub fn apply_full_list(
+    context: &Context,
+    now: Instant,
+    servers: Vec<BackendServer>,
+    names: &[String],
+) {
     let is_news = |server: &BackendServer| context.servers(|known| !known.is_known(server));
     let news: Vec<BackendServer> = servers.iter().filter(|s| is_news(s)).cloned().collect();
     let cold = cold_servers(&news);
@@ -64,13 +69,13 @@
     let changes: Vec<Change> = joined.into_iter().chain(gone).collect();
     log_changes(&changes);
     context.apply_all(now, &changes);
-    cold::told(context, &cold);
+    cold_servers::apply_store_report(context, &cold);
     context.servers_listed();
-    pass_on(context, &news, &changes);
+    forward_to_followers(context, &news, &changes);
 }
 
 /// Tells the followers what a list of all servers brought: the few that changed, or all where many did.
-fn pass_on(context: &Context, news: &[BackendServer], changes: &[Change]) {
+fn forward_to_followers(context: &Context, news: &[BackendServer], changes: &[Change]) {
     if news.len() + changes.len() > MOST_TOLD_ALONE {
         let table = context.servers(|servers| ServerTable::of(servers.present()));
         context.followers.tell(&Frame::AllServers(table));
@@ -87,7 +92,7 @@
 }
 
 /// Follows a change, and writes it down.
-pub fn apply(context: &Context, now: Instant, change: &Change) {
+pub fn apply_change(context: &Context, now: Instant, change: &Change) {
     log_changes(std::slice::from_ref(change));
     context.apply_all(now, std::slice::from_ref(change));
 }
--- a/crates/kingcuploft-entry/src/store.rs
+++ b/crates/kingcuploft-entry/src/store.rs
@@ -75,7 +75,7 @@
     /// An entry was written.
     Written(Record),
     /// The entry of this name is gone.
-    Gone(String),
+    Removed(String),
 }
 
 /// Entries of a collection.
--- a/crates/kingcuploft-entry/src/pulse.rs
+++ b/crates/kingcuploft-entry/src/store_access.rs
@@ -1,4 +1,4 @@
-//! Whether this VM reads the platform's store, and whether the store answers, as [`crate::sign_of_life`] sees
+//! Whether this VM reads the platform's store, and whether the store answers, as [`crate::store_liveness`] sees
 //! it. Watches wait here until they may be asked, are given up, or have to be asked again.
 
 use std::cell::Cell;
--- a/crates/kingcuploft-entry/src/impatience.rs
+++ b/crates/kingcuploft-entry/src/store_fallback.rs
@@ -7,7 +7,7 @@
 
 use crate::clock;
 use crate::context::Context;
-use crate::pulse::Pulse;
+use crate::store_access::Pulse;
 
 /// How often a VM looks whether it has knowledge.
 const KNOWLEDGE_STEP: Duration = Duration::from_millis(10);
@@ -15,7 +15,7 @@
 /// Has a VM that knows nothing read the store once it has waited for others for too long.
 ///
 /// Where all start together nobody calls yet, and the others are waited for.
-pub(crate) async fn without_knowledge(context: Rc<Context>, pulse: Rc<Pulse>) {
+pub(crate) async fn read_store_if_uninformed(context: Rc<Context>, pulse: Rc<Pulse>) {
     let begun = clock::now();
     let chance = fastrand::f64();
     if context.settings.all_start {
--- a/crates/kingcuploft-entry/src/sign_of_life.rs
+++ b/crates/kingcuploft-entry/src/store_liveness.rs
@@ -11,11 +11,11 @@
 
 use crate::clock;
 use crate::context::Context;
-use crate::keeper;
 use crate::peers::frame::Frame;
 use crate::peers::standing::standing;
-use crate::pulse::Pulse;
 use crate::store::{Collection, Revision, Store};
+use crate::store_access::Pulse;
+use crate::store_watcher;
 
 /// The time between two signs of life. With [`PATIENCE`] and [`WHILE_AWAY`], a change is known within
 /// 2 s of the store's return, which is what a leaving server allows.
@@ -39,7 +39,7 @@
 const BEHIND: Duration = Duration::from_millis(900);
 
 /// Watches over the store while this VM reads it, until the process ends.
-pub async fn watch_over<S: Store>(context: Rc<Context>, store: Rc<S>, pulse: Rc<Pulse>) {
+pub async fn monitor<S: Store>(context: Rc<Context>, store: Rc<S>, pulse: Rc<Pulse>) {
     let mut lag = Lag::default();
     loop {
         pulse.reading().await;
@@ -50,13 +50,14 @@
             .ok()
             .and_then(|asked| asked.as_ref().ok().copied());
         if let Some(reached) = reached {
-            keeper::era(&context, era_of(reached));
+            store_watcher::note_era(&context, era_of(reached));
         }
         // The answer may stand behind another, long one.
-        let is_there = reached.is_some() || (asked.is_err() && hears(&*store, asked_at));
+        let is_there =
+            reached.is_some() || (asked.is_err() && received_bytes_since(&*store, asked_at));
         if pulse.set_there(is_there) {
             match is_there {
-                true => keeper::store_returned(&context),
+                true => store_watcher::note_store_return(&context),
                 false => tracing::warn!(event = "store_away"),
             }
             // Those that follow learn it at once, as one of them may still reach the store.
@@ -69,7 +70,7 @@
             pulse.ask_again();
         }
         let pause = match (is_there, context.followers.is_empty()) {
-            (false, _) if waits_for_others(&context) => {
+            (false, _) if will_be_fed(&context) => {
                 WHILE_AWAY_FOR_ALL.mul_f64(1.0 + fastrand::f64())
             }
             (false, _) => WHILE_AWAY,
@@ -81,7 +82,7 @@
 }
 
 /// Returns whether bytes of any answer have come since a moment.
-fn hears<S: Store>(store: &S, since: Instant) -> bool {
+fn received_bytes_since<S: Store>(store: &S, since: Instant) -> bool {
     let heard = Collection::WATCHED
         .into_iter()
         .filter_map(|c| store.heard(c));
@@ -89,7 +90,7 @@
 }
 
 /// Returns whether this VM will be told by others: it serves nobody yet, and is none of those that others ask.
-fn waits_for_others(context: &Context) -> bool {
+fn will_be_fed(context: &Context) -> bool {
     let settings = &context.settings;
     let is_seed = settings
         .control
--- a/crates/kingcuploft-entry/src/keeper.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -16,17 +16,17 @@
 use kingcuploft::planted::{self, Planted};
 
 use crate::clock;
-use crate::cold;
+use crate::cold_servers;
 use crate::context::Context;
 use crate::evacuation;
 use crate::limits;
 use crate::notices;
 use crate::peers::frame::Frame;
 use crate::peers::standing::standing;
-use crate::pulse::Pulse;
 use crate::rewinds::Heard;
-use crate::server_news;
+use crate::server_updates;
 use crate::store::{Changes, Collection, Page, Record, Revision, Store, StoreChange, StoreError};
+use crate::store_access::Pulse;
 
 /// How long a watch waits for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
@@ -54,7 +54,7 @@
 const EXPIRE_EVERY: Duration = Duration::from_millis(100);
 
 /// Follows one collection until the process ends.
-pub async fn follow<S: Store>(
+pub async fn sync_collection<S: Store>(
     context: Rc<Context>,
     store: Rc<S>,
     pulse: Rc<Pulse>,
@@ -66,7 +66,7 @@
     loop {
         pulse.open().await;
         let from = context.position(collection).filter(|_| !forgotten);
-        let mut asking = std::pin::pin!(next(&context, &*store, collection, from, wait));
+        let mut asking = std::pin::pin!(list_or_watch(&context, &*store, collection, from, wait));
         let told = loop {
             tokio::select! {
                 biased;
@@ -110,7 +110,7 @@
     heard.is_some_and(|at| clock::now().saturating_duration_since(at) < ARRIVING)
 }
 
-async fn next<S: Store>(
+async fn list_or_watch<S: Store>(
     context: &Context,
     store: &S,
     collection: Collection,
@@ -124,21 +124,21 @@
 }
 
 /// Returns whether a notice was withdrawn, and a store that came back from a copy has it again.
-fn brought_back(context: &Context, notice: &Notice) -> bool {
+fn is_restored_withdrawal(context: &Context, notice: &Notice) -> bool {
     context.rewinds.brought_back(clock::now(), &notice.id())
 }
 
 /// Ends the graces of lapsed entries as they run out.
-pub async fn expire(context: Rc<Context>) {
+pub async fn run_expiry(context: Rc<Context>) {
     loop {
         tokio::time::sleep(EXPIRE_EVERY).await;
         let now = clock::now();
         let changes = context.servers(|servers| servers.expire(now));
         changes
             .iter()
-            .for_each(|change| server_news::apply(&context, now, change));
+            .for_each(|change| server_updates::apply_change(&context, now, change));
         evacuation::expire(&context, now);
-        cold::expire(&context, now);
+        cold_servers::expire(&context, now);
     }
 }
 
@@ -150,7 +150,7 @@
 impl Pauses {
     fn answered(&mut self, context: &Context) {
         if self.failures > 0 {
-            store_returned(context);
+            note_store_return(context);
         }
         self.failures = 0;
     }
@@ -184,25 +184,25 @@
         if era_of(revision) != era_of(first) {
             return Err(StoreError::HistoryGone);
         }
-        era(context, era_of(first));
+        note_era(context, era_of(first));
         for (name, record) in records {
             match record {
                 Record::BackendServer(server) => servers.push(server),
-                Record::Notice(notice) if brought_back(context, &notice) => {
+                Record::Notice(notice) if is_restored_withdrawal(context, &notice) => {
                     notices::withdraw(context, notice.id());
                 }
                 Record::Evacuation(zone) => zones.push(zone),
-                other => written(context, other),
+                other => apply_record(context, other),
             }
             names.push(name);
         }
         if next.is_none() {
             match collection {
                 Collection::BackendServers => {
-                    server_news::all_told(context, clock::now(), servers, &names);
+                    server_updates::apply_full_list(context, clock::now(), servers, &names);
                 }
-                Collection::Notices => notices::all_told(context, names.into_iter()),
-                Collection::Evacuations => evacuation::all_told(context, zones.into_iter()),
+                Collection::Notices => notices::apply_stored_ids(context, names.into_iter()),
+                Collection::Evacuations => evacuation::apply_full_list(context, zones.into_iter()),
                 Collection::Configuration | Collection::Zones => {}
             }
             return Ok(first);
@@ -226,22 +226,22 @@
     for change in changes {
         match change {
             StoreChange::Written(Record::BackendServer(told)) => servers.push(told),
-            StoreChange::Written(record) => written(context, record),
-            StoreChange::Gone(name) if collection == Collection::BackendServers => {
+            StoreChange::Written(record) => apply_record(context, record),
+            StoreChange::Removed(name) if collection == Collection::BackendServers => {
                 // What came before this may be of the same server.
-                server_news::told(context, clock::now(), std::mem::take(&mut servers));
-                server_news::gone(context, clock::now(), &name);
+                server_updates::apply_servers(context, clock::now(), std::mem::take(&mut servers));
+                server_updates::apply_removal(context, clock::now(), &name);
             }
-            StoreChange::Gone(id) if collection == Collection::Notices => {
-                notices::withdrawn(context, vec![id]);
+            StoreChange::Removed(id) if collection == Collection::Notices => {
+                notices::apply_withdrawals(context, vec![id]);
             }
-            StoreChange::Gone(zone) if collection == Collection::Evacuations => {
-                evacuation::gone(context, &zone);
+            StoreChange::Removed(zone) if collection == Collection::Evacuations => {
+                evacuation::apply_end(context, &zone);
             }
-            StoreChange::Gone(_) => {}
+            StoreChange::Removed(_) => {}
         }
     }
-    server_news::told(context, clock::now(), servers);
+    server_updates::apply_servers(context, clock::now(), servers);
     context.set_position(collection, revision);
     let gather = match collection {
         Collection::Notices | Collection::Evacuations => GATHER_RARE,
@@ -251,12 +251,14 @@
     Ok(revision)
 }
 
-fn written(context: &Context, record: Record) {
+fn apply_record(context: &Context, record: Record) {
     match record {
-        Record::Configuration(told) => configuration(context, *told),
-        Record::BackendServer(told) => server_news::told(context, clock::now(), vec![told]),
-        Record::Evacuation(zone) => evacuation::told(context, zone),
-        Record::Notice(notice) => notices::told(context, vec![notice]),
+        Record::Configuration(told) => adopt_configuration(context, *told),
+        Record::BackendServer(told) => {
+            server_updates::apply_servers(context, clock::now(), vec![told])
+        }
+        Record::Evacuation(zone) => evacuation::apply_begin(context, zone),
+        Record::Notice(notice) => notices::apply_notices(context, vec![notice]),
         Record::Zone(_) | Record::Other => {}
         Record::Unreadable(name, why) => {
             context.metrics.unreadable_entries.inc();
@@ -266,20 +268,20 @@
 }
 
 /// Takes a configuration in and passes it on.
-pub fn configuration(context: &Context, configuration: Configuration) {
+pub fn adopt_configuration(context: &Context, configuration: Configuration) {
     let (version, routes) = (configuration.version, configuration.route_count());
-    configuration_exists(context, version);
+    note_configuration_version(context, version);
     let behind_for = context.in_force.behind_for().unwrap_or_default();
     if context.in_force.adopt(configuration) {
         let behind_ms = behind_for.as_millis() as u64;
         tracing::info!(event = "configuration_adopted", version, routes, behind_ms);
         context.followers.tell_configuration();
-        cold::configured(context);
+        cold_servers::apply_configuration(context);
     }
 }
 
 /// Takes in that a version of the configuration exists, and passes it on if it is news.
-pub fn configuration_exists(context: &Context, version: ConfigurationVersion) {
+pub fn note_configuration_version(context: &Context, version: ConfigurationVersion) {
     if context.in_force.exists(version) {
         context.followers.tell_newer(version);
     }
@@ -287,7 +289,7 @@
 
 /// Takes in that the store answers again, and passes it on if it is news: a follower that has just joined
 /// may never have lost the store, and would keep a leaving server in use for the grace of a lapsed one.
-pub fn store_returned(context: &Context) {
+pub fn note_store_return(context: &Context) {
     let news = context.servers(|servers| servers.store_returned(clock::now()));
     if news {
         tracing::info!(event = "store_back");
@@ -299,7 +301,7 @@
 const LAPSES_AFTER: u32 = 3;
 
 /// Takes in an era that the store has reached, and passes it on before all that is told of it.
-pub fn era(context: &Context, era: Era) {
+pub fn note_era(context: &Context, era: Era) {
     let now = clock::now();
     if context.rewinds.heard(now, era) == Heard::Known {
         return;
@@ -312,7 +314,7 @@
 }
 
 /// Takes in records of zones, and passes them on if one is news.
-pub fn zones(context: &Context, records: Vec<ZoneRecord>) {
+pub fn apply_zone_records(context: &Context, records: Vec<ZoneRecord>) {
     let news = context.readers.borrow_mut().told(records);
     if news.is_empty() {
         return;
@@ -328,7 +330,7 @@
     }
     *context.zone_peers.borrow_mut() = zone_peers(context, readers.record(&context.settings.zone));
     drop(readers);
-    limits::divide(context);
+    limits::redistribute(context);
     context.followers.tell(&Frame::Zones(news));
 }
 
--- a/crates/kingcuploft-entry/src/upstream/after_loss.rs
+++ b/crates/kingcuploft-entry/src/upstream/crash_check.rs
@@ -32,7 +32,7 @@
 }
 
 /// Looks whether a server that has just closed a connection without an answer still listens.
-pub async fn look(network: &dyn Network, upstream: &Upstream) -> AfterLoss {
+pub async fn check(network: &dyn Network, upstream: &Upstream) -> AfterLoss {
     let connecting = network.connect(upstream.server.address);
     match tokio::time::timeout(PATIENCE, connecting).await {
         Ok(Ok(_)) => AfterLoss::Alive,
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -106,11 +106,11 @@
     let (end, detail) = judge(context, &response);
     if response.head.status != MISDIRECTED {
         let answer = match end {
-            AttemptEnd::Succeeded => limits::Answer::OfRequest,
-            _ => limits::Answer::Other,
+            AttemptEnd::Succeeded => limits::AnswerKind::OfRequest,
+            _ => limits::AnswerKind::Other,
         };
         let server = &upstream.server.name;
-        limits::heard(context, server, &response.head.headers, answer);
+        limits::apply_header(context, server, &response.head.headers, answer);
     }
     Ended {
         end,
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -1,9 +1,9 @@
 //! The backend servers as this VM deals with them: connections, readings, own requests in flight.
 
-pub mod after_loss;
+pub mod crash_check;
 pub mod exchange;
 pub mod probe;
-mod silent;
+mod probe_step;
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
 use crate::clock;
 use crate::http::client::{Connection, Counted};
 use crate::network::Network;
-use silent::Silent;
+use probe_step::Silent;
 
 /// The most idle connections kept to one server: VMs share a server's connections, and one VM
 /// rarely has more than two requests at one server.
--- a/crates/kingcuploft-entry/src/upstream/probe.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use super::Upstream;
-use super::silent::Silent;
+use super::probe_step::Silent;
 use crate::clock;
-use crate::cold;
+use crate::cold_servers;
 use crate::context::Context;
 use crate::http::client::Response;
 use crate::http::headers::write_header;
@@ -26,7 +26,7 @@
 
 /// Asks a server for its load, unless its last reading is fresh, a probe is on its way, or it did
 /// not answer lately.
-pub fn ask(context: &Rc<Context>, upstream: &Rc<Upstream>, health_path: &str) {
+pub fn start(context: &Rc<Context>, upstream: &Rc<Upstream>, health_path: &str) {
     let now = clock::now();
     let fresh = upstream.is_fresh(now, context.reading_life());
     if upstream.is_asked() || fresh || upstream.is_mute(now) {
@@ -57,20 +57,20 @@
     let step = Cell::new(Silent::Connecting);
     let mut asking = std::pin::pin!(exchange(&*context.network, upstream, request, &step));
     if let Ok(answered) = tokio::time::timeout(PROBE_TIMEOUT, &mut asking).await {
-        return ended(context, upstream, answered, &step, begun);
+        return finish(context, upstream, answered, &step, begun);
     }
-    ended(context, upstream, None, &step, begun);
+    finish(context, upstream, None, &step, begun);
     if matches!(step.get(), Silent::Connecting | Silent::New) {
         upstream.late.set(true);
         let answered = tokio::time::timeout(LATE_TIMEOUT, asking).await;
         upstream.late.set(false);
         if let Ok(Some(response)) = answered {
-            ended(context, upstream, Some(response), &step, begun);
+            finish(context, upstream, Some(response), &step, begun);
         }
     }
 }
 
-fn ended(
+fn finish(
     context: &Context,
     upstream: &Rc<Upstream>,
     answered: Option<Response>,
@@ -82,20 +82,20 @@
     let reading = answered.and_then(|response| {
         step.set(Silent::Unreadable);
         let headers = &response.head.headers;
-        limits::heard(
+        limits::apply_header(
             context,
             &upstream.server.name,
             headers,
-            limits::Answer::Other,
+            limits::AnswerKind::Other,
         );
         let load = response.head.headers.get(context.vocabulary.load);
         let reading = load.and_then(context.vocabulary.read_load)?;
-        Some((reading, cold::read(context, headers)))
+        Some((reading, cold_servers::parse_header(context, headers)))
     });
     match reading {
         Some((reading, cold_for)) => {
             context.metrics.probe("answered");
-            cold::heard(context, upstream, cold_for, begun);
+            cold_servers::apply_probe_answer(context, upstream, cold_for, begun);
             upstream.told(now, reading);
             readings::tell(context, &upstream.server.name, reading, Some(cold_for));
         }
--- a/crates/kingcuploft-entry/tests/links/network.rs
+++ b/crates/kingcuploft-entry/tests/links/network.rs
@@ -12,10 +12,10 @@
 use kingcuploft_entry::peers::dial::Dial;
 use kingcuploft_entry::peers::zone_socket::{Telling, Told};
 use kingcuploft_entry::peers::{reader, readings};
-use kingcuploft_entry::pulse::Pulse;
 use kingcuploft_entry::store::{
     Changes, Collection, Page, Recorded, Recording, Revision, Store, StoreError,
 };
+use kingcuploft_entry::store_access::Pulse;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
--- a/crates/kingcuploft-entry/tests/links/notices.rs
+++ b/crates/kingcuploft-entry/tests/links/notices.rs
@@ -9,8 +9,8 @@
 use kingcuploft_entry::context::Context;
 use kingcuploft_entry::notice_writes::Write;
 use kingcuploft_entry::notices;
-use kingcuploft_entry::pulse::Pulse;
-use kingcuploft_entry::sign_of_life;
+use kingcuploft_entry::store_access::Pulse;
+use kingcuploft_entry::store_liveness;
 
 use crate::fleet::{play, settings};
 use crate::network::address;
@@ -38,9 +38,9 @@
         let pulse = Rc::new(Pulse::default());
         let waiting = context.notice_writes.open();
         let client = Rc::new(store.clone());
-        let feeling = sign_of_life::watch_over(context.clone(), client.clone(), pulse.clone());
+        let feeling = store_liveness::monitor(context.clone(), client.clone(), pulse.clone());
         tokio::task::spawn_local(feeling);
-        let writing = notices::write(context.clone(), client, pulse, waiting);
+        let writing = notices::write_to_store(context.clone(), client, pulse, waiting);
         tokio::task::spawn_local(writing);
         store.1.set(true);
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/kingcuploft-simulation/src/server.rs
+++ b/crates/kingcuploft-simulation/src/server.rs
@@ -312,7 +312,7 @@
 
 async fn read_request(end: &mut End, buffer: &mut BytesMut) -> Option<RequestHead> {
     loop {
-        if let Some((head, length)) = head::request(buffer).ok()? {
+        if let Some((head, length)) = head::parse_request(buffer).ok()? {
             let _ = buffer.split_to(length);
             let mut body = BodyReader::new(head.framing, MOST_BODY_BYTES).ok()?;
             while !body.read(buffer).ok()? {
--- a/crates/kingcuploft-simulation/src/store.rs
+++ b/crates/kingcuploft-simulation/src/store.rs
@@ -87,7 +87,10 @@
         let mut servers = self.servers.borrow_mut();
         servers.retain(|known| &*known.name != name);
         drop(servers);
-        self.change(Collection::BackendServers, StoreChange::Gone(name.into()));
+        self.change(
+            Collection::BackendServers,
+            StoreChange::Removed(name.into()),
+        );
     }
 
     /// Returns a copy.
@@ -144,7 +147,7 @@
                 self.evacuations.borrow_mut().push(zone.into());
                 StoreChange::Written(Record::Evacuation(zone.into()))
             }
-            false => StoreChange::Gone(zone.into()),
+            false => StoreChange::Removed(zone.into()),
         };
         self.change(Collection::Evacuations, change);
     }
@@ -313,7 +316,7 @@
         self.0.hang_if_silent().await;
         self.0.notices.borrow_mut().retain(|known| known.id() != id);
         self.0
-            .change(Collection::Notices, StoreChange::Gone(id.into()));
+            .change(Collection::Notices, StoreChange::Removed(id.into()));
         Ok(())
     }
 
--- a/crates/kingcuploft-simulation/src/vm.rs
+++ b/crates/kingcuploft-simulation/src/vm.rs
@@ -11,9 +11,9 @@
 use kingcuploft_entry::context::Context;
 use kingcuploft_entry::edge::connection;
 use kingcuploft_entry::peers::{reader, readings};
-use kingcuploft_entry::pulse::Pulse;
 use kingcuploft_entry::run;
 use kingcuploft_entry::settings::{Bounds, EntrySettings};
+use kingcuploft_entry::store_access::Pulse;
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{AbortHandle, LocalSet};
 
