--- a/crates/kingcuploft-entry/src/active_configuration.rs
+++ b/crates/kingcuploft-entry/src/active_configuration.rs
@@ -15,7 +15,7 @@
 
 /// The configuration in force and the next one.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     current: RefCell<Option<Arc<Configuration>>>,
     adopted: Cell<Option<Instant>>,
     changes: RefCell<ChangeLog>,
@@ -23,10 +23,10 @@
     lacks_whole: Cell<bool>,
     newest: Cell<Option<(ConfigurationVersion, Instant)>>,
     /// Wakes whoever waits for a configuration.
-    pub adopting: Notify,
+    pub adopted_notify: Notify,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Returns the configuration in force, if one is known.
     pub fn current(&self) -> Option<Arc<Configuration>> {
         self.current.borrow().clone()
@@ -61,12 +61,15 @@
         *current = Some(Arc::new(configuration));
         self.lacks_whole.set(false);
         self.adopted.set(Some(clock::now()));
-        self.adopting.notify_waiters();
+        self.adopted_notify.notify_waiters();
         true
     }
 
     /// Returns what leads from a version to the configuration in force: the changes between them, or all.
-    pub fn since(&self, version: Option<ConfigurationVersion>) -> Vec<Arc<ConfigurationChange>> {
+    pub fn changes_since(
+        &self,
+        version: Option<ConfigurationVersion>,
+    ) -> Vec<Arc<ConfigurationChange>> {
         let Some(current) = self.current() else {
             return Vec::new();
         };
@@ -93,7 +96,7 @@
     }
 
     /// Returns the version that another VM may lead on from; none if it has to tell all.
-    pub fn leads_on(&self) -> Option<ConfigurationVersion> {
+    pub fn delta_base(&self) -> Option<ConfigurationVersion> {
         self.version().filter(|_| !self.lacks_whole.get())
     }
 
@@ -103,7 +106,7 @@
     }
 
     /// Takes in that a version exists; returns whether that is news.
-    pub fn exists(&self, version: ConfigurationVersion) -> bool {
+    pub fn note_version(&self, version: ConfigurationVersion) -> bool {
         let newest = self.newest.get();
         let is_news = newest.is_none_or(|(newest, _)| newest < version);
         if is_news {
@@ -118,7 +121,7 @@
     }
 
     /// Returns for how long a version is known to exist that is newer than the one in force, if there is one.
-    pub fn behind_for(&self) -> Option<Duration> {
+    pub fn stale_for(&self) -> Option<Duration> {
         let (newest, since) = self.newest.get()?;
         let is_behind = self.version().is_none_or(|version| version < newest);
         is_behind.then(|| clock::now().saturating_duration_since(since))
--- a/crates/kingcuploft-entry/src/budgets.rs
+++ b/crates/kingcuploft-entry/src/budgets.rs
@@ -27,7 +27,7 @@
 
 impl Context {
     /// Counts a request for a service.
-    pub fn arrived(&self, now: Instant, service: &ServiceName) {
+    pub fn count_request(&self, now: Instant, service: &ServiceName) {
         self.repeats.borrow_mut().arrived(now, service);
     }
 
@@ -38,9 +38,9 @@
         }
         let servers = self.servers.borrow().in_use();
         let bound = self.bounds.get().probes_per_server_s;
-        self.probing
+        self.probe_budget
             .borrow_mut()
-            .take(now, bound, servers, self.vms.get())
+            .take(now, bound, servers, self.vm_count.get())
     }
 
     /// Returns whether a line that says that all went well is written; tells now and then how many
@@ -57,18 +57,18 @@
     }
 
     /// Returns which part of the probe budget is there to be used, from 0 to 1.
-    pub fn probes_left(&self) -> f64 {
-        self.probing.borrow().fill()
+    pub fn probe_budget_left(&self) -> f64 {
+        self.probe_budget.borrow().fill()
     }
 
     /// Returns which share of its servers a request asks that has looked so often in vain.
-    pub fn ask_share(&self, looks: u32) -> f64 {
-        probe_budget::ask_share(self.probes_left(), looks)
+    pub fn probe_share(&self, looks: u32) -> f64 {
+        probe_budget::ask_share(self.probe_budget_left(), looks)
     }
 
     /// Returns how old a reading may be to choose by it.
-    pub fn reading_life(&self) -> Duration {
-        self.probing.borrow().reading_life()
+    pub fn max_reading_age(&self) -> Duration {
+        self.probe_budget.borrow().reading_life()
     }
 
     /// Takes one repeat from the budget, if it has room.
@@ -78,7 +78,7 @@
 
     /// Takes one repeat from the budget, if it has room, counts it by what was wrong with the first send, and writes what
     /// decided it.
-    pub fn repeats(&self, wanted: &WantedRepeat<'_>) -> bool {
+    pub fn request_repeat(&self, wanted: &WantedRepeat<'_>) -> bool {
         let now = clock::now();
         let standing = self.take_part(now, wanted.service);
         let room = standing.has_room();
@@ -91,8 +91,8 @@
             service = %wanted.service,
             used = standing.used,
             allowed = standing.allowed,
-            vms = self.vms.get(),
-            up_ms = clock::since(self.begun).as_millis() as u64,
+            vms = self.vm_count.get(),
+            up_ms = clock::since(self.started_at).as_millis() as u64,
         );
         let reason = if room { wanted.after } else { "no_budget" };
         self.metrics.repeat(reason);
@@ -102,9 +102,9 @@
     fn take_part(&self, now: Instant, service: &ServiceName) -> Standing {
         let bounds = self.bounds.get().repeats;
         let mut repeats = self.repeats.borrow_mut();
-        let standing = repeats.take(now, service, &bounds, self.vms.get());
+        let standing = repeats.take(now, service, &bounds, self.vm_count.get());
         if standing.has_room() {
-            self.repeated.notify_one();
+            self.repeat_taken.notify_one();
         }
         standing
     }
--- a/crates/kingcuploft-entry/src/cold_servers.rs
+++ b/crates/kingcuploft-entry/src/cold_servers.rs
@@ -20,7 +20,7 @@
 
 /// Reads for how long a server stays cold, by its answer to a probe; zero if it says nothing of it.
 pub fn parse_header(context: &Context, headers: &Headers) -> Duration {
-    let told = headers.get(context.vocabulary.cold_ms);
+    let told = headers.get(context.wire_names.cold_ms);
     let told_ms = told.and_then(|told| told.parse::<f64>().ok());
     let cold_for = told_ms.and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
     cold_for.unwrap_or_default()
@@ -37,7 +37,7 @@
         let turned = mark_cold(context, upstream, cold_for);
         return log_cold(context, turned.as_slice());
     }
-    upstream.is_not_cold(asked_at);
+    upstream.set_not_cold(asked_at);
     let server = &upstream.server.name;
     let part = |per_s| limits::own_part(context, server, per_s);
     let mut all = context.limits.borrow_mut();
@@ -68,7 +68,7 @@
 /// Keeps a server to what it bears; returns it if it was not known to be cold.
 fn mark_cold(context: &Context, upstream: &Upstream, cold_for: Duration) -> Option<NewlyCold> {
     let now = clock::now();
-    upstream.is_cold_until(now + cold_for);
+    upstream.set_cold_until(now + cold_for);
     let cold_start = cold_start(context, &upstream.server.service)?;
     let server = &upstream.server.name;
     let part = |per_s| limits::own_part(context, server, per_s);
@@ -116,7 +116,7 @@
     let all = context.all_upstreams().into_iter();
     for upstream in all.filter(|upstream| upstream.server.zone == *zone) {
         if let Some(cold_start) = cold_start(context, &upstream.server.service) {
-            upstream.doubt(now, cold_start.lasts);
+            upstream.require_cold_report(now, cold_start.lasts);
         }
     }
 }
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -27,17 +27,17 @@
 use kingcuploft::world::ids::{RuleName, ServiceName, VmName};
 use tokio::sync::Notify;
 
-use crate::active_configuration::InForce;
+use crate::active_configuration::ActiveConfiguration;
 use crate::clock;
-use crate::edge::body_memory::Room;
+use crate::edge::body_memory::BodyMemory;
 use crate::metrics::Metrics;
 use crate::network::{Network, Tcp};
-use crate::notice_writes::NoticeWrites;
+use crate::notice_writes::NoticeWriteQueue;
 use crate::peers::asked_turns::AskedTurns;
 use crate::peers::followers::Followers;
 use crate::peers::zone_socket::Telling;
 use crate::rewinds::Rewinds;
-use crate::settings::{Bounds, EntrySettings, Vocabulary};
+use crate::settings::{Bounds, EntrySettings, WireNames};
 use crate::store::{Collection, Revision};
 use crate::upstream::Upstream;
 
@@ -51,35 +51,35 @@
     /// The settings.
     pub settings: EntrySettings,
     /// The names of headers and paths.
-    pub vocabulary: Vocabulary,
+    pub wire_names: WireNames,
     /// The way to backend servers.
     pub network: Rc<dyn Network>,
     /// Wakes whoever waits for readings.
-    pub readings: Notify,
+    pub readings_changed: Notify,
     /// Wakes whoever waits for the stop.
-    pub stop: Notify,
+    pub stop_requested: Notify,
     /// What happened so far.
     pub metrics: Metrics,
     /// What may change while the VM runs.
     pub bounds: Cell<Bounds>,
     /// How many VMs share the allowance of repeats.
-    pub vms: Cell<usize>,
+    pub vm_count: Cell<usize>,
     /// The other VMs.
     pub readers: RefCell<Readers>,
     /// The socket to the other VMs.
-    pub peer_readings: OnceCell<Rc<dyn Telling>>,
+    pub peer_socket: OnceCell<Rc<dyn Telling>>,
     /// What other VMs have used of the budget of repeats.
     pub repeat_copies: RefCell<RepeatCopies>,
     /// Wakes whoever has others keep what this VM has used of it.
-    pub repeated: Notify,
+    pub repeat_taken: Notify,
     /// Where the other VMs of the zone are.
     pub zone_peers: RefCell<Vec<SocketAddr>>,
     /// The configuration in force.
-    pub in_force: InForce,
+    pub active_configuration: ActiveConfiguration,
     /// The VMs that follow this one.
     pub followers: Followers,
     /// The memory for bodies of requests.
-    pub body_room: Room,
+    pub body_memory: BodyMemory,
     /// The requests under which servers ended.
     pub quarantine: RefCell<Quarantine>,
     /// The store's era, and since when.
@@ -91,26 +91,26 @@
     /// The turns at such servers that have been asked for.
     pub asked_turns: AskedTurns,
     /// The way to whoever writes notices to the store.
-    pub notice_writes: NoticeWrites,
+    pub notice_writes: NoticeWriteQueue,
     /// Open connections of callers.
     pub callers: Cell<usize>,
     positions: RefCell<HashMap<Collection, Revision>>,
     /// Wakes whoever waits until more is known of the store.
-    pub moved: Notify,
+    pub position_advanced: Notify,
     /// Wakes whoever tells the feeder the configuration, as that one knows an older one.
-    pub feeder_lacks: Notify,
+    pub feeder_outdated: Notify,
     /// Wakes whoever tells the feeder that a follower is ahead of it.
-    pub ahead: Notify,
+    pub follower_ahead: Notify,
     /// Through which VMs this one hears of the store, the one that reads first; none if it reads itself.
-    pub path: RefCell<Vec<VmName>>,
+    pub feed_path: RefCell<Vec<VmName>>,
     /// Whether the store answers the VM that reads for this one.
     pub reader_has_store: Cell<bool>,
     /// Whether a VM has promised to tell this one all.
-    pub promised: Cell<bool>,
+    pub feed_promised: Cell<bool>,
     /// The VM that this one follows.
-    pub followed: RefCell<Option<VmEntry>>,
+    pub feeder: RefCell<Option<VmEntry>>,
     /// When the VM began.
-    pub begun: Instant,
+    pub started_at: Instant,
     stopping: Cell<Option<Instant>>,
     closes_idle: Cell<bool>,
     pub(crate) servers: RefCell<BackendServers>,
@@ -121,18 +121,22 @@
     last_slots: RefCell<HashMap<ServiceName, LastSlot>>,
     pub(crate) repeats: RefCell<Repeats>,
     patience: RefCell<HashMap<RuleName, Patience>>,
-    pub(crate) probing: RefCell<ProbeBudget>,
+    pub(crate) probe_budget: RefCell<ProbeBudget>,
     pub(crate) log_budget: RefCell<LogBudget>,
 }
 
 impl Context {
     /// Builds the context of a VM that knows nothing yet.
-    pub fn new(settings: EntrySettings, vocabulary: Vocabulary) -> Self {
-        Self::on(Rc::new(Tcp), settings, vocabulary)
+    pub fn new(settings: EntrySettings, vocabulary: WireNames) -> Self {
+        Self::with_network(Rc::new(Tcp), settings, vocabulary)
     }
 
     /// Builds the context of a VM on a network.
-    pub fn on(network: Rc<dyn Network>, settings: EntrySettings, vocabulary: Vocabulary) -> Self {
+    pub fn with_network(
+        network: Rc<dyn Network>,
+        settings: EntrySettings,
+        vocabulary: WireNames,
+    ) -> Self {
         let is_first = settings.all_start || settings.peers.is_none();
         let is_first = is_first || planted::is_on(Planted::ForgetsRepeats);
         let repeats = match is_first {
@@ -140,40 +144,40 @@
             false => Repeats::again(clock::now(), &settings.bounds.repeats),
         };
         Self {
-            vms: Cell::new(VMS_UNCOUNTED),
+            vm_count: Cell::new(VMS_UNCOUNTED),
             bounds: Cell::new(settings.bounds),
-            body_room: Room::of(settings.memory_bytes),
+            body_memory: BodyMemory::of(settings.memory_bytes),
             settings,
-            vocabulary,
+            wire_names: vocabulary,
             network,
-            readings: Notify::new(),
-            stop: Notify::new(),
+            readings_changed: Notify::new(),
+            stop_requested: Notify::new(),
             metrics: Metrics::default(),
             readers: RefCell::default(),
-            peer_readings: OnceCell::new(),
+            peer_socket: OnceCell::new(),
             repeat_copies: RefCell::default(),
-            repeated: Notify::new(),
+            repeat_taken: Notify::new(),
             zone_peers: RefCell::default(),
             followers: Followers::default(),
             positions: RefCell::default(),
-            followed: RefCell::default(),
-            moved: Notify::new(),
-            feeder_lacks: Notify::new(),
-            ahead: Notify::new(),
-            path: RefCell::default(),
+            feeder: RefCell::default(),
+            position_advanced: Notify::new(),
+            feeder_outdated: Notify::new(),
+            follower_ahead: Notify::new(),
+            feed_path: RefCell::default(),
             reader_has_store: Cell::new(true),
-            promised: Cell::new(false),
+            feed_promised: Cell::new(false),
             quarantine: RefCell::default(),
             rewinds: Rewinds::default(),
             evacuations: RefCell::default(),
             limits: RefCell::new(ServerLimits::begun_at(clock::now())),
             asked_turns: AskedTurns::default(),
-            notice_writes: NoticeWrites::default(),
+            notice_writes: NoticeWriteQueue::default(),
             callers: Cell::new(0),
-            begun: clock::now(),
+            started_at: clock::now(),
             stopping: Cell::new(None),
             closes_idle: Cell::new(false),
-            in_force: InForce::default(),
+            active_configuration: ActiveConfiguration::default(),
             servers: RefCell::default(),
             servers_listed: Cell::new(false),
             upstreams: RefCell::default(),
@@ -182,20 +186,22 @@
             last_slots: RefCell::default(),
             repeats: RefCell::new(repeats),
             patience: RefCell::default(),
-            probing: RefCell::new(ProbeBudget::begin(clock::now())),
+            probe_budget: RefCell::new(ProbeBudget::begin(clock::now())),
             log_budget: RefCell::default(),
         }
     }
 
     /// Returns the configuration in force, if one is known.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
-        self.in_force.current()
+        self.active_configuration.current()
     }
 
     /// Returns whether the VM can serve: it knows a configuration and servers, and is not stopping.
     pub fn is_ready(&self) -> bool {
         let knows_zones = self.position(Collection::Evacuations).is_some();
-        let knows = self.in_force.version().is_some() && self.servers_listed.get() && knows_zones;
+        let knows = self.active_configuration.version().is_some()
+            && self.servers_listed.get()
+            && knows_zones;
         knows && !self.is_stopping()
     }
 
@@ -207,22 +213,22 @@
     /// Begins a planned stop.
     pub fn begin_stop(&self, now: Instant) {
         self.stopping.set(Some(now));
-        self.stop.notify_waiters();
+        self.stop_requested.notify_waiters();
     }
 
     /// Returns whether idle connections of callers are closed.
-    pub fn closes_idle(&self) -> bool {
+    pub fn is_closing_idle(&self) -> bool {
         self.closes_idle.get()
     }
 
     /// Closes the idle connections of callers, now and from now on.
-    pub fn close_idle(&self) {
+    pub fn close_idle_connections(&self) {
         self.closes_idle.set(true);
-        self.stop.notify_waiters();
+        self.stop_requested.notify_waiters();
     }
 
     /// Takes news of the servers in.
-    pub fn servers<T>(&self, news: impl FnOnce(&mut BackendServers) -> T) -> T {
+    pub fn with_servers<T>(&self, news: impl FnOnce(&mut BackendServers) -> T) -> T {
         news(&mut self.servers.borrow_mut())
     }
 
@@ -236,16 +242,16 @@
         let mut positions = self.positions.borrow_mut();
         positions.insert(collection, revision);
         drop(positions);
-        self.moved.notify_waiters();
+        self.position_advanced.notify_waiters();
     }
 
     /// Takes note that all servers there are have been listed once.
-    pub fn servers_listed(&self) {
+    pub fn set_servers_listed(&self) {
         self.servers_listed.set(true);
     }
 
     /// Follows changes of the servers: connections and readings come and go with them.
-    pub fn apply_all(&self, now: Instant, changes: &[Change]) {
+    pub fn apply_server_changes(&self, now: Instant, changes: &[Change]) {
         let mut ended = HashSet::default();
         let mut begun = HashSet::default();
         for change in changes {
@@ -326,7 +332,7 @@
         let configuration = self.configuration();
         let services = configuration.as_ref().map(|c| &c.services);
         let service = services.and_then(|services| services.get(service));
-        match (service, self.vms.get()) {
+        match (service, self.vm_count.get()) {
             (Some(service), vms) if vms != VMS_UNCOUNTED => {
                 connections::share(service.most_connections, vms)
             }
@@ -342,7 +348,7 @@
     }
 
     /// Returns the destination of the next request of a route.
-    pub fn deal(&self, route: &Route) -> Option<Destination> {
+    pub fn next_destination(&self, route: &Route) -> Option<Destination> {
         let mut dealers = self.dealers.borrow_mut();
         let dealer = dealers
             .entry(route.name.clone())
@@ -358,7 +364,7 @@
     }
 
     /// Returns how many times longer work takes on a server of a service whose last slot it takes.
-    pub fn last_slot(&self, service: &ServiceName) -> f64 {
+    pub fn last_slot_factor(&self, service: &ServiceName) -> f64 {
         let last_slots = self.last_slots.borrow();
         last_slots
             .get(service)
@@ -369,7 +375,7 @@
 
     /// Takes in how long an answer took of a server that was so slow, and of which the request took this
     /// slot.
-    pub fn measured(
+    pub fn record_service_time(
         &self,
         route: &Route,
         service: &ServiceName,
--- a/crates/kingcuploft-entry/src/edge/active_request.rs
+++ b/crates/kingcuploft-entry/src/edge/active_request.rs
@@ -22,13 +22,13 @@
 const COME_BACK_UNREADY: Duration = Duration::from_millis(500);
 
 /// What a request begins with.
-pub(super) enum Begun<'a> {
+pub(super) enum Routed<'a> {
     Refused(Answer),
-    Flight(Flight<'a>),
+    Flight(ActiveRequest<'a>),
 }
 
 /// One request under way.
-pub(super) struct Flight<'a> {
+pub(super) struct ActiveRequest<'a> {
     pub(super) context: &'a Rc<Context>,
     pub(super) request: &'a Request,
     pub(super) configuration: Arc<Configuration>,
@@ -49,7 +49,7 @@
     pub(super) come_back: Duration,
 }
 
-impl<'a> Flight<'a> {
+impl<'a> ActiveRequest<'a> {
     /// Returns whether it is known what becomes of a request: whether its host and path have a route, or will have none.
     pub(super) fn may_begin(context: &Context, request: &Request) -> bool {
         let Some(configuration) = context.configuration() else {
@@ -57,37 +57,37 @@
         };
         let host = request.head.headers.get("host").unwrap_or_default();
         let has_route = configuration.route(host, &request.head.target).is_some();
-        has_route || context.in_force.behind_for().is_none()
+        has_route || context.active_configuration.stale_for().is_none()
     }
 
     /// Finds the route and the destination of a request, or refuses it.
-    pub(super) fn begin(context: &'a Rc<Context>, request: &'a Request) -> Begun<'a> {
+    pub(super) fn begin(context: &'a Rc<Context>, request: &'a Request) -> Routed<'a> {
         let refuse = |status, reason: &'static str, after| {
             context.metrics.failure(reason);
             tracing::info!(event = "refused", request = request.id, status, reason);
-            let words = &context.vocabulary;
-            Begun::Refused(Answer::own(request, words, status, reason, after))
+            let words = &context.wire_names;
+            Routed::Refused(Answer::own(request, words, status, reason, after))
         };
         let Some(configuration) = context.configuration() else {
             return refuse(503, "no configuration yet", Some(COME_BACK_UNREADY));
         };
         let host = request.head.headers.get("host").unwrap_or_default();
         let Some(route) = configuration.route(host, &request.head.target).cloned() else {
-            return match context.in_force.behind_for() {
+            return match context.active_configuration.stale_for() {
                 None => refuse(404, "no such route", None),
                 Some(_) => refuse(503, "the route may be new", Some(COME_BACK_UNREADY)),
             };
         };
-        let Some(destination) = context.deal(&route) else {
+        let Some(destination) = context.next_destination(&route) else {
             return refuse(503, "the route has no destination", Some(COME_BACK));
         };
-        let patience = request.patience(&context.vocabulary);
+        let patience = request.patience(&context.wire_names);
         let before = patience.map_or(Duration::ZERO, |patience| {
             context.waited_before(&route, patience)
         });
         let allowed = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
-        context.arrived(request.arrived, &destination.service);
-        Begun::Flight(Self {
+        context.count_request(request.arrived, &destination.service);
+        Routed::Flight(Self {
             deadline: request.arrived + allowed,
             target: (request.arrived + route.target)
                 .checked_sub(before)
--- a/crates/kingcuploft-entry/src/edge/answer.rs
+++ b/crates/kingcuploft-entry/src/edge/answer.rs
@@ -5,7 +5,7 @@
 use super::request::Request;
 use crate::http::client::Response;
 use crate::http::headers::write_header;
-use crate::settings::Vocabulary;
+use crate::settings::WireNames;
 
 /// When a caller comes back whose body found no memory, in seconds: those held are answered by then, as
 /// a rule.
@@ -45,7 +45,7 @@
     /// Builds an own answer to a request.
     pub fn own(
         request: &Request,
-        vocabulary: &Vocabulary,
+        vocabulary: &WireNames,
         status: u16,
         reason: &str,
         retry_after: Option<Duration>,
--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -6,27 +6,27 @@
 use kingcuploft::entry::placement::{Candidate, Reading};
 use kingcuploft::entry::verdict::AttemptEnd;
 
-use super::active_request::Flight;
-use super::suspect::Run;
+use super::active_request::ActiveRequest;
+use super::suspect::SuspectRun;
 use crate::clock;
 use crate::limits;
 use crate::upstream::Upstream;
-use crate::upstream::exchange::{self, Ended};
+use crate::upstream::exchange::{self, AttemptOutcome};
 
 /// How old a reading may be to tell what a server did when a request was sent there: older than any that
 /// servers are chosen by.
 const READING_TELLS: Duration = Duration::from_millis(60);
 
-impl Flight<'_> {
+impl ActiveRequest<'_> {
     /// Sends the request to a server and waits for the end of it.
-    pub(super) async fn attempt(&self, upstream: &Rc<Upstream>) -> Ended {
-        let sent = Sent::now(self, upstream);
+    pub(super) async fn attempt(&self, upstream: &Rc<Upstream>) -> AttemptOutcome {
+        let sent = AttemptRecord::now(self, upstream);
         let left = sent.left;
         let has_turn = |at: &Rc<Upstream>| Rc::ptr_eq(at, upstream);
         if !self.turn_at.as_ref().is_some_and(has_turn) {
             limits::count_sent(self.context, upstream, sent.at);
         }
-        let run = Run::begin(self, upstream);
+        let run = SuspectRun::begin(self, upstream);
         let ended = exchange::attempt(self.context, upstream, self.request, left).await;
         sent.ended(&ended);
         self.learn(upstream, ended.end, run.known).await;
@@ -39,8 +39,8 @@
 /// Failure: a caller leaves, or another server answers first, and the attempt is cancelled. Without a line
 /// of its own nobody could tell later at which server a request stood until its caller left. Dropping this
 /// writes it.
-struct Sent<'a> {
-    flight: &'a Flight<'a>,
+struct AttemptRecord<'a> {
+    flight: &'a ActiveRequest<'a>,
     upstream: Rc<Upstream>,
     at: Instant,
     left: Duration,
@@ -49,8 +49,8 @@
     open: bool,
 }
 
-impl<'a> Sent<'a> {
-    fn now(flight: &'a Flight<'a>, upstream: &Rc<Upstream>) -> Self {
+impl<'a> AttemptRecord<'a> {
+    fn now(flight: &'a ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
         let at = clock::now();
         Self {
             flight,
@@ -67,14 +67,14 @@
         self.reading.map_or(1.0, |(_, reading)| reading.slowness)
     }
 
-    fn ended(mut self, ended: &Ended) {
+    fn ended(mut self, ended: &AttemptOutcome) {
         self.open = false;
         let (flight, context) = (self.flight, self.flight.context);
         context.metrics.attempt(ended.end.label());
         let succeeded = ended.end == AttemptEnd::Succeeded;
         if succeeded && self.seen.reading.is_some() {
             let (slowness, slot) = (self.slowness(), self.seen.slot());
-            context.measured(&flight.route, &flight.service, ended.took, slowness, slot);
+            context.record_service_time(&flight.route, &flight.service, ended.took, slowness, slot);
         }
         if !succeeded || context.writes_ordinary_line(self.at) {
             self.tell(ended.end.label(), ended.detail, ended.took);
@@ -102,7 +102,7 @@
     }
 }
 
-impl Drop for Sent<'_> {
+impl Drop for AttemptRecord<'_> {
     fn drop(&mut self) {
         if self.open {
             let why = "the caller left, or another server answered first";
--- a/crates/kingcuploft-entry/src/edge/body_memory.rs
+++ b/crates/kingcuploft-entry/src/edge/body_memory.rs
@@ -13,12 +13,12 @@
 
 /// The bytes that bodies take now.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct BodyMemory {
     most: usize,
     taken: Rc<Cell<usize>>,
 }
 
-impl Room {
+impl BodyMemory {
     /// Begins with an empty room for a VM with so much memory.
     pub fn of(memory_bytes: usize) -> Self {
         Self {
@@ -28,27 +28,27 @@
     }
 
     /// Begins to hold a body, of no bytes yet.
-    pub fn hold(&self) -> Held {
-        Held {
+    pub fn reserve(&self) -> BodyReservation {
+        BodyReservation {
             room: self.clone(),
             bytes: 0,
         }
     }
 
     /// Returns how many bytes are held.
-    pub fn taken(&self) -> usize {
+    pub fn reserved_bytes(&self) -> usize {
         self.taken.get()
     }
 }
 
 /// The bytes of one body, until it is dropped.
 #[derive(Debug)]
-pub struct Held {
-    room: Room,
+pub struct BodyReservation {
+    room: BodyMemory,
     bytes: usize,
 }
 
-impl Held {
+impl BodyReservation {
     /// Grows to so many bytes; returns whether there is room for them.
     pub fn grow_to(&mut self, bytes: usize) -> bool {
         let more = bytes.saturating_sub(self.bytes);
@@ -62,7 +62,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         let taken = self.room.taken.get();
         self.room.taken.set(taken.saturating_sub(self.bytes));
--- a/crates/kingcuploft-entry/src/edge/caller_disconnect.rs
+++ b/crates/kingcuploft-entry/src/edge/caller_disconnect.rs
@@ -6,12 +6,12 @@
 
 /// Whether the caller has left.
 #[derive(Debug, Default)]
-pub struct Gone {
+pub struct CallerDisconnect {
     left: Cell<bool>,
     wake: Notify,
 }
 
-impl Gone {
+impl CallerDisconnect {
     /// Returns whether the caller has left.
     pub fn is_set(&self) -> bool {
         self.left.get()
--- a/crates/kingcuploft-entry/src/edge/connection.rs
+++ b/crates/kingcuploft-entry/src/edge/connection.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use super::answer::Answer;
-use super::caller_disconnect::Gone;
+use super::caller_disconnect::CallerDisconnect;
 use super::dispatch;
 use super::request::Request;
 use crate::context::Context;
@@ -105,7 +105,7 @@
     buffer: BytesMut,
     standing: Rc<Standing>,
     answers: mpsc::Sender<oneshot::Receiver<Answer>>,
-    gone: Rc<Gone>,
+    gone: Rc<CallerDisconnect>,
 }
 
 enum Read {
@@ -171,7 +171,7 @@
             return Read::Stopping;
         }
         self.buffer.reserve(READ_BYTES);
-        let stop = self.context.stop.notified();
+        let stop = self.context.stop_requested.notified();
         let wake = self.standing.wake.notified();
         let reading = self.reader.read_buf(&mut self.buffer);
         tokio::select! {
@@ -190,7 +190,7 @@
     /// has come to its idle connections.
     fn closes_now(&self) -> bool {
         let idle = self.standing.open.get() == 0;
-        self.standing.closing.get() || (idle && self.context.closes_idle())
+        self.standing.closing.get() || (idle && self.context.is_closing_idle())
     }
 
     async fn read_body_and_serve(&mut self, head: RequestHead, limits: &Limits) -> Option<End> {
@@ -201,11 +201,11 @@
             Ok(reader) => reader,
             Err(_) => return Some(self.refuse(413, "the body is too long").await),
         };
-        let expects = head.headers.lists("expect", "100-continue");
+        let expects = head.headers.has_token("expect", "100-continue");
         if expects && self.buffer.is_empty() {
             self.tell_continue().await;
         }
-        let mut held = self.context.body_room.hold();
+        let mut held = self.context.body_memory.reserve();
         loop {
             let whole = reader.read(&mut self.buffer);
             if !held.grow_to(reader.bytes_read()) {
@@ -225,7 +225,7 @@
                 Read::Some | Read::Stopping => {}
             }
         }
-        let request = Request::new(head, reader.into_body(), held, &self.context.vocabulary);
+        let request = Request::new(head, reader.into_body(), held, &self.context.wire_names);
         self.serve_request(request).await
     }
 
--- a/crates/kingcuploft-entry/src/edge/dispatch.rs
+++ b/crates/kingcuploft-entry/src/edge/dispatch.rs
@@ -7,15 +7,15 @@
 use kingcuploft::world::contract::Contract;
 use tokio::sync::oneshot;
 
-use super::active_request::{Begun, Flight};
+use super::active_request::{ActiveRequest, Routed};
 use super::answer::Answer;
-use super::caller_disconnect::Gone;
+use super::caller_disconnect::CallerDisconnect;
 use super::request::Request;
-use super::selection::Chosen;
+use super::selection::Selection;
 use crate::budgets::WantedRepeat;
 use crate::clock;
 use crate::context::Context;
-use crate::upstream::exchange::Ended;
+use crate::upstream::exchange::AttemptOutcome;
 
 /// How long a request waits for a configuration that has it in it, at a VM that has just started or knows that a newer
 /// one exists: that takes some tens of milliseconds, or as long as the store is away.
@@ -25,17 +25,17 @@
 pub async fn serve(
     context: Rc<Context>,
     request: Request,
-    gone: Rc<Gone>,
+    gone: Rc<CallerDisconnect>,
     answer: oneshot::Sender<Answer>,
 ) {
     context.metrics.requests.inc();
-    if !Flight::may_begin(&context, &request) {
-        let adopting = context.in_force.adopting.notified();
+    if !ActiveRequest::may_begin(&context, &request) {
+        let adopting = context.active_configuration.adopted_notify.notified();
         let _ = tokio::time::timeout(HOLD_UNREADY, adopting).await;
     }
-    let (route, answered) = match Flight::begin(&context, &request) {
-        Begun::Refused(answer) => (None, answer),
-        Begun::Flight(mut flight) => {
+    let (route, answered) = match ActiveRequest::begin(&context, &request) {
+        Routed::Refused(answer) => (None, answer),
+        Routed::Flight(mut flight) => {
             let answered = match flight.route.contract {
                 Contract::RetryFreely => tokio::select! {
                     biased;
@@ -54,24 +54,24 @@
     let _ = answer.send(answered);
 }
 
-impl Flight<'_> {
-    async fn run(&mut self, gone: &Gone) -> Answer {
+impl ActiveRequest<'_> {
+    async fn run(&mut self, gone: &CallerDisconnect) -> Answer {
         loop {
             let upstream = match self.choose(gone).await {
-                Chosen::Upstream(upstream) => upstream,
-                Chosen::Refuse(come_back) => {
+                Selection::Upstream(upstream) => upstream,
+                Selection::Refuse(come_back) => {
                     self.come_back = come_back;
                     return self.give_up("no server can answer in time");
                 }
-                Chosen::Quarantined(come_back) => {
+                Selection::Quarantined(come_back) => {
                     self.come_back = come_back;
                     return self.give_up("servers end under it");
                 }
-                Chosen::Evacuated(come_back) => {
+                Selection::Evacuated(come_back) => {
                     self.come_back = come_back;
                     return self.give_up("all servers are in evacuated zones");
                 }
-                Chosen::CallerLeft => return self.give_up("the caller left"),
+                Selection::CallerLeft => return self.give_up("the caller left"),
             };
             self.attempts.sending();
             let ended = match self.route.contract {
@@ -104,12 +104,13 @@
         }
     }
 
-    fn may_try_again(&self, gone: &Gone, end: AttemptEnd) -> bool {
+    fn may_try_again(&self, gone: &CallerDisconnect, end: AttemptEnd) -> bool {
         let now = clock::now();
         if now >= self.deadline || gone.is_set() {
             return false;
         }
-        self.context.repeats(&self.wanted_repeat(end.label()))
+        self.context
+            .request_repeat(&self.wanted_repeat(end.label()))
     }
 
     pub(super) fn wanted_repeat(&self, after: &'static str) -> WantedRepeat<'_> {
@@ -121,7 +122,7 @@
         }
     }
 
-    fn pass_on(&mut self, ended: Ended) -> Answer {
+    fn pass_on(&mut self, ended: AttemptOutcome) -> Answer {
         match ended.response {
             Some(response) => Answer::of_server(self.request, response),
             None => self.give_up(ended.detail),
@@ -148,7 +149,7 @@
         );
         Answer::own(
             self.request,
-            &self.context.vocabulary,
+            &self.context.wire_names,
             status,
             reason,
             after,
--- a/crates/kingcuploft-entry/src/edge/hedge.rs
+++ b/crates/kingcuploft-entry/src/edge/hedge.rs
@@ -7,10 +7,10 @@
 use kingcuploft::entry::second_look::{self, Look};
 use kingcuploft::entry::verdict::AttemptEnd;
 
-use super::active_request::Flight;
+use super::active_request::ActiveRequest;
 use super::selection::AWAIT_STEP;
 use crate::clock;
-use crate::upstream::exchange::Ended;
+use crate::upstream::exchange::AttemptOutcome;
 use crate::upstream::{Upstream, probe};
 
 /// How long a reading is waited for in a second look: a round trip to another zone, and some.
@@ -25,14 +25,14 @@
 /// Any reading is younger.
 const LONG_AGO: Duration = Duration::from_secs(3600);
 
-impl Flight<'_> {
+impl ActiveRequest<'_> {
     /// Sends a lookup, and looks at it again when it takes long: a server that has fallen silent, or is
     /// late while others are free, is not waited for alone. The first whole answer counts; the other
     /// send is cancelled.
     pub(super) async fn attempt_with_second_look(
         &self,
         upstream: &Rc<Upstream>,
-    ) -> (Ended, Option<Rc<Upstream>>) {
+    ) -> (AttemptOutcome, Option<Rc<Upstream>>) {
         let expected_ms = self.expected_ms(upstream);
         let mut first = std::pin::pin!(self.attempt(upstream));
         tokio::select! {
@@ -75,8 +75,8 @@
         let age = upstream.reading(now).map(|(age, _)| age);
         let need = self.need(now, now, Reach::Far);
         let look = Look {
-            answers: age.is_some_and(|age| age <= now - asked_at + self.context.reading_life()),
-            probes_left: self.context.probes_left(),
+            answers: age.is_some_and(|age| age <= now - asked_at + self.context.max_reading_age()),
+            probes_left: self.context.probe_budget_left(),
             left_ms: need.deadline_left_ms,
             work_ms: need.work_ms,
         };
@@ -91,7 +91,7 @@
         self.ask(&others, 1.0);
         tokio::time::sleep(SECOND_LOOK_PATIENCE).await;
         let now = clock::now();
-        let life = self.context.reading_life() + SECOND_LOOK_PATIENCE + AWAIT_STEP;
+        let life = self.context.max_reading_age() + SECOND_LOOK_PATIENCE + AWAIT_STEP;
         let seen = others
             .iter()
             .map(|u| u.candidate(now, life, self.is_out(u, now)));
@@ -104,7 +104,7 @@
             true => "late",
             false => "silent",
         };
-        let room = self.context.repeats(&self.wanted_repeat(after));
+        let room = self.context.request_repeat(&self.wanted_repeat(after));
         others.get(at).filter(|_| room).cloned()
     }
 
@@ -113,6 +113,6 @@
         let work_ms = self.context.work_ms(&self.route, &self.service);
         upstream
             .candidate(now, LONG_AGO, false)
-            .expected_ms(work_ms, self.context.last_slot(&self.service))
+            .expected_ms(work_ms, self.context.last_slot_factor(&self.service))
     }
 }
--- a/crates/kingcuploft-entry/src/edge/limited_servers.rs
+++ b/crates/kingcuploft-entry/src/edge/limited_servers.rs
@@ -6,8 +6,8 @@
 use kingcuploft::entry::placement::MARGIN;
 use kingcuploft::entry::server_limit::Turn;
 
-use super::active_request::Flight;
-use super::caller_disconnect::Gone;
+use super::active_request::ActiveRequest;
+use super::caller_disconnect::CallerDisconnect;
 use crate::clock;
 use crate::limits;
 use crate::peers::turns;
@@ -20,19 +20,20 @@
 const COME_BACK_SOONEST: Duration = Duration::from_millis(250);
 const COME_BACK_LATEST: Duration = Duration::from_secs(2);
 
-impl Flight<'_> {
+impl ActiveRequest<'_> {
     /// Returns a server that names a limit, when the request's turn there has come within `patience`, or when the caller may
     /// come back.
     pub(super) async fn take_turn(
         &mut self,
-        gone: &Gone,
+        gone: &CallerDisconnect,
         patience: Duration,
     ) -> Result<Rc<Upstream>, Duration> {
         let mut limited = limits::limited_upstreams(self.context, &self.service);
         let share = self.context.connection_share(&self.service);
         let now = clock::now();
         limited.retain(|upstream| {
-            let is_open = upstream.has_room(share) && !upstream.is_mute(now);
+            let is_open =
+                upstream.has_connection_available(share) && !upstream.is_unresponsive(now);
             let limits = self.context.limits.borrow();
             is_open
                 && !self.was_tried(upstream)
--- a/crates/kingcuploft-entry/src/edge/readiness.rs
+++ b/crates/kingcuploft-entry/src/edge/readiness.rs
@@ -52,7 +52,7 @@
                 let path = request.target.split('?').next().unwrap_or_default();
                 let (status, body) = match path {
                     METRICS_PATH => ("200 OK", context.metrics_text()),
-                    path if path != context.vocabulary.ready_path => {
+                    path if path != context.wire_names.ready_path => {
                         ("404 Not Found", String::new())
                     }
                     _ if context.is_ready() => ("200 OK", String::new()),
--- a/crates/kingcuploft-entry/src/edge/request.rs
+++ b/crates/kingcuploft-entry/src/edge/request.rs
@@ -5,10 +5,10 @@
 
 use kingcuploft::entry::fingerprint::{Fingerprint, Recurring};
 
-use super::body_memory::Held;
+use super::body_memory::BodyReservation;
 use crate::clock;
 use crate::http::head::RequestHead;
-use crate::settings::Vocabulary;
+use crate::settings::WireNames;
 
 /// The headers that name a request's caller.
 const CALLER: [&str; 2] = ["authorization", "cookie"];
@@ -23,7 +23,7 @@
     /// Its body.
     pub body: Vec<u8>,
     /// The memory that its body takes.
-    _held: Held,
+    _held: BodyReservation,
     /// When its last byte was read.
     pub arrived: Instant,
     fingerprint: OnceCell<Fingerprint>,
@@ -31,7 +31,12 @@
 
 impl Request {
     /// Builds a request that has just been read.
-    pub fn new(head: RequestHead, body: Vec<u8>, held: Held, vocabulary: &Vocabulary) -> Self {
+    pub fn new(
+        head: RequestHead,
+        body: Vec<u8>,
+        held: BodyReservation,
+        vocabulary: &WireNames,
+    ) -> Self {
         Self {
             id: head.headers.get(vocabulary.request_id).map(str::to_owned),
             head,
@@ -58,7 +63,7 @@
     }
 
     /// Returns how long the caller waits from the arrival on, if it says so.
-    pub fn patience(&self, vocabulary: &Vocabulary) -> Option<Duration> {
+    pub fn patience(&self, vocabulary: &WireNames) -> Option<Duration> {
         let value = self.head.headers.get(vocabulary.deadline_ms)?;
         let millis: f64 = value.parse().ok()?;
         let valid = millis.is_finite() && millis >= 0.0;
--- a/crates/kingcuploft-entry/src/edge/selection.rs
+++ b/crates/kingcuploft-entry/src/edge/selection.rs
@@ -6,9 +6,9 @@
 use kingcuploft::entry::asked::asked;
 use kingcuploft::entry::placement::{Candidate, Need, Reach, Step, place};
 
-use super::active_request::Flight;
-use super::caller_disconnect::Gone;
-use super::suspect::Clearance;
+use super::active_request::ActiveRequest;
+use super::caller_disconnect::CallerDisconnect;
+use super::suspect::QuarantineDecision;
 use crate::clock;
 use crate::evacuation;
 use crate::limits;
@@ -24,7 +24,7 @@
 const TURN_SOON: Duration = Duration::from_millis(20);
 
 /// What choosing came to.
-pub(super) enum Chosen {
+pub(super) enum Selection {
     Upstream(Rc<Upstream>),
     /// No server can answer in time; the caller may come back after this time.
     Refuse(Duration),
@@ -35,60 +35,60 @@
     CallerLeft,
 }
 
-impl Flight<'_> {
+impl ActiveRequest<'_> {
     /// Finds the server for the next attempt.
-    pub(super) async fn choose(&mut self, gone: &Gone) -> Chosen {
+    pub(super) async fn choose(&mut self, gone: &CallerDisconnect) -> Selection {
         let mut look_begun = clock::now();
         let mut reach = Reach::Near;
         let mut looks = 0;
         let mut asked_for_turn = false;
         loop {
             if gone.is_set() {
-                return Chosen::CallerLeft;
+                return Selection::CallerLeft;
             }
             match self.clearance().await {
-                Clearance::Go => {}
-                Clearance::Wait => {
+                QuarantineDecision::Go => {}
+                QuarantineDecision::Wait => {
                     tokio::time::sleep(RUN_ENDS_STEP).await;
                     look_begun = clock::now();
                     continue;
                 }
-                Clearance::Refuse(after) => return Chosen::Quarantined(after),
+                QuarantineDecision::Refuse(after) => return Selection::Quarantined(after),
             }
             if let Some(after) = evacuation::retry_after(self.context, &self.service) {
-                return Chosen::Evacuated(after);
+                return Selection::Evacuated(after);
             }
             let now = clock::now();
             let upstreams = self.usable(now, reach);
             let has_limited = !limits::limited_upstreams(self.context, &self.service).is_empty();
             if upstreams.is_empty() && has_limited {
                 return match self.take_turn(gone, self.patience()).await {
-                    Ok(upstream) => Chosen::Upstream(upstream),
-                    Err(come_back) => Chosen::Refuse(come_back),
+                    Ok(upstream) => Selection::Upstream(upstream),
+                    Err(come_back) => Selection::Refuse(come_back),
                 };
             }
-            self.ask(&upstreams, self.context.ask_share(looks));
-            let life = self.context.reading_life().max(now - look_begun) + AWAIT_STEP;
+            self.ask(&upstreams, self.context.probe_share(looks));
+            let life = self.context.max_reading_age().max(now - look_begun) + AWAIT_STEP;
             let candidates: Vec<Candidate> = upstreams
                 .iter()
                 .map(|u| u.candidate(now, life, self.is_out(u, now)))
                 .collect();
             let need = self.need(now, look_begun, reach);
             match place(&need, &candidates, fastrand::f64) {
-                Step::Send(at) => return Chosen::Upstream(upstreams[at].clone()),
+                Step::Send(at) => return Selection::Upstream(upstreams[at].clone()),
                 Step::Refuse(come_back) => {
                     let turn = self.take_turn(gone, self.patience()).await;
-                    return turn.map_or(Chosen::Refuse(come_back), Chosen::Upstream);
+                    return turn.map_or(Selection::Refuse(come_back), Selection::Upstream);
                 }
                 Step::LookAgain(_) if has_limited && !asked_for_turn => {
                     asked_for_turn = true;
                     if let Ok(upstream) = self.take_turn(gone, TURN_SOON).await {
-                        return Chosen::Upstream(upstream);
+                        return Selection::Upstream(upstream);
                     }
                 }
                 Step::Ask(further) => reach = further,
                 Step::Await => {
-                    let told = self.context.readings.notified();
+                    let told = self.context.readings_changed.notified();
                     let _ = tokio::time::timeout(AWAIT_STEP, told).await;
                 }
                 Step::LookAgain(after) => {
@@ -102,7 +102,7 @@
 
     /// Returns whether the request can't be sent to a server now: it was, or the server may be cold and has not said.
     pub(super) fn is_out(&self, upstream: &Rc<Upstream>, now: Instant) -> bool {
-        self.was_tried(upstream) || upstream.is_doubted(now)
+        self.was_tried(upstream) || upstream.awaits_cold_report(now)
     }
 
     pub(super) fn was_tried(&self, upstream: &Rc<Upstream>) -> bool {
@@ -114,22 +114,25 @@
     pub(super) fn usable(&self, now: Instant, reach: Reach) -> Vec<Rc<Upstream>> {
         let mut all = self.context.upstreams(&self.service);
         let share = self.context.connection_share(&self.service);
-        all.retain(|upstream| upstream.has_room(share));
+        all.retain(|upstream| upstream.has_connection_available(share));
         all.retain(|upstream| limits::wait_before_send(self.context, upstream, now).is_zero());
         let untried = all.iter().filter(|u| !self.was_tried(u));
-        let audible: Vec<_> = untried.filter(|u| !u.is_mute(now)).cloned().collect();
+        let audible: Vec<_> = untried
+            .filter(|u| !u.is_unresponsive(now))
+            .cloned()
+            .collect();
         if !audible.is_empty() {
             all = audible;
         }
-        let apart = all.iter().filter(|u| !u.holds_suspect());
+        let apart = all.iter().filter(|u| !u.is_running_suspect());
         let apart: Vec<_> = apart.cloned().collect();
         if !apart.is_empty() {
             all = apart;
         }
         let (mut near, mut others): (Vec<_>, Vec<_>) = all.into_iter().partition(|u| u.near);
         let asked = asked(near.len(), others.len(), reach);
-        let life = self.context.reading_life();
-        others.sort_by_cached_key(|u| u.trouble_to_ask(now, life));
+        let life = self.context.max_reading_age();
+        others.sort_by_cached_key(|u| u.probe_cost(now, life));
         near.truncate(asked.near);
         others.truncate(asked.far);
         near.append(&mut others);
@@ -158,8 +161,8 @@
             deadline_left_ms: left(self.deadline),
             looked_ms: millis(now - look_begun),
             reach,
-            last_slot: self.context.last_slot(&self.service),
-            probes_left: self.context.probes_left(),
+            last_slot: self.context.last_slot_factor(&self.service),
+            probes_left: self.context.probe_budget_left(),
             returns: self.returns,
         }
     }
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -9,16 +9,16 @@
 use kingcuploft::entry::verdict::AttemptEnd;
 use kingcuploft::planted::{self, Planted};
 
-use super::active_request::Flight;
+use super::active_request::ActiveRequest;
 use crate::clock;
 use crate::context::Context;
-use crate::notice_writes::Write;
+use crate::notice_writes::NoticeWrite;
 use crate::notices;
-use crate::upstream::crash_check::{self, AfterLoss};
-use crate::upstream::{HoldsSuspect, Upstream};
+use crate::upstream::crash_check::{self, CrashCheck};
+use crate::upstream::{SuspectGuard, Upstream};
 
 /// Whether a request may be sent on.
-pub(super) enum Clearance {
+pub(super) enum QuarantineDecision {
     Go,
     /// Another run of it is under way here.
     Wait,
@@ -26,12 +26,12 @@
     Refuse(Duration),
 }
 
-impl Flight<'_> {
+impl ActiveRequest<'_> {
     /// Returns whether the request may be sent on.
-    pub(super) async fn clearance(&mut self) -> Clearance {
+    pub(super) async fn clearance(&mut self) -> QuarantineDecision {
         let knows_none = self.context.quarantine.borrow().is_empty();
         if self.is_trial || knows_none || planted::is_on(Planted::SendsSuspects) {
-            return Clearance::Go;
+            return QuarantineDecision::Go;
         }
         let fingerprint = self.request.fingerprint();
         let admission = self
@@ -41,9 +41,9 @@
             .admit(clock::now(), fingerprint);
         match admission {
             // A run that hangs must not hold the others back until they are late.
-            Admission::Wait if clock::now() < self.target => Clearance::Wait,
-            Admission::Free | Admission::Alone | Admission::Wait => Clearance::Go,
-            Admission::Refuse(after) => Clearance::Refuse(after),
+            Admission::Wait if clock::now() < self.target => QuarantineDecision::Wait,
+            Admission::Free | Admission::Alone | Admission::Wait => QuarantineDecision::Go,
+            Admission::Refuse(after) => QuarantineDecision::Refuse(after),
             Admission::Trial(report) => {
                 match self
                     .context
@@ -53,9 +53,9 @@
                 {
                     true => {
                         self.is_trial = true;
-                        Clearance::Go
+                        QuarantineDecision::Go
                     }
-                    false => Clearance::Refuse(Quarantine::tried_elsewhere()),
+                    false => QuarantineDecision::Refuse(Quarantine::tried_elsewhere()),
                 }
             }
         }
@@ -96,7 +96,7 @@
         let found = crash_check::check(&*self.context.network, upstream).await;
         let fingerprint = self.request.fingerprint();
         let server = &upstream.server.name;
-        let report = (found == AfterLoss::Ended).then(|| {
+        let report = (found == CrashCheck::Ended).then(|| {
             notices::log_quarantine_change(self.context, fingerprint, || {
                 let mut quarantine = self.context.quarantine.borrow_mut();
                 quarantine.server_ended(clock::now(), fingerprint, server, known)
@@ -113,35 +113,35 @@
         if let Some(report) = report {
             self.context
                 .notice_writes
-                .send(Write::Tell(Notice::Crash(report)));
+                .send(NoticeWrite::Create(Notice::Crash(report)));
         }
     }
 }
 
 /// A run of a request that may be suspect, until it ends.
-pub(super) struct Run<'a> {
+pub(super) struct SuspectRun<'a> {
     context: &'a Context,
     fingerprint: Option<Fingerprint>,
-    _held: Option<HoldsSuspect>,
+    _held: Option<SuspectGuard>,
     /// How many servers were known to have ended in a row under it.
     pub(super) known: u32,
 }
 
-impl<'a> Run<'a> {
-    pub(super) fn begin(flight: &Flight<'a>, upstream: &Rc<Upstream>) -> Self {
+impl<'a> SuspectRun<'a> {
+    pub(super) fn begin(flight: &ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
         let suspect = flight.is_suspect();
         let fingerprint = suspect.then(|| flight.request.fingerprint());
         let begins = |fp| flight.context.quarantine.borrow_mut().begins(fp);
         Self {
             context: flight.context,
             known: fingerprint.map_or(0, begins),
-            _held: suspect.then(|| upstream.hold_suspect()),
+            _held: suspect.then(|| upstream.track_suspect()),
             fingerprint,
         }
     }
 }
 
-impl Drop for Run<'_> {
+impl Drop for SuspectRun<'_> {
     fn drop(&mut self) {
         if let Some(fingerprint) = self.fingerprint {
             self.context.quarantine.borrow_mut().ends(fingerprint);
--- a/crates/kingcuploft-entry/src/fields.rs
+++ b/crates/kingcuploft-entry/src/fields.rs
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// Returns an error if a line is not of the form.
-    pub fn of(path: &'a Path, text: &'a str) -> Result<Self, SettingsError> {
+    pub fn parse(path: &'a Path, text: &'a str) -> Result<Self, SettingsError> {
         let mut by_name = BTreeMap::new();
         for (at, line) in text.lines().enumerate() {
             let line = line.trim();
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Returns an error if it is not, or is empty.
-    pub fn text(&self, field: &'static str) -> Result<&'a str, SettingsError> {
+    pub fn required_text(&self, field: &'static str) -> Result<&'a str, SettingsError> {
         let found = self
             .by_name
             .get(field)
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Returns an error if it is not, or holds something else.
-    pub fn needed<T: std::str::FromStr>(
+    pub fn required<T: std::str::FromStr>(
         &self,
         field: &'static str,
         wanted: &'static str,
@@ -141,7 +141,7 @@
     }
 
     /// Returns the fields whose names begin so: the rest of each name, and what it holds.
-    pub fn under(&self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a str)> {
+    pub fn with_prefix(&self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a str)> {
         let fields = self.by_name.iter();
         let under = fields.filter_map(move |(name, (_, value))| {
             name.strip_prefix(prefix).map(|rest| (rest, *value))
--- a/crates/kingcuploft-entry/src/gauges.rs
+++ b/crates/kingcuploft-entry/src/gauges.rs
@@ -7,11 +7,11 @@
     pub fn metrics_text(&self) -> String {
         let version = self.configuration().map_or(0, |c| c.version);
         self.metrics.configuration.set(version as i64);
-        let servers = self.servers(|servers| servers.in_use());
+        let servers = self.with_servers(|servers| servers.in_use());
         self.metrics.servers.set(servers as i64);
-        self.metrics.vms.set(self.vms.get() as i64);
+        self.metrics.vms.set(self.vm_count.get() as i64);
         self.metrics.callers.set(self.callers.get() as i64);
-        let probes_left = (self.probes_left() * 1000.0) as i64;
+        let probes_left = (self.probe_budget_left() * 1000.0) as i64;
         self.metrics.probes_left.set(probes_left);
         let quarantined = self.quarantine.borrow().refused();
         self.metrics.quarantined.set(quarantined as i64);
@@ -23,16 +23,16 @@
         self.metrics.cold_servers.set(cold as i64);
         let evacuated = self.evacuations.borrow().zones().len();
         self.metrics.evacuated_zones.set(evacuated as i64);
-        let newest = self.in_force.newest().unwrap_or(version);
+        let newest = self.active_configuration.newest().unwrap_or(version);
         self.metrics.configuration_newest.set(newest as i64);
-        let age = self.in_force.age().as_secs();
+        let age = self.active_configuration.age().as_secs();
         self.metrics.configuration_age.set(age as i64);
         self.metrics.followers.set(self.followers.len() as i64);
         let waiting = self.followers.most_waiting_bytes();
         self.metrics.most_waiting_bytes.set(waiting as i64);
         self.metrics
             .log_lines_left_out
-            .set(crate::logs::left_out() as i64);
+            .set(crate::logs::dropped_lines() as i64);
         self.metrics.to_text()
     }
 }
--- a/crates/kingcuploft-entry/src/http/body.rs
+++ b/crates/kingcuploft-entry/src/http/body.rs
@@ -82,7 +82,7 @@
     }
 
     /// Takes the end of the connection in; returns whether the body is whole.
-    pub fn closed(&mut self) -> bool {
+    pub fn is_complete_at_close(&mut self) -> bool {
         matches!(self.state, State::UntilClose | State::Done)
     }
 
--- a/crates/kingcuploft-entry/src/http/client.rs
+++ b/crates/kingcuploft-entry/src/http/client.rs
@@ -46,10 +46,10 @@
 pub enum SendError {
     /// Nothing of it left this process.
     #[error("nothing was sent: {0}")]
-    Unsent(std::io::Error),
+    NothingSent(std::io::Error),
     /// Some of it may have arrived.
     #[error("the connection broke while sending: {0}")]
-    Broke(std::io::Error),
+    PartlySent(std::io::Error),
 }
 
 /// Why no response came.
@@ -71,9 +71,9 @@
 
 /// Counts one open connection until it is dropped.
 #[derive(Debug)]
-pub struct Counted(Rc<Cell<usize>>);
+pub struct ConnectionCount(Rc<Cell<usize>>);
 
-impl Counted {
+impl ConnectionCount {
     /// Counts one more.
     pub fn of(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
@@ -81,26 +81,26 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionCount {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
 /// When bytes last arrived, if any did.
-pub type Arrivals = Rc<Cell<Option<Instant>>>;
+pub type LastArrival = Rc<Cell<Option<Instant>>>;
 
 /// An open connection, used for one request at a time.
 #[derive(Debug)]
 pub struct Connection {
-    counted: Option<Counted>,
+    counted: Option<ConnectionCount>,
     stream: Stream,
     buffer: BytesMut,
     used: Instant,
     keep_idle: Option<Duration>,
     reusable: bool,
     spoiled: bool,
-    heard: Option<Arrivals>,
+    heard: Option<LastArrival>,
 }
 
 impl Connection {
@@ -130,7 +130,7 @@
     }
 
     /// Notes from now on when bytes arrive.
-    pub fn note_arrivals(&mut self, heard: &Arrivals) {
+    pub fn track_arrivals(&mut self, heard: &LastArrival) {
         self.heard = Some(heard.clone());
     }
 
@@ -142,7 +142,7 @@
     pub async fn open_counted(
         network: &dyn Network,
         address: SocketAddr,
-        counted: Counted,
+        counted: ConnectionCount,
     ) -> std::io::Result<Self> {
         let mut connection = Self::open(network, address).await?;
         connection.counted = Some(counted);
@@ -162,7 +162,7 @@
     }
 
     /// Takes note that the connection can't be trusted with another request.
-    pub fn spoil(&mut self) {
+    pub fn mark_unusable(&mut self) {
         self.spoiled = true;
     }
 
@@ -172,9 +172,13 @@
     ///
     /// Tells whether any byte may have left.
     pub async fn send(&mut self, bytes: &[u8]) -> Result<(), SendError> {
-        let first = self.stream.write(bytes).await.map_err(SendError::Unsent)?;
+        let first = self
+            .stream
+            .write(bytes)
+            .await
+            .map_err(SendError::NothingSent)?;
         let rest = self.stream.write_all(&bytes[first..]).await;
-        rest.map_err(SendError::Broke)
+        rest.map_err(SendError::PartlySent)
     }
 
     /// Receives the response to a request with this method, skipping interim ones.
@@ -224,7 +228,7 @@
                 break;
             }
             if self.read().await? == 0 {
-                match reader.closed() {
+                match reader.is_complete_at_close() {
                     true => break,
                     false => return Err(ReceiveError::Truncated),
                 }
--- a/crates/kingcuploft-entry/src/http/head.rs
+++ b/crates/kingcuploft-entry/src/http/head.rs
@@ -63,7 +63,7 @@
     };
     let headers = collect(parsed.headers);
     let old = parsed.version == Some(0);
-    let hosts = headers.all("host").count();
+    let hosts = headers.get_all("host").count();
     if hosts > 1 || (hosts == 0 && !old) {
         return Err(HeadError::Host);
     }
@@ -123,16 +123,16 @@
 
 fn keep_alive(headers: &Headers, old: bool) -> bool {
     match old {
-        true => headers.lists("connection", "keep-alive"),
-        false => !headers.lists("connection", "close"),
+        true => headers.has_token("connection", "keep-alive"),
+        false => !headers.has_token("connection", "close"),
     }
 }
 
 /// Returns how the body ends, if the headers say. A message with both a length and an encoding, or
 /// with two lengths, is how requests are smuggled past a proxy, and is refused.
 fn framing(headers: &Headers) -> Result<Option<Framing>, HeadError> {
-    let encodings: Vec<&[u8]> = headers.all("transfer-encoding").collect();
-    let lengths: Vec<&[u8]> = headers.all("content-length").collect();
+    let encodings: Vec<&[u8]> = headers.get_all("transfer-encoding").collect();
+    let lengths: Vec<&[u8]> = headers.get_all("content-length").collect();
     match (encodings.as_slice(), lengths.as_slice()) {
         ([], []) => Ok(None),
         ([encoding], []) if encoding.eq_ignore_ascii_case(b"chunked") => Ok(Some(Framing::Chunked)),
--- a/crates/kingcuploft-entry/src/http/headers.rs
+++ b/crates/kingcuploft-entry/src/http/headers.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns all values of a header.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+    pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let named = self
             .list
             .iter()
@@ -44,13 +44,15 @@
     }
 
     /// Returns whether a header is there.
-    pub fn has(&self, name: &str) -> bool {
-        self.all(name).next().is_some()
+    pub fn contains(&self, name: &str) -> bool {
+        self.get_all(name).next().is_some()
     }
 
     /// Returns whether a header with a list of words holds a word.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
-        let values = self.all(name).filter_map(|v| std::str::from_utf8(v).ok());
+    pub fn has_token(&self, name: &str, word: &str) -> bool {
+        let values = self
+            .get_all(name)
+            .filter_map(|v| std::str::from_utf8(v).ok());
         let mut words = values.flat_map(|value| value.split(','));
         words.any(|w| w.trim().eq_ignore_ascii_case(word))
     }
@@ -59,7 +61,7 @@
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &[u8])> {
         let kept = self.list.iter().filter(|(name, _)| {
             let hop = HOP_BY_HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop));
-            !hop && !self.lists("connection", name)
+            !hop && !self.has_token("connection", name)
         });
         kept.map(|(name, value)| (name.as_str(), value.as_slice()))
     }
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::context::Context;
 use crate::http::headers::Headers;
-use crate::notice_writes::Write;
+use crate::notice_writes::NoticeWrite;
 use crate::peers::zone_socket::Told;
 use crate::upstream::Upstream;
 
@@ -33,7 +33,7 @@
     headers: &Headers,
     answer: AnswerKind,
 ) {
-    let named = headers.get(context.vocabulary.limit);
+    let named = headers.get(context.wire_names.limit);
     let named = named.filter(|_| !planted::is_on(Planted::IgnoresLimits));
     let per_s = named.and_then(parse_limit);
     match (named, per_s, answer) {
@@ -63,8 +63,8 @@
         }
         Some(News::Ended(id)) => {
             tracing::info!(event = "limit_ended", %server);
-            context.rewinds.withdrawn(clock::now(), &id);
-            context.notice_writes.send(Write::Withdraw(id));
+            context.rewinds.note_withdrawn(clock::now(), &id);
+            context.notice_writes.send(NoticeWrite::Withdraw(id));
         }
         None => {}
     }
@@ -79,7 +79,7 @@
 fn publish(context: &Context, notice: LimitNotice) {
     log_named(context, &notice);
     let notice = Notice::Limit(notice);
-    context.notice_writes.send(Write::Tell(notice));
+    context.notice_writes.send(NoticeWrite::Create(notice));
 }
 
 /// Tells those that keep a limit, or kept it, that it has changed: they give turns, and may send nothing themselves.
@@ -89,7 +89,7 @@
     per_s: PerSecond,
     before: PerSecond,
 ) {
-    let Some(socket) = context.peer_readings.get() else {
+    let Some(socket) = context.peer_socket.get() else {
         return;
     };
     let records = context.readers.borrow().records();
@@ -185,7 +185,7 @@
 }
 
 fn zone(context: &Context, server: &BackendServerName) -> AvailabilityZone {
-    let zone = context.servers(|servers| servers.get(server).map(|known| known.zone.clone()));
+    let zone = context.with_servers(|servers| servers.get(server).map(|known| known.zone.clone()));
     zone.unwrap_or_else(|| context.settings.zone.clone())
 }
 
@@ -196,7 +196,7 @@
     }
     let zone = zone(context, server);
     let records = context.readers.borrow().records();
-    let (vm, vms) = (&context.settings.vm, context.vms.get());
+    let (vm, vms) = (&context.settings.vm, context.vm_count.get());
     server_limit::part(vm, vms, server, &zone, per_s, &records)
 }
 
--- a/crates/kingcuploft-entry/src/logs.rs
+++ b/crates/kingcuploft-entry/src/logs.rs
@@ -42,7 +42,7 @@
 }
 
 /// Returns how many lines were left out.
-pub fn left_out() -> u64 {
+pub fn dropped_lines() -> u64 {
     LEFT_OUT.load(Ordering::Relaxed)
 }
 
@@ -94,7 +94,7 @@
             return;
         }
         WRITTEN.fetch_add(1, Ordering::Release);
-        let left_out = left_out();
+        let left_out = dropped_lines();
         if left_out > told {
             let line = format!("{{\"event\":\"lines_left_out\",\"count\":{left_out}}}\n");
             told = left_out;
--- a/crates/kingcuploft-entry/src/notice_writes.rs
+++ b/crates/kingcuploft-entry/src/notice_writes.rs
@@ -15,9 +15,9 @@
 
 /// What is written to the store.
 #[derive(Debug)]
-pub enum Write {
+pub enum NoticeWrite {
     /// What was seen.
-    Tell(Notice),
+    Create(Notice),
     /// Whoever writes it first is told so, and may act on it.
     Claim(Notice, oneshot::Sender<bool>),
     /// It holds no longer.
@@ -26,18 +26,18 @@
 
 /// The way to whoever writes notices to the store.
 #[derive(Debug, Default)]
-pub struct NoticeWrites(OnceCell<mpsc::Sender<Write>>);
+pub struct NoticeWriteQueue(OnceCell<mpsc::Sender<NoticeWrite>>);
 
-impl NoticeWrites {
+impl NoticeWriteQueue {
     /// Opens the way; returns what the writer takes from it.
-    pub fn open(&self) -> mpsc::Receiver<Write> {
+    pub fn open(&self) -> mpsc::Receiver<NoticeWrite> {
         let (writes, waiting) = mpsc::channel(MOST_WAITING);
         let _ = self.0.set(writes);
         waiting
     }
 
     /// Has something written.
-    pub fn send(&self, write: Write) {
+    pub fn send(&self, write: NoticeWrite) {
         let Some(writes) = self.0.get() else {
             return;
         };
@@ -49,7 +49,7 @@
     /// Asks for leave to try a request; returns whether this VM may.
     pub async fn claim(&self, notice: Notice) -> bool {
         let (claimed, answer) = oneshot::channel();
-        self.send(Write::Claim(notice, claimed));
+        self.send(NoticeWrite::Claim(notice, claimed));
         let answer = tokio::time::timeout(CLAIM_PATIENCE, answer).await;
         answer.is_ok_and(|claimed| claimed.unwrap_or(false))
     }
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -14,11 +14,11 @@
 use crate::clock;
 use crate::context::Context;
 use crate::limits;
-use crate::notice_writes::Write;
+use crate::notice_writes::NoticeWrite;
 use crate::peers::frame::Frame;
 use crate::peers::standing::standing;
-use crate::store::{Recorded, Store, StoreError};
-use crate::store_access::Pulse;
+use crate::store::{Store, StoreError, WriteOutcome};
+use crate::store_access::StoreAccess;
 
 /// The pause between two tries, at least; chance adds as much again.
 const PAUSE: Duration = Duration::from_millis(500);
@@ -30,30 +30,30 @@
 pub async fn write_to_store<S: Store>(
     context: Rc<Context>,
     store: Rc<S>,
-    pulse: Rc<Pulse>,
-    mut writes: mpsc::Receiver<Write>,
+    pulse: Rc<StoreAccess>,
+    mut writes: mpsc::Receiver<NoticeWrite>,
 ) {
     let is_there = || standing(&context, &pulse).store_there;
     while let Some(write) = writes.recv().await {
         match write {
-            Write::Tell(notice) => {
+            NoticeWrite::Create(notice) => {
                 let holds = || still_holds(&context, &notice);
-                if retry_until_done(is_there, holds, || store.tell(&notice)).await {
+                if retry_until_done(is_there, holds, || store.create_notice(&notice)).await {
                     apply_notices(&context, vec![notice]);
                 }
             }
             // Whoever asked waits no longer.
-            Write::Claim(_, claimed) if claimed.is_closed() => {}
-            Write::Claim(notice, claimed) => {
-                let written = store.tell(&notice).await;
-                let is_first = matches!(written, Ok(Recorded::Done));
+            NoticeWrite::Claim(_, claimed) if claimed.is_closed() => {}
+            NoticeWrite::Claim(notice, claimed) => {
+                let written = store.create_notice(&notice).await;
+                let is_first = matches!(written, Ok(WriteOutcome::Done));
                 if written.is_ok() {
                     apply_notices(&context, vec![notice]);
                 }
                 let _ = claimed.send(is_first);
             }
-            Write::Withdraw(id) => {
-                retry_until_done(is_there, || true, || store.withdraw(&id)).await;
+            NoticeWrite::Withdraw(id) => {
+                retry_until_done(is_there, || true, || store.delete_notice(&id)).await;
             }
         }
     }
@@ -91,11 +91,11 @@
 }
 
 /// Forgets what is outdated until the process ends, and has a VM that reads the store withdraw it.
-pub async fn expire_outdated(context: Rc<Context>, pulse: Rc<Pulse>) {
+pub async fn expire_outdated(context: Rc<Context>, pulse: Rc<StoreAccess>) {
     loop {
         tokio::time::sleep(LOOK_EVERY).await;
         let mut outdated = context.quarantine.borrow().outdated(clock::now());
-        let is_in_use = |server: &str| context.servers(|servers| servers.takes_work(server));
+        let is_in_use = |server: &str| context.with_servers(|servers| servers.takes_work(server));
         outdated.extend(context.limits.borrow_mut().forget_gone(is_in_use));
         for id in outdated.into_iter().filter(|_| pulse.is_reading()) {
             withdraw(&context, id);
@@ -142,7 +142,7 @@
 /// Takes in that notices are withdrawn, and passes it on: followers may know what this VM has forgotten already.
 pub fn apply_withdrawals(context: &Context, ids: Vec<NoticeId>) {
     for id in &ids {
-        context.rewinds.withdrawn(clock::now(), id);
+        context.rewinds.note_withdrawn(clock::now(), id);
         match CrashReport::parse_id(id) {
             Some((fingerprint, _)) => log_quarantine_change(context, fingerprint, || {
                 context.quarantine.borrow_mut().withdrawn(id);
@@ -157,14 +157,14 @@
 /// again by whoever reads it.
 pub fn apply_stored_ids(context: &Context, ids: impl Iterator<Item = NoticeId>) {
     let ids: HashSet<NoticeId> = ids.collect();
-    if context.rewinds.is_recent(clock::now()) {
+    if context.rewinds.may_lack_writes(clock::now()) {
         let lost = stored(context).into_iter();
         let lost: Vec<Notice> = lost.filter(|notice| !ids.contains(&notice.id())).collect();
         if !lost.is_empty() {
             tracing::info!(event = "notices_written_again", count = lost.len());
         }
         for notice in lost {
-            context.notice_writes.send(Write::Tell(notice));
+            context.notice_writes.send(NoticeWrite::Create(notice));
         }
         return context
             .followers
@@ -187,8 +187,8 @@
 
 /// Has a notice withdrawn that holds no longer.
 pub fn withdraw(context: &Context, id: NoticeId) {
-    context.rewinds.withdrawn(clock::now(), &id);
-    context.notice_writes.send(Write::Withdraw(id));
+    context.rewinds.note_withdrawn(clock::now(), &id);
+    context.notice_writes.send(NoticeWrite::Withdraw(id));
 }
 
 /// Returns all notices that the store has.
--- a/crates/kingcuploft-entry/src/peers/away.rs
+++ b/crates/kingcuploft-entry/src/peers/away.rs
@@ -10,7 +10,7 @@
 use kingcuploft::entry::joining;
 
 use crate::context::Context;
-use crate::store_access::Pulse;
+use crate::store_access::StoreAccess;
 
 /// How often it is looked whether the reader has the store.
 const STEP: Duration = Duration::from_millis(50);
@@ -19,7 +19,7 @@
 const ASK_AGAIN: Duration = Duration::from_millis(1500);
 
 /// Returns once the reader has lost the store and it answers this VM.
-pub async fn find_store(context: &Context, pulse: &Pulse) {
+pub async fn find_store(context: &Context, pulse: &StoreAccess) {
     loop {
         while context.reader_has_store.get() {
             tokio::time::sleep(STEP).await;
@@ -33,10 +33,10 @@
         if context.reader_has_store.get() {
             continue;
         }
-        if pulse.read_if_there().await {
+        if pulse.start_reading_if_available().await {
             return;
         }
-        pulse.leave();
+        pulse.stop_reading();
         tokio::time::sleep(ASK_AGAIN).await;
     }
 }
--- a/crates/kingcuploft-entry/src/peers/feed.rs
+++ b/crates/kingcuploft-entry/src/peers/feed.rs
@@ -17,7 +17,7 @@
 use crate::context::Context;
 use crate::evacuation;
 use crate::notices;
-use crate::store_access::Pulse;
+use crate::store_access::StoreAccess;
 use crate::store_watcher;
 
 /// The time between two heartbeats. A follower that misses two and a bit leaves.
@@ -32,7 +32,7 @@
 /// A link to a follower.
 pub(super) struct Feed<'a, W> {
     context: &'a Rc<Context>,
-    pulse: &'a Pulse,
+    pulse: &'a StoreAccess,
     stream: W,
     speaks: Release,
     /// The version that the follower has.
@@ -43,7 +43,7 @@
 impl<'a, W: AsyncWrite + Unpin> Feed<'a, W> {
     pub(super) fn new(
         context: &'a Rc<Context>,
-        pulse: &'a Pulse,
+        pulse: &'a StoreAccess,
         hello: &Hello,
         stream: W,
     ) -> Self {
@@ -91,7 +91,7 @@
 
     async fn greet(&mut self, hello: &Hello) -> std::io::Result<()> {
         let own = standing(self.context, self.pulse);
-        let digest = self.context.servers(|servers| servers.digest());
+        let digest = self.context.with_servers(|servers| servers.digest());
         let knows_servers = hello.servers.is_some() && hello.servers_digest == Some(digest);
         let context = self.context;
         let servers = (!knows_servers).then(|| context.followers.account(|| servers(context)));
@@ -124,7 +124,7 @@
     async fn ask_for_newer(&mut self, hello: &Hello) -> std::io::Result<()> {
         let Some(newer) = hello
             .version
-            .filter(|v| Some(*v) > self.context.in_force.version())
+            .filter(|v| Some(*v) > self.context.active_configuration.version())
         else {
             return Ok(());
         };
@@ -164,7 +164,11 @@
         }
         self.tell(&Frame::Newer(current.version)).await?;
         let arrived = self.arrived.take();
-        for change in self.context.in_force.since(self.version) {
+        for change in self
+            .context
+            .active_configuration
+            .changes_since(self.version)
+        {
             let has = arrived.filter(|has| (has.from, has.to) == (change.from, change.to));
             let parts = self.context.followers.parts(&change);
             let missing = has.map_or(0, |has| has.parts as usize).min(parts.len());
@@ -211,9 +215,9 @@
     }
 }
 
-async fn knows_all(context: &Context, pulse: &Pulse) {
+async fn knows_all(context: &Context, pulse: &StoreAccess) {
     loop {
-        let moved = context.moved.notified();
+        let moved = context.position_advanced.notified();
         if standing(context, pulse).is_whole() {
             return;
         }
@@ -223,6 +227,6 @@
 
 /// Writes all backend servers that have entries.
 fn servers(context: &Context) -> Vec<u8> {
-    let table = context.servers(|servers| ServerTable::of(servers.present()));
+    let table = context.with_servers(|servers| ServerTable::of(servers.present()));
     Frame::AllServers(table).to_line()
 }
--- a/crates/kingcuploft-entry/src/peers/follower.rs
+++ b/crates/kingcuploft-entry/src/peers/follower.rs
@@ -24,7 +24,7 @@
 use crate::notices;
 use crate::server_updates;
 use crate::store::Collection;
-use crate::store_access::Pulse;
+use crate::store_access::StoreAccess;
 use crate::store_watcher;
 
 /// How long a link may take to be opened by a VM that knows what the store held a moment ago.
@@ -63,14 +63,14 @@
 /// read the store.
 pub async fn follow(
     context: &Rc<Context>,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     own: &VmEntry,
     feeder: &VmEntry,
     network: &impl Dial,
 ) -> Ended {
     let _following = Following(context);
     let ended = run(context, pulse, own, feeder, network).await;
-    let link = match context.followed.borrow().is_some() {
+    let link = match context.feeder.borrow().is_some() {
         true => Link::Fed,
         false => Link::NotFed,
     };
@@ -85,16 +85,16 @@
 
 impl Drop for Following<'_> {
     fn drop(&mut self) {
-        self.0.followed.borrow_mut().take();
-        self.0.path.borrow_mut().clear();
-        self.0.promised.set(false);
+        self.0.feeder.borrow_mut().take();
+        self.0.feed_path.borrow_mut().clear();
+        self.0.feed_promised.set(false);
         self.0.reader_has_store.set(true);
     }
 }
 
 async fn run(
     context: &Rc<Context>,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     own: &VmEntry,
     feeder: &VmEntry,
     network: &impl Dial,
@@ -112,9 +112,9 @@
         servers: context.position(Collection::BackendServers),
         evacuations: context.position(Collection::Evacuations),
         below: context.followers.below(&context.settings.zone),
-        version: context.in_force.leads_on(),
-        arrived: context.in_force.arrived(),
-        servers_digest: Some(context.servers(|servers| servers.digest())),
+        version: context.active_configuration.delta_base(),
+        arrived: context.active_configuration.arrived(),
+        servers_digest: Some(context.with_servers(|servers| servers.digest())),
         speaks: SPEAKS,
     });
     write.write_all(&hello.to_line()).await?;
@@ -142,8 +142,8 @@
         tokio::select! {
             biased;
             () = changed => {}
-            () = context.feeder_lacks.notified() => tell_configuration(context, &mut stream).await?,
-            () = context.ahead.notified() => stream.write_all(&Frame::Ahead.to_line()).await?,
+            () = context.feeder_outdated.notified() => tell_configuration(context, &mut stream).await?,
+            () = context.follower_ahead.notified() => stream.write_all(&Frame::Ahead.to_line()).await?,
         }
     }
 }
@@ -162,7 +162,7 @@
 
 async fn hear(
     context: &Rc<Context>,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     feeder: &VmEntry,
     mut lines: Lines<impl AsyncRead + Unpin>,
 ) -> Result<(), LinkError> {
@@ -175,7 +175,7 @@
         };
         match frame {
             Frame::Wait if context.is_ready() => return Err(LinkError::Behind),
-            Frame::Wait => context.promised.set(true),
+            Frame::Wait => context.feed_promised.set(true),
             Frame::Standing(standing) => {
                 if let Some(era) = standing.era() {
                     store_watcher::note_era(context, era);
@@ -192,13 +192,13 @@
                     take_standing(context, standing);
                 }
                 led = true;
-                pulse.leave();
+                pulse.stop_reading();
                 context.readers.borrow_mut().answered(&feeder.name);
-                *context.followed.borrow_mut() = Some(feeder.clone());
+                *context.feeder.borrow_mut() = Some(feeder.clone());
                 tracing::info!(
                     event = "following",
                     reader = %feeder.name,
-                    steps = context.path.borrow().len()
+                    steps = context.feed_path.borrow().len()
                 );
             }
             Frame::Part(part) => {
@@ -269,7 +269,7 @@
 }
 
 /// Checks whether the feeder may still be followed.
-fn check(context: &Context, pulse: &Pulse, standing: &Standing) -> Result<(), LinkError> {
+fn check(context: &Context, pulse: &StoreAccess, standing: &Standing) -> Result<(), LinkError> {
     if feeding::is_circle(&context.settings.vm, &standing.path) {
         return Err(LinkError::Circle);
     }
@@ -283,7 +283,7 @@
     if standing.is_behind(&own) {
         return Err(LinkError::Behind);
     }
-    let has_store = pulse.is_reading() && pulse.is_there();
+    let has_store = pulse.is_reading() && pulse.is_available();
     if !standing.store_there && has_store && context.is_ready() {
         return Err(LinkError::StoreAway);
     }
@@ -301,7 +301,7 @@
         context.set_position(Collection::Evacuations, revision);
     }
     context.reader_has_store.set(standing.store_there);
-    *context.path.borrow_mut() = standing.path;
+    *context.feed_path.borrow_mut() = standing.path;
 }
 
 fn take(context: &Context, frame: Frame) -> Result<(), LinkError> {
@@ -325,7 +325,7 @@
         }
         Frame::Evacuations(zones) => evacuation::apply_feeder_list(context, zones),
         Frame::Era(era) => store_watcher::note_era(context, era),
-        Frame::Lacks => context.feeder_lacks.notify_one(),
+        Frame::Lacks => context.feeder_outdated.notify_one(),
         Frame::StoreReturned => store_watcher::note_store_return(context),
         Frame::Hello(_)
         | Frame::WhoReads
@@ -346,7 +346,7 @@
     part: ChangePart,
     transfer: &mut Transfer,
 ) -> Result<(), LinkError> {
-    match context.in_force.take(part)? {
+    match context.active_configuration.take(part)? {
         Taken::More | Taken::Known => Ok(()),
         Taken::Whole(configuration) => {
             transfer.end(configuration.version);
--- a/crates/kingcuploft-entry/src/peers/reader.rs
+++ b/crates/kingcuploft-entry/src/peers/reader.rs
@@ -12,13 +12,13 @@
 use super::standing::standing;
 use super::writing::{WRITE_PATIENCE, timed_out, write};
 use crate::context::Context;
-use crate::store_access::Pulse;
+use crate::store_access::StoreAccess;
 
 /// The bytes read at once of what a follower says.
 const HELLO_BYTES: usize = 256;
 
 /// Takes followers until the process ends.
-pub async fn serve(context: Rc<Context>, pulse: Rc<Pulse>, listener: TcpListener) {
+pub async fn serve(context: Rc<Context>, pulse: Rc<StoreAccess>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -37,7 +37,7 @@
 }
 
 /// Beats until the process ends.
-pub async fn beat(context: Rc<Context>, pulse: Rc<Pulse>) {
+pub async fn beat(context: Rc<Context>, pulse: Rc<StoreAccess>) {
     let mut told = None;
     loop {
         tokio::time::sleep(HEARTBEAT).await;
@@ -62,7 +62,7 @@
 /// Returns an error if the link fails.
 pub async fn answer(
     context: &Rc<Context>,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     stream: impl AsyncRead + AsyncWrite,
 ) -> std::io::Result<()> {
     let (read, mut write) = tokio::io::split(stream);
@@ -83,7 +83,7 @@
 
 async fn lead(
     context: &Rc<Context>,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     hello: Hello,
     lines: BufReader<impl AsyncRead + Unpin>,
     mut stream: impl AsyncWrite + Unpin,
@@ -119,17 +119,17 @@
 /// Learns up to which moment this VM knows the store.
 ///
 /// A watch that brings no change tells none: whoever read the store a moment later would take this VM for one that is behind.
-fn catch_up(context: &Context, pulse: &Pulse) {
+fn catch_up(context: &Context, pulse: &StoreAccess) {
     match pulse.is_reading() {
-        true => pulse.ask_again(),
-        false => context.ahead.notify_waiters(),
+        true => pulse.request_rewatch(),
+        false => context.follower_ahead.notify_waiters(),
     }
 }
 
 /// Hears how many VMs are fed through a follower, until the link ends.
 async fn hear(
     context: &Context,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     id: u64,
     mut lines: BufReader<impl AsyncRead + Unpin>,
 ) {
--- a/crates/kingcuploft-entry/src/peers/readings.rs
+++ b/crates/kingcuploft-entry/src/peers/readings.rs
@@ -57,7 +57,7 @@
 }
 
 fn tell_others(context: &Context, told: &Told) {
-    let Some(readings) = context.peer_readings.get() else {
+    let Some(readings) = context.peer_socket.get() else {
         return;
     };
     let others = context.zone_peers.borrow();
@@ -101,13 +101,13 @@
                     let asked_at = now.checked_sub(TOLD_WITHIN).unwrap_or(now);
                     cold_servers::apply_probe_answer(context, &upstream, cold_for, asked_at);
                 }
-                upstream.told(now, reading);
-                context.readings.notify_waiters();
+                upstream.record_reading(now, reading);
+                context.readings_changed.notify_waiters();
             }
         }
         Told::Sent { ref server } => {
             if let Some(upstream) = context.upstream(server) {
-                upstream.others_sent(now);
+                upstream.record_peer_send(now);
             }
         }
         Told::AskTurn {
--- a/crates/kingcuploft-entry/src/peers/repeat_copies.rs
+++ b/crates/kingcuploft-entry/src/peers/repeat_copies.rs
@@ -71,7 +71,7 @@
         };
         tokio::select! {
             biased;
-            () = context.repeated.notified() => sleep_until(told_at + TELL_EVERY).await,
+            () = context.repeat_taken.notified() => sleep_until(told_at + TELL_EVERY).await,
             () = sleep(again) => {}
         }
     }
@@ -84,7 +84,7 @@
 }
 
 fn send(context: &Context, told: &Told, others: &[SocketAddr]) {
-    if let Some(socket) = context.peer_readings.get() {
+    if let Some(socket) = context.peer_socket.get() {
         socket.tell(told, others);
     }
 }
@@ -112,7 +112,7 @@
             services = used.accounts.len(),
             age_ms = used.accounts.iter().map(|of| of.age_ms).min(),
             unknown_ms = context.repeats_unknown_for().as_millis() as u64,
-            up_ms = clock::since(context.begun).as_millis() as u64,
+            up_ms = clock::since(context.started_at).as_millis() as u64,
         );
     }
 }
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -23,7 +23,7 @@
         return limits.give_turn(clock::now(), server, patience);
     }
     let keeper = limits::pick_keeper(context, server);
-    let (Some(keeper), Some(socket)) = (keeper, context.peer_readings.get()) else {
+    let (Some(keeper), Some(socket)) = (keeper, context.peer_socket.get()) else {
         return Turn::TooLate(ASK_AGAIN);
     };
     let (ask, answer) = context.asked_turns.open();
@@ -49,7 +49,7 @@
     ask: u64,
     from: SocketAddr,
 ) {
-    let Some(socket) = context.peer_readings.get() else {
+    let Some(socket) = context.peer_socket.get() else {
         return;
     };
     let mut limits = context.limits.borrow_mut();
--- a/crates/kingcuploft-entry/src/rewinds.rs
+++ b/crates/kingcuploft-entry/src/rewinds.rs
@@ -22,7 +22,7 @@
 
 /// What hearing of an era came to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Heard {
+pub enum EraUpdate {
     /// The store has come back from a copy since this VM knew it.
     Rewound,
     /// It has not, or this VM knew nothing of it.
@@ -41,35 +41,35 @@
     }
 
     /// Takes in an era that the store has reached.
-    pub fn heard(&self, now: Instant, era: Era) -> Heard {
+    pub fn heard(&self, now: Instant, era: Era) -> EraUpdate {
         let before = self.era.get();
         if before.is_some_and(|before| before >= era) {
-            return Heard::Known;
+            return EraUpdate::Known;
         }
         self.era.set(Some(era));
         if before.is_none() {
-            return Heard::Known;
+            return EraUpdate::Known;
         }
         self.at.set(Some(now));
         self.count.set(self.count.get() + 1);
-        Heard::Rewound
+        EraUpdate::Rewound
     }
 
     /// Returns whether what was written since the copy may still be missing in the store.
-    pub fn is_recent(&self, now: Instant) -> bool {
+    pub fn may_lack_writes(&self, now: Instant) -> bool {
         let at = self.at.get();
         at.is_some_and(|at| now.saturating_duration_since(at) < REWRITTEN_WITHIN)
     }
 
     /// Takes note that a notice holds no longer: a copy may still have it.
-    pub fn withdrawn(&self, now: Instant, id: &NoticeId) {
+    pub fn note_withdrawn(&self, now: Instant, id: &NoticeId) {
         let mut withdrawn = self.withdrawn.borrow_mut();
         withdrawn.retain(|_, at| now.saturating_duration_since(*at) < REMEMBER);
         withdrawn.insert(id.clone(), now);
     }
 
     /// Returns whether a notice that the store has was withdrawn, and is back from a copy.
-    pub fn brought_back(&self, now: Instant, id: &str) -> bool {
-        self.is_recent(now) && self.withdrawn.borrow().contains_key(id)
+    pub fn is_restored_withdrawal(&self, now: Instant, id: &str) -> bool {
+        self.may_lack_writes(now) && self.withdrawn.borrow().contains_key(id)
     }
 }
--- a/crates/kingcuploft-entry/src/roster/leading.rs
+++ b/crates/kingcuploft-entry/src/roster/leading.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use crate::peers::dial::Dial;
 use crate::peers::seeds;
-use crate::store::{Recorded, Recording, Store, StoreError};
+use crate::store::{Store, StoreError, WriteOutcome, ZoneWrite};
 use crate::store_watcher;
 use crate::zone_list::Staleness;
 
@@ -18,7 +18,7 @@
         let mut led_since: Option<Instant> = None;
         loop {
             let leads = self.leads() && !self.context.is_stopping();
-            let has_store = !self.pulse.is_reading() || self.pulse.is_there();
+            let has_store = !self.pulse.is_reading() || self.pulse.is_available();
             match leads {
                 true if has_store => {
                     if led_since.is_none() {
@@ -67,7 +67,7 @@
             .record()
             .filter(|r| r.version > self.stored.get() && !alone)
         {
-            self.write(record, Recording::Replace).await;
+            self.write(record, ZoneWrite::Replace).await;
         }
     }
 
@@ -81,11 +81,15 @@
     /// Makes this VM the reader of a zone that has no record.
     async fn claim(&self) {
         let record = ZoneRecord::first(self.own);
-        match self.store.record_zone(&record, Recording::Create).await {
-            Ok(Recorded::IsThere) => {
+        match self
+            .store
+            .write_zone_record(&record, ZoneWrite::Create)
+            .await
+        {
+            Ok(WriteOutcome::AlreadyExists) => {
                 self.list(Staleness::Refused).await;
             }
-            Ok(Recorded::Done | Recorded::IsNotThere) => {
+            Ok(WriteOutcome::Done | WriteOutcome::NotFound) => {
                 tracing::info!(event = "zone_recorded", version = record.version);
                 self.stored.set(record.version);
                 store_watcher::apply_zone_records(self.context, vec![record.clone()]);
@@ -100,17 +104,17 @@
         let old = self.record();
         let record = old.and_then(|old| zone_record::appended(&old, self.own));
         if let Some(record) = record {
-            self.write(record, Recording::Replace).await;
+            self.write(record, ZoneWrite::Replace).await;
         }
     }
 
-    async fn write(&self, record: ZoneRecord, how: Recording) {
-        match self.store.record_zone(&record, how).await {
-            Ok(Recorded::IsNotThere) => {
+    async fn write(&self, record: ZoneRecord, how: ZoneWrite) {
+        match self.store.write_zone_record(&record, how).await {
+            Ok(WriteOutcome::NotFound) => {
                 self.stored.set(0);
-                Box::pin(self.write(record, Recording::Create)).await;
+                Box::pin(self.write(record, ZoneWrite::Create)).await;
             }
-            Ok(Recorded::Done | Recorded::IsThere) => {
+            Ok(WriteOutcome::Done | WriteOutcome::AlreadyExists) => {
                 let (version, count) = (record.version, record.count);
                 tracing::info!(event = "zone_recorded", version, count);
                 self.stored.set(version);
--- a/crates/kingcuploft-entry/src/roster/mod.rs
+++ b/crates/kingcuploft-entry/src/roster/mod.rs
@@ -20,7 +20,7 @@
 use crate::peers::link_error::LinkError;
 use crate::peers::seeds;
 use crate::store::Store;
-use crate::store_access::Pulse;
+use crate::store_access::StoreAccess;
 use crate::store_fallback;
 use crate::store_watcher;
 use crate::zone_list::{Staleness, list_all};
@@ -62,7 +62,7 @@
 pub async fn keep<S: Store + 'static, D: Dial + Clone + 'static>(
     context: Rc<Context>,
     store: Rc<S>,
-    pulse: Rc<Pulse>,
+    pulse: Rc<StoreAccess>,
     own: VmEntry,
     network: D,
 ) {
@@ -89,7 +89,7 @@
 struct Roster<'a, S, D> {
     context: &'a Rc<Context>,
     store: &'a Rc<S>,
-    pulse: &'a Pulse,
+    pulse: &'a StoreAccess,
     own: &'a VmEntry,
     network: &'a D,
     /// The version of the own zone's record that the store holds, as far as is known.
@@ -112,7 +112,7 @@
                         fed_at = clock::now();
                     }
                     if clock::since(fed_at) >= WITHOUT_FEEDER && self.context.is_ready() {
-                        self.pulse.read();
+                        self.pulse.start_reading();
                     }
                 }
                 source => {
@@ -143,7 +143,7 @@
 
     /// Returns once the VM that is followed has told all, or knows nothing itself.
     async fn heard(&self) {
-        while self.context.followed.borrow().is_none() && !self.context.promised.get() {
+        while self.context.feeder.borrow().is_none() && !self.context.feed_promised.get() {
             tokio::time::sleep(HEARD_STEP).await;
         }
     }
@@ -153,7 +153,7 @@
         let region = &self.context.settings.region;
         let now = clock::now();
         let source = readers.source(now, &self.own.name, &self.own.zone, region);
-        let has_lost_store = self.pulse.is_reading() && !self.pulse.is_there();
+        let has_lost_store = self.pulse.is_reading() && !self.pulse.is_available();
         match source {
             Source::Store | Source::StoreAlone if has_lost_store => readers
                 .source_without_store(now, &self.own.zone, region)
@@ -184,7 +184,7 @@
                 return;
             }
             // While the store is away, one of the seeds may be told by a VM that it answers.
-            if self.pulse.is_there() && self.list(Staleness::Allowed).await {
+            if self.pulse.is_available() && self.list(Staleness::Allowed).await {
                 return;
             }
             tokio::time::sleep(ASK_AGAIN).await;
@@ -232,7 +232,7 @@
                 LinkError::Behind => {
                     // A feeder that has just started knows nothing yet; this VM goes on by itself meanwhile.
                     if self.context.is_ready() {
-                        self.pulse.read();
+                        self.pulse.start_reading();
                     }
                     tokio::time::sleep(CATCH_UP).await;
                     return link;
@@ -303,13 +303,13 @@
 
     /// Reads the store until another VM reads.
     async fn read(&self, source: Source) {
-        self.pulse.read();
+        self.pulse.start_reading();
         let begun = clock::now();
         let append_after = ALONE.mul_f64(1.0 + fastrand::f64());
         let mut listed: Option<Instant> = None;
         while self.source() == source {
             let is_old = listed.is_none_or(|at| clock::since(at) >= LIST_EVERY);
-            if self.pulse.is_there() && is_old && self.record().is_some() {
+            if self.pulse.is_available() && is_old && self.record().is_some() {
                 self.list(Staleness::Allowed).await;
                 listed = Some(clock::now());
                 continue;
--- a/crates/kingcuploft-entry/src/run.rs
+++ b/crates/kingcuploft-entry/src/run.rs
@@ -20,9 +20,9 @@
 use crate::peers::repeat_copies;
 use crate::peers::zone_socket::ZoneSocket;
 use crate::roster;
-use crate::settings::{EntrySettings, Vocabulary};
+use crate::settings::{EntrySettings, WireNames};
 use crate::store::{Collection, Store};
-use crate::store_access::Pulse;
+use crate::store_access::StoreAccess;
 use crate::store_liveness;
 use crate::store_watcher;
 
@@ -73,7 +73,7 @@
 /// Returns an error if it can't start.
 pub async fn run<S: Store + 'static>(
     settings: EntrySettings,
-    vocabulary: Vocabulary,
+    vocabulary: WireNames,
     store: S,
     reread: impl Fn() -> Result<EntrySettings, String>,
 ) -> Result<(), StartError> {
@@ -99,7 +99,7 @@
 /// Returns an error if an address can't be listened on.
 pub async fn start<S: Store + 'static>(
     settings: EntrySettings,
-    vocabulary: Vocabulary,
+    vocabulary: WireNames,
     store: S,
 ) -> Result<Running, StartError> {
     let callers = listen(settings.callers)?;
@@ -112,7 +112,7 @@
     tracing::info!(event = "started", vm = %settings.vm, zone = %settings.zone);
     let context = Rc::new(Context::new(settings, vocabulary));
     let store = Rc::new(store);
-    let pulse = Rc::new(Pulse::default());
+    let pulse = Rc::new(StoreAccess::default());
     tokio::task::spawn_local(readiness::serve(context.clone(), ready));
     if let Some(address) = context.settings.metrics {
         let listener = listen(address)?;
@@ -121,7 +121,7 @@
     match context.settings.peers {
         Some(address) => {
             let address = open_to_others(&context, &pulse, address).await?;
-            join(&context, &store, &pulse, address, dial::Tcp);
+            join_peers(&context, &store, &pulse, address, dial::Tcp);
         }
         None => read_store(&context, &store, &pulse),
     }
@@ -166,7 +166,7 @@
     }
     tokio::time::sleep(TAKE_CONNECTIONS).await;
     stop_accepting();
-    context.close_idle();
+    context.close_idle_connections();
     while context.callers.get() > 0 && clock::now() < last {
         tokio::time::sleep(STOP_STEP).await;
     }
@@ -174,7 +174,7 @@
 }
 
 /// Reads the store, and writes what this VM tells it.
-fn read_store<S: Store + 'static>(context: &Rc<Context>, store: &Rc<S>, pulse: &Rc<Pulse>) {
+fn read_store<S: Store + 'static>(context: &Rc<Context>, store: &Rc<S>, pulse: &Rc<StoreAccess>) {
     let feeling = store_liveness::monitor(context.clone(), store.clone(), pulse.clone());
     tokio::task::spawn_local(feeling);
     let waiting = context.notice_writes.open();
@@ -191,15 +191,15 @@
 
 /// Joins the other VMs, which reach this one at an address, and reads the store where it falls to this VM; its tasks run
 /// in the current `LocalSet`.
-pub fn join<S: Store + 'static, D: Dial + Clone + 'static>(
+pub fn join_peers<S: Store + 'static, D: Dial + Clone + 'static>(
     context: &Rc<Context>,
     store: &Rc<S>,
-    pulse: &Rc<Pulse>,
+    pulse: &Rc<StoreAccess>,
     address: SocketAddr,
     network: D,
 ) {
     // The others are asked first; the store only if none of them reads it.
-    pulse.leave();
+    pulse.stop_reading();
     read_store(context, store, pulse);
     let own = VmEntry {
         name: context.settings.vm.clone(),
@@ -216,7 +216,7 @@
 /// Takes what other VMs say, by links and by datagrams; returns where they reach this one.
 async fn open_to_others(
     context: &Rc<Context>,
-    pulse: &Rc<Pulse>,
+    pulse: &Rc<StoreAccess>,
     address: SocketAddr,
 ) -> Result<SocketAddr, StartError> {
     let listener = listen(address)?;
@@ -225,7 +225,7 @@
     let opened = opened.map_err(|error| StartError::Listen(address, error))?;
     let socket = Rc::new(opened);
     tokio::task::spawn_local(readings::receive(context.clone(), socket.clone()));
-    let _ = context.peer_readings.set(socket);
+    let _ = context.peer_socket.set(socket);
     tokio::task::spawn_local(reader::serve(context.clone(), pulse.clone(), listener));
     if let Some(address) = context.settings.control {
         let listener = listen(address)?;
--- a/crates/kingcuploft-entry/src/server_updates.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -16,7 +16,7 @@
 /// Takes in what is said of backend servers, and passes on what is news: a list repeats what is known, and hundreds of
 /// lines at once are more than a follower's queue holds.
 pub fn apply_servers(context: &Context, now: Instant, mut servers: Vec<BackendServer>) {
-    context.servers(|known| servers.retain(|server| !known.is_known(server)));
+    context.with_servers(|known| servers.retain(|server| !known.is_known(server)));
     match &servers[..] {
         [] => return,
         [server] => context.followers.tell(&Frame::Server(server.clone())),
@@ -28,9 +28,9 @@
     let cold = cold_servers(&servers);
     let told = servers.into_iter();
     let changes: Vec<Change> =
-        context.servers(|known| told.filter_map(|s| known.told(s)).collect());
+        context.with_servers(|known| told.filter_map(|s| known.told(s)).collect());
     log_changes(&changes);
-    context.apply_all(now, &changes);
+    context.apply_server_changes(now, &changes);
     cold_servers::apply_store_report(context, &cold);
 }
 
@@ -44,7 +44,7 @@
 /// Takes in that a backend server's entry is gone, and passes it on.
 pub fn apply_removal(context: &Context, now: Instant, name: &str) {
     context.followers.tell(&Frame::ServerGone(name.to_owned()));
-    if let Some(change) = context.servers(|servers| servers.gone(now, name)) {
+    if let Some(change) = context.with_servers(|servers| servers.gone(now, name)) {
         apply_change(context, now, &change);
     }
 }
@@ -59,25 +59,26 @@
     servers: Vec<BackendServer>,
     names: &[String],
 ) {
-    let is_news = |server: &BackendServer| context.servers(|known| !known.is_known(server));
+    let is_news = |server: &BackendServer| context.with_servers(|known| !known.is_known(server));
     let news: Vec<BackendServer> = servers.iter().filter(|s| is_news(s)).cloned().collect();
     let cold = cold_servers(&news);
     let told = servers.into_iter();
-    let joined = context.servers(|known| told.filter_map(|s| known.told(s)).collect::<Vec<_>>());
+    let joined =
+        context.with_servers(|known| told.filter_map(|s| known.told(s)).collect::<Vec<_>>());
     let present = names.iter().map(String::as_str);
-    let gone = context.servers(|known| known.all_told(now, present));
+    let gone = context.with_servers(|known| known.all_told(now, present));
     let changes: Vec<Change> = joined.into_iter().chain(gone).collect();
     log_changes(&changes);
-    context.apply_all(now, &changes);
+    context.apply_server_changes(now, &changes);
     cold_servers::apply_store_report(context, &cold);
-    context.servers_listed();
+    context.set_servers_listed();
     forward_to_followers(context, &news, &changes);
 }
 
 /// Tells the followers what a list of all servers brought: the few that changed, or all where many did.
 fn forward_to_followers(context: &Context, news: &[BackendServer], changes: &[Change]) {
     if news.len() + changes.len() > MOST_TOLD_ALONE {
-        let table = context.servers(|servers| ServerTable::of(servers.present()));
+        let table = context.with_servers(|servers| ServerTable::of(servers.present()));
         context.followers.tell(&Frame::AllServers(table));
         return;
     }
@@ -94,7 +95,7 @@
 /// Follows a change, and writes it down.
 pub fn apply_change(context: &Context, now: Instant, change: &Change) {
     log_changes(std::slice::from_ref(change));
-    context.apply_all(now, std::slice::from_ref(change));
+    context.apply_server_changes(now, std::slice::from_ref(change));
 }
 
 /// Writes a line for each of a few changes, and one with counts for many.
--- a/crates/kingcuploft-entry/src/settings.rs
+++ b/crates/kingcuploft-entry/src/settings.rs
@@ -54,7 +54,7 @@
 
 /// The names of headers and paths that callers, servers and the platform use.
 #[derive(Clone, Copy, Debug)]
-pub struct Vocabulary {
+pub struct WireNames {
     /// Identifies a caller's attempt; servers echo it.
     pub request_id: &'static str,
     /// How long the caller waits, in milliseconds.
--- a/crates/kingcuploft-entry/src/store.rs
+++ b/crates/kingcuploft-entry/src/store.rs
@@ -100,7 +100,7 @@
 
 /// How the record of a zone is written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Recording {
+pub enum ZoneWrite {
     /// There was none.
     Create,
     /// It takes the place of another.
@@ -109,13 +109,13 @@
 
 /// What became of an entry to be written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Recorded {
+pub enum WriteOutcome {
     /// It stands in the store.
     Done,
     /// Another VM had created it.
-    IsThere,
+    AlreadyExists,
     /// There is none to replace.
-    IsNotThere,
+    NotFound,
 }
 
 /// Why a call to the store failed.
@@ -147,23 +147,26 @@
 
     /// Asks for a sign of life, as cheaply as the store allows; returns a moment that the store had
     /// reached, possibly seconds ago.
-    fn sign_of_life(&self) -> impl Future<Output = Result<Revision, StoreError>>;
+    fn probe_liveness(&self) -> impl Future<Output = Result<Revision, StoreError>>;
 
     /// Returns when bytes of an answer about a collection arrived last.
-    fn heard(&self, collection: Collection) -> Option<Instant>;
+    fn last_received_at(&self, collection: Collection) -> Option<Instant>;
 
     /// Creates the record of a zone, or replaces it, so that the zone's VMs find each other.
-    fn record_zone(
+    fn write_zone_record(
         &self,
         record: &ZoneRecord,
-        how: Recording,
-    ) -> impl Future<Output = Result<Recorded, StoreError>>;
+        how: ZoneWrite,
+    ) -> impl Future<Output = Result<WriteOutcome, StoreError>>;
 
     /// Creates a notice.
-    fn tell(&self, notice: &Notice) -> impl Future<Output = Result<Recorded, StoreError>>;
+    fn create_notice(
+        &self,
+        notice: &Notice,
+    ) -> impl Future<Output = Result<WriteOutcome, StoreError>>;
 
     /// Removes a notice, if it is there.
-    fn withdraw(&self, id: &str) -> impl Future<Output = Result<(), StoreError>>;
+    fn delete_notice(&self, id: &str) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Waits for changes behind a moment; history is gone for a moment of another era.
     fn watch(
--- a/crates/kingcuploft-entry/src/store_access.rs
+++ b/crates/kingcuploft-entry/src/store_access.rs
@@ -7,7 +7,7 @@
 
 /// Whether this VM reads the store, and whether the store answers, as last seen.
 #[derive(Debug)]
-pub struct Pulse {
+pub struct StoreAccess {
     reading: Cell<bool>,
     there: Cell<bool>,
     changed: Notify,
@@ -15,7 +15,7 @@
     asked: Notify,
 }
 
-impl Default for Pulse {
+impl Default for StoreAccess {
     fn default() -> Self {
         Self {
             reading: Cell::new(true),
@@ -27,34 +27,34 @@
     }
 }
 
-impl Pulse {
+impl StoreAccess {
     /// Returns whether this VM reads the store itself.
     pub fn is_reading(&self) -> bool {
         self.reading.get()
     }
 
     /// Returns whether the store answers.
-    pub fn is_there(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         self.there.get()
     }
 
     /// Returns once the store is to be read and answers.
-    pub async fn open(&self) {
+    pub async fn wait_until_open(&self) {
         self.wait_for(true).await;
     }
 
     /// Returns once the store is not to be read, or does not answer.
-    pub async fn shut(&self) {
+    pub async fn wait_until_closed(&self) {
         self.wait_for(false).await;
     }
 
     /// Returns once the watches have to be asked again.
-    pub async fn again(&self) {
+    pub async fn wait_for_rewatch(&self) {
         self.again.notified().await;
     }
 
     /// Begins to read the store.
-    pub fn read(&self) {
+    pub fn start_reading(&self) {
         if !self.reading.replace(true) {
             self.there.set(true);
             self.changed.notify_waiters();
@@ -63,7 +63,7 @@
 
     /// Asks the store for a sign of life, and begins to read it only if that comes; returns whether
     /// it did.
-    pub async fn read_if_there(&self) -> bool {
+    pub async fn start_reading_if_available(&self) -> bool {
         if !self.reading.replace(true) {
             self.there.set(false);
         }
@@ -74,24 +74,24 @@
     }
 
     /// Takes note that the store was asked for a sign of life.
-    pub fn was_asked(&self) {
+    pub fn probe_completed(&self) {
         self.asked.notify_waiters();
     }
 
     /// Has the watches asked again.
-    pub fn ask_again(&self) {
+    pub fn request_rewatch(&self) {
         self.again.notify_waiters();
     }
 
     /// Leaves reading the store to another VM.
-    pub fn leave(&self) {
+    pub fn stop_reading(&self) {
         if self.reading.replace(false) {
             self.changed.notify_waiters();
         }
     }
 
     /// Takes in whether the store answers; returns whether that is news.
-    pub fn set_there(&self, there: bool) -> bool {
+    pub fn set_available(&self, there: bool) -> bool {
         let changed = self.there.replace(there) != there;
         if changed {
             self.changed.notify_waiters();
@@ -110,7 +110,7 @@
     }
 
     /// Returns once this VM reads the store itself.
-    pub async fn reading(&self) {
+    pub async fn wait_until_reading(&self) {
         loop {
             let changed = self.changed.notified();
             if self.reading.get() {
--- a/crates/kingcuploft-entry/src/store_fallback.rs
+++ b/crates/kingcuploft-entry/src/store_fallback.rs
@@ -7,7 +7,7 @@
 
 use crate::clock;
 use crate::context::Context;
-use crate::store_access::Pulse;
+use crate::store_access::StoreAccess;
 
 /// How often a VM looks whether it has knowledge.
 const KNOWLEDGE_STEP: Duration = Duration::from_millis(10);
@@ -15,7 +15,7 @@
 /// Has a VM that knows nothing read the store once it has waited for others for too long.
 ///
 /// Where all start together nobody calls yet, and the others are waited for.
-pub(crate) async fn read_store_if_uninformed(context: Rc<Context>, pulse: Rc<Pulse>) {
+pub(crate) async fn read_store_if_uninformed(context: Rc<Context>, pulse: Rc<StoreAccess>) {
     let begun = clock::now();
     let chance = fastrand::f64();
     if context.settings.all_start {
@@ -25,10 +25,15 @@
         let patience = {
             let readers = context.readers.borrow();
             let record = readers.record(&context.settings.zone);
-            joining::patience(&context.settings.vm, record, context.promised.get(), chance)
+            joining::patience(
+                &context.settings.vm,
+                record,
+                context.feed_promised.get(),
+                chance,
+            )
         };
         if clock::since(begun) >= patience {
-            return pulse.read();
+            return pulse.start_reading();
         }
         tokio::time::sleep(KNOWLEDGE_STEP).await;
     }
--- a/crates/kingcuploft-entry/src/store_liveness.rs
+++ b/crates/kingcuploft-entry/src/store_liveness.rs
@@ -14,7 +14,7 @@
 use crate::peers::frame::Frame;
 use crate::peers::standing::standing;
 use crate::store::{Collection, Revision, Store};
-use crate::store_access::Pulse;
+use crate::store_access::StoreAccess;
 use crate::store_watcher;
 
 /// The time between two signs of life. With [`PATIENCE`] and [`WHILE_AWAY`], a change is known within
@@ -39,12 +39,12 @@
 const BEHIND: Duration = Duration::from_millis(900);
 
 /// Watches over the store while this VM reads it, until the process ends.
-pub async fn monitor<S: Store>(context: Rc<Context>, store: Rc<S>, pulse: Rc<Pulse>) {
+pub async fn monitor<S: Store>(context: Rc<Context>, store: Rc<S>, pulse: Rc<StoreAccess>) {
     let mut lag = Lag::default();
     loop {
-        pulse.reading().await;
+        pulse.wait_until_reading().await;
         let asked_at = clock::now();
-        let asked = tokio::time::timeout(PATIENCE, store.sign_of_life()).await;
+        let asked = tokio::time::timeout(PATIENCE, store.probe_liveness()).await;
         let reached = asked
             .as_ref()
             .ok()
@@ -55,7 +55,7 @@
         // The answer may stand behind another, long one.
         let is_there =
             reached.is_some() || (asked.is_err() && received_bytes_since(&*store, asked_at));
-        if pulse.set_there(is_there) {
+        if pulse.set_available(is_there) {
             match is_there {
                 true => store_watcher::note_store_return(&context),
                 false => tracing::warn!(event = "store_away"),
@@ -64,10 +64,10 @@
             let standing = standing(&context, &pulse);
             context.followers.tell(&Frame::Standing(standing));
         }
-        pulse.was_asked();
+        pulse.probe_completed();
         if reached.is_some_and(|reached| lag.is_too_long(clock::now(), reached, &context)) {
             tracing::info!(event = "watches_behind", reached);
-            pulse.ask_again();
+            pulse.request_rewatch();
         }
         let pause = match (is_there, context.followers.is_empty()) {
             (false, _) if will_be_fed(&context) => {
@@ -85,7 +85,7 @@
 fn received_bytes_since<S: Store>(store: &S, since: Instant) -> bool {
     let heard = Collection::WATCHED
         .into_iter()
-        .filter_map(|c| store.heard(c));
+        .filter_map(|c| store.last_received_at(c));
     heard.max().is_some_and(|heard| heard > since)
 }
 
--- a/crates/kingcuploft-entry/src/store_watcher.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -23,10 +23,10 @@
 use crate::notices;
 use crate::peers::frame::Frame;
 use crate::peers::standing::standing;
-use crate::rewinds::Heard;
+use crate::rewinds::EraUpdate;
 use crate::server_updates;
 use crate::store::{Changes, Collection, Page, Record, Revision, Store, StoreChange, StoreError};
-use crate::store_access::Pulse;
+use crate::store_access::StoreAccess;
 
 /// How long a watch waits for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
@@ -57,22 +57,22 @@
 pub async fn sync_collection<S: Store>(
     context: Rc<Context>,
     store: Rc<S>,
-    pulse: Rc<Pulse>,
+    pulse: Rc<StoreAccess>,
     collection: Collection,
 ) {
     let mut pauses = Pauses::default();
     let mut forgotten = false;
     let mut wait = WATCH_WAIT;
     loop {
-        pulse.open().await;
+        pulse.wait_until_open().await;
         let from = context.position(collection).filter(|_| !forgotten);
         let mut asking = std::pin::pin!(list_or_watch(&context, &*store, collection, from, wait));
         let told = loop {
             tokio::select! {
                 biased;
                 told = &mut asking => break Some(told),
-                () = pulse.shut() => break None,
-                () = pulse.again() => {
+                () = pulse.wait_until_closed() => break None,
+                () = pulse.wait_for_rewatch() => {
                     wait = SHORT_WAIT;
                     // An answer that arrives would have to begin anew.
                     if !is_arriving(&*store, collection) {
@@ -106,7 +106,7 @@
 
 /// Returns whether an answer about a collection is arriving.
 fn is_arriving<S: Store>(store: &S, collection: Collection) -> bool {
-    let heard = store.heard(collection);
+    let heard = store.last_received_at(collection);
     heard.is_some_and(|at| clock::now().saturating_duration_since(at) < ARRIVING)
 }
 
@@ -125,7 +125,9 @@
 
 /// Returns whether a notice was withdrawn, and a store that came back from a copy has it again.
 fn is_restored_withdrawal(context: &Context, notice: &Notice) -> bool {
-    context.rewinds.brought_back(clock::now(), &notice.id())
+    context
+        .rewinds
+        .is_restored_withdrawal(clock::now(), &notice.id())
 }
 
 /// Ends the graces of lapsed entries as they run out.
@@ -133,7 +135,7 @@
     loop {
         tokio::time::sleep(EXPIRE_EVERY).await;
         let now = clock::now();
-        let changes = context.servers(|servers| servers.expire(now));
+        let changes = context.with_servers(|servers| servers.expire(now));
         changes
             .iter()
             .for_each(|change| server_updates::apply_change(&context, now, change));
@@ -271,8 +273,8 @@
 pub fn adopt_configuration(context: &Context, configuration: Configuration) {
     let (version, routes) = (configuration.version, configuration.route_count());
     note_configuration_version(context, version);
-    let behind_for = context.in_force.behind_for().unwrap_or_default();
-    if context.in_force.adopt(configuration) {
+    let behind_for = context.active_configuration.stale_for().unwrap_or_default();
+    if context.active_configuration.adopt(configuration) {
         let behind_ms = behind_for.as_millis() as u64;
         tracing::info!(event = "configuration_adopted", version, routes, behind_ms);
         context.followers.tell_configuration();
@@ -282,7 +284,7 @@
 
 /// Takes in that a version of the configuration exists, and passes it on if it is news.
 pub fn note_configuration_version(context: &Context, version: ConfigurationVersion) {
-    if context.in_force.exists(version) {
+    if context.active_configuration.note_version(version) {
         context.followers.tell_newer(version);
     }
 }
@@ -290,7 +292,7 @@
 /// Takes in that the store answers again, and passes it on if it is news: a follower that has just joined
 /// may never have lost the store, and would keep a leaving server in use for the grace of a lapsed one.
 pub fn note_store_return(context: &Context) {
-    let news = context.servers(|servers| servers.store_returned(clock::now()));
+    let news = context.with_servers(|servers| servers.store_returned(clock::now()));
     if news {
         tracing::info!(event = "store_back");
         context.followers.tell(&Frame::StoreReturned);
@@ -303,13 +305,13 @@
 /// Takes in an era that the store has reached, and passes it on before all that is told of it.
 pub fn note_era(context: &Context, era: Era) {
     let now = clock::now();
-    if context.rewinds.heard(now, era) == Heard::Known {
+    if context.rewinds.heard(now, era) == EraUpdate::Known {
         return;
     }
     tracing::warn!(event = "store_rewound", era);
     context.followers.tell_era(&Frame::Era(era));
     let lapse_after = context.bounds.get().heartbeat * LAPSES_AFTER + GATHER;
-    context.servers(|servers| servers.store_rewound(now, lapse_after));
+    context.with_servers(|servers| servers.store_rewound(now, lapse_after));
     context.evacuations.borrow_mut().store_rewound(now);
 }
 
@@ -326,7 +328,7 @@
         } else {
             1
         };
-        context.vms.set((count / part).max(1));
+        context.vm_count.set((count / part).max(1));
     }
     *context.zone_peers.borrow_mut() = zone_peers(context, readers.record(&context.settings.zone));
     drop(readers);
--- a/crates/kingcuploft-entry/src/upstream/crash_check.rs
+++ b/crates/kingcuploft-entry/src/upstream/crash_check.rs
@@ -11,7 +11,7 @@
 
 /// What a new connection to a server comes to after it lost an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AfterLoss {
+pub enum CrashCheck {
     /// Nobody listens there any more.
     Ended,
     /// The server still takes connections: it closed one of them.
@@ -20,7 +20,7 @@
     Silent,
 }
 
-impl AfterLoss {
+impl CrashCheck {
     /// Returns the name used in logs.
     pub fn label(self) -> &'static str {
         match self {
@@ -32,11 +32,11 @@
 }
 
 /// Looks whether a server that has just closed a connection without an answer still listens.
-pub async fn check(network: &dyn Network, upstream: &Upstream) -> AfterLoss {
+pub async fn check(network: &dyn Network, upstream: &Upstream) -> CrashCheck {
     let connecting = network.connect(upstream.server.address);
     match tokio::time::timeout(PATIENCE, connecting).await {
-        Ok(Ok(_)) => AfterLoss::Alive,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => AfterLoss::Ended,
-        Ok(Err(_)) | Err(_) => AfterLoss::Silent,
+        Ok(Ok(_)) => CrashCheck::Alive,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => CrashCheck::Ended,
+        Ok(Err(_)) | Err(_) => CrashCheck::Silent,
     }
 }
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -25,7 +25,7 @@
 
 /// How one attempt ended, with the answer if there is a whole one.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptOutcome {
     /// How it ended.
     pub end: AttemptEnd,
     /// The server's whole answer.
@@ -36,7 +36,7 @@
     pub detail: &'static str,
 }
 
-impl Ended {
+impl AttemptOutcome {
     fn without_answer(end: AttemptEnd, detail: &'static str, begun: Instant) -> Self {
         Self {
             end,
@@ -54,15 +54,16 @@
     upstream: &Rc<Upstream>,
     request: &Request,
     left: Duration,
-) -> Ended {
+) -> AttemptOutcome {
     let begun = clock::now();
-    let _in_flight = upstream.sent(begun);
+    let _in_flight = upstream.track_in_flight(begun);
     readings::tell_sent(context, &upstream.server.name);
     let ended = tokio::time::timeout(left, run(context, upstream, request, left, begun)).await;
-    let timed_out = || Ended::without_answer(AttemptEnd::TimedOut, "deadline passed", begun);
+    let timed_out =
+        || AttemptOutcome::without_answer(AttemptEnd::TimedOut, "deadline passed", begun);
     let ended = ended.unwrap_or_else(|_| timed_out());
     let failed = !matches!(ended.end, AttemptEnd::Succeeded);
-    upstream.ended(clock::now(), failed);
+    upstream.record_outcome(clock::now(), failed);
     ended
 }
 
@@ -72,37 +73,45 @@
     request: &Request,
     left: Duration,
     begun: Instant,
-) -> Ended {
+) -> AttemptOutcome {
     let Ok(mut connection) = upstream.connect(&*context.network).await else {
-        return Ended::without_answer(AttemptEnd::Unsent, "no connection", begun);
+        return AttemptOutcome::without_answer(AttemptEnd::Unsent, "no connection", begun);
     };
     // A new connection may take a second, and the zone may have been evacuated meanwhile.
     if !context.takes_work(upstream) {
-        upstream.keep(connection);
-        return Ended::without_answer(AttemptEnd::Unsent, "the server takes no more work", begun);
+        upstream.release(connection);
+        return AttemptOutcome::without_answer(
+            AttemptEnd::Unsent,
+            "the server takes no more work",
+            begun,
+        );
     }
     let left = left.saturating_sub(clock::since(begun));
     let bytes = write_request(context, upstream, request, left);
     match connection.send(&bytes).await {
         Ok(()) => {}
-        Err(SendError::Unsent(_)) => {
-            return Ended::without_answer(AttemptEnd::Unsent, "connection was closed", begun);
+        Err(SendError::NothingSent(_)) => {
+            return AttemptOutcome::without_answer(
+                AttemptEnd::Unsent,
+                "connection was closed",
+                begun,
+            );
         }
-        Err(SendError::Broke(_)) => {
-            return Ended::without_answer(AttemptEnd::Lost, "broke while sending", begun);
+        Err(SendError::PartlySent(_)) => {
+            return AttemptOutcome::without_answer(AttemptEnd::Lost, "broke while sending", begun);
         }
     }
     let received = receive_own(context, &mut connection, request).await;
     let response = match received {
         Ok(response) => response,
-        Err((end, detail)) => return Ended::without_answer(end, detail, begun),
+        Err((end, detail)) => return AttemptOutcome::without_answer(end, detail, begun),
     };
-    let load = response.head.headers.get(context.vocabulary.load);
-    if let Some(reading) = load.and_then(context.vocabulary.read_load) {
-        upstream.told(clock::now(), reading);
+    let load = response.head.headers.get(context.wire_names.load);
+    if let Some(reading) = load.and_then(context.wire_names.read_load) {
+        upstream.record_reading(clock::now(), reading);
         readings::tell(context, &upstream.server.name, reading, None);
     }
-    upstream.keep(connection);
+    upstream.release(connection);
     let (end, detail) = judge(context, &response);
     if response.head.status != MISDIRECTED {
         let answer = match end {
@@ -112,7 +121,7 @@
         let server = &upstream.server.name;
         limits::apply_header(context, server, &response.head.headers, answer);
     }
-    Ended {
+    AttemptOutcome {
         end,
         response: Some(response),
         took: clock::since(begun),
@@ -135,10 +144,10 @@
             ReceiveError::Truncated => (AttemptEnd::Broken, "truncated answer"),
             ReceiveError::Malformed => (AttemptEnd::Broken, "malformed answer"),
         })?;
-        let echoed = response.head.headers.get(context.vocabulary.request_id);
+        let echoed = response.head.headers.get(context.wire_names.request_id);
         match (echoed, request.id.as_deref()) {
             (Some(echoed), Some(id)) if echoed != id => {
-                connection.spoil();
+                connection.mark_unusable();
                 tracing::info!(event = "crossed_answer", request = id, answer = echoed);
             }
             _ => return Ok(response),
@@ -149,14 +158,14 @@
 
 fn judge(context: &Context, response: &Response) -> (AttemptEnd, &'static str) {
     let headers = &response.head.headers;
-    let signed = headers.has(context.vocabulary.signature);
-    if headers.has(context.vocabulary.not_run) {
+    let signed = headers.contains(context.wire_names.signature);
+    if headers.contains(context.wire_names.not_run) {
         return (AttemptEnd::NotRun, "server did not run it");
     }
     match response.head.status {
         MISDIRECTED => (AttemptEnd::NotRun, "another server has the address"),
         200..300 if !signed => (AttemptEnd::Broken, "unsigned answer"),
-        200..300 if headers.has("content-encoding") => (AttemptEnd::Broken, "encoded answer"),
+        200..300 if headers.contains("content-encoding") => (AttemptEnd::Broken, "encoded answer"),
         200..300 => (AttemptEnd::Succeeded, "answered"),
         _ if signed => (AttemptEnd::Failed, "server failed"),
         _ => (AttemptEnd::Broken, "unsigned failure"),
@@ -169,7 +178,7 @@
     request: &Request,
     left: Duration,
 ) -> Vec<u8> {
-    let words = context.vocabulary;
+    let words = context.wire_names;
     let mut out = Vec::with_capacity(512 + request.body.len());
     out.extend_from_slice(request.head.method.as_bytes());
     out.push(b' ');
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -15,9 +15,9 @@
 use kingcuploft::world::ids::VmName;
 
 use crate::clock;
-use crate::http::client::{Connection, Counted};
+use crate::http::client::{Connection, ConnectionCount};
 use crate::network::Network;
-use probe_step::Silent;
+use probe_step::ProbeStep;
 
 /// The most idle connections kept to one server: VMs share a server's connections, and one VM
 /// rarely has more than two requests at one server.
@@ -39,7 +39,7 @@
 
 /// What it takes to hear of a server's load, the least first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Trouble {
+pub enum ProbeCost {
     /// Its last reading is fresh.
     None,
     /// A probe on an open connection.
@@ -61,12 +61,12 @@
     /// Since when and until when it must say first whether it is cold.
     doubted_at: Cell<Instant>,
     doubted_until: Cell<Option<Instant>>,
-    idle: RefCell<Vec<Connection>>,
+    idle_connections: RefCell<Vec<Connection>>,
     open: std::rc::Rc<Cell<usize>>,
     reading: Cell<Option<(Instant, Reading)>>,
-    asking: Cell<bool>,
-    late: Cell<bool>,
-    mute: Cell<Option<(Instant, Duration)>>,
+    probe_in_flight: Cell<bool>,
+    awaits_late_answer: Cell<bool>,
+    probe_backoff: Cell<Option<(Instant, Duration)>>,
     in_flight: RefCell<Vec<Instant>>,
     others_sent: RefCell<Vec<Instant>>,
     failures: RefCell<Failures>,
@@ -83,12 +83,12 @@
             doubted_until: Cell::new(None),
             server,
             near,
-            idle: RefCell::default(),
+            idle_connections: RefCell::default(),
             open: std::rc::Rc::default(),
             reading: Cell::new(None),
-            asking: Cell::new(false),
-            late: Cell::new(false),
-            mute: Cell::new(None),
+            probe_in_flight: Cell::new(false),
+            awaits_late_answer: Cell::new(false),
+            probe_backoff: Cell::new(None),
             in_flight: RefCell::default(),
             others_sent: RefCell::default(),
             failures: RefCell::default(),
@@ -97,8 +97,8 @@
     }
 
     /// Returns whether a call can have a connection of those that this VM may have.
-    pub fn has_room(&self, share: usize) -> bool {
-        self.open.get() < share || !self.idle.borrow().is_empty()
+    pub fn has_connection_available(&self, share: usize) -> bool {
+        self.open.get() < share || !self.idle_connections.borrow().is_empty()
     }
 
     /// Returns a connection: an idle one, or a new one.
@@ -110,14 +110,14 @@
         if let Some(connection) = self.take_idle() {
             return Ok(connection);
         }
-        let counted = Counted::of(&self.open);
+        let counted = ConnectionCount::of(&self.open);
         Connection::open_counted(network, self.server.address, counted).await
     }
 
     /// Takes an idle connection that can be used.
     fn take_idle(&self) -> Option<Connection> {
         let now = clock::now();
-        let mut idle = self.idle.borrow_mut();
+        let mut idle = self.idle_connections.borrow_mut();
         while let Some(mut connection) = idle.pop() {
             if connection.is_reusable(now, LONGEST_IDLE) {
                 return Some(connection);
@@ -127,17 +127,17 @@
     }
 
     /// Keeps a connection for later.
-    pub fn keep(&self, mut connection: Connection) {
-        let mut idle = self.idle.borrow_mut();
+    pub fn release(&self, mut connection: Connection) {
+        let mut idle = self.idle_connections.borrow_mut();
         if idle.len() < MOST_IDLE && connection.is_reusable(clock::now(), LONGEST_IDLE) {
             idle.push(connection);
         }
     }
 
     /// Takes in what the server said of its load.
-    pub fn told(&self, now: Instant, reading: Reading) {
+    pub fn record_reading(&self, now: Instant, reading: Reading) {
         self.reading.set(Some((now, reading)));
-        if self.mute.take().is_some() {
+        if self.probe_backoff.take().is_some() {
             tracing::info!(event = "server_heard", server = %self.server.name);
         }
     }
@@ -149,16 +149,19 @@
     }
 
     /// Returns whether the last reading is young enough to choose by.
-    pub fn is_fresh(&self, now: Instant, life: Duration) -> bool {
+    pub fn has_fresh_reading(&self, now: Instant, life: Duration) -> bool {
         self.reading(now).is_some_and(|(age, _)| age < life)
     }
 
     /// Returns what it takes to hear of its load.
-    pub fn trouble_to_ask(&self, now: Instant, life: Duration) -> Trouble {
-        match (self.is_fresh(now, life), self.idle.borrow().is_empty()) {
-            (true, _) => Trouble::None,
-            (false, false) => Trouble::Probe,
-            (false, true) => Trouble::Connection,
+    pub fn probe_cost(&self, now: Instant, life: Duration) -> ProbeCost {
+        match (
+            self.has_fresh_reading(now, life),
+            self.idle_connections.borrow().is_empty(),
+        ) {
+            (true, _) => ProbeCost::None,
+            (false, false) => ProbeCost::Probe,
+            (false, true) => ProbeCost::Connection,
         }
     }
 
@@ -168,47 +171,51 @@
     }
 
     /// Takes in until when it is cold.
-    pub fn is_cold_until(&self, until: Instant) {
+    pub fn set_cold_until(&self, until: Instant) {
         self.cold_until.set(until);
         self.doubted_until.set(None);
     }
 
     /// Takes in that it is not cold, as it says itself, asked at this moment.
-    pub fn is_not_cold(&self, asked_at: Instant) {
+    pub fn set_not_cold(&self, asked_at: Instant) {
         if self.doubted_at.get() <= asked_at {
             self.doubted_until.set(None);
         }
     }
 
     /// Gets no work until it has said whether it is cold, or can't be any more.
-    pub fn doubt(&self, now: Instant, lasts: Duration) {
+    pub fn require_cold_report(&self, now: Instant, lasts: Duration) {
         self.doubted_at.set(now);
         self.doubted_until.set(Some(now + lasts));
         self.reading.set(None);
     }
 
     /// Returns whether it must say first whether it is cold.
-    pub fn is_doubted(&self, now: Instant) -> bool {
+    pub fn awaits_cold_report(&self, now: Instant) -> bool {
         self.doubted_until.get().is_some_and(|until| now < until)
     }
 
     /// Returns whether a probe is on its way.
-    pub fn is_asked(&self) -> bool {
-        self.asking.get()
+    pub fn is_probe_in_flight(&self) -> bool {
+        self.probe_in_flight.get()
     }
 
     /// Returns whether the server did not answer the last probe and is not to be asked yet.
-    pub fn is_mute(&self, now: Instant) -> bool {
-        self.late.get() || self.mute.get().is_some_and(|(until, _)| now < until)
+    pub fn is_unresponsive(&self, now: Instant) -> bool {
+        self.awaits_late_answer.get()
+            || self
+                .probe_backoff
+                .get()
+                .is_some_and(|(until, _)| now < until)
     }
 
     /// Returns whether there is an idle connection.
-    pub fn has_idle(&self) -> bool {
-        !self.idle.borrow().is_empty()
+    pub fn has_idle_connection(&self) -> bool {
+        !self.idle_connections.borrow().is_empty()
     }
 
-    fn probe_failed(&self, now: Instant, step: Silent, took: Duration) {
-        let before = self.mute.get();
+    fn probe_failed(&self, now: Instant, step: ProbeStep, took: Duration) {
+        let before = self.probe_backoff.get();
         let pause = before.map_or(FIRST_MUTE, |(_, pause)| pause * 2);
         let pause = pause.min(LONGEST_MUTE);
         if before.is_none() {
@@ -226,39 +233,39 @@
                 connections = self.open.get()
             );
         }
-        self.mute.set(Some((now + pause, pause)));
+        self.probe_backoff.set(Some((now + pause, pause)));
         self.reading.set(None);
     }
 
     /// Takes in how a call ended.
-    pub fn ended(&self, now: Instant, failed: bool) {
+    pub fn record_outcome(&self, now: Instant, failed: bool) {
         self.failures.borrow_mut().ended(now, failed);
     }
 
     /// Takes in that another VM of the zone has just sent a request there.
-    pub fn others_sent(&self, now: Instant) {
+    pub fn record_peer_send(&self, now: Instant) {
         let mut sent = self.others_sent.borrow_mut();
         sent.retain(|at| now.saturating_duration_since(*at) < SENT_LIFE);
         sent.push(now);
     }
 
     /// Counts an own request as in flight until the guard is dropped.
-    pub fn sent(self: &std::rc::Rc<Self>, now: Instant) -> InFlight {
+    pub fn track_in_flight(self: &std::rc::Rc<Self>, now: Instant) -> InFlightGuard {
         self.in_flight.borrow_mut().push(now);
-        InFlight {
+        InFlightGuard {
             upstream: self.clone(),
             sent: now,
         }
     }
 
     /// Counts a request as at the server, under which others ended, until the guard is dropped.
-    pub fn hold_suspect(self: &std::rc::Rc<Self>) -> HoldsSuspect {
+    pub fn track_suspect(self: &std::rc::Rc<Self>) -> SuspectGuard {
         self.suspects.update(|suspects| suspects + 1);
-        HoldsSuspect(self.clone())
+        SuspectGuard(self.clone())
     }
 
     /// Returns whether it runs a request of this VM under which other servers ended.
-    pub fn holds_suspect(&self) -> bool {
+    pub fn is_running_suspect(&self) -> bool {
         self.suspects.get() > 0
     }
 
@@ -280,7 +287,7 @@
         Candidate {
             near: self.near,
             reading: reading.map(|(_, reading)| reading),
-            asked: self.asking.get(),
+            asked: self.probe_in_flight.get(),
             unseen: unseen as u32,
             own: own.len() as u32,
             slots: self.server.slots,
@@ -293,9 +300,9 @@
 
 /// A request at a server, under which others ended.
 #[derive(Debug)]
-pub struct HoldsSuspect(std::rc::Rc<Upstream>);
+pub struct SuspectGuard(std::rc::Rc<Upstream>);
 
-impl Drop for HoldsSuspect {
+impl Drop for SuspectGuard {
     fn drop(&mut self) {
         self.0.suspects.update(|suspects| suspects - 1);
     }
@@ -303,12 +310,12 @@
 
 /// An own request in flight at a server.
 #[derive(Debug)]
-pub struct InFlight {
+pub struct InFlightGuard {
     upstream: std::rc::Rc<Upstream>,
     sent: Instant,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut in_flight = self.upstream.in_flight.borrow_mut();
         if let Some(at) = in_flight.iter().position(|sent| *sent == self.sent) {
--- a/crates/kingcuploft-entry/src/upstream/probe.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::Upstream;
-use super::probe_step::Silent;
+use super::probe_step::ProbeStep;
 use crate::clock;
 use crate::cold_servers;
 use crate::context::Context;
@@ -28,11 +28,11 @@
 /// not answer lately.
 pub fn start(context: &Rc<Context>, upstream: &Rc<Upstream>, health_path: &str) {
     let now = clock::now();
-    let fresh = upstream.is_fresh(now, context.reading_life());
-    if upstream.is_asked() || fresh || upstream.is_mute(now) {
+    let fresh = upstream.has_fresh_reading(now, context.max_reading_age());
+    if upstream.is_probe_in_flight() || fresh || upstream.is_unresponsive(now) {
         return;
     }
-    if !upstream.has_room(context.connection_share(&upstream.server.service)) {
+    if !upstream.has_connection_available(context.connection_share(&upstream.server.service)) {
         context.metrics.probe("no_connection");
         return;
     }
@@ -40,7 +40,7 @@
         context.metrics.probe("no_budget");
         return;
     }
-    upstream.asking.set(true);
+    upstream.probe_in_flight.set(true);
     let (context, upstream) = (context.clone(), upstream.clone());
     let request = request(&upstream, health_path);
     tokio::task::spawn_local(async move { probe(&context, &upstream, &request).await });
@@ -54,16 +54,16 @@
 /// connection on which the next one comes at once.
 async fn probe(context: &Context, upstream: &Rc<Upstream>, request: &[u8]) {
     let begun = clock::now();
-    let step = Cell::new(Silent::Connecting);
+    let step = Cell::new(ProbeStep::Connecting);
     let mut asking = std::pin::pin!(exchange(&*context.network, upstream, request, &step));
     if let Ok(answered) = tokio::time::timeout(PROBE_TIMEOUT, &mut asking).await {
         return finish(context, upstream, answered, &step, begun);
     }
     finish(context, upstream, None, &step, begun);
-    if matches!(step.get(), Silent::Connecting | Silent::New) {
-        upstream.late.set(true);
+    if matches!(step.get(), ProbeStep::Connecting | ProbeStep::New) {
+        upstream.awaits_late_answer.set(true);
         let answered = tokio::time::timeout(LATE_TIMEOUT, asking).await;
-        upstream.late.set(false);
+        upstream.awaits_late_answer.set(false);
         if let Ok(Some(response)) = answered {
             finish(context, upstream, Some(response), &step, begun);
         }
@@ -74,13 +74,13 @@
     context: &Context,
     upstream: &Rc<Upstream>,
     answered: Option<Response>,
-    step: &Cell<Silent>,
+    step: &Cell<ProbeStep>,
     begun: Instant,
 ) {
-    upstream.asking.set(false);
+    upstream.probe_in_flight.set(false);
     let now = clock::now();
     let reading = answered.and_then(|response| {
-        step.set(Silent::Unreadable);
+        step.set(ProbeStep::Unreadable);
         let headers = &response.head.headers;
         limits::apply_header(
             context,
@@ -88,15 +88,15 @@
             headers,
             limits::AnswerKind::Other,
         );
-        let load = response.head.headers.get(context.vocabulary.load);
-        let reading = load.and_then(context.vocabulary.read_load)?;
+        let load = response.head.headers.get(context.wire_names.load);
+        let reading = load.and_then(context.wire_names.read_load)?;
         Some((reading, cold_servers::parse_header(context, headers)))
     });
     match reading {
         Some((reading, cold_for)) => {
             context.metrics.probe("answered");
             cold_servers::apply_probe_answer(context, upstream, cold_for, begun);
-            upstream.told(now, reading);
+            upstream.record_reading(now, reading);
             readings::tell(context, &upstream.server.name, reading, Some(cold_for));
         }
         None => {
@@ -105,21 +105,25 @@
             tracing::debug!(event = "probe_failed", server = %upstream.server.name);
         }
     }
-    context.readings.notify_waiters();
+    context.readings_changed.notify_waiters();
 }
 
 async fn exchange(
     network: &dyn Network,
     upstream: &Upstream,
     request: &[u8],
-    step: &Cell<Silent>,
+    step: &Cell<ProbeStep>,
 ) -> Option<Response> {
-    let kept = upstream.has_idle();
+    let kept = upstream.has_idle_connection();
     let mut connection = upstream.connect(network).await.ok()?;
-    step.set(if kept { Silent::Kept } else { Silent::New });
+    step.set(if kept {
+        ProbeStep::Kept
+    } else {
+        ProbeStep::New
+    });
     connection.send(request).await.ok()?;
     let response = connection.receive("GET", MOST_PROBE_BYTES).await.ok()?;
-    upstream.keep(connection);
+    upstream.release(connection);
     Some(response)
 }
 
--- a/crates/kingcuploft-entry/src/upstream/probe_step.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe_step.rs
@@ -2,7 +2,7 @@
 
 /// Where a probe stood when it failed.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Silent {
+pub(super) enum ProbeStep {
     /// A new connection was being opened.
     Connecting,
     /// The answer was waited for on a new connection.
@@ -13,7 +13,7 @@
     Unreadable,
 }
 
-impl Silent {
+impl ProbeStep {
     /// Returns the name used in logs.
     pub(super) fn label(self) -> &'static str {
         match self {
--- a/crates/kingcuploft-entry/tests/entry/callers.rs
+++ b/crates/kingcuploft-entry/tests/entry/callers.rs
@@ -135,7 +135,7 @@
 fn a_server_that_hangs_gets_no_more_connections_than_its_share() {
     play(async {
         let world = World::with(&[Act::Hang]).await;
-        world.vm.context.vms.set(1);
+        world.vm.context.vm_count.set(1);
         let mut callers = Vec::new();
         for id in 0..40 {
             let mut caller = world.caller().await;
@@ -163,7 +163,7 @@
         };
         let mut first = world.caller().await;
         first.send(&begin("r1")).await;
-        until(|| world.vm.context.body_room.taken() == held).await;
+        until(|| world.vm.context.body_memory.reserved_bytes() == held).await;
         let mut second = world.caller().await;
         second.send(&begin("r2")).await;
         let refused = second.answer().await.unwrap();
@@ -172,7 +172,7 @@
         assert_eq!(world.ask(&book("r3")).await.status, 200);
         assert_eq!(world.runs(), 1);
         drop(first);
-        until(|| world.vm.context.body_room.taken() == 0).await;
+        until(|| world.vm.context.body_memory.reserved_bytes() == 0).await;
     });
 }
 
--- a/crates/kingcuploft-entry/tests/entry/following.rs
+++ b/crates/kingcuploft-entry/tests/entry/following.rs
@@ -140,11 +140,15 @@
         }
         for _ in 0..40 {
             for vm in &vms {
-                assert!(vm.context.vms.get() >= 12, "{}", vm.context.vms.get());
+                assert!(
+                    vm.context.vm_count.get() >= 12,
+                    "{}",
+                    vm.context.vm_count.get()
+                );
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        until(|| vms.iter().all(|vm| vm.context.vms.get() == 12)).await;
+        until(|| vms.iter().all(|vm| vm.context.vm_count.get() == 12)).await;
     });
 }
 
@@ -296,6 +300,6 @@
         reader.context.followers.let_go();
         until(|| reader.context.followers.is_empty()).await;
         until(|| reader.context.followers.len() == 1).await;
-        until(|| second.context.followed.borrow().is_some()).await;
+        until(|| second.context.feeder.borrow().is_some()).await;
     });
 }
--- a/crates/kingcuploft-entry/tests/entry/quarantine.rs
+++ b/crates/kingcuploft-entry/tests/entry/quarantine.rs
@@ -226,7 +226,7 @@
             in_a_row: 1,
         };
         let store = TestStore::of(&world.store);
-        store.tell(&Notice::Crash(report)).await.unwrap();
+        store.create_notice(&Notice::Crash(report)).await.unwrap();
         tokio::time::sleep(Duration::from_millis(3500)).await;
         let woken = world.store.watches.get() - before;
         assert!(woken <= 1, "{woken} watches");
--- a/crates/kingcuploft-entry/tests/entry/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/entry/rewinds.rs
@@ -16,7 +16,7 @@
         world.store.remove("s0");
         let context = world.vm.context.clone();
         let is_known = || {
-            let version = context.in_force.version() == Some(2);
+            let version = context.active_configuration.version() == Some(2);
             version && context.upstream("s1").is_some() && context.upstream("s0").is_none()
         };
         until(is_known).await;
--- a/crates/kingcuploft-entry/tests/entry/store_faults.rs
+++ b/crates/kingcuploft-entry/tests/entry/store_faults.rs
@@ -135,7 +135,7 @@
     play(async {
         let world = World::with(&[Act::Answer]).await;
         assert_eq!(world.ask(&unknown("r1")).await.status, 404);
-        world.vm.context.in_force.exists(2);
+        world.vm.context.active_configuration.note_version(2);
         let answer = world.ask(&unknown("r2")).await;
         assert_eq!(answer.status, 503);
         assert!(answer.has("retry-after"));
@@ -151,7 +151,7 @@
 fn a_request_on_a_route_that_may_be_new_waits_a_moment_for_it() {
     play(async {
         let world = World::with(&[Act::Answer]).await;
-        world.vm.context.in_force.exists(2);
+        world.vm.context.active_configuration.note_version(2);
         let mut caller = world.caller().await;
         caller.send(&unknown("r1")).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -179,7 +179,7 @@
             world
                 .vm
                 .context
-                .servers(|known| known.get("short-lived").is_some())
+                .with_servers(|known| known.get("short-lived").is_some())
         };
         until(knows).await;
         assert!(world.vm.context.upstream("short-lived").is_none());
--- a/crates/kingcuploft-entry/tests/entry/world.rs
+++ b/crates/kingcuploft-entry/tests/entry/world.rs
@@ -12,7 +12,7 @@
 use kingcuploft::utils::HashMap;
 use kingcuploft::world::contract::Contract;
 use kingcuploft_entry::run::{self, Running};
-use kingcuploft_entry::settings::{Bounds, EntrySettings, Vocabulary};
+use kingcuploft_entry::settings::{Bounds, EntrySettings, WireNames};
 use kingcuploft_simulation::words;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -21,7 +21,7 @@
 use crate::store::{Held, TestStore};
 
 /// The names that this world uses.
-pub(crate) const WORDS: Vocabulary = Vocabulary {
+pub(crate) const WORDS: WireNames = WireNames {
     limit: "server-limit",
     ..words::WORDS
 };
--- a/crates/kingcuploft-entry/tests/links/fleet.rs
+++ b/crates/kingcuploft-entry/tests/links/fleet.rs
@@ -15,7 +15,7 @@
 use kingcuploft_entry::context::Context;
 use kingcuploft_entry::run;
 use kingcuploft_entry::settings::{Bounds, EntrySettings};
-use kingcuploft_entry::store_access::Pulse;
+use kingcuploft_entry::store_access::StoreAccess;
 use kingcuploft_simulation::words::WORDS;
 use tokio::task::LocalSet;
 use tokio::time::Instant;
@@ -102,7 +102,7 @@
         let (entry, mbit) = &self.entries[at];
         let nic = Rc::new(Nic::of(*mbit));
         let context = Rc::new(Context::new(settings(entry, all_start), WORDS));
-        let pulse = Rc::new(Pulse::default());
+        let pulse = Rc::new(StoreAccess::default());
         let store = Rc::new(LinkedStore {
             store: TestStore(self.store.0.clone(), self.turned_away[at].clone()),
             nic: nic.clone(),
@@ -117,12 +117,12 @@
             network: self.network.clone(),
             from: at,
         };
-        let _ = context.peer_readings.set(Rc::new(socket));
+        let _ = context.peer_socket.set(Rc::new(socket));
         let (vm, vm_pulse, address) = (context.clone(), pulse.clone(), entry.address);
         let tasks = LocalSet::new();
         let running = tokio::task::spawn_local(async move {
             let joined = async {
-                run::join(&vm, &store, &vm_pulse, address, dialer);
+                run::join_peers(&vm, &store, &vm_pulse, address, dialer);
                 std::future::pending::<()>().await;
             };
             tasks.run_until(joined).await;
@@ -203,7 +203,7 @@
     /// Returns the version that a VM has in force.
     pub(crate) fn version_at(&self, at: usize) -> Option<u64> {
         let host = self.network.host(at)?;
-        let version = host.context.in_force.version()?;
+        let version = host.context.active_configuration.version()?;
         let before = self.seen.borrow_mut().insert(at, version);
         assert!(before <= Some(version), "VM {at} goes back to {version}");
         Some(version)
--- a/crates/kingcuploft-entry/tests/links/joining.rs
+++ b/crates/kingcuploft-entry/tests/links/joining.rs
@@ -87,9 +87,9 @@
         servers: host.context.position(Collection::BackendServers),
         evacuations: host.context.position(Collection::Evacuations),
         below: 0,
-        version: host.context.in_force.version(),
+        version: host.context.active_configuration.version(),
         arrived: None,
-        servers_digest: Some(host.context.servers(|servers| servers.digest())),
+        servers_digest: Some(host.context.with_servers(|servers| servers.digest())),
         speaks: SPEAKS,
     }
 }
@@ -125,7 +125,7 @@
         let (fleet, host) = fleet_of_two().await;
         let hello = hello_like(&host);
         let newer = configuration(2, &fleet.routes[1..]);
-        host.context.in_force.adopt(newer);
+        host.context.active_configuration.adopt(newer);
         let position = host.context.position(Collection::Configuration);
         assert_eq!(hello.configuration, position);
         let mut joins = Script::join(&host);
@@ -261,7 +261,7 @@
         let whole = configuration(9, &fleet.routes);
         feeder.tell(&Frame::Configuration(Box::new(whole))).await;
         feeder.frames().await;
-        assert_eq!(host.context.in_force.version(), Some(9));
+        assert_eq!(host.context.active_configuration.version(), Some(9));
     });
 }
 
@@ -300,6 +300,6 @@
             feeder.tell(&Frame::Part(Box::new(part))).await;
         }
         feeder.frames().await;
-        assert_eq!(host.context.in_force.version(), Some(8));
+        assert_eq!(host.context.active_configuration.version(), Some(8));
     });
 }
--- a/crates/kingcuploft-entry/tests/links/network.rs
+++ b/crates/kingcuploft-entry/tests/links/network.rs
@@ -13,9 +13,9 @@
 use kingcuploft_entry::peers::zone_socket::{Telling, Told};
 use kingcuploft_entry::peers::{reader, readings};
 use kingcuploft_entry::store::{
-    Changes, Collection, Page, Recorded, Recording, Revision, Store, StoreError,
+    Changes, Collection, Page, Revision, Store, StoreError, WriteOutcome, ZoneWrite,
 };
-use kingcuploft_entry::store_access::Pulse;
+use kingcuploft_entry::store_access::StoreAccess;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
@@ -34,7 +34,7 @@
 /// What the network knows of a VM.
 pub(crate) struct Host {
     pub(crate) context: Rc<Context>,
-    pub(crate) pulse: Rc<Pulse>,
+    pub(crate) pulse: Rc<StoreAccess>,
     pub(crate) nic: Rc<Nic>,
     /// Its tasks; none runs after a loss of power.
     pub(crate) tasks: RefCell<Vec<AbortHandle>>,
@@ -161,34 +161,34 @@
         Ok(page)
     }
 
-    async fn sign_of_life(&self) -> Result<Revision, StoreError> {
-        let revision = self.store.sign_of_life().await?;
+    async fn probe_liveness(&self) -> Result<Revision, StoreError> {
+        let revision = self.store.probe_liveness().await?;
         self.receive(Collection::Zones, 1).await;
         Ok(revision)
     }
 
-    fn heard(&self, _: Collection) -> Option<std::time::Instant> {
+    fn last_received_at(&self, _: Collection) -> Option<std::time::Instant> {
         let now = Instant::now();
         (now < self.receives_until.get()).then(|| now.into_std())
     }
 
-    async fn record_zone(
+    async fn write_zone_record(
         &self,
         record: &ZoneRecord,
-        how: Recording,
-    ) -> Result<Recorded, StoreError> {
+        how: ZoneWrite,
+    ) -> Result<WriteOutcome, StoreError> {
         self.receive(Collection::Zones, 1).await;
-        self.store.record_zone(record, how).await
+        self.store.write_zone_record(record, how).await
     }
 
-    async fn tell(&self, notice: &Notice) -> Result<Recorded, StoreError> {
+    async fn create_notice(&self, notice: &Notice) -> Result<WriteOutcome, StoreError> {
         self.receive(Collection::Notices, 1).await;
-        self.store.tell(notice).await
+        self.store.create_notice(notice).await
     }
 
-    async fn withdraw(&self, id: &str) -> Result<(), StoreError> {
+    async fn delete_notice(&self, id: &str) -> Result<(), StoreError> {
         self.receive(Collection::Notices, 1).await;
-        self.store.withdraw(id).await
+        self.store.delete_notice(id).await
     }
 
     async fn watch(
--- a/crates/kingcuploft-entry/tests/links/notices.rs
+++ b/crates/kingcuploft-entry/tests/links/notices.rs
@@ -7,9 +7,9 @@
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft_entry::context::Context;
-use kingcuploft_entry::notice_writes::Write;
+use kingcuploft_entry::notice_writes::NoticeWrite;
 use kingcuploft_entry::notices;
-use kingcuploft_entry::store_access::Pulse;
+use kingcuploft_entry::store_access::StoreAccess;
 use kingcuploft_entry::store_liveness;
 
 use crate::fleet::{play, settings};
@@ -35,7 +35,7 @@
             cpu_milli: 200,
         };
         let context = Rc::new(Context::new(settings(&vm, false), WORDS));
-        let pulse = Rc::new(Pulse::default());
+        let pulse = Rc::new(StoreAccess::default());
         let waiting = context.notice_writes.open();
         let client = Rc::new(store.clone());
         let feeling = store_liveness::monitor(context.clone(), client.clone(), pulse.clone());
@@ -56,7 +56,7 @@
             .server_ended(now, 7, &report.of, 0);
         context
             .notice_writes
-            .send(Write::Tell(Notice::Crash(report)));
+            .send(NoticeWrite::Create(Notice::Crash(report)));
         tokio::time::sleep(OUTAGE).await;
         store.1.set(false);
         tokio::time::sleep(IN_TOUCH).await;
--- a/crates/kingcuploft-entry/tests/links/repeats.rs
+++ b/crates/kingcuploft-entry/tests/links/repeats.rs
@@ -105,7 +105,7 @@
             return;
         };
         let now = Instant::now().into_std();
-        host.context.arrived(now, &service);
+        host.context.count_request(now, &service);
         let mut sends = 1;
         while sends < MOST_SENDS && rng.f64() < REFUSED {
             if !host.context.take_repeat(now, &service) {
--- a/crates/kingcuploft-entry/tests/links/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/links/rewinds.rs
@@ -53,7 +53,7 @@
     store.0.serve(server("young"));
     store.0.remove("leaves");
     store.0.evacuate("zone-1", true);
-    store.tell(&report(7, "young")).await.unwrap();
+    store.create_notice(&report(7, "young")).await.unwrap();
     fleet.change_one();
     tokio::time::sleep(KNOWN).await;
     assert!(fleet.behind().is_empty());
--- a/crates/kingcuploft-simulation/src/store.rs
+++ b/crates/kingcuploft-simulation/src/store.rs
@@ -11,8 +11,8 @@
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft::world::ids::AvailabilityZone;
 use kingcuploft_entry::store::{
-    Changes, Collection, Page, Record, Recorded, Recording, Revision, Store, StoreChange,
-    StoreError,
+    Changes, Collection, Page, Record, Revision, Store, StoreChange, StoreError, WriteOutcome,
+    ZoneWrite,
 };
 use tokio::sync::Notify;
 
@@ -259,21 +259,21 @@
         })
     }
 
-    async fn sign_of_life(&self) -> Result<Revision, StoreError> {
+    async fn probe_liveness(&self) -> Result<Revision, StoreError> {
         self.admitted()?;
         self.0.hang_if_silent().await;
         Ok(self.0.moment())
     }
 
-    fn heard(&self, _: Collection) -> Option<std::time::Instant> {
+    fn last_received_at(&self, _: Collection) -> Option<std::time::Instant> {
         None
     }
 
-    async fn record_zone(
+    async fn write_zone_record(
         &self,
         record: &ZoneRecord,
-        how: Recording,
-    ) -> Result<Recorded, StoreError> {
+        how: ZoneWrite,
+    ) -> Result<WriteOutcome, StoreError> {
         self.admitted()?;
         self.0.hang_if_silent().await;
         self.0.records.set(self.0.records.get() + 1);
@@ -283,35 +283,35 @@
         let mut zones = self.0.zones.borrow_mut();
         let at = zones.iter().position(|known| known.zone == record.zone);
         match (how, at) {
-            (Recording::Create, Some(_)) => Ok(Recorded::IsThere),
-            (Recording::Replace, None) => Ok(Recorded::IsNotThere),
-            (Recording::Create, None) => {
+            (ZoneWrite::Create, Some(_)) => Ok(WriteOutcome::AlreadyExists),
+            (ZoneWrite::Replace, None) => Ok(WriteOutcome::NotFound),
+            (ZoneWrite::Create, None) => {
                 zones.push(record.clone());
-                Ok(Recorded::Done)
+                Ok(WriteOutcome::Done)
             }
-            (Recording::Replace, Some(at)) => {
+            (ZoneWrite::Replace, Some(at)) => {
                 zones[at] = record.clone();
-                Ok(Recorded::Done)
+                Ok(WriteOutcome::Done)
             }
         }
     }
 
-    async fn tell(&self, notice: &Notice) -> Result<Recorded, StoreError> {
+    async fn create_notice(&self, notice: &Notice) -> Result<WriteOutcome, StoreError> {
         self.admitted()?;
         self.0.hang_if_silent().await;
         let mut notices = self.0.notices.borrow_mut();
         if notices.iter().any(|known| known.id() == notice.id()) {
-            return Ok(Recorded::IsThere);
+            return Ok(WriteOutcome::AlreadyExists);
         }
         notices.push(notice.clone());
         drop(notices);
         let record = Record::Notice(notice.clone());
         self.0
             .change(Collection::Notices, StoreChange::Written(record));
-        Ok(Recorded::Done)
+        Ok(WriteOutcome::Done)
     }
 
-    async fn withdraw(&self, id: &str) -> Result<(), StoreError> {
+    async fn delete_notice(&self, id: &str) -> Result<(), StoreError> {
         self.admitted()?;
         self.0.hang_if_silent().await;
         self.0.notices.borrow_mut().retain(|known| known.id() != id);
--- a/crates/kingcuploft-simulation/src/store_client.rs
+++ b/crates/kingcuploft-simulation/src/store_client.rs
@@ -6,7 +6,7 @@
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft_entry::store::{
-    Changes, Collection, Page, Recorded, Recording, Revision, Store, StoreError,
+    Changes, Collection, Page, Revision, Store, StoreError, WriteOutcome, ZoneWrite,
 };
 
 use crate::network::Host;
@@ -69,29 +69,31 @@
         self.call(Duration::ZERO, call).await
     }
 
-    async fn sign_of_life(&self) -> Result<Revision, StoreError> {
-        self.call(Duration::ZERO, self.store.sign_of_life()).await
+    async fn probe_liveness(&self) -> Result<Revision, StoreError> {
+        self.call(Duration::ZERO, self.store.probe_liveness()).await
     }
 
-    fn heard(&self, _: Collection) -> Option<Instant> {
+    fn last_received_at(&self, _: Collection) -> Option<Instant> {
         None
     }
 
-    async fn record_zone(
+    async fn write_zone_record(
         &self,
         record: &ZoneRecord,
-        how: Recording,
-    ) -> Result<Recorded, StoreError> {
-        let call = self.store.record_zone(record, how);
+        how: ZoneWrite,
+    ) -> Result<WriteOutcome, StoreError> {
+        let call = self.store.write_zone_record(record, how);
         self.call(Duration::ZERO, call).await
     }
 
-    async fn tell(&self, notice: &Notice) -> Result<Recorded, StoreError> {
-        self.call(Duration::ZERO, self.store.tell(notice)).await
+    async fn create_notice(&self, notice: &Notice) -> Result<WriteOutcome, StoreError> {
+        self.call(Duration::ZERO, self.store.create_notice(notice))
+            .await
     }
 
-    async fn withdraw(&self, id: &str) -> Result<(), StoreError> {
-        self.call(Duration::ZERO, self.store.withdraw(id)).await
+    async fn delete_notice(&self, id: &str) -> Result<(), StoreError> {
+        self.call(Duration::ZERO, self.store.delete_notice(id))
+            .await
     }
 
     async fn watch(
--- a/crates/kingcuploft-simulation/src/vm.rs
+++ b/crates/kingcuploft-simulation/src/vm.rs
@@ -13,7 +13,7 @@
 use kingcuploft_entry::peers::{reader, readings};
 use kingcuploft_entry::run;
 use kingcuploft_entry::settings::{Bounds, EntrySettings};
-use kingcuploft_entry::store_access::Pulse;
+use kingcuploft_entry::store_access::StoreAccess;
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{AbortHandle, LocalSet};
 
@@ -131,9 +131,9 @@
         let (receives, mut datagrams) = mpsc::unbounded_channel();
         host.listen_to_others(self.peers, accepts, receives);
         let network = Rc::new(host.clone());
-        let context = Context::on(network.clone(), self.settings(all_start), WORDS);
+        let context = Context::with_network(network.clone(), self.settings(all_start), WORDS);
         let context = Rc::new(context);
-        let _ = context.peer_readings.set(network);
+        let _ = context.peer_socket.set(network);
         let (freeze, stop) = (Rc::new(Freeze::default()), Rc::new(Notify::new()));
         let store = Rc::new(StoreClient::new(self.store.clone(), host.clone()));
         let (own, stopping, dial) = (context.clone(), stop.clone(), host.clone());
@@ -141,8 +141,8 @@
         let main = async move {
             let context = own;
             tracing::info!(event = "started", vm = %context.settings.vm, zone = %context.settings.zone);
-            let pulse = Rc::new(Pulse::default());
-            run::join(&context, &store, &pulse, address, dial);
+            let pulse = Rc::new(StoreAccess::default());
+            run::join_peers(&context, &store, &pulse, address, dial);
             let is_closed = Rc::new(Cell::new(false));
             let stops = async {
                 stopping.notified().await;
@@ -255,7 +255,7 @@
     /// Returns how many VMs it counts, if it runs.
     pub fn counted(&self) -> Option<usize> {
         let life = self.life.borrow();
-        life.as_ref().map(|life| life.context.vms.get())
+        life.as_ref().map(|life| life.context.vm_count.get())
     }
 
     /// Returns whether it answers that it is ready.
--- a/crates/kingcuploft-simulation/src/words.rs
+++ b/crates/kingcuploft-simulation/src/words.rs
@@ -1,10 +1,10 @@
 //! The names of headers that the world's callers, servers and VMs use.
 
 use kingcuploft::entry::placement::Reading;
-use kingcuploft_entry::settings::Vocabulary;
+use kingcuploft_entry::settings::WireNames;
 
 /// The names.
-pub const WORDS: Vocabulary = Vocabulary {
+pub const WORDS: WireNames = WireNames {
     request_id: "x-id",
     deadline_ms: "x-deadline-ms",
     signature: "x-signed",
