--- a/crates/kingcuploft-entry/src/active_configuration.rs
+++ b/crates/kingcuploft-entry/src/active_configuration.rs
@@ -20,7 +20,7 @@
     adopted: Cell<Option<Instant>>,
     changes: RefCell<ChangeLog>,
     arriving: RefCell<Arriving>,
-    lacks_whole: Cell<bool>,
+    needs_full_configuration: Cell<bool>,
     newest: Cell<Option<(ConfigurationVersion, Instant)>>,
     /// Wakes whoever waits for a configuration.
     pub adopted_notify: Notify,
@@ -59,7 +59,7 @@
             self.changes.borrow_mut().push(change, routes);
         }
         *current = Some(Arc::new(configuration));
-        self.lacks_whole.set(false);
+        self.needs_full_configuration.set(false);
         self.adopted.set(Some(clock::now()));
         self.adopted_notify.notify_waiters();
         true
@@ -85,11 +85,11 @@
     /// # Errors
     ///
     /// Returns an error if it can't be read.
-    pub fn take(&self, part: ChangePart) -> Result<Taken, PartError> {
+    pub fn add_part(&self, part: ChangePart) -> Result<Taken, PartError> {
         let current = self.current();
         let taken = self.arriving.borrow_mut().take(part, current.as_deref())?;
         if matches!(taken, Taken::OutOfStep) {
-            self.lacks_whole.set(true);
+            self.needs_full_configuration.set(true);
             self.arriving.borrow_mut().forget();
         }
         Ok(taken)
@@ -97,11 +97,12 @@
 
     /// Returns the version that another VM may lead on from; none if it has to tell all.
     pub fn delta_base(&self) -> Option<ConfigurationVersion> {
-        self.version().filter(|_| !self.lacks_whole.get())
+        self.version()
+            .filter(|_| !self.needs_full_configuration.get())
     }
 
     /// Returns how much of the next configuration has arrived.
-    pub fn arrived(&self) -> Option<Arrived> {
+    pub fn arrival_progress(&self) -> Option<Arrived> {
         self.arriving.borrow().arrived()
     }
 
--- a/crates/kingcuploft-entry/src/budgets.rs
+++ b/crates/kingcuploft-entry/src/budgets.rs
@@ -73,14 +73,14 @@
 
     /// Takes one repeat from the budget, if it has room.
     pub fn take_repeat(&self, now: Instant, service: &ServiceName) -> bool {
-        self.take_part(now, service).has_room()
+        self.take_repeat_share(now, service).has_room()
     }
 
     /// Takes one repeat from the budget, if it has room, counts it by what was wrong with the first send, and writes what
     /// decided it.
     pub fn request_repeat(&self, wanted: &WantedRepeat<'_>) -> bool {
         let now = clock::now();
-        let standing = self.take_part(now, wanted.service);
+        let standing = self.take_repeat_share(now, wanted.service);
         let room = standing.has_room();
         tracing::info!(
             event = "repeat",
@@ -95,11 +95,11 @@
             up_ms = clock::since(self.started_at).as_millis() as u64,
         );
         let reason = if room { wanted.after } else { "no_budget" };
-        self.metrics.repeat(reason);
+        self.metrics.count_repeat(reason);
         room
     }
 
-    fn take_part(&self, now: Instant, service: &ServiceName) -> Standing {
+    fn take_repeat_share(&self, now: Instant, service: &ServiceName) -> Standing {
         let bounds = self.bounds.get().repeats;
         let mut repeats = self.repeats.borrow_mut();
         let standing = repeats.take(now, service, &bounds, self.vm_count.get());
--- a/crates/kingcuploft-entry/src/cold_servers.rs
+++ b/crates/kingcuploft-entry/src/cold_servers.rs
@@ -13,16 +13,16 @@
 use crate::upstream::Upstream;
 
 /// The most servers that are told one by one when they turn cold or warm together.
-const MOST_TOLD_ALONE: usize = 4;
+const MAX_SERVERS_LOGGED_SINGLY: usize = 4;
 
 /// A server that was not known to be cold, and for how long it is.
 type NewlyCold = (BackendServerName, Duration);
 
 /// Reads for how long a server stays cold, by its answer to a probe; zero if it says nothing of it.
 pub fn parse_header(context: &Context, headers: &Headers) -> Duration {
-    let told = headers.get(context.wire_names.cold_ms);
-    let told_ms = told.and_then(|told| told.parse::<f64>().ok());
-    let cold_for = told_ms.and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
+    let value = headers.get(context.wire_names.cold_ms);
+    let value_ms = value.and_then(|value| value.parse::<f64>().ok());
+    let cold_for = value_ms.and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
     cold_for.unwrap_or_default()
 }
 
@@ -35,14 +35,14 @@
 ) {
     if !cold_for.is_zero() {
         let turned = mark_cold(context, upstream, cold_for);
-        return log_cold(context, turned.as_slice());
+        return log_turned_cold(context, turned.as_slice());
     }
     upstream.set_not_cold(asked_at);
     let server = &upstream.server.name;
     let part = |per_s| limits::own_part(context, server, per_s);
     let mut all = context.limits.borrow_mut();
     if all.is_warm(clock::now(), server, asked_at, part) {
-        log_warm(std::slice::from_ref(server));
+        log_turned_warm(std::slice::from_ref(server));
     }
 }
 
@@ -53,7 +53,7 @@
         mark_cold(context, &upstream, *cold_for)
     });
     let turned: Vec<_> = turned.collect();
-    log_cold(context, &turned);
+    log_turned_cold(context, &turned);
 }
 
 /// Keeps the servers that are cold to what they bear by the configuration that has just come into force.
@@ -78,8 +78,8 @@
     (turned == Turned::Cold).then(|| (server.clone(), cold_for))
 }
 
-fn log_cold(context: &Context, turned: &[NewlyCold]) {
-    if turned.len() > MOST_TOLD_ALONE {
+fn log_turned_cold(context: &Context, turned: &[NewlyCold]) {
+    if turned.len() > MAX_SERVERS_LOGGED_SINGLY {
         return tracing::info!(event = "servers_cold", count = turned.len());
     }
     for (server, cold_for) in turned {
@@ -89,8 +89,8 @@
     }
 }
 
-fn log_warm(warm: &[BackendServerName]) {
-    if warm.len() > MOST_TOLD_ALONE {
+fn log_turned_warm(warm: &[BackendServerName]) {
+    if warm.len() > MAX_SERVERS_LOGGED_SINGLY {
         return tracing::info!(event = "servers_warm", count = warm.len());
     }
     for server in warm {
@@ -105,7 +105,7 @@
     }
     let part = |server: &BackendServerName, per_s| limits::own_part(context, server, per_s);
     let warm = context.limits.borrow_mut().end_cold(now, part);
-    log_warm(&warm);
+    log_turned_warm(&warm);
 }
 
 /// Has the servers of a zone that is taken back say first whether they are cold.
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -43,7 +43,7 @@
 
 /// How many VMs are assumed to share what all may use together, until they are counted: more than
 /// there are, so that a VM that cannot count them uses next to nothing of it.
-const VMS_UNCOUNTED: usize = 1000;
+const VMS_WHILE_UNCOUNTED: usize = 1000;
 
 /// What all tasks share.
 #[derive(Debug)]
@@ -144,9 +144,9 @@
             false => Repeats::again(clock::now(), &settings.bounds.repeats),
         };
         Self {
-            vm_count: Cell::new(VMS_UNCOUNTED),
+            vm_count: Cell::new(VMS_WHILE_UNCOUNTED),
             bounds: Cell::new(settings.bounds),
-            body_memory: BodyMemory::of(settings.memory_bytes),
+            body_memory: BodyMemory::new(settings.memory_bytes),
             settings,
             wire_names: vocabulary,
             network,
@@ -333,7 +333,7 @@
         let services = configuration.as_ref().map(|c| &c.services);
         let service = services.and_then(|services| services.get(service));
         match (service, self.vm_count.get()) {
-            (Some(service), vms) if vms != VMS_UNCOUNTED => {
+            (Some(service), vms) if vms != VMS_WHILE_UNCOUNTED => {
                 connections::share(service.most_connections, vms)
             }
             _ => usize::MAX,
--- a/crates/kingcuploft-entry/src/edge/active_request.rs
+++ b/crates/kingcuploft-entry/src/edge/active_request.rs
@@ -16,15 +16,15 @@
 
 /// When a refused caller is told to come back, where nothing better is known: several draws of the
 /// servers' speeds later.
-const COME_BACK: Duration = Duration::from_millis(250);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// When a caller is told to come back to a VM that knows no configuration yet, or not the newest.
-const COME_BACK_UNREADY: Duration = Duration::from_millis(500);
+const UNREADY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// What a request begins with.
 pub(super) enum Routed<'a> {
     Refused(Answer),
-    Flight(ActiveRequest<'a>),
+    Active(ActiveRequest<'a>),
 }
 
 /// One request under way.
@@ -37,21 +37,21 @@
     pub(super) deadline: Instant,
     pub(super) target: Instant,
     /// Whether the caller comes back after an earlier attempt.
-    pub(super) returns: bool,
+    pub(super) is_returning: bool,
     /// Whether this VM may try the request though servers ended under it.
     pub(super) is_trial: bool,
     /// The server that names a limit at which it is this request's turn.
     pub(super) turn_at: Option<Rc<Upstream>>,
     pub(super) attempts: Attempts,
-    pub(super) tried: Vec<Rc<Upstream>>,
+    pub(super) tried_upstreams: Vec<Rc<Upstream>>,
     pub(super) last_failure: Option<Response>,
     /// When the caller may come back, should the request be refused.
-    pub(super) come_back: Duration,
+    pub(super) retry_after: Duration,
 }
 
 impl<'a> ActiveRequest<'a> {
     /// Returns whether it is known what becomes of a request: whether its host and path have a route, or will have none.
-    pub(super) fn may_begin(context: &Context, request: &Request) -> bool {
+    pub(super) fn can_begin(context: &Context, request: &Request) -> bool {
         let Some(configuration) = context.configuration() else {
             return false;
         };
@@ -63,23 +63,27 @@
     /// Finds the route and the destination of a request, or refuses it.
     pub(super) fn begin(context: &'a Rc<Context>, request: &'a Request) -> Routed<'a> {
         let refuse = |status, reason: &'static str, after| {
-            context.metrics.failure(reason);
+            context.metrics.count_failure(reason);
             tracing::info!(event = "refused", request = request.id, status, reason);
             let words = &context.wire_names;
-            Routed::Refused(Answer::own(request, words, status, reason, after))
+            Routed::Refused(Answer::generated(request, words, status, reason, after))
         };
         let Some(configuration) = context.configuration() else {
-            return refuse(503, "no configuration yet", Some(COME_BACK_UNREADY));
+            return refuse(503, "no configuration yet", Some(UNREADY_RETRY_AFTER));
         };
         let host = request.head.headers.get("host").unwrap_or_default();
         let Some(route) = configuration.route(host, &request.head.target).cloned() else {
             return match context.active_configuration.stale_for() {
                 None => refuse(404, "no such route", None),
-                Some(_) => refuse(503, "the route may be new", Some(COME_BACK_UNREADY)),
+                Some(_) => refuse(503, "the route may be new", Some(UNREADY_RETRY_AFTER)),
             };
         };
         let Some(destination) = context.next_destination(&route) else {
-            return refuse(503, "the route has no destination", Some(COME_BACK));
+            return refuse(
+                503,
+                "the route has no destination",
+                Some(DEFAULT_RETRY_AFTER),
+            );
         };
         let patience = request.patience(&context.wire_names);
         let before = patience.map_or(Duration::ZERO, |patience| {
@@ -87,12 +91,12 @@
         });
         let allowed = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
         context.count_request(request.arrived, &destination.service);
-        Routed::Flight(Self {
+        Routed::Active(Self {
             deadline: request.arrived + allowed,
             target: (request.arrived + route.target)
                 .checked_sub(before)
                 .unwrap_or(request.arrived),
-            returns: before > Duration::ZERO,
+            is_returning: before > Duration::ZERO,
             is_trial: false,
             turn_at: None,
             attempts: Attempts::new(route.contract, route.most_attempts),
@@ -101,9 +105,9 @@
             configuration,
             route,
             service: destination.service,
-            tried: Vec::new(),
+            tried_upstreams: Vec::new(),
             last_failure: None,
-            come_back: COME_BACK,
+            retry_after: DEFAULT_RETRY_AFTER,
         })
     }
 }
--- a/crates/kingcuploft-entry/src/edge/answer.rs
+++ b/crates/kingcuploft-entry/src/edge/answer.rs
@@ -9,7 +9,7 @@
 
 /// When a caller comes back whose body found no memory, in seconds: those held are answered by then, as
 /// a rule.
-const COME_BACK_S: &str = "0.5";
+const BODY_MEMORY_RETRY_AFTER_S: &str = "0.5";
 
 /// An answer, without the headers of its connection.
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
 
 impl Answer {
     /// Passes a server's answer on.
-    pub fn of_server(request: &Request, response: Response) -> Self {
+    pub fn from_server(request: &Request, response: Response) -> Self {
         let mut head = Vec::with_capacity(256);
         for (name, value) in response.head.headers.end_to_end() {
             write_header(&mut head, name, value);
@@ -43,7 +43,7 @@
     }
 
     /// Builds an own answer to a request.
-    pub fn own(
+    pub fn generated(
         request: &Request,
         vocabulary: &WireNames,
         status: u16,
@@ -68,7 +68,11 @@
         let mut head = Vec::with_capacity(128);
         write_header(&mut head, "Content-Type", b"text/plain");
         if status == 503 {
-            write_header(&mut head, "Retry-After", COME_BACK_S.as_bytes());
+            write_header(
+                &mut head,
+                "Retry-After",
+                BODY_MEMORY_RETRY_AFTER_S.as_bytes(),
+            );
         }
         Self {
             status,
--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -15,12 +15,12 @@
 
 /// How old a reading may be to tell what a server did when a request was sent there: older than any that
 /// servers are chosen by.
-const READING_TELLS: Duration = Duration::from_millis(60);
+const MAX_LOGGED_READING_AGE: Duration = Duration::from_millis(60);
 
 impl ActiveRequest<'_> {
     /// Sends the request to a server and waits for the end of it.
     pub(super) async fn attempt(&self, upstream: &Rc<Upstream>) -> AttemptOutcome {
-        let sent = AttemptRecord::now(self, upstream);
+        let sent = AttemptRecord::start(self, upstream);
         let left = sent.left;
         let has_turn = |at: &Rc<Upstream>| Rc::ptr_eq(at, upstream);
         if !self.turn_at.as_ref().is_some_and(has_turn) {
@@ -29,7 +29,8 @@
         let run = SuspectRun::begin(self, upstream);
         let ended = exchange::attempt(self.context, upstream, self.request, left).await;
         sent.ended(&ended);
-        self.learn(upstream, ended.end, run.known).await;
+        self.record_run_end(upstream, ended.end, run.known_ends)
+            .await;
         ended
     }
 }
@@ -40,24 +41,24 @@
 /// of its own nobody could tell later at which server a request stood until its caller left. Dropping this
 /// writes it.
 struct AttemptRecord<'a> {
-    flight: &'a ActiveRequest<'a>,
+    active: &'a ActiveRequest<'a>,
     upstream: Rc<Upstream>,
     at: Instant,
     left: Duration,
     reading: Option<(Duration, Reading)>,
-    seen: Candidate,
+    candidate: Candidate,
     open: bool,
 }
 
 impl<'a> AttemptRecord<'a> {
-    fn now(flight: &'a ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
+    fn start(active: &'a ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
         let at = clock::now();
         Self {
-            flight,
+            active,
             at,
-            left: flight.deadline.saturating_duration_since(at),
+            left: active.deadline.saturating_duration_since(at),
             reading: upstream.reading(at),
-            seen: upstream.candidate(at, READING_TELLS, false),
+            candidate: upstream.candidate(at, MAX_LOGGED_READING_AGE, false),
             upstream: upstream.clone(),
             open: true,
         }
@@ -69,24 +70,24 @@
 
     fn ended(mut self, ended: &AttemptOutcome) {
         self.open = false;
-        let (flight, context) = (self.flight, self.flight.context);
-        context.metrics.attempt(ended.end.label());
+        let (active, context) = (self.active, self.active.context);
+        context.metrics.count_attempt(ended.end.label());
         let succeeded = ended.end == AttemptEnd::Succeeded;
-        if succeeded && self.seen.reading.is_some() {
-            let (slowness, slot) = (self.slowness(), self.seen.slot());
-            context.record_service_time(&flight.route, &flight.service, ended.took, slowness, slot);
+        if succeeded && self.candidate.reading.is_some() {
+            let (slowness, slot) = (self.slowness(), self.candidate.slot());
+            context.record_service_time(&active.route, &active.service, ended.took, slowness, slot);
         }
         if !succeeded || context.writes_ordinary_line(self.at) {
-            self.tell(ended.end.label(), ended.detail, ended.took);
+            self.log(ended.end.label(), ended.detail, ended.took);
         }
     }
 
-    fn tell(&self, end: &'static str, detail: &'static str, took: Duration) {
-        let request = self.flight.request;
+    fn log(&self, end: &'static str, detail: &'static str, took: Duration) {
+        let request = self.active.request;
         tracing::info!(
             event = "attempt",
             request = request.id,
-            route = %self.flight.route.name,
+            route = %self.active.route.name,
             server = %self.upstream.server.name,
             near = self.upstream.near,
             age_ms = self.reading.map(|(age, _)| age.as_millis() as u64),
@@ -106,8 +107,8 @@
     fn drop(&mut self) {
         if self.open {
             let why = "the caller left, or another server answered first";
-            self.flight.context.metrics.attempt("cancelled");
-            self.tell("cancelled", why, clock::since(self.at));
+            self.active.context.metrics.count_attempt("cancelled");
+            self.log("cancelled", why, clock::since(self.at));
         }
     }
 }
--- a/crates/kingcuploft-entry/src/edge/body_memory.rs
+++ b/crates/kingcuploft-entry/src/edge/body_memory.rs
@@ -9,42 +9,42 @@
 
 /// The part of the VM's memory that bodies may take together. The rest is for answers, which are a few
 /// times as many bytes, and for what the VM knows.
-const PART: f64 = 0.25;
+const VM_MEMORY_SHARE: f64 = 0.25;
 
 /// The bytes that bodies take now.
 #[derive(Clone, Debug)]
 pub struct BodyMemory {
-    most: usize,
-    taken: Rc<Cell<usize>>,
+    max_bytes: usize,
+    reserved_bytes: Rc<Cell<usize>>,
 }
 
 impl BodyMemory {
     /// Begins with an empty room for a VM with so much memory.
-    pub fn of(memory_bytes: usize) -> Self {
+    pub fn new(memory_bytes: usize) -> Self {
         Self {
-            most: (memory_bytes as f64 * PART) as usize,
-            taken: Rc::default(),
+            max_bytes: (memory_bytes as f64 * VM_MEMORY_SHARE) as usize,
+            reserved_bytes: Rc::default(),
         }
     }
 
     /// Begins to hold a body, of no bytes yet.
     pub fn reserve(&self) -> BodyReservation {
         BodyReservation {
-            room: self.clone(),
+            memory: self.clone(),
             bytes: 0,
         }
     }
 
     /// Returns how many bytes are held.
     pub fn reserved_bytes(&self) -> usize {
-        self.taken.get()
+        self.reserved_bytes.get()
     }
 }
 
 /// The bytes of one body, until it is dropped.
 #[derive(Debug)]
 pub struct BodyReservation {
-    room: BodyMemory,
+    memory: BodyMemory,
     bytes: usize,
 }
 
@@ -52,11 +52,11 @@
     /// Grows to so many bytes; returns whether there is room for them.
     pub fn grow_to(&mut self, bytes: usize) -> bool {
         let more = bytes.saturating_sub(self.bytes);
-        let taken = self.room.taken.get() + more;
-        if taken > self.room.most {
+        let reserved_bytes = self.memory.reserved_bytes.get() + more;
+        if reserved_bytes > self.memory.max_bytes {
             return false;
         }
-        self.room.taken.set(taken);
+        self.memory.reserved_bytes.set(reserved_bytes);
         self.bytes += more;
         true
     }
@@ -64,7 +64,9 @@
 
 impl Drop for BodyReservation {
     fn drop(&mut self) {
-        let taken = self.room.taken.get();
-        self.room.taken.set(taken.saturating_sub(self.bytes));
+        let reserved_bytes = self.memory.reserved_bytes.get();
+        self.memory
+            .reserved_bytes
+            .set(reserved_bytes.saturating_sub(self.bytes));
     }
 }
--- a/crates/kingcuploft-entry/src/edge/connection.rs
+++ b/crates/kingcuploft-entry/src/edge/connection.rs
@@ -23,37 +23,37 @@
 use kingcuploft::entry::configuration::Limits;
 
 /// The most requests of one connection that are served at once; later ones stay unread.
-const MOST_PIPELINED: usize = 32;
+const MAX_PIPELINED_REQUESTS: usize = 32;
 
 /// The bytes read at once.
-const READ_BYTES: usize = 4096;
+const READ_BUFFER_BYTES: usize = 4096;
 
 /// How much longer than allowed a connection may be idle, so that a request that leaves its caller
 /// within the time is not met by a close.
-const IDLE_MARGIN: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 /// How long a closing connection is drained: what the caller sent meanwhile must not reset the
 /// connection before the last answer has reached it.
-const LINGER: Duration = Duration::from_millis(1000);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// The standing of a connection, shared by its reader and its writer.
 #[derive(Debug, Default)]
-struct Standing {
+struct ConnectionState {
     /// No further request is taken.
     closing: Cell<bool>,
     /// Requests that are not answered.
-    open: Cell<usize>,
+    unanswered: Cell<usize>,
     /// Wakes the reader when the connection closes.
     wake: Notify,
 }
 
-impl Standing {
-    fn opened(&self) {
-        self.open.set(self.open.get() + 1);
+impl ConnectionState {
+    fn request_started(&self) {
+        self.unanswered.set(self.unanswered.get() + 1);
     }
 
-    fn answered(&self) {
-        self.open.set(self.open.get() - 1);
+    fn request_finished(&self) {
+        self.unanswered.set(self.unanswered.get() - 1);
     }
 
     fn close(&self) {
@@ -69,54 +69,54 @@
 {
     context.callers.set(context.callers.get() + 1);
     let (reader, writer) = tokio::io::split(stream);
-    let (answers, queue) = mpsc::channel(MOST_PIPELINED);
-    let standing = Rc::new(Standing::default());
-    let writing = write_answers(context.clone(), writer, queue, standing.clone());
+    let (answers, queue) = mpsc::channel(MAX_PIPELINED_REQUESTS);
+    let state = Rc::new(ConnectionState::default());
+    let writing = write_answers(context.clone(), writer, queue, state.clone());
     let writing = tokio::task::spawn_local(writing);
-    let mut reading = Reading {
+    let mut reading = RequestReader {
         context: context.clone(),
         reader,
         buffer: BytesMut::new(),
-        standing,
+        state,
         answers,
-        gone: Rc::default(),
+        disconnect: Rc::default(),
     };
     let end = reading.read_requests().await;
     match end {
-        End::CallerLeft => {
-            reading.gone.set();
+        ReadEnd::CallerLeft => {
+            reading.disconnect.set();
             writing.abort();
         }
-        End::Closing => reading.drain().await,
+        ReadEnd::Closing => reading.drain().await,
     }
     drop(reading);
     let _ = writing.await;
     context.callers.set(context.callers.get() - 1);
 }
 
-enum End {
+enum ReadEnd {
     CallerLeft,
     Closing,
 }
 
-struct Reading<S> {
+struct RequestReader<S> {
     context: Rc<Context>,
     reader: ReadHalf<S>,
     buffer: BytesMut,
-    standing: Rc<Standing>,
+    state: Rc<ConnectionState>,
     answers: mpsc::Sender<oneshot::Receiver<Answer>>,
-    gone: Rc<CallerDisconnect>,
+    disconnect: Rc<CallerDisconnect>,
 }
 
-enum Read {
+enum ReadOutcome {
     Some,
     CallerLeft,
     Idle,
     Stopping,
 }
 
-impl<S: AsyncRead> Reading<S> {
-    async fn read_requests(&mut self) -> End {
+impl<S: AsyncRead> RequestReader<S> {
+    async fn read_requests(&mut self) -> ReadEnd {
         loop {
             let limits = self.limits();
             let parsed = head::parse_request(&self.buffer);
@@ -149,53 +149,53 @@
     }
 
     /// Reads more of a head, or waits for one.
-    async fn read_head_bytes(&mut self, limits: &Limits) -> Option<End> {
-        let between = self.buffer.is_empty();
-        let patience = match between {
-            true => limits.idle_timeout + IDLE_MARGIN,
+    async fn read_head_bytes(&mut self, limits: &Limits) -> Option<ReadEnd> {
+        let is_between_requests = self.buffer.is_empty();
+        let patience = match is_between_requests {
+            true => limits.idle_timeout + IDLE_TIMEOUT_MARGIN,
             false => limits.header_timeout,
         };
-        match self.read(patience, between).await {
-            Read::Some => None,
-            Read::CallerLeft => Some(End::CallerLeft),
-            Read::Stopping => Some(End::Closing),
-            Read::Idle if between && self.standing.open.get() > 0 => None,
-            Read::Idle if between => Some(End::Closing),
-            Read::Idle => Some(self.refuse(408, "the head took too long").await),
+        match self.read(patience, is_between_requests).await {
+            ReadOutcome::Some => None,
+            ReadOutcome::CallerLeft => Some(ReadEnd::CallerLeft),
+            ReadOutcome::Stopping => Some(ReadEnd::Closing),
+            ReadOutcome::Idle if is_between_requests && self.state.unanswered.get() > 0 => None,
+            ReadOutcome::Idle if is_between_requests => Some(ReadEnd::Closing),
+            ReadOutcome::Idle => Some(self.refuse(408, "the head took too long").await),
         }
     }
 
     /// Reads more bytes; between requests, a stop of the VM ends the wait.
-    async fn read(&mut self, patience: Duration, between: bool) -> Read {
-        if between && self.closes_now() {
-            return Read::Stopping;
+    async fn read(&mut self, patience: Duration, is_between_requests: bool) -> ReadOutcome {
+        if is_between_requests && self.must_stop_reading() {
+            return ReadOutcome::Stopping;
         }
-        self.buffer.reserve(READ_BYTES);
+        self.buffer.reserve(READ_BUFFER_BYTES);
         let stop = self.context.stop_requested.notified();
-        let wake = self.standing.wake.notified();
+        let wake = self.state.wake.notified();
         let reading = self.reader.read_buf(&mut self.buffer);
         tokio::select! {
             biased;
             read = reading => match read {
-                Ok(0) | Err(_) => Read::CallerLeft,
-                Ok(_) => Read::Some,
+                Ok(0) | Err(_) => ReadOutcome::CallerLeft,
+                Ok(_) => ReadOutcome::Some,
             },
-            () = stop, if between => Read::Some,
-            () = wake, if between => Read::Some,
-            () = tokio::time::sleep(patience) => Read::Idle,
+            () = stop, if is_between_requests => ReadOutcome::Some,
+            () = wake, if is_between_requests => ReadOutcome::Some,
+            () = tokio::time::sleep(patience) => ReadOutcome::Idle,
         }
     }
 
     /// Returns whether no further request is to be read: the last answer said so, or the VM's stop
     /// has come to its idle connections.
-    fn closes_now(&self) -> bool {
-        let idle = self.standing.open.get() == 0;
-        self.standing.closing.get() || (idle && self.context.is_closing_idle())
+    fn must_stop_reading(&self) -> bool {
+        let idle = self.state.unanswered.get() == 0;
+        self.state.closing.get() || (idle && self.context.is_closing_idle())
     }
 
-    async fn read_body_and_serve(&mut self, head: RequestHead, limits: &Limits) -> Option<End> {
-        if self.standing.closing.get() {
-            return Some(End::Closing);
+    async fn read_body_and_serve(&mut self, head: RequestHead, limits: &Limits) -> Option<ReadEnd> {
+        if self.state.closing.get() {
+            return Some(ReadEnd::Closing);
         }
         let mut reader = match BodyReader::new(head.framing, limits.body_bytes) {
             Ok(reader) => reader,
@@ -203,7 +203,7 @@
         };
         let expects = head.headers.has_token("expect", "100-continue");
         if expects && self.buffer.is_empty() {
-            self.tell_continue().await;
+            self.send_continue().await;
         }
         let mut held = self.context.body_memory.reserve();
         loop {
@@ -220,67 +220,67 @@
                 Err(error) => return Some(self.refuse(400, &error.to_string()).await),
             }
             match self.read(limits.idle_timeout, false).await {
-                Read::CallerLeft => return Some(End::CallerLeft),
-                Read::Idle => return Some(self.refuse(408, "the body took too long").await),
-                Read::Some | Read::Stopping => {}
+                ReadOutcome::CallerLeft => return Some(ReadEnd::CallerLeft),
+                ReadOutcome::Idle => return Some(self.refuse(408, "the body took too long").await),
+                ReadOutcome::Some | ReadOutcome::Stopping => {}
             }
         }
         let request = Request::new(head, reader.into_body(), held, &self.context.wire_names);
         self.serve_request(request).await
     }
 
-    async fn serve_request(&mut self, request: Request) -> Option<End> {
+    async fn serve_request(&mut self, request: Request) -> Option<ReadEnd> {
         let (answer, pending) = oneshot::channel();
         let last = !request.head.keep_alive;
-        self.standing.opened();
-        let (context, gone) = (self.context.clone(), self.gone.clone());
-        tokio::task::spawn_local(dispatch::serve(context, request, gone, answer));
+        self.state.request_started();
+        let (context, disconnect) = (self.context.clone(), self.disconnect.clone());
+        tokio::task::spawn_local(dispatch::serve(context, request, disconnect, answer));
         if self.answers.send(pending).await.is_err() {
-            return Some(End::CallerLeft);
+            return Some(ReadEnd::CallerLeft);
         }
         if last {
-            self.standing.closing.set(true);
+            self.state.closing.set(true);
         }
         None
     }
 
     /// Tells the caller to go on with its body. The writer is idle then, as callers that expect this
     /// wait for it; where it is not, the body comes without.
-    async fn tell_continue(&mut self) {
+    async fn send_continue(&mut self) {
         let (answer, pending) = oneshot::channel();
-        self.standing.opened();
+        self.state.request_started();
         if self.answers.send(pending).await.is_ok() {
             let _ = answer.send(Answer::interim());
         }
     }
 
-    async fn refuse(&mut self, status: u16, reason: &str) -> End {
+    async fn refuse(&mut self, status: u16, reason: &str) -> ReadEnd {
         tracing::info!(event = "unreadable_request", status, reason);
         let (answer, pending) = oneshot::channel();
-        self.standing.opened();
+        self.state.request_started();
         if self.answers.send(pending).await.is_ok() {
             let _ = answer.send(Answer::unreadable(status, reason));
         }
-        End::Closing
+        ReadEnd::Closing
     }
 
     /// Reads on until the caller has closed, without taking any request.
     async fn drain(&mut self) {
-        self.standing.closing.set(true);
+        self.state.closing.set(true);
         let (sender, _) = mpsc::channel(1);
         drop(std::mem::replace(&mut self.answers, sender));
         loop {
             self.buffer.clear();
-            let patience = match self.standing.open.get() {
-                0 => LINGER,
+            let patience = match self.state.unanswered.get() {
+                0 => LINGER_TIMEOUT,
                 _ => Duration::from_secs(30),
             };
-            self.buffer.reserve(READ_BYTES);
+            self.buffer.reserve(READ_BUFFER_BYTES);
             let reading = self.reader.read_buf(&mut self.buffer);
             match tokio::time::timeout(patience, reading).await {
                 Ok(Ok(read)) if read > 0 => {}
-                Ok(_) if self.standing.open.get() > 0 => {
-                    self.gone.set();
+                Ok(_) if self.state.unanswered.get() > 0 => {
+                    self.disconnect.set();
                     return;
                 }
                 _ => return,
@@ -294,32 +294,32 @@
     context: Rc<Context>,
     mut writer: WriteHalf<S>,
     mut queue: mpsc::Receiver<oneshot::Receiver<Answer>>,
-    standing: Rc<Standing>,
+    state: Rc<ConnectionState>,
 ) {
     while let Some(pending) = queue.recv().await {
         let Ok(answer) = pending.await else {
             break;
         };
         if answer.is_interim() {
-            standing.answered();
+            state.request_finished();
             if writer.write_all(&answer.to_bytes(false)).await.is_err() {
                 return;
             }
             continue;
         }
-        let last = standing.open.get() == 1;
-        let closes = answer.close || (last && (standing.closing.get() || context.is_stopping()));
+        let last = state.unanswered.get() == 1;
+        let closes = answer.close || (last && (state.closing.get() || context.is_stopping()));
         if closes {
-            standing.closing.set(true);
+            state.closing.set(true);
         }
         if writer.write_all(&answer.to_bytes(closes)).await.is_err() {
             return;
         }
-        standing.answered();
+        state.request_finished();
         if closes {
             break;
         }
     }
     let _ = writer.shutdown().await;
-    standing.close();
+    state.close();
 }
--- a/crates/kingcuploft-entry/src/edge/dispatch.rs
+++ b/crates/kingcuploft-entry/src/edge/dispatch.rs
@@ -19,56 +19,56 @@
 
 /// How long a request waits for a configuration that has it in it, at a VM that has just started or knows that a newer
 /// one exists: that takes some tens of milliseconds, or as long as the store is away.
-const HOLD_UNREADY: Duration = Duration::from_millis(150);
+const CONFIGURATION_WAIT: Duration = Duration::from_millis(150);
 
 /// Serves one request and hands its answer over.
 pub async fn serve(
     context: Rc<Context>,
     request: Request,
-    gone: Rc<CallerDisconnect>,
+    disconnect: Rc<CallerDisconnect>,
     answer: oneshot::Sender<Answer>,
 ) {
     context.metrics.requests.inc();
-    if !ActiveRequest::may_begin(&context, &request) {
+    if !ActiveRequest::can_begin(&context, &request) {
         let adopting = context.active_configuration.adopted_notify.notified();
-        let _ = tokio::time::timeout(HOLD_UNREADY, adopting).await;
+        let _ = tokio::time::timeout(CONFIGURATION_WAIT, adopting).await;
     }
     let (route, answered) = match ActiveRequest::begin(&context, &request) {
         Routed::Refused(answer) => (None, answer),
-        Routed::Flight(mut flight) => {
-            let answered = match flight.route.contract {
+        Routed::Active(mut active) => {
+            let answered = match active.route.contract {
                 Contract::RetryFreely => tokio::select! {
                     biased;
-                    answer = flight.run(&gone) => answer,
-                    () = gone.wait() => return flight.caller_left(),
+                    answer = active.run(&disconnect) => answer,
+                    () = disconnect.wait() => return active.log_caller_left(),
                 },
                 // A protected request that was sent runs on: cancelling it would leave open whether
                 // it ran.
-                Contract::AtMostOnce => flight.run(&gone).await,
+                Contract::AtMostOnce => active.run(&disconnect).await,
             };
-            (Some(flight.route.name.clone()), answered)
+            (Some(active.route.name.clone()), answered)
         }
     };
     let (route, took) = (route.as_deref(), clock::since(request.arrived));
-    context.metrics.answered(route, answered.status, took);
+    context.metrics.observe_answer(route, answered.status, took);
     let _ = answer.send(answered);
 }
 
 impl ActiveRequest<'_> {
-    async fn run(&mut self, gone: &CallerDisconnect) -> Answer {
+    async fn run(&mut self, disconnect: &CallerDisconnect) -> Answer {
         loop {
-            let upstream = match self.choose(gone).await {
+            let upstream = match self.select_upstream(disconnect).await {
                 Selection::Upstream(upstream) => upstream,
                 Selection::Refuse(come_back) => {
-                    self.come_back = come_back;
+                    self.retry_after = come_back;
                     return self.give_up("no server can answer in time");
                 }
                 Selection::Quarantined(come_back) => {
-                    self.come_back = come_back;
+                    self.retry_after = come_back;
                     return self.give_up("servers end under it");
                 }
                 Selection::Evacuated(come_back) => {
-                    self.come_back = come_back;
+                    self.retry_after = come_back;
                     return self.give_up("all servers are in evacuated zones");
                 }
                 Selection::CallerLeft => return self.give_up("the caller left"),
@@ -76,13 +76,13 @@
             self.attempts.sending();
             let ended = match self.route.contract {
                 Contract::RetryFreely => {
-                    let (ended, other) = self.attempt_with_second_look(&upstream).await;
+                    let (ended, other) = self.attempt_with_hedge(&upstream).await;
                     if let Some(other) = other {
                         // The send that lost may have run; it counts among those that the route
                         // allows.
                         self.attempts.sending();
                         self.attempts.ended(AttemptEnd::TimedOut);
-                        self.tried.push(other);
+                        self.tried_upstreams.push(other);
                     }
                     ended
                 }
@@ -92,9 +92,9 @@
             self.turn_at = None;
             match self.attempts.ended(ended.end) {
                 Verdict::Answer => return self.pass_on(ended),
-                Verdict::TryAgain if self.may_try_again(gone, ended.end) => {
+                Verdict::TryAgain if self.may_try_again(disconnect, ended.end) => {
                     self.last_failure = ended.response.filter(|_| ended.end == AttemptEnd::Failed);
-                    self.tried.push(upstream);
+                    self.tried_upstreams.push(upstream);
                 }
                 Verdict::TryAgain | Verdict::GiveUp if ended.end == AttemptEnd::Failed => {
                     return self.pass_on(ended);
@@ -104,9 +104,9 @@
         }
     }
 
-    fn may_try_again(&self, gone: &CallerDisconnect, end: AttemptEnd) -> bool {
+    fn may_try_again(&self, disconnect: &CallerDisconnect, end: AttemptEnd) -> bool {
         let now = clock::now();
-        if now >= self.deadline || gone.is_set() {
+        if now >= self.deadline || disconnect.is_set() {
             return false;
         }
         self.context
@@ -124,19 +124,19 @@
 
     fn pass_on(&mut self, ended: AttemptOutcome) -> Answer {
         match ended.response {
-            Some(response) => Answer::of_server(self.request, response),
+            Some(response) => Answer::from_server(self.request, response),
             None => self.give_up(ended.detail),
         }
     }
 
     fn give_up(&mut self, reason: &'static str) -> Answer {
-        self.context.metrics.failure(reason);
+        self.context.metrics.count_failure(reason);
         if let Some(response) = self.last_failure.take() {
-            return Answer::of_server(self.request, response);
+            return Answer::from_server(self.request, response);
         }
         let timed_out = clock::now() >= self.deadline;
         let status = self.attempts.refusal_status(timed_out);
-        let after = (status == 503).then_some(self.come_back);
+        let after = (status == 503).then_some(self.retry_after);
         tracing::info!(
             event = "gave_up",
             request = self.request.id,
@@ -147,7 +147,7 @@
             held_ms = clock::since(self.request.arrived).as_millis() as u64,
             come_back_ms = after.map(|after| after.as_millis() as u64),
         );
-        Answer::own(
+        Answer::generated(
             self.request,
             &self.context.wire_names,
             status,
@@ -156,7 +156,7 @@
         )
     }
 
-    fn caller_left(&self) {
+    fn log_caller_left(&self) {
         tracing::info!(
             event = "caller_left",
             request = self.request.id,
--- a/crates/kingcuploft-entry/src/edge/hedge.rs
+++ b/crates/kingcuploft-entry/src/edge/hedge.rs
@@ -8,28 +8,28 @@
 use kingcuploft::entry::verdict::AttemptEnd;
 
 use super::active_request::ActiveRequest;
-use super::selection::AWAIT_STEP;
+use super::selection::READING_POLL_INTERVAL;
 use crate::clock;
 use crate::upstream::exchange::AttemptOutcome;
 use crate::upstream::{Upstream, probe};
 
 /// How long a reading is waited for in a second look: a round trip to another zone, and some.
-const SECOND_LOOK_PATIENCE: Duration = Duration::from_millis(5);
+const HEDGE_READING_WAIT: Duration = Duration::from_millis(5);
 
 /// The send that has not ended.
-enum Rest {
+enum Pending {
     First,
     Second,
 }
 
 /// Any reading is younger.
-const LONG_AGO: Duration = Duration::from_secs(3600);
+const ANY_READING_AGE: Duration = Duration::from_secs(3600);
 
 impl ActiveRequest<'_> {
     /// Sends a lookup, and looks at it again when it takes long: a server that has fallen silent, or is
     /// late while others are free, is not waited for alone. The first whole answer counts; the other
     /// send is cancelled.
-    pub(super) async fn attempt_with_second_look(
+    pub(super) async fn attempt_with_hedge(
         &self,
         upstream: &Rc<Upstream>,
     ) -> (AttemptOutcome, Option<Rc<Upstream>>) {
@@ -43,7 +43,7 @@
         let second = tokio::select! {
             biased;
             ended = &mut first => return (ended, None),
-            second = self.second(upstream) => second,
+            second = self.hedge_upstream(upstream) => second,
         };
         let Some(other) = second else {
             return (first.await, None);
@@ -51,26 +51,26 @@
         let mut second = std::pin::pin!(self.attempt(&other));
         let (ended, rest) = tokio::select! {
             biased;
-            ended = &mut first => (ended, Rest::Second),
-            ended = &mut second => (ended, Rest::First),
+            ended = &mut first => (ended, Pending::Second),
+            ended = &mut second => (ended, Pending::First),
         };
         let ended = match (ended.end, rest) {
             (AttemptEnd::Succeeded, _) => ended,
-            (_, Rest::First) => first.await,
-            (_, Rest::Second) => second.await,
+            (_, Pending::First) => first.await,
+            (_, Pending::Second) => second.await,
         };
         (ended, Some(other.clone()))
     }
 
     /// Returns the server for a second send of a lookup that takes long, if there should be one.
-    async fn second(&self, upstream: &Rc<Upstream>) -> Option<Rc<Upstream>> {
+    async fn hedge_upstream(&self, upstream: &Rc<Upstream>) -> Option<Rc<Upstream>> {
         if self.is_suspect() {
             return None;
         }
         let service = self.configuration.services.get(&self.service)?;
         let asked_at = clock::now();
         probe::start(self.context, upstream, &service.health_path);
-        tokio::time::sleep(SECOND_LOOK_PATIENCE).await;
+        tokio::time::sleep(HEDGE_READING_WAIT).await;
         let now = clock::now();
         let age = upstream.reading(now).map(|(age, _)| age);
         let need = self.need(now, now, Reach::Far);
@@ -83,18 +83,18 @@
         if !second_look::wants_second(&look) || !self.attempts.may_send(1) {
             return None;
         }
-        let others: Vec<_> = self.usable(now, Reach::Far);
+        let others: Vec<_> = self.candidate_upstreams(now, Reach::Far);
         let others: Vec<_> = others
             .into_iter()
             .filter(|u| !Rc::ptr_eq(u, upstream))
             .collect();
-        self.ask(&others, 1.0);
-        tokio::time::sleep(SECOND_LOOK_PATIENCE).await;
+        self.probe_upstreams(&others, 1.0);
+        tokio::time::sleep(HEDGE_READING_WAIT).await;
         let now = clock::now();
-        let life = self.context.max_reading_age() + SECOND_LOOK_PATIENCE + AWAIT_STEP;
+        let max_age = self.context.max_reading_age() + HEDGE_READING_WAIT + READING_POLL_INTERVAL;
         let seen = others
             .iter()
-            .map(|u| u.candidate(now, life, self.is_out(u, now)));
+            .map(|u| u.candidate(now, max_age, self.is_excluded(u, now)));
         let candidates: Vec<Candidate> = seen.collect();
         let need = self.need(now, now, Reach::Near);
         let Step::Send(at) = place(&need, &candidates, fastrand::f64) else {
@@ -112,7 +112,7 @@
         let now = clock::now();
         let work_ms = self.context.work_ms(&self.route, &self.service);
         upstream
-            .candidate(now, LONG_AGO, false)
+            .candidate(now, ANY_READING_AGE, false)
             .expected_ms(work_ms, self.context.last_slot_factor(&self.service))
     }
 }
--- a/crates/kingcuploft-entry/src/edge/limited_servers.rs
+++ b/crates/kingcuploft-entry/src/edge/limited_servers.rs
@@ -14,18 +14,18 @@
 use crate::upstream::Upstream;
 
 /// At how many servers a request asks for a turn.
-const MOST_ASKED: usize = 3;
+const MAX_SERVERS_ASKED: usize = 3;
 
 /// When a refused caller may come back.
-const COME_BACK_SOONEST: Duration = Duration::from_millis(250);
-const COME_BACK_LATEST: Duration = Duration::from_secs(2);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl ActiveRequest<'_> {
     /// Returns a server that names a limit, when the request's turn there has come within `patience`, or when the caller may
     /// come back.
     pub(super) async fn take_turn(
         &mut self,
-        gone: &CallerDisconnect,
+        disconnect: &CallerDisconnect,
         patience: Duration,
     ) -> Result<Rc<Upstream>, Duration> {
         let mut limited = limits::limited_upstreams(self.context, &self.service);
@@ -40,14 +40,14 @@
                 && limits.may_have_turn(now, &upstream.server.name, patience)
         });
         fastrand::shuffle(&mut limited);
-        let mut soonest = COME_BACK_LATEST;
-        for upstream in limited.into_iter().take(MOST_ASKED) {
+        let mut earliest = MAX_RETRY_AFTER;
+        for upstream in limited.into_iter().take(MAX_SERVERS_ASKED) {
             match turns::ask(self.context, &upstream.server.name, patience).await {
                 Turn::After(after) => {
                     tokio::select! {
                         biased;
                         () = tokio::time::sleep(after) => {}
-                        () = gone.wait() => return Err(COME_BACK_SOONEST),
+                        () = disconnect.wait() => return Err(MIN_RETRY_AFTER),
                     }
                     self.turn_at = Some(upstream.clone());
                     return Ok(upstream);
@@ -56,16 +56,16 @@
                     let (now, server) = (clock::now(), &upstream.server.name);
                     let mut limits = self.context.limits.borrow_mut();
                     limits.no_turn_before(now, server, after, patience);
-                    soonest = soonest.min(after);
+                    earliest = earliest.min(after);
                 }
             }
         }
-        Err(soonest.max(COME_BACK_SOONEST))
+        Err(earliest.max(MIN_RETRY_AFTER))
     }
 
     /// Returns how long the request can wait for a server and be answered in time. Where callers ask for more than the limits
     /// allow, whoever waits longer is late, and so are all behind it.
-    pub(super) fn patience(&self) -> Duration {
+    pub(super) fn remaining_wait(&self) -> Duration {
         let work_ms = self.context.work_ms(&self.route, &self.service);
         let left = self.target.saturating_duration_since(clock::now());
         left.saturating_sub(Duration::from_secs_f64(work_ms * MARGIN / 1000.0))
--- a/crates/kingcuploft-entry/src/edge/readiness.rs
+++ b/crates/kingcuploft-entry/src/edge/readiness.rs
@@ -10,13 +10,13 @@
 use crate::http::head;
 
 /// How long one question may take to arrive.
-const PATIENCE: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Where counters are read.
 const METRICS_PATH: &str = "/metrics";
 
 /// The most bytes of a question.
-const MOST_BYTES: usize = 8 * 1024;
+const MAX_REQUEST_BYTES: usize = 8 * 1024;
 
 /// Answers questions until the process ends.
 pub async fn serve(context: Rc<Context>, listener: TcpListener) {
@@ -25,7 +25,7 @@
             Ok((stream, _)) => {
                 let context = context.clone();
                 tokio::task::spawn_local(async move {
-                    let _ = tokio::time::timeout(PATIENCE, answer(&context, stream)).await;
+                    let _ = tokio::time::timeout(REQUEST_TIMEOUT, answer(&context, stream)).await;
                 });
             }
             Err(error) => {
@@ -65,7 +65,7 @@
                 stream.write_all(answer.as_bytes()).await?;
                 return stream.shutdown().await;
             }
-            Ok(None) if bytes.len() < MOST_BYTES => {}
+            Ok(None) if bytes.len() < MAX_REQUEST_BYTES => {}
             Ok(None) | Err(_) => return Ok(()),
         }
         if stream.read_buf(&mut bytes).await? == 0 {
--- a/crates/kingcuploft-entry/src/edge/selection.rs
+++ b/crates/kingcuploft-entry/src/edge/selection.rs
@@ -15,13 +15,13 @@
 use crate::upstream::{Upstream, probe};
 
 /// How long readings are waited for before looking again whether they suffice.
-pub(super) const AWAIT_STEP: Duration = Duration::from_millis(2);
+pub(super) const READING_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// How often it is looked whether another run of a suspect request has ended.
-const RUN_ENDS_STEP: Duration = Duration::from_millis(10);
+const SUSPECT_RUN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How long a turn at a server that names a limit is waited for by a request for which another server may become good.
-const TURN_SOON: Duration = Duration::from_millis(20);
+const OPTIONAL_TURN_WAIT: Duration = Duration::from_millis(20);
 
 /// What choosing came to.
 pub(super) enum Selection {
@@ -37,20 +37,20 @@
 
 impl ActiveRequest<'_> {
     /// Finds the server for the next attempt.
-    pub(super) async fn choose(&mut self, gone: &CallerDisconnect) -> Selection {
-        let mut look_begun = clock::now();
+    pub(super) async fn select_upstream(&mut self, disconnect: &CallerDisconnect) -> Selection {
+        let mut search_began = clock::now();
         let mut reach = Reach::Near;
-        let mut looks = 0;
+        let mut rounds = 0;
         let mut asked_for_turn = false;
         loop {
-            if gone.is_set() {
+            if disconnect.is_set() {
                 return Selection::CallerLeft;
             }
-            match self.clearance().await {
+            match self.check_quarantine().await {
                 QuarantineDecision::Go => {}
                 QuarantineDecision::Wait => {
-                    tokio::time::sleep(RUN_ENDS_STEP).await;
-                    look_begun = clock::now();
+                    tokio::time::sleep(SUSPECT_RUN_POLL_INTERVAL).await;
+                    search_began = clock::now();
                     continue;
                 }
                 QuarantineDecision::Refuse(after) => return Selection::Quarantined(after),
@@ -59,80 +59,83 @@
                 return Selection::Evacuated(after);
             }
             let now = clock::now();
-            let upstreams = self.usable(now, reach);
+            let upstreams = self.candidate_upstreams(now, reach);
             let has_limited = !limits::limited_upstreams(self.context, &self.service).is_empty();
             if upstreams.is_empty() && has_limited {
-                return match self.take_turn(gone, self.patience()).await {
+                return match self.take_turn(disconnect, self.remaining_wait()).await {
                     Ok(upstream) => Selection::Upstream(upstream),
                     Err(come_back) => Selection::Refuse(come_back),
                 };
             }
-            self.ask(&upstreams, self.context.probe_share(looks));
-            let life = self.context.max_reading_age().max(now - look_begun) + AWAIT_STEP;
+            self.probe_upstreams(&upstreams, self.context.probe_share(rounds));
+            let max_age =
+                self.context.max_reading_age().max(now - search_began) + READING_POLL_INTERVAL;
             let candidates: Vec<Candidate> = upstreams
                 .iter()
-                .map(|u| u.candidate(now, life, self.is_out(u, now)))
+                .map(|u| u.candidate(now, max_age, self.is_excluded(u, now)))
                 .collect();
-            let need = self.need(now, look_begun, reach);
+            let need = self.need(now, search_began, reach);
             match place(&need, &candidates, fastrand::f64) {
                 Step::Send(at) => return Selection::Upstream(upstreams[at].clone()),
                 Step::Refuse(come_back) => {
-                    let turn = self.take_turn(gone, self.patience()).await;
+                    let turn = self.take_turn(disconnect, self.remaining_wait()).await;
                     return turn.map_or(Selection::Refuse(come_back), Selection::Upstream);
                 }
                 Step::LookAgain(_) if has_limited && !asked_for_turn => {
                     asked_for_turn = true;
-                    if let Ok(upstream) = self.take_turn(gone, TURN_SOON).await {
+                    if let Ok(upstream) = self.take_turn(disconnect, OPTIONAL_TURN_WAIT).await {
                         return Selection::Upstream(upstream);
                     }
                 }
                 Step::Ask(further) => reach = further,
                 Step::Await => {
-                    let told = self.context.readings_changed.notified();
-                    let _ = tokio::time::timeout(AWAIT_STEP, told).await;
+                    let notified = self.context.readings_changed.notified();
+                    let _ = tokio::time::timeout(READING_POLL_INTERVAL, notified).await;
                 }
                 Step::LookAgain(after) => {
                     tokio::time::sleep(after).await;
-                    look_begun = clock::now();
-                    looks += 1;
+                    search_began = clock::now();
+                    rounds += 1;
                 }
             }
         }
     }
 
     /// Returns whether the request can't be sent to a server now: it was, or the server may be cold and has not said.
-    pub(super) fn is_out(&self, upstream: &Rc<Upstream>, now: Instant) -> bool {
+    pub(super) fn is_excluded(&self, upstream: &Rc<Upstream>, now: Instant) -> bool {
         self.was_tried(upstream) || upstream.awaits_cold_report(now)
     }
 
     pub(super) fn was_tried(&self, upstream: &Rc<Upstream>) -> bool {
-        self.tried.iter().any(|tried| Rc::ptr_eq(tried, upstream))
+        self.tried_upstreams
+            .iter()
+            .any(|tried| Rc::ptr_eq(tried, upstream))
     }
 
     /// Returns the servers to choose among: the first of those that answer probes, or of all if none
     /// does; of the other zones those that take the least trouble to ask.
-    pub(super) fn usable(&self, now: Instant, reach: Reach) -> Vec<Rc<Upstream>> {
+    pub(super) fn candidate_upstreams(&self, now: Instant, reach: Reach) -> Vec<Rc<Upstream>> {
         let mut all = self.context.upstreams(&self.service);
         let share = self.context.connection_share(&self.service);
         all.retain(|upstream| upstream.has_connection_available(share));
         all.retain(|upstream| limits::wait_before_send(self.context, upstream, now).is_zero());
         let untried = all.iter().filter(|u| !self.was_tried(u));
-        let audible: Vec<_> = untried
+        let responsive: Vec<_> = untried
             .filter(|u| !u.is_unresponsive(now))
             .cloned()
             .collect();
-        if !audible.is_empty() {
-            all = audible;
+        if !responsive.is_empty() {
+            all = responsive;
         }
-        let apart = all.iter().filter(|u| !u.is_running_suspect());
-        let apart: Vec<_> = apart.cloned().collect();
-        if !apart.is_empty() {
-            all = apart;
+        let without_suspect = all.iter().filter(|u| !u.is_running_suspect());
+        let without_suspect: Vec<_> = without_suspect.cloned().collect();
+        if !without_suspect.is_empty() {
+            all = without_suspect;
         }
         let (mut near, mut others): (Vec<_>, Vec<_>) = all.into_iter().partition(|u| u.near);
         let asked = asked(near.len(), others.len(), reach);
-        let life = self.context.max_reading_age();
-        others.sort_by_cached_key(|u| u.probe_cost(now, life));
+        let max_age = self.context.max_reading_age();
+        others.sort_by_cached_key(|u| u.probe_cost(now, max_age));
         near.truncate(asked.near);
         others.truncate(asked.far);
         near.append(&mut others);
@@ -140,7 +143,7 @@
     }
 
     /// Asks this share of these servers, drawn by chance.
-    pub(super) fn ask(&self, upstreams: &[Rc<Upstream>], share: f64) {
+    pub(super) fn probe_upstreams(&self, upstreams: &[Rc<Upstream>], share: f64) {
         let Some(service) = self.configuration.services.get(&self.service) else {
             return;
         };
@@ -149,7 +152,7 @@
         asked.for_each(|upstream| probe::start(self.context, upstream, health_path));
     }
 
-    pub(super) fn need(&self, now: Instant, look_begun: Instant, reach: Reach) -> Need {
+    pub(super) fn need(&self, now: Instant, search_began: Instant, reach: Reach) -> Need {
         let millis = |d: Duration| d.as_secs_f64() * 1000.0;
         let left = |until: Instant| match until >= now {
             true => millis(until - now),
@@ -159,11 +162,11 @@
             work_ms: self.context.work_ms(&self.route, &self.service),
             target_left_ms: left(self.target),
             deadline_left_ms: left(self.deadline),
-            looked_ms: millis(now - look_begun),
+            looked_ms: millis(now - search_began),
             reach,
             last_slot: self.context.last_slot_factor(&self.service),
             probes_left: self.context.probe_budget_left(),
-            returns: self.returns,
+            returns: self.is_returning,
         }
     }
 }
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -28,7 +28,7 @@
 
 impl ActiveRequest<'_> {
     /// Returns whether the request may be sent on.
-    pub(super) async fn clearance(&mut self) -> QuarantineDecision {
+    pub(super) async fn check_quarantine(&mut self) -> QuarantineDecision {
         let knows_none = self.context.quarantine.borrow().is_empty();
         if self.is_trial || knows_none || planted::is_on(Planted::SendsSuspects) {
             return QuarantineDecision::Go;
@@ -68,15 +68,20 @@
     }
 
     /// Takes in how a run ended that began when so many ends in a row were known.
-    pub(super) async fn learn(&self, upstream: &Rc<Upstream>, end: AttemptEnd, known: u32) {
+    pub(super) async fn record_run_end(
+        &self,
+        upstream: &Rc<Upstream>,
+        end: AttemptEnd,
+        known: u32,
+    ) {
         match end {
-            AttemptEnd::Succeeded if self.is_suspect() => self.clear(),
-            AttemptEnd::Lost => self.look_after_loss(upstream, known).await,
+            AttemptEnd::Succeeded if self.is_suspect() => self.clear_suspicion(),
+            AttemptEnd::Lost => self.check_server_after_loss(upstream, known).await,
             _ => {}
         }
     }
 
-    fn clear(&self) {
+    fn clear_suspicion(&self) {
         let fingerprint = self.request.fingerprint();
         let ids = notices::log_quarantine_change(self.context, fingerprint, || {
             self.context.quarantine.borrow_mut().answered(fingerprint)
@@ -92,7 +97,7 @@
     }
 
     /// Looks whether a server has ended that lost an answer, and tells the others if so.
-    async fn look_after_loss(&self, upstream: &Rc<Upstream>, known: u32) {
+    async fn check_server_after_loss(&self, upstream: &Rc<Upstream>, known: u32) {
         let found = crash_check::check(&*self.context.network, upstream).await;
         let fingerprint = self.request.fingerprint();
         let server = &upstream.server.name;
@@ -124,17 +129,17 @@
     fingerprint: Option<Fingerprint>,
     _held: Option<SuspectGuard>,
     /// How many servers were known to have ended in a row under it.
-    pub(super) known: u32,
+    pub(super) known_ends: u32,
 }
 
 impl<'a> SuspectRun<'a> {
-    pub(super) fn begin(flight: &ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
-        let suspect = flight.is_suspect();
-        let fingerprint = suspect.then(|| flight.request.fingerprint());
-        let begins = |fp| flight.context.quarantine.borrow_mut().begins(fp);
+    pub(super) fn begin(active: &ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
+        let suspect = active.is_suspect();
+        let fingerprint = suspect.then(|| active.request.fingerprint());
+        let begins = |fp| active.context.quarantine.borrow_mut().begins(fp);
         Self {
-            context: flight.context,
-            known: fingerprint.map_or(0, begins),
+            context: active.context,
+            known_ends: fingerprint.map_or(0, begins),
             _held: suspect.then(|| upstream.track_suspect()),
             fingerprint,
         }
--- a/crates/kingcuploft-entry/src/evacuation.rs
+++ b/crates/kingcuploft-entry/src/evacuation.rs
@@ -12,7 +12,7 @@
 use crate::peers::frame::Frame;
 
 /// When a caller may come back to a service all of whose servers are in evacuated zones: nobody knows when one is taken back.
-const COME_BACK: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Takes in that a zone is to get nothing, and passes it on.
 pub fn apply_begin(context: &Context, zone: AvailabilityZone) {
@@ -72,5 +72,5 @@
 /// Returns when a caller may come back to a service that has servers, all of them in evacuated zones.
 pub fn retry_after(context: &Context, service: &ServiceName) -> Option<Duration> {
     let is_empty = context.evacuations.borrow().zones().is_empty();
-    (!is_empty && context.is_evacuated(service)).then_some(COME_BACK)
+    (!is_empty && context.is_evacuated(service)).then_some(RETRY_AFTER)
 }
--- a/crates/kingcuploft-entry/src/fields.rs
+++ b/crates/kingcuploft-entry/src/fields.rs
@@ -154,9 +154,9 @@
     /// # Errors
     ///
     /// Returns an error if it holds something else.
-    pub fn number(&self, field: &'static str, usual: f64) -> Result<f64, SettingsError> {
+    pub fn number(&self, field: &'static str, default: f64) -> Result<f64, SettingsError> {
         let wanted = "a number that is not negative";
-        let number: f64 = self.optional(field, wanted)?.unwrap_or(usual);
+        let number: f64 = self.optional(field, wanted)?.unwrap_or(default);
         if number.is_finite() && number >= 0.0 {
             return Ok(number);
         }
@@ -175,7 +175,7 @@
     /// # Errors
     ///
     /// Returns an error if it holds something else.
-    pub fn seconds(&self, field: &'static str, usual: f64) -> Result<Duration, SettingsError> {
-        Ok(Duration::from_secs_f64(self.number(field, usual)?))
+    pub fn seconds(&self, field: &'static str, default: f64) -> Result<Duration, SettingsError> {
+        Ok(Duration::from_secs_f64(self.number(field, default)?))
     }
 }
--- a/crates/kingcuploft-entry/src/http/body.rs
+++ b/crates/kingcuploft-entry/src/http/body.rs
@@ -14,7 +14,7 @@
 }
 
 /// The longest line that gives a chunk's length.
-const LONGEST_CHUNK_LINE: usize = 256;
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
 /// Why a body can't be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct BodyReader {
     state: State,
-    most: usize,
+    max_bytes: usize,
     body: Vec<u8>,
 }
 
@@ -52,9 +52,9 @@
     /// # Errors
     ///
     /// Returns [`BodyError::TooLong`] if its announced length is greater.
-    pub fn new(framing: Framing, most: usize) -> Result<Self, BodyError> {
+    pub fn new(framing: Framing, max_bytes: usize) -> Result<Self, BodyError> {
         let state = match framing {
-            Framing::Length(length) if length > most => return Err(BodyError::TooLong),
+            Framing::Length(length) if length > max_bytes => return Err(BodyError::TooLong),
             Framing::Length(0) => State::Done,
             Framing::Length(length) => State::Length(length),
             Framing::Chunked => State::ChunkLine,
@@ -62,7 +62,7 @@
         };
         Ok(Self {
             state,
-            most,
+            max_bytes,
             body: Vec::new(),
         })
     }
@@ -126,7 +126,7 @@
 
     fn take(&mut self, bytes: &mut BytesMut, left: usize) -> Result<usize, BodyError> {
         let taken = left.min(bytes.len());
-        if self.body.len() + taken > self.most {
+        if self.body.len() + taken > self.max_bytes {
             return Err(BodyError::TooLong);
         }
         self.body.extend_from_slice(&bytes[..taken]);
@@ -136,7 +136,7 @@
 
     fn line(&mut self, bytes: &mut BytesMut) -> Result<bool, BodyError> {
         let Some(end) = bytes.windows(2).position(|pair| pair == b"\r\n") else {
-            return match bytes.len() > LONGEST_CHUNK_LINE {
+            return match bytes.len() > MAX_CHUNK_LINE_BYTES {
                 true => Err(BodyError::Malformed),
                 false => Ok(false),
             };
--- a/crates/kingcuploft-entry/src/http/client.rs
+++ b/crates/kingcuploft-entry/src/http/client.rs
@@ -21,16 +21,16 @@
 
 /// How long sent bytes may stay unacknowledged before a connection is given up: a peer without power
 /// does not answer at all.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How long a silent connection is trusted before its peer is asked for a sign of life.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The most bytes of a response's head.
-const MOST_HEAD_BYTES: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// The bytes read at once; most responses fit.
-const READ_BYTES: usize = 4096;
+const READ_BUFFER_BYTES: usize = 4096;
 
 /// A whole response.
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
 
 impl ConnectionCount {
     /// Counts one more.
-    pub fn of(count: &Rc<Cell<usize>>) -> Self {
+    pub fn increment(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
@@ -93,14 +93,14 @@
 /// An open connection, used for one request at a time.
 #[derive(Debug)]
 pub struct Connection {
-    counted: Option<ConnectionCount>,
+    count_guard: Option<ConnectionCount>,
     stream: Stream,
     buffer: BytesMut,
     used: Instant,
-    keep_idle: Option<Duration>,
+    keepalive_timeout: Option<Duration>,
     reusable: bool,
-    spoiled: bool,
-    heard: Option<LastArrival>,
+    unusable: bool,
+    last_arrival: Option<LastArrival>,
 }
 
 impl Connection {
@@ -115,23 +115,23 @@
             .await
             .map_err(|_| std::io::Error::from(ErrorKind::TimedOut))??;
         if let Some(stream) = stream.tcp() {
-            notices_a_silent_peer(stream)?;
+            enable_dead_peer_detection(stream)?;
         }
         Ok(Self {
-            counted: None,
+            count_guard: None,
             stream,
             buffer: BytesMut::new(),
             used: clock::now(),
-            keep_idle: None,
+            keepalive_timeout: None,
             reusable: true,
-            spoiled: false,
-            heard: None,
+            unusable: false,
+            last_arrival: None,
         })
     }
 
     /// Notes from now on when bytes arrive.
-    pub fn track_arrivals(&mut self, heard: &LastArrival) {
-        self.heard = Some(heard.clone());
+    pub fn track_arrivals(&mut self, last_arrival: &LastArrival) {
+        self.last_arrival = Some(last_arrival.clone());
     }
 
     /// Opens a connection that is counted from the attempt on.
@@ -142,10 +142,10 @@
     pub async fn open_counted(
         network: &dyn Network,
         address: SocketAddr,
-        counted: ConnectionCount,
+        count_guard: ConnectionCount,
     ) -> std::io::Result<Self> {
         let mut connection = Self::open(network, address).await?;
-        connection.counted = Some(counted);
+        connection.count_guard = Some(count_guard);
         Ok(connection)
     }
 
@@ -153,8 +153,10 @@
     /// server has not closed it, and it was used lately.
     pub fn is_reusable(&mut self, now: Instant, longest_idle: Duration) -> bool {
         let idle = now.saturating_duration_since(self.used);
-        let longest = self.keep_idle.map_or(longest_idle, |k| k.min(longest_idle));
-        if self.spoiled || !self.reusable || idle > longest || !self.buffer.is_empty() {
+        let longest = self
+            .keepalive_timeout
+            .map_or(longest_idle, |k| k.min(longest_idle));
+        if self.unusable || !self.reusable || idle > longest || !self.buffer.is_empty() {
             return false;
         }
         let mut byte = [0; 1];
@@ -163,7 +165,7 @@
 
     /// Takes note that the connection can't be trusted with another request.
     pub fn mark_unusable(&mut self) {
-        self.spoiled = true;
+        self.unusable = true;
     }
 
     /// Sends a request.
@@ -186,11 +188,15 @@
     /// # Errors
     ///
     /// Returns an error if no whole response comes.
-    pub async fn receive(&mut self, method: &str, most: usize) -> Result<Response, ReceiveError> {
+    pub async fn receive(
+        &mut self,
+        method: &str,
+        max_bytes: usize,
+    ) -> Result<Response, ReceiveError> {
         loop {
             let head = self.receive_head(method).await?;
             if head.status >= 200 {
-                return self.receive_body(head, most).await;
+                return self.receive_body(head, max_bytes).await;
             }
         }
     }
@@ -203,7 +209,7 @@
                     let _ = self.buffer.split_to(length);
                     return Ok(head);
                 }
-                None if self.buffer.len() > MOST_HEAD_BYTES => return Err(ReceiveError::Malformed),
+                None if self.buffer.len() > MAX_HEAD_BYTES => return Err(ReceiveError::Malformed),
                 None => {}
             }
             let begun = !self.buffer.is_empty();
@@ -218,9 +224,9 @@
     async fn receive_body(
         &mut self,
         head: ResponseHead,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Response, ReceiveError> {
-        let reader = BodyReader::new(head.framing, most);
+        let reader = BodyReader::new(head.framing, max_bytes);
         let mut reader = reader.map_err(|_| ReceiveError::Malformed)?;
         loop {
             let whole = reader.read(&mut self.buffer);
@@ -235,7 +241,7 @@
             }
         }
         self.used = clock::now();
-        self.keep_idle = keep_idle(&head);
+        self.keepalive_timeout = keepalive_timeout(&head);
         self.reusable = head.keep_alive && self.buffer.is_empty();
         if self.buffer.is_empty() {
             // Hundreds of connections are kept; their buffers are not.
@@ -246,30 +252,30 @@
     }
 
     async fn read(&mut self) -> Result<usize, ReceiveError> {
-        self.buffer.reserve(READ_BYTES);
+        self.buffer.reserve(READ_BUFFER_BYTES);
         let read = self.stream.read_buf(&mut self.buffer).await;
-        if let Some(heard) = &self.heard {
-            heard.set(Some(clock::now()));
+        if let Some(last_arrival) = &self.last_arrival {
+            last_arrival.set(Some(clock::now()));
         }
         read.map_err(ReceiveError::Failed)
     }
 }
 
 /// Has a connection fail whose peer says nothing any more.
-fn notices_a_silent_peer(stream: &TcpStream) -> std::io::Result<()> {
+fn enable_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let keepalive = socket2::TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
     socket.set_tcp_keepalive(&keepalive)
 }
 
 /// Returns how long the server keeps the connection, with a margin of a tenth: the server counts from a
 /// moment that is some milliseconds earlier.
-fn keep_idle(head: &ResponseHead) -> Option<Duration> {
+fn keepalive_timeout(head: &ResponseHead) -> Option<Duration> {
     let value = head.headers.get("keep-alive")?;
     let timeout = value
         .split(',')
--- a/crates/kingcuploft-entry/src/http/head.rs
+++ b/crates/kingcuploft-entry/src/http/head.rs
@@ -4,7 +4,7 @@
 use super::headers::Headers;
 
 /// The most headers of one message.
-const MOST_HEADERS: usize = 100;
+const MAX_HEADERS: usize = 100;
 
 /// Why a message can't be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
@@ -55,7 +55,7 @@
 ///
 /// Returns an error for bytes that are no request, or one that can be read in two ways.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
-    let mut slots = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut slots);
     let status = parsed.parse(bytes).map_err(|_| HeadError::Malformed)?;
     let httparse::Status::Complete(length) = status else {
@@ -90,7 +90,7 @@
     bytes: &[u8],
     method: &str,
 ) -> Result<Option<(ResponseHead, usize)>, HeadError> {
-    let mut slots = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut slots);
     let status = parsed.parse(bytes).map_err(|_| HeadError::Malformed)?;
     let httparse::Status::Complete(length) = status else {
--- a/crates/kingcuploft-entry/src/logs.rs
+++ b/crates/kingcuploft-entry/src/logs.rs
@@ -9,18 +9,18 @@
 use std::time::{Duration, Instant};
 
 /// How many lines wait for the writer at most: some seconds of failures of one VM.
-const RING_LINES: usize = 512;
+const MAX_QUEUED_LINES: usize = 512;
 
 /// How often a process that ends looks whether its lines are written.
-const DRAIN_STEP: Duration = Duration::from_millis(2);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 static QUEUED: AtomicU64 = AtomicU64::new(0);
 static WRITTEN: AtomicU64 = AtomicU64::new(0);
 
 /// Starts writing logs from this level on.
 pub fn start(level: tracing::Level) {
-    let (ring, lines) = sync_channel(RING_LINES);
+    let (queue, lines) = sync_channel(MAX_QUEUED_LINES);
     let writer = std::thread::Builder::new()
         .name("logs".into())
         .stack_size(64 * 1024);
@@ -35,7 +35,7 @@
         .with_span_list(false)
         .with_max_level(level)
         .with_writer(move || Line {
-            ring: ring.clone(),
+            queue: queue.clone(),
             bytes: Vec::new(),
         });
     let _ = subscriber.try_init();
@@ -43,7 +43,7 @@
 
 /// Returns how many lines were left out.
 pub fn dropped_lines() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+    DROPPED.load(Ordering::Relaxed)
 }
 
 /// Waits until all lines are written, for so long at most: a process that just ends takes the last lines
@@ -52,12 +52,12 @@
     let until = Instant::now() + within;
     let is_behind = || WRITTEN.load(Ordering::Acquire) < QUEUED.load(Ordering::Acquire);
     while is_behind() && Instant::now() < until {
-        std::thread::sleep(DRAIN_STEP);
+        std::thread::sleep(DRAIN_POLL_INTERVAL);
     }
 }
 
 struct Line {
-    ring: SyncSender<Vec<u8>>,
+    queue: SyncSender<Vec<u8>>,
     bytes: Vec<u8>,
 }
 
@@ -79,15 +79,15 @@
             return;
         }
         QUEUED.fetch_add(1, Ordering::Release);
-        if self.ring.try_send(line).is_err() {
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+        if self.queue.try_send(line).is_err() {
+            DROPPED.fetch_add(1, Ordering::Relaxed);
             WRITTEN.fetch_add(1, Ordering::Release);
         }
     }
 }
 
 fn write_lines(lines: &Receiver<Vec<u8>>) {
-    let mut told = 0;
+    let mut reported = 0;
     let mut output = std::io::stdout();
     while let Ok(line) = lines.recv() {
         if output.write_all(&line).is_err() {
@@ -95,9 +95,9 @@
         }
         WRITTEN.fetch_add(1, Ordering::Release);
         let left_out = dropped_lines();
-        if left_out > told {
+        if left_out > reported {
             let line = format!("{{\"event\":\"lines_left_out\",\"count\":{left_out}}}\n");
-            told = left_out;
+            reported = left_out;
             if output.write_all(line.as_bytes()).is_err() {
                 return;
             }
--- a/crates/kingcuploft-entry/src/metrics.rs
+++ b/crates/kingcuploft-entry/src/metrics.rs
@@ -16,7 +16,7 @@
 
 /// How many routes have histograms of their own; the others share one, whatever the configuration's
 /// length.
-const MOST_ROUTES: usize = 64;
+const MAX_LABELLED_ROUTES: usize = 64;
 
 /// The label of the routes without histograms of their own, and of requests without a route.
 const OTHER_ROUTES: &str = "other";
@@ -199,32 +199,32 @@
     }
 
     /// Counts an attempt by how it ended.
-    pub fn attempt(&self, reason: &'static str) {
+    pub fn count_attempt(&self, reason: &'static str) {
         self.attempts.get_or_create(&Reason { reason }).inc();
     }
 
     /// Counts a repeat by what failed before it.
-    pub fn repeat(&self, reason: &'static str) {
+    pub fn count_repeat(&self, reason: &'static str) {
         self.repeats.get_or_create(&Reason { reason }).inc();
     }
 
     /// Counts an own failure or refusal.
-    pub fn failure(&self, reason: &'static str) {
+    pub fn count_failure(&self, reason: &'static str) {
         self.failures.get_or_create(&Reason { reason }).inc();
     }
 
     /// Counts a probe by how it ended.
-    pub fn probe(&self, reason: &'static str) {
+    pub fn count_probe(&self, reason: &'static str) {
         self.probes.get_or_create(&Reason { reason }).inc();
     }
 
     /// Counts a link to a reader by why it ended.
-    pub fn reader_lost(&self, reason: &'static str) {
+    pub fn count_reader_lost(&self, reason: &'static str) {
         self.readers.get_or_create(&Reason { reason }).inc();
     }
 
     /// Counts an answer with its time.
-    pub fn answered(&self, route: Option<&str>, status: u16, took: Duration) {
+    pub fn observe_answer(&self, route: Option<&str>, status: u16, took: Duration) {
         let outcome = match status {
             200..300 => "success",
             300..400 => "redirect",
@@ -239,7 +239,7 @@
 
     fn route_label(&self, route: &str) -> String {
         let mut routes = self.routes.borrow_mut();
-        if routes.len() < MOST_ROUTES && !routes.contains(route) {
+        if routes.len() < MAX_LABELLED_ROUTES && !routes.contains(route) {
             routes.insert(route.to_owned());
         }
         match routes.contains(route) {
--- a/crates/kingcuploft-entry/src/notice_writes.rs
+++ b/crates/kingcuploft-entry/src/notice_writes.rs
@@ -8,10 +8,10 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// How many writes may wait; what is more is known to this VM alone.
-const MOST_WAITING: usize = 256;
+const MAX_QUEUED_WRITES: usize = 256;
 
 /// How long a request waits for leave to be tried.
-const CLAIM_PATIENCE: Duration = Duration::from_millis(200);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What is written to the store.
 #[derive(Debug)]
@@ -30,8 +30,8 @@
 
 impl NoticeWriteQueue {
     /// Opens the way; returns what the writer takes from it.
-    pub fn open(&self) -> mpsc::Receiver<NoticeWrite> {
-        let (writes, waiting) = mpsc::channel(MOST_WAITING);
+    pub fn open_queue(&self) -> mpsc::Receiver<NoticeWrite> {
+        let (writes, waiting) = mpsc::channel(MAX_QUEUED_WRITES);
         let _ = self.0.set(writes);
         waiting
     }
@@ -50,7 +50,7 @@
     pub async fn claim(&self, notice: Notice) -> bool {
         let (claimed, answer) = oneshot::channel();
         self.send(NoticeWrite::Claim(notice, claimed));
-        let answer = tokio::time::timeout(CLAIM_PATIENCE, answer).await;
+        let answer = tokio::time::timeout(CLAIM_TIMEOUT, answer).await;
         answer.is_ok_and(|claimed| claimed.unwrap_or(false))
     }
 }
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -21,24 +21,26 @@
 use crate::store_access::StoreAccess;
 
 /// The pause between two tries, at least; chance adds as much again.
-const PAUSE: Duration = Duration::from_millis(500);
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// How often notices are looked for that are outdated.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Writes to the store until the process ends.
 pub async fn write_to_store<S: Store>(
     context: Rc<Context>,
     store: Rc<S>,
-    pulse: Rc<StoreAccess>,
+    store_access: Rc<StoreAccess>,
     mut writes: mpsc::Receiver<NoticeWrite>,
 ) {
-    let is_there = || standing(&context, &pulse).store_there;
+    let is_store_available = || standing(&context, &store_access).store_there;
     while let Some(write) = writes.recv().await {
         match write {
             NoticeWrite::Create(notice) => {
                 let holds = || still_holds(&context, &notice);
-                if retry_until_done(is_there, holds, || store.create_notice(&notice)).await {
+                if retry_until_done(is_store_available, holds, || store.create_notice(&notice))
+                    .await
+                {
                     apply_notices(&context, vec![notice]);
                 }
             }
@@ -53,7 +55,7 @@
                 let _ = claimed.send(is_first);
             }
             NoticeWrite::Withdraw(id) => {
-                retry_until_done(is_there, || true, || store.delete_notice(&id)).await;
+                retry_until_done(is_store_available, || true, || store.delete_notice(&id)).await;
             }
         }
     }
@@ -72,32 +74,32 @@
 
 /// Calls the store whenever it is there until the call is done, and returns whether it was: no longer than it is of use.
 async fn retry_until_done<T, F: Future<Output = Result<T, StoreError>>>(
-    is_there: impl Fn() -> bool,
-    is_of_use: impl Fn() -> bool,
+    is_store_available: impl Fn() -> bool,
+    is_needed: impl Fn() -> bool,
     mut call: impl FnMut() -> F,
 ) -> bool {
     let mut tries = 0;
-    while is_of_use() {
-        if is_there() {
+    while is_needed() {
+        if is_store_available() {
             tries += 1;
             match call().await {
                 Ok(_) => return true,
                 Err(error) => tracing::warn!(event = "notice_not_written", tries, %error),
             }
         }
-        tokio::time::sleep(PAUSE.mul_f64(1.0 + fastrand::f64())).await;
+        tokio::time::sleep(MIN_RETRY_PAUSE.mul_f64(1.0 + fastrand::f64())).await;
     }
     false
 }
 
 /// Forgets what is outdated until the process ends, and has a VM that reads the store withdraw it.
-pub async fn expire_outdated(context: Rc<Context>, pulse: Rc<StoreAccess>) {
+pub async fn expire_outdated(context: Rc<Context>, store_access: Rc<StoreAccess>) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         let mut outdated = context.quarantine.borrow().outdated(clock::now());
         let is_in_use = |server: &str| context.with_servers(|servers| servers.takes_work(server));
         outdated.extend(context.limits.borrow_mut().forget_gone(is_in_use));
-        for id in outdated.into_iter().filter(|_| pulse.is_reading()) {
+        for id in outdated.into_iter().filter(|_| store_access.is_reading()) {
             withdraw(&context, id);
         }
     }
@@ -122,11 +124,11 @@
 pub fn log_quarantine_change<T>(
     context: &Context,
     fingerprint: Fingerprint,
-    take: impl FnOnce() -> T,
+    apply: impl FnOnce() -> T,
 ) -> T {
     let is_refused = || context.quarantine.borrow().is_refused(fingerprint);
     let before = is_refused();
-    let taken = take();
+    let taken = apply();
     match (before, is_refused()) {
         (false, true) => {
             tracing::info!(event = "quarantined", fingerprint = %format_args!("{fingerprint:016x}"));
--- a/crates/kingcuploft-entry/src/peers/follower.rs
+++ b/crates/kingcuploft-entry/src/peers/follower.rs
@@ -113,7 +113,7 @@
         evacuations: context.position(Collection::Evacuations),
         below: context.followers.below(&context.settings.zone),
         version: context.active_configuration.delta_base(),
-        arrived: context.active_configuration.arrived(),
+        arrived: context.active_configuration.arrival_progress(),
         servers_digest: Some(context.with_servers(|servers| servers.digest())),
         speaks: SPEAKS,
     });
@@ -346,7 +346,7 @@
     part: ChangePart,
     transfer: &mut Transfer,
 ) -> Result<(), LinkError> {
-    match context.active_configuration.take(part)? {
+    match context.active_configuration.add_part(part)? {
         Taken::More | Taken::Known => Ok(()),
         Taken::Whole(configuration) => {
             transfer.end(configuration.version);
--- a/crates/kingcuploft-entry/src/rewinds.rs
+++ b/crates/kingcuploft-entry/src/rewinds.rs
@@ -9,14 +9,14 @@
 use kingcuploft::utils::HashMap;
 
 /// How long it is remembered what was withdrawn: longer than a copy is old.
-const REMEMBER: Duration = Duration::from_secs(60);
+const WITHDRAWAL_RETENTION: Duration = Duration::from_secs(60);
 
 /// The store's era, and what a copy of it may lack or have too much.
 #[derive(Debug, Default)]
 pub struct Rewinds {
     era: Cell<Option<Era>>,
     count: Cell<u32>,
-    at: Cell<Option<Instant>>,
+    last_rewind: Cell<Option<Instant>>,
     withdrawn: RefCell<HashMap<NoticeId, Instant>>,
 }
 
@@ -41,7 +41,7 @@
     }
 
     /// Takes in an era that the store has reached.
-    pub fn heard(&self, now: Instant, era: Era) -> EraUpdate {
+    pub fn observe_era(&self, now: Instant, era: Era) -> EraUpdate {
         let before = self.era.get();
         if before.is_some_and(|before| before >= era) {
             return EraUpdate::Known;
@@ -50,21 +50,21 @@
         if before.is_none() {
             return EraUpdate::Known;
         }
-        self.at.set(Some(now));
+        self.last_rewind.set(Some(now));
         self.count.set(self.count.get() + 1);
         EraUpdate::Rewound
     }
 
     /// Returns whether what was written since the copy may still be missing in the store.
     pub fn may_lack_writes(&self, now: Instant) -> bool {
-        let at = self.at.get();
-        at.is_some_and(|at| now.saturating_duration_since(at) < REWRITTEN_WITHIN)
+        let last_rewind = self.last_rewind.get();
+        last_rewind.is_some_and(|at| now.saturating_duration_since(at) < REWRITTEN_WITHIN)
     }
 
     /// Takes note that a notice holds no longer: a copy may still have it.
     pub fn note_withdrawn(&self, now: Instant, id: &NoticeId) {
         let mut withdrawn = self.withdrawn.borrow_mut();
-        withdrawn.retain(|_, at| now.saturating_duration_since(*at) < REMEMBER);
+        withdrawn.retain(|_, at| now.saturating_duration_since(*at) < WITHDRAWAL_RETENTION);
         withdrawn.insert(id.clone(), now);
     }
 
--- a/crates/kingcuploft-entry/src/roster/mod.rs
+++ b/crates/kingcuploft-entry/src/roster/mod.rs
@@ -238,14 +238,16 @@
                     return link;
                 }
                 LinkError::Circle => {
-                    self.context.metrics.reader_lost(LinkError::Circle.label());
+                    self.context
+                        .metrics
+                        .count_reader_lost(LinkError::Circle.label());
                     let mut readers = self.context.readers.borrow_mut();
                     readers.hears_through_own(clock::now(), &feeder.name);
                     return link;
                 }
                 why => {
                     let metrics = &self.context.metrics;
-                    metrics.reader_lost(why.label());
+                    metrics.count_reader_lost(why.label());
                     tracing::info!(event = "reader_lost", reader = %feeder.name, why = %why);
                 }
             }
--- a/crates/kingcuploft-entry/src/run.rs
+++ b/crates/kingcuploft-entry/src/run.rs
@@ -27,20 +27,20 @@
 use crate::store_watcher;
 
 /// New connections that may wait to be accepted.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 
 /// How long new connections are taken after the stop began: the platform asks every second, and
 /// takes the VM out after two misses.
-const TAKE_CONNECTIONS: Duration = Duration::from_millis(2600);
+const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(2600);
 
 /// How long before the end of the allowed time the process ends by itself.
-const END_MARGIN: Duration = Duration::from_millis(300);
+const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
 /// How often the settings file is read again: it may change without a signal.
-const REREAD_EVERY: Duration = Duration::from_secs(5);
+const SETTINGS_RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How often a stopping VM looks whether all connections are closed.
-const STOP_STEP: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a VM could not start.
 #[derive(Debug, thiserror::Error)]
@@ -85,7 +85,7 @@
             biased;
             _ = terminate.recv() => break,
             _ = hangup.recv() => running.reload(&reread),
-            () = tokio::time::sleep(REREAD_EVERY) => running.reload(&reread),
+            () = tokio::time::sleep(SETTINGS_RELOAD_INTERVAL) => running.reload(&reread),
         }
     }
     running.stop().await;
@@ -112,7 +112,7 @@
     tracing::info!(event = "started", vm = %settings.vm, zone = %settings.zone);
     let context = Rc::new(Context::new(settings, vocabulary));
     let store = Rc::new(store);
-    let pulse = Rc::new(StoreAccess::default());
+    let store_access = Rc::new(StoreAccess::default());
     tokio::task::spawn_local(readiness::serve(context.clone(), ready));
     if let Some(address) = context.settings.metrics {
         let listener = listen(address)?;
@@ -120,10 +120,10 @@
     }
     match context.settings.peers {
         Some(address) => {
-            let address = open_to_others(&context, &pulse, address).await?;
-            join_peers(&context, &store, &pulse, address, dial::Tcp);
+            let address = listen_to_peers(&context, &store_access, address).await?;
+            join_peers(&context, &store, &store_access, address, dial::Tcp);
         }
-        None => read_store(&context, &store, &pulse),
+        None => spawn_store_tasks(&context, &store, &store_access),
     }
     let accepting = tokio::task::spawn_local(accept(context.clone(), callers));
     Ok(Running {
@@ -157,33 +157,46 @@
 /// Stops as planned: not ready at once; new connections are taken while the platform may still send them; then idle
 /// connections close, and what was read is answered.
 pub async fn stop(context: &Context, stop_accepting: impl FnOnce()) {
-    let begun = clock::now();
-    let last = begun + context.bounds.get().stop_within.saturating_sub(END_MARGIN);
-    context.begin_stop(begun);
+    let started_at = clock::now();
+    let last = started_at + context.bounds.get().stop_within.saturating_sub(EXIT_MARGIN);
+    context.begin_stop(started_at);
     tracing::info!(event = "stopping", callers = context.callers.get());
     if planted::is_on(Planted::StopsAtOnce) {
         return;
     }
-    tokio::time::sleep(TAKE_CONNECTIONS).await;
+    tokio::time::sleep(ACCEPT_WHILE_STOPPING).await;
     stop_accepting();
     context.close_idle_connections();
     while context.callers.get() > 0 && clock::now() < last {
-        tokio::time::sleep(STOP_STEP).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     tracing::info!(event = "stopped", callers_left = context.callers.get());
 }
 
 /// Reads the store, and writes what this VM tells it.
-fn read_store<S: Store + 'static>(context: &Rc<Context>, store: &Rc<S>, pulse: &Rc<StoreAccess>) {
-    let feeling = store_liveness::monitor(context.clone(), store.clone(), pulse.clone());
-    tokio::task::spawn_local(feeling);
-    let waiting = context.notice_writes.open();
-    let writing = notices::write_to_store(context.clone(), store.clone(), pulse.clone(), waiting);
+fn spawn_store_tasks<S: Store + 'static>(
+    context: &Rc<Context>,
+    store: &Rc<S>,
+    store_access: &Rc<StoreAccess>,
+) {
+    let monitoring = store_liveness::monitor(context.clone(), store.clone(), store_access.clone());
+    tokio::task::spawn_local(monitoring);
+    let waiting = context.notice_writes.open_queue();
+    let writing = notices::write_to_store(
+        context.clone(),
+        store.clone(),
+        store_access.clone(),
+        waiting,
+    );
     tokio::task::spawn_local(writing);
-    tokio::task::spawn_local(notices::expire_outdated(context.clone(), pulse.clone()));
+    tokio::task::spawn_local(notices::expire_outdated(
+        context.clone(),
+        store_access.clone(),
+    ));
     for collection in Collection::WATCHED {
         let (context, store) = (context.clone(), store.clone());
-        let following = store_watcher::sync_collection(context, store, pulse.clone(), collection);
+        let following =
+            store_watcher::sync_collection(context, store, store_access.clone(), collection);
         tokio::task::spawn_local(following);
     }
     tokio::task::spawn_local(store_watcher::run_expiry(context.clone()));
@@ -194,29 +207,35 @@
 pub fn join_peers<S: Store + 'static, D: Dial + Clone + 'static>(
     context: &Rc<Context>,
     store: &Rc<S>,
-    pulse: &Rc<StoreAccess>,
+    store_access: &Rc<StoreAccess>,
     address: SocketAddr,
     network: D,
 ) {
     // The others are asked first; the store only if none of them reads it.
-    pulse.stop_reading();
-    read_store(context, store, pulse);
+    store_access.stop_reading();
+    spawn_store_tasks(context, store, store_access);
     let own = VmEntry {
         name: context.settings.vm.clone(),
         zone: context.settings.zone.clone(),
         address,
         cpu_milli: context.settings.cpu_milli,
     };
-    tokio::task::spawn_local(reader::beat(context.clone(), pulse.clone()));
+    tokio::task::spawn_local(reader::beat(context.clone(), store_access.clone()));
     tokio::task::spawn_local(repeat_copies::keep(context.clone()));
-    let keeping = roster::keep(context.clone(), store.clone(), pulse.clone(), own, network);
+    let keeping = roster::keep(
+        context.clone(),
+        store.clone(),
+        store_access.clone(),
+        own,
+        network,
+    );
     tokio::task::spawn_local(keeping);
 }
 
 /// Takes what other VMs say, by links and by datagrams; returns where they reach this one.
-async fn open_to_others(
+async fn listen_to_peers(
     context: &Rc<Context>,
-    pulse: &Rc<StoreAccess>,
+    store_access: &Rc<StoreAccess>,
     address: SocketAddr,
 ) -> Result<SocketAddr, StartError> {
     let listener = listen(address)?;
@@ -226,10 +245,18 @@
     let socket = Rc::new(opened);
     tokio::task::spawn_local(readings::receive(context.clone(), socket.clone()));
     let _ = context.peer_socket.set(socket);
-    tokio::task::spawn_local(reader::serve(context.clone(), pulse.clone(), listener));
+    tokio::task::spawn_local(reader::serve(
+        context.clone(),
+        store_access.clone(),
+        listener,
+    ));
     if let Some(address) = context.settings.control {
         let listener = listen(address)?;
-        tokio::task::spawn_local(reader::serve(context.clone(), pulse.clone(), listener));
+        tokio::task::spawn_local(reader::serve(
+            context.clone(),
+            store_access.clone(),
+            listener,
+        ));
     }
     Ok(address)
 }
@@ -239,7 +266,7 @@
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
     open().map_err(|error| StartError::Listen(address, error))
 }
--- a/crates/kingcuploft-entry/src/server_updates.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -11,7 +11,7 @@
 use crate::peers::frame::Frame;
 
 /// The most changes that are told and logged one by one when they come together.
-const MOST_TOLD_ALONE: usize = 4;
+const MAX_CHANGES_SENT_SINGLY: usize = 4;
 
 /// Takes in what is said of backend servers, and passes on what is news: a list repeats what is known, and hundreds of
 /// lines at once are more than a follower's queue holds.
@@ -77,7 +77,7 @@
 
 /// Tells the followers what a list of all servers brought: the few that changed, or all where many did.
 fn forward_to_followers(context: &Context, news: &[BackendServer], changes: &[Change]) {
-    if news.len() + changes.len() > MOST_TOLD_ALONE {
+    if news.len() + changes.len() > MAX_CHANGES_SENT_SINGLY {
         let table = context.with_servers(|servers| ServerTable::of(servers.present()));
         context.followers.tell(&Frame::AllServers(table));
         return;
@@ -100,7 +100,7 @@
 
 /// Writes a line for each of a few changes, and one with counts for many.
 fn log_changes(changes: &[Change]) {
-    if changes.len() <= MOST_TOLD_ALONE {
+    if changes.len() <= MAX_CHANGES_SENT_SINGLY {
         for change in changes {
             let (what, server) = (change.label(), change.server());
             tracing::info!(event = "server", what, %server);
--- a/crates/kingcuploft-entry/src/store_access.rs
+++ b/crates/kingcuploft-entry/src/store_access.rs
@@ -8,21 +8,21 @@
 /// Whether this VM reads the store, and whether the store answers, as last seen.
 #[derive(Debug)]
 pub struct StoreAccess {
-    reading: Cell<bool>,
-    there: Cell<bool>,
+    is_reading_store: Cell<bool>,
+    is_store_available: Cell<bool>,
     changed: Notify,
-    again: Notify,
-    asked: Notify,
+    rewatch: Notify,
+    probed: Notify,
 }
 
 impl Default for StoreAccess {
     fn default() -> Self {
         Self {
-            reading: Cell::new(true),
-            there: Cell::new(true),
+            is_reading_store: Cell::new(true),
+            is_store_available: Cell::new(true),
             changed: Notify::new(),
-            again: Notify::new(),
-            asked: Notify::new(),
+            rewatch: Notify::new(),
+            probed: Notify::new(),
         }
     }
 }
@@ -30,12 +30,12 @@
 impl StoreAccess {
     /// Returns whether this VM reads the store itself.
     pub fn is_reading(&self) -> bool {
-        self.reading.get()
+        self.is_reading_store.get()
     }
 
     /// Returns whether the store answers.
     pub fn is_available(&self) -> bool {
-        self.there.get()
+        self.is_store_available.get()
     }
 
     /// Returns once the store is to be read and answers.
@@ -50,13 +50,13 @@
 
     /// Returns once the watches have to be asked again.
     pub async fn wait_for_rewatch(&self) {
-        self.again.notified().await;
+        self.rewatch.notified().await;
     }
 
     /// Begins to read the store.
     pub fn start_reading(&self) {
-        if !self.reading.replace(true) {
-            self.there.set(true);
+        if !self.is_reading_store.replace(true) {
+            self.is_store_available.set(true);
             self.changed.notify_waiters();
         }
     }
@@ -64,35 +64,35 @@
     /// Asks the store for a sign of life, and begins to read it only if that comes; returns whether
     /// it did.
     pub async fn start_reading_if_available(&self) -> bool {
-        if !self.reading.replace(true) {
-            self.there.set(false);
+        if !self.is_reading_store.replace(true) {
+            self.is_store_available.set(false);
         }
-        let asked = self.asked.notified();
+        let probed = self.probed.notified();
         self.changed.notify_waiters();
-        asked.await;
-        self.there.get()
+        probed.await;
+        self.is_store_available.get()
     }
 
     /// Takes note that the store was asked for a sign of life.
     pub fn probe_completed(&self) {
-        self.asked.notify_waiters();
+        self.probed.notify_waiters();
     }
 
     /// Has the watches asked again.
     pub fn request_rewatch(&self) {
-        self.again.notify_waiters();
+        self.rewatch.notify_waiters();
     }
 
     /// Leaves reading the store to another VM.
     pub fn stop_reading(&self) {
-        if self.reading.replace(false) {
+        if self.is_reading_store.replace(false) {
             self.changed.notify_waiters();
         }
     }
 
     /// Takes in whether the store answers; returns whether that is news.
-    pub fn set_available(&self, there: bool) -> bool {
-        let changed = self.there.replace(there) != there;
+    pub fn set_available(&self, is_available: bool) -> bool {
+        let changed = self.is_store_available.replace(is_available) != is_available;
         if changed {
             self.changed.notify_waiters();
         }
@@ -102,7 +102,7 @@
     async fn wait_for(&self, open: bool) {
         loop {
             let changed = self.changed.notified();
-            if (self.reading.get() && self.there.get()) == open {
+            if (self.is_reading_store.get() && self.is_store_available.get()) == open {
                 return;
             }
             changed.await;
@@ -113,7 +113,7 @@
     pub async fn wait_until_reading(&self) {
         loop {
             let changed = self.changed.notified();
-            if self.reading.get() {
+            if self.is_reading_store.get() {
                 return;
             }
             changed.await;
--- a/crates/kingcuploft-entry/src/store_fallback.rs
+++ b/crates/kingcuploft-entry/src/store_fallback.rs
@@ -10,12 +10,12 @@
 use crate::store_access::StoreAccess;
 
 /// How often a VM looks whether it has knowledge.
-const KNOWLEDGE_STEP: Duration = Duration::from_millis(10);
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Has a VM that knows nothing read the store once it has waited for others for too long.
 ///
 /// Where all start together nobody calls yet, and the others are waited for.
-pub(crate) async fn read_store_if_uninformed(context: Rc<Context>, pulse: Rc<StoreAccess>) {
+pub(crate) async fn read_store_if_uninformed(context: Rc<Context>, store_access: Rc<StoreAccess>) {
     let begun = clock::now();
     let chance = fastrand::f64();
     if context.settings.all_start {
@@ -33,8 +33,8 @@
             )
         };
         if clock::since(begun) >= patience {
-            return pulse.start_reading();
+            return store_access.start_reading();
         }
-        tokio::time::sleep(KNOWLEDGE_STEP).await;
+        tokio::time::sleep(READINESS_POLL_INTERVAL).await;
     }
 }
--- a/crates/kingcuploft-entry/src/store_liveness.rs
+++ b/crates/kingcuploft-entry/src/store_liveness.rs
@@ -19,63 +19,63 @@
 
 /// The time between two signs of life. With [`PATIENCE`] and [`WHILE_AWAY`], a change is known within
 /// 2 s of the store's return, which is what a leaving server allows.
-const WHILE_THERE: Duration = Duration::from_millis(1000);
+const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// The same for a VM that others follow: they must not wait longer for its loss than for their own.
-const WHILE_FOLLOWED: Duration = Duration::from_millis(400);
+const PROBE_INTERVAL_WITH_FOLLOWERS: Duration = Duration::from_millis(400);
 
 /// The time between two tries while the store is away. Each is a call of full price.
-const WHILE_AWAY: Duration = Duration::from_millis(350);
+const OUTAGE_PROBE_INTERVAL: Duration = Duration::from_millis(350);
 
 /// The same for a VM that knows nothing and that others will tell as soon as the store answers one of them; chance adds
 /// as much again. After an outage of all VMs and the store, hundreds of them ask.
-const WHILE_AWAY_FOR_ALL: Duration = Duration::from_millis(1000);
+const OUTAGE_PROBE_INTERVAL_WHEN_FED: Duration = Duration::from_millis(1000);
 
 /// How long a sign of life is waited for: twice the slowest answer of a store that is slow, not away.
-const PATIENCE: Duration = Duration::from_millis(800);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How long the watches may stay behind the store before they are asked again. Changes are gathered
 /// for most of this time.
-const BEHIND: Duration = Duration::from_millis(900);
+const MAX_WATCH_LAG: Duration = Duration::from_millis(900);
 
 /// Watches over the store while this VM reads it, until the process ends.
-pub async fn monitor<S: Store>(context: Rc<Context>, store: Rc<S>, pulse: Rc<StoreAccess>) {
-    let mut lag = Lag::default();
+pub async fn monitor<S: Store>(context: Rc<Context>, store: Rc<S>, store_access: Rc<StoreAccess>) {
+    let mut lag = WatchLag::default();
     loop {
-        pulse.wait_until_reading().await;
+        store_access.wait_until_reading().await;
         let asked_at = clock::now();
-        let asked = tokio::time::timeout(PATIENCE, store.probe_liveness()).await;
-        let reached = asked
+        let answer = tokio::time::timeout(PROBE_TIMEOUT, store.probe_liveness()).await;
+        let reached = answer
             .as_ref()
             .ok()
-            .and_then(|asked| asked.as_ref().ok().copied());
+            .and_then(|answer| answer.as_ref().ok().copied());
         if let Some(reached) = reached {
             store_watcher::note_era(&context, era_of(reached));
         }
         // The answer may stand behind another, long one.
-        let is_there =
-            reached.is_some() || (asked.is_err() && received_bytes_since(&*store, asked_at));
-        if pulse.set_available(is_there) {
-            match is_there {
+        let is_available =
+            reached.is_some() || (answer.is_err() && received_bytes_since(&*store, asked_at));
+        if store_access.set_available(is_available) {
+            match is_available {
                 true => store_watcher::note_store_return(&context),
                 false => tracing::warn!(event = "store_away"),
             }
             // Those that follow learn it at once, as one of them may still reach the store.
-            let standing = standing(&context, &pulse);
+            let standing = standing(&context, &store_access);
             context.followers.tell(&Frame::Standing(standing));
         }
-        pulse.probe_completed();
+        store_access.probe_completed();
         if reached.is_some_and(|reached| lag.is_too_long(clock::now(), reached, &context)) {
             tracing::info!(event = "watches_behind", reached);
-            pulse.request_rewatch();
+            store_access.request_rewatch();
         }
-        let pause = match (is_there, context.followers.is_empty()) {
+        let pause = match (is_available, context.followers.is_empty()) {
             (false, _) if will_be_fed(&context) => {
-                WHILE_AWAY_FOR_ALL.mul_f64(1.0 + fastrand::f64())
+                OUTAGE_PROBE_INTERVAL_WHEN_FED.mul_f64(1.0 + fastrand::f64())
             }
-            (false, _) => WHILE_AWAY,
-            (true, true) => WHILE_THERE,
-            (true, false) => WHILE_FOLLOWED,
+            (false, _) => OUTAGE_PROBE_INTERVAL,
+            (true, true) => PROBE_INTERVAL,
+            (true, false) => PROBE_INTERVAL_WITH_FOLLOWERS,
         };
         tokio::time::sleep(pause).await;
     }
@@ -103,12 +103,12 @@
 
 /// How long the watches have been behind the store.
 #[derive(Debug, Default)]
-struct Lag {
+struct WatchLag {
     since: Option<(Revision, Instant)>,
     settled: Revision,
 }
 
-impl Lag {
+impl WatchLag {
     /// Takes in a moment that the store has reached; returns whether the watches have been behind it
     /// for too long. A moment is complained of once: other collections move the store on as well.
     fn is_too_long(&mut self, now: Instant, reached: Revision, context: &Context) -> bool {
@@ -121,7 +121,7 @@
             return false;
         }
         let (behind, since) = *self.since.get_or_insert((reached, now));
-        if now.saturating_duration_since(since) < BEHIND {
+        if now.saturating_duration_since(since) < MAX_WATCH_LAG {
             return false;
         }
         self.settled = behind;
--- a/crates/kingcuploft-entry/src/store_watcher.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -29,51 +29,51 @@
 use crate::store_access::StoreAccess;
 
 /// How long a watch waits for a change.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The same for one that is asked again: it tells at once up to which moment this VM knows the store.
-const SHORT_WAIT: Duration = Duration::from_millis(20);
+const REWATCH_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// How lately bytes have come of an answer that is arriving.
-const ARRIVING: Duration = Duration::from_millis(250);
+const RECENT_BYTES_AGE: Duration = Duration::from_millis(250);
 
 /// The pause after a failed call; jitter up to the same is added.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const BACKOFF_STEP: Duration = Duration::from_millis(100);
 
 /// The longest pause: news of a leaving server must arrive within 2 s of the store's return.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
 /// The pause between two watches that brought something: changes come in bursts, and a server that
 /// leaves must be known within 2 s.
-const GATHER: Duration = Duration::from_millis(600);
+const BATCH_PAUSE: Duration = Duration::from_millis(600);
 
 /// The same for what is rare and urgent: each tenth of a second may cost another server.
-const GATHER_RARE: Duration = Duration::from_millis(50);
+const URGENT_BATCH_PAUSE: Duration = Duration::from_millis(50);
 
 /// How often graces of lapsed entries are looked at.
-const EXPIRE_EVERY: Duration = Duration::from_millis(100);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Follows one collection until the process ends.
 pub async fn sync_collection<S: Store>(
     context: Rc<Context>,
     store: Rc<S>,
-    pulse: Rc<StoreAccess>,
+    store_access: Rc<StoreAccess>,
     collection: Collection,
 ) {
-    let mut pauses = Pauses::default();
+    let mut backoff = Backoff::default();
     let mut forgotten = false;
-    let mut wait = WATCH_WAIT;
+    let mut wait = WATCH_TIMEOUT;
     loop {
-        pulse.wait_until_open().await;
+        store_access.wait_until_open().await;
         let from = context.position(collection).filter(|_| !forgotten);
-        let mut asking = std::pin::pin!(list_or_watch(&context, &*store, collection, from, wait));
-        let told = loop {
+        let mut request = std::pin::pin!(list_or_watch(&context, &*store, collection, from, wait));
+        let outcome = loop {
             tokio::select! {
                 biased;
-                told = &mut asking => break Some(told),
-                () = pulse.wait_until_closed() => break None,
-                () = pulse.wait_for_rewatch() => {
-                    wait = SHORT_WAIT;
+                outcome = &mut request => break Some(outcome),
+                () = store_access.wait_until_closed() => break None,
+                () = store_access.wait_for_rewatch() => {
+                    wait = REWATCH_TIMEOUT;
                     // An answer that arrives would have to begin anew.
                     if !is_arriving(&*store, collection) {
                         break None;
@@ -81,25 +81,25 @@
                 }
             }
         };
-        let Some(told) = told else {
+        let Some(outcome) = outcome else {
             continue;
         };
-        match told {
+        match outcome {
             Ok(revision) => {
-                pauses.answered(&context);
+                backoff.answered(&context);
                 forgotten = false;
-                wait = WATCH_WAIT;
+                wait = WATCH_TIMEOUT;
                 context.set_position(collection, revision);
-                let standing = standing(&context, &pulse);
+                let standing = standing(&context, &store_access);
                 context.followers.tell(&Frame::Standing(standing));
             }
             Err(StoreError::HistoryGone) => {
                 tracing::info!(event = "history_gone", collection = collection.label());
                 forgotten = true;
                 // A store that forgets faster than it is read must not be asked without a pause.
-                tokio::time::sleep(FIRST_PAUSE).await;
+                tokio::time::sleep(BACKOFF_STEP).await;
             }
-            Err(error) => tokio::time::sleep(pauses.failed(collection, &error)).await,
+            Err(error) => tokio::time::sleep(backoff.failed(collection, &error)).await,
         }
     }
 }
@@ -107,7 +107,7 @@
 /// Returns whether an answer about a collection is arriving.
 fn is_arriving<S: Store>(store: &S, collection: Collection) -> bool {
     let heard = store.last_received_at(collection);
-    heard.is_some_and(|at| clock::now().saturating_duration_since(at) < ARRIVING)
+    heard.is_some_and(|at| clock::now().saturating_duration_since(at) < RECENT_BYTES_AGE)
 }
 
 async fn list_or_watch<S: Store>(
@@ -133,7 +133,7 @@
 /// Ends the graces of lapsed entries as they run out.
 pub async fn run_expiry(context: Rc<Context>) {
     loop {
-        tokio::time::sleep(EXPIRE_EVERY).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         let now = clock::now();
         let changes = context.with_servers(|servers| servers.expire(now));
         changes
@@ -145,11 +145,11 @@
 }
 
 #[derive(Default)]
-struct Pauses {
+struct Backoff {
     failures: u32,
 }
 
-impl Pauses {
+impl Backoff {
     fn answered(&mut self, context: &Context) {
         if self.failures > 0 {
             note_store_return(context);
@@ -162,8 +162,8 @@
             tracing::warn!(event = "store_call_failed", collection = collection.label(), %error);
         }
         self.failures += 1;
-        let pause = FIRST_PAUSE * self.failures.min(8);
-        pause.min(LONGEST_PAUSE).mul_f64(1.0 + fastrand::f64())
+        let pause = BACKOFF_STEP * self.failures.min(8);
+        pause.min(MAX_BACKOFF).mul_f64(1.0 + fastrand::f64())
     }
 }
 
@@ -227,7 +227,7 @@
     let mut servers = Vec::new();
     for change in changes {
         match change {
-            StoreChange::Written(Record::BackendServer(told)) => servers.push(told),
+            StoreChange::Written(Record::BackendServer(server)) => servers.push(server),
             StoreChange::Written(record) => apply_record(context, record),
             StoreChange::Removed(name) if collection == Collection::BackendServers => {
                 // What came before this may be of the same server.
@@ -245,19 +245,19 @@
     }
     server_updates::apply_servers(context, clock::now(), servers);
     context.set_position(collection, revision);
-    let gather = match collection {
-        Collection::Notices | Collection::Evacuations => GATHER_RARE,
-        Collection::Configuration | Collection::BackendServers | Collection::Zones => GATHER,
+    let pause = match collection {
+        Collection::Notices | Collection::Evacuations => URGENT_BATCH_PAUSE,
+        Collection::Configuration | Collection::BackendServers | Collection::Zones => BATCH_PAUSE,
     };
-    tokio::time::sleep(gather).await;
+    tokio::time::sleep(pause).await;
     Ok(revision)
 }
 
 fn apply_record(context: &Context, record: Record) {
     match record {
-        Record::Configuration(told) => adopt_configuration(context, *told),
-        Record::BackendServer(told) => {
-            server_updates::apply_servers(context, clock::now(), vec![told])
+        Record::Configuration(configuration) => adopt_configuration(context, *configuration),
+        Record::BackendServer(server) => {
+            server_updates::apply_servers(context, clock::now(), vec![server])
         }
         Record::Evacuation(zone) => evacuation::apply_begin(context, zone),
         Record::Notice(notice) => notices::apply_notices(context, vec![notice]),
@@ -300,17 +300,17 @@
 }
 
 /// How many heartbeats a backend server's entry outlasts.
-const LAPSES_AFTER: u32 = 3;
+const HEARTBEATS_UNTIL_LAPSE: u32 = 3;
 
 /// Takes in an era that the store has reached, and passes it on before all that is told of it.
 pub fn note_era(context: &Context, era: Era) {
     let now = clock::now();
-    if context.rewinds.heard(now, era) == EraUpdate::Known {
+    if context.rewinds.observe_era(now, era) == EraUpdate::Known {
         return;
     }
     tracing::warn!(event = "store_rewound", era);
     context.followers.tell_era(&Frame::Era(era));
-    let lapse_after = context.bounds.get().heartbeat * LAPSES_AFTER + GATHER;
+    let lapse_after = context.bounds.get().heartbeat * HEARTBEATS_UNTIL_LAPSE + BATCH_PAUSE;
     context.with_servers(|servers| servers.store_rewound(now, lapse_after));
     context.evacuations.borrow_mut().store_rewound(now);
 }
--- a/crates/kingcuploft-entry/src/upstream/crash_check.rs
+++ b/crates/kingcuploft-entry/src/upstream/crash_check.rs
@@ -7,7 +7,7 @@
 use crate::network::Network;
 
 /// How long a new connection is waited for: the longest round trip of a region, and some.
-const PATIENCE: Duration = Duration::from_millis(20);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// What a new connection to a server comes to after it lost an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -34,7 +34,7 @@
 /// Looks whether a server that has just closed a connection without an answer still listens.
 pub async fn check(network: &dyn Network, upstream: &Upstream) -> CrashCheck {
     let connecting = network.connect(upstream.server.address);
-    match tokio::time::timeout(PATIENCE, connecting).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(_)) => CrashCheck::Alive,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => CrashCheck::Ended,
         Ok(Err(_)) | Err(_) => CrashCheck::Silent,
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -15,13 +15,13 @@
 use crate::peers::readings;
 
 /// The most bytes of an answer that is passed on.
-const MOST_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// How many answers to other requests are skipped on one connection before it is given up.
-const MOST_SKIPPED: usize = 3;
+const MAX_SKIPPED_RESPONSES: usize = 3;
 
 /// The status of a server that is not the one that a request is meant for.
-const MISDIRECTED: u16 = 421;
+const MISDIRECTED_STATUS: u16 = 421;
 
 /// How one attempt ended, with the answer if there is a whole one.
 #[derive(Debug)]
@@ -37,11 +37,11 @@
 }
 
 impl AttemptOutcome {
-    fn without_answer(end: AttemptEnd, detail: &'static str, begun: Instant) -> Self {
+    fn without_answer(end: AttemptEnd, detail: &'static str, started_at: Instant) -> Self {
         Self {
             end,
             response: None,
-            took: clock::since(begun),
+            took: clock::since(started_at),
             detail,
         }
     }
@@ -55,12 +55,12 @@
     request: &Request,
     left: Duration,
 ) -> AttemptOutcome {
-    let begun = clock::now();
-    let _in_flight = upstream.track_in_flight(begun);
+    let started_at = clock::now();
+    let _in_flight = upstream.track_in_flight(started_at);
     readings::tell_sent(context, &upstream.server.name);
-    let ended = tokio::time::timeout(left, run(context, upstream, request, left, begun)).await;
+    let ended = tokio::time::timeout(left, run(context, upstream, request, left, started_at)).await;
     let timed_out =
-        || AttemptOutcome::without_answer(AttemptEnd::TimedOut, "deadline passed", begun);
+        || AttemptOutcome::without_answer(AttemptEnd::TimedOut, "deadline passed", started_at);
     let ended = ended.unwrap_or_else(|_| timed_out());
     let failed = !matches!(ended.end, AttemptEnd::Succeeded);
     upstream.record_outcome(clock::now(), failed);
@@ -72,10 +72,10 @@
     upstream: &Rc<Upstream>,
     request: &Request,
     left: Duration,
-    begun: Instant,
+    started_at: Instant,
 ) -> AttemptOutcome {
     let Ok(mut connection) = upstream.connect(&*context.network).await else {
-        return AttemptOutcome::without_answer(AttemptEnd::Unsent, "no connection", begun);
+        return AttemptOutcome::without_answer(AttemptEnd::Unsent, "no connection", started_at);
     };
     // A new connection may take a second, and the zone may have been evacuated meanwhile.
     if !context.takes_work(upstream) {
@@ -83,10 +83,10 @@
         return AttemptOutcome::without_answer(
             AttemptEnd::Unsent,
             "the server takes no more work",
-            begun,
+            started_at,
         );
     }
-    let left = left.saturating_sub(clock::since(begun));
+    let left = left.saturating_sub(clock::since(started_at));
     let bytes = write_request(context, upstream, request, left);
     match connection.send(&bytes).await {
         Ok(()) => {}
@@ -94,17 +94,21 @@
             return AttemptOutcome::without_answer(
                 AttemptEnd::Unsent,
                 "connection was closed",
-                begun,
+                started_at,
             );
         }
         Err(SendError::PartlySent(_)) => {
-            return AttemptOutcome::without_answer(AttemptEnd::Lost, "broke while sending", begun);
+            return AttemptOutcome::without_answer(
+                AttemptEnd::Lost,
+                "broke while sending",
+                started_at,
+            );
         }
     }
-    let received = receive_own(context, &mut connection, request).await;
+    let received = receive_matching(context, &mut connection, request).await;
     let response = match received {
         Ok(response) => response,
-        Err((end, detail)) => return AttemptOutcome::without_answer(end, detail, begun),
+        Err((end, detail)) => return AttemptOutcome::without_answer(end, detail, started_at),
     };
     let load = response.head.headers.get(context.wire_names.load);
     if let Some(reading) = load.and_then(context.wire_names.read_load) {
@@ -112,8 +116,8 @@
         readings::tell(context, &upstream.server.name, reading, None);
     }
     upstream.release(connection);
-    let (end, detail) = judge(context, &response);
-    if response.head.status != MISDIRECTED {
+    let (end, detail) = classify(context, &response);
+    if response.head.status != MISDIRECTED_STATUS {
         let answer = match end {
             AttemptEnd::Succeeded => limits::AnswerKind::OfRequest,
             _ => limits::AnswerKind::Other,
@@ -124,20 +128,20 @@
     AttemptOutcome {
         end,
         response: Some(response),
-        took: clock::since(begun),
+        took: clock::since(started_at),
         detail,
     }
 }
 
 /// Receives the answer that bears the request's id. An answer to another request may come first:
 /// the server gave one answer too many to whoever used the connection before.
-async fn receive_own(
+async fn receive_matching(
     context: &Context,
     connection: &mut Connection,
     request: &Request,
 ) -> Result<Response, (AttemptEnd, &'static str)> {
-    for _ in 0..MOST_SKIPPED {
-        let received = connection.receive(&request.head.method, MOST_ANSWER_BYTES);
+    for _ in 0..MAX_SKIPPED_RESPONSES {
+        let received = connection.receive(&request.head.method, MAX_RESPONSE_BYTES);
         let response = received.await.map_err(|error| match error {
             ReceiveError::Closed => (AttemptEnd::Lost, "closed without an answer"),
             ReceiveError::Failed(_) => (AttemptEnd::Lost, "connection failed"),
@@ -156,14 +160,14 @@
     Err((AttemptEnd::Lost, "only answers to other requests"))
 }
 
-fn judge(context: &Context, response: &Response) -> (AttemptEnd, &'static str) {
+fn classify(context: &Context, response: &Response) -> (AttemptEnd, &'static str) {
     let headers = &response.head.headers;
     let signed = headers.contains(context.wire_names.signature);
     if headers.contains(context.wire_names.not_run) {
         return (AttemptEnd::NotRun, "server did not run it");
     }
     match response.head.status {
-        MISDIRECTED => (AttemptEnd::NotRun, "another server has the address"),
+        MISDIRECTED_STATUS => (AttemptEnd::NotRun, "another server has the address"),
         200..300 if !signed => (AttemptEnd::Broken, "unsigned answer"),
         200..300 if headers.contains("content-encoding") => (AttemptEnd::Broken, "encoded answer"),
         200..300 => (AttemptEnd::Succeeded, "answered"),
@@ -178,21 +182,25 @@
     request: &Request,
     left: Duration,
 ) -> Vec<u8> {
-    let words = context.wire_names;
+    let wire_names = context.wire_names;
     let mut out = Vec::with_capacity(512 + request.body.len());
     out.extend_from_slice(request.head.method.as_bytes());
     out.push(b' ');
     out.extend_from_slice(request.head.target.as_bytes());
     out.extend_from_slice(b" HTTP/1.1\r\n");
     for (name, value) in request.head.headers.end_to_end() {
-        let own = [words.deadline_ms, words.meant_for];
+        let own = [wire_names.deadline_ms, wire_names.meant_for];
         if !own.iter().any(|own| name.eq_ignore_ascii_case(own)) {
             write_header(&mut out, name, value);
         }
     }
     let left_ms = left.as_millis().max(1).to_string();
-    write_header(&mut out, words.deadline_ms, left_ms.as_bytes());
-    write_header(&mut out, words.meant_for, upstream.server.name.as_bytes());
+    write_header(&mut out, wire_names.deadline_ms, left_ms.as_bytes());
+    write_header(
+        &mut out,
+        wire_names.meant_for,
+        upstream.server.name.as_bytes(),
+    );
     let bodyless = matches!(
         request.head.method.as_str(),
         "GET" | "HEAD" | "DELETE" | "OPTIONS"
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -21,21 +21,21 @@
 
 /// The most idle connections kept to one server: VMs share a server's connections, and one VM
 /// rarely has more than two requests at one server.
-const MOST_IDLE: usize = 3;
+const MAX_IDLE_CONNECTIONS: usize = 3;
 
 /// How long a connection may be idle and still be used, whatever the server says: servers close after 10 s
 /// at all sites, and some forget a connection sooner.
-const LONGEST_IDLE: Duration = Duration::from_secs(9);
+const MAX_IDLE_AGE: Duration = Duration::from_secs(9);
 
 /// How long it is remembered that another VM has sent a request to a server: longer than any reading
 /// is chosen by.
-const SENT_LIFE: Duration = Duration::from_millis(50);
+const PEER_SEND_RETENTION: Duration = Duration::from_millis(50);
 
 /// How long after its answer a probe's failure keeps a server from being asked again, first.
-const FIRST_MUTE: Duration = Duration::from_millis(60);
+const FIRST_PROBE_BACKOFF: Duration = Duration::from_millis(60);
 
 /// The longest such pause: a server that returns is seen within it.
-const LONGEST_MUTE: Duration = Duration::from_millis(800);
+const MAX_PROBE_BACKOFF: Duration = Duration::from_millis(800);
 
 /// What it takes to hear of a server's load, the least first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -59,18 +59,18 @@
     pub rank: u64,
     cold_until: Cell<Instant>,
     /// Since when and until when it must say first whether it is cold.
-    doubted_at: Cell<Instant>,
-    doubted_until: Cell<Option<Instant>>,
+    cold_report_required_at: Cell<Instant>,
+    cold_report_required_until: Cell<Option<Instant>>,
     idle_connections: RefCell<Vec<Connection>>,
-    open: std::rc::Rc<Cell<usize>>,
+    open_connections: std::rc::Rc<Cell<usize>>,
     reading: Cell<Option<(Instant, Reading)>>,
     probe_in_flight: Cell<bool>,
     awaits_late_answer: Cell<bool>,
     probe_backoff: Cell<Option<(Instant, Duration)>>,
     in_flight: RefCell<Vec<Instant>>,
-    others_sent: RefCell<Vec<Instant>>,
+    peer_sends: RefCell<Vec<Instant>>,
     failures: RefCell<Failures>,
-    suspects: Cell<u32>,
+    running_suspects: Cell<u32>,
 }
 
 impl Upstream {
@@ -79,26 +79,26 @@
         Self {
             rank: rendezvous(vm, &server.name),
             cold_until: Cell::new(now + server.cold_for),
-            doubted_at: Cell::new(now),
-            doubted_until: Cell::new(None),
+            cold_report_required_at: Cell::new(now),
+            cold_report_required_until: Cell::new(None),
             server,
             near,
             idle_connections: RefCell::default(),
-            open: std::rc::Rc::default(),
+            open_connections: std::rc::Rc::default(),
             reading: Cell::new(None),
             probe_in_flight: Cell::new(false),
             awaits_late_answer: Cell::new(false),
             probe_backoff: Cell::new(None),
             in_flight: RefCell::default(),
-            others_sent: RefCell::default(),
+            peer_sends: RefCell::default(),
             failures: RefCell::default(),
-            suspects: Cell::new(0),
+            running_suspects: Cell::new(0),
         }
     }
 
     /// Returns whether a call can have a connection of those that this VM may have.
     pub fn has_connection_available(&self, share: usize) -> bool {
-        self.open.get() < share || !self.idle_connections.borrow().is_empty()
+        self.open_connections.get() < share || !self.idle_connections.borrow().is_empty()
     }
 
     /// Returns a connection: an idle one, or a new one.
@@ -110,7 +110,7 @@
         if let Some(connection) = self.take_idle() {
             return Ok(connection);
         }
-        let counted = ConnectionCount::of(&self.open);
+        let counted = ConnectionCount::increment(&self.open_connections);
         Connection::open_counted(network, self.server.address, counted).await
     }
 
@@ -119,7 +119,7 @@
         let now = clock::now();
         let mut idle = self.idle_connections.borrow_mut();
         while let Some(mut connection) = idle.pop() {
-            if connection.is_reusable(now, LONGEST_IDLE) {
+            if connection.is_reusable(now, MAX_IDLE_AGE) {
                 return Some(connection);
             }
         }
@@ -129,7 +129,7 @@
     /// Keeps a connection for later.
     pub fn release(&self, mut connection: Connection) {
         let mut idle = self.idle_connections.borrow_mut();
-        if idle.len() < MOST_IDLE && connection.is_reusable(clock::now(), LONGEST_IDLE) {
+        if idle.len() < MAX_IDLE_CONNECTIONS && connection.is_reusable(clock::now(), MAX_IDLE_AGE) {
             idle.push(connection);
         }
     }
@@ -149,14 +149,14 @@
     }
 
     /// Returns whether the last reading is young enough to choose by.
-    pub fn has_fresh_reading(&self, now: Instant, life: Duration) -> bool {
-        self.reading(now).is_some_and(|(age, _)| age < life)
+    pub fn has_fresh_reading(&self, now: Instant, max_age: Duration) -> bool {
+        self.reading(now).is_some_and(|(age, _)| age < max_age)
     }
 
     /// Returns what it takes to hear of its load.
-    pub fn probe_cost(&self, now: Instant, life: Duration) -> ProbeCost {
+    pub fn probe_cost(&self, now: Instant, max_age: Duration) -> ProbeCost {
         match (
-            self.has_fresh_reading(now, life),
+            self.has_fresh_reading(now, max_age),
             self.idle_connections.borrow().is_empty(),
         ) {
             (true, _) => ProbeCost::None,
@@ -173,26 +173,28 @@
     /// Takes in until when it is cold.
     pub fn set_cold_until(&self, until: Instant) {
         self.cold_until.set(until);
-        self.doubted_until.set(None);
+        self.cold_report_required_until.set(None);
     }
 
     /// Takes in that it is not cold, as it says itself, asked at this moment.
     pub fn set_not_cold(&self, asked_at: Instant) {
-        if self.doubted_at.get() <= asked_at {
-            self.doubted_until.set(None);
+        if self.cold_report_required_at.get() <= asked_at {
+            self.cold_report_required_until.set(None);
         }
     }
 
     /// Gets no work until it has said whether it is cold, or can't be any more.
     pub fn require_cold_report(&self, now: Instant, lasts: Duration) {
-        self.doubted_at.set(now);
-        self.doubted_until.set(Some(now + lasts));
+        self.cold_report_required_at.set(now);
+        self.cold_report_required_until.set(Some(now + lasts));
         self.reading.set(None);
     }
 
     /// Returns whether it must say first whether it is cold.
     pub fn awaits_cold_report(&self, now: Instant) -> bool {
-        self.doubted_until.get().is_some_and(|until| now < until)
+        self.cold_report_required_until
+            .get()
+            .is_some_and(|until| now < until)
     }
 
     /// Returns whether a probe is on its way.
@@ -216,8 +218,8 @@
 
     fn probe_failed(&self, now: Instant, step: ProbeStep, took: Duration) {
         let before = self.probe_backoff.get();
-        let pause = before.map_or(FIRST_MUTE, |(_, pause)| pause * 2);
-        let pause = pause.min(LONGEST_MUTE);
+        let pause = before.map_or(FIRST_PROBE_BACKOFF, |(_, pause)| pause * 2);
+        let pause = pause.min(MAX_PROBE_BACKOFF);
         if before.is_none() {
             let heard = self
                 .reading
@@ -230,7 +232,7 @@
                 took_ms = took.as_millis() as u64,
                 heard_ms = heard.map(|age| age.as_millis() as u64),
                 own = self.in_flight.borrow().len(),
-                connections = self.open.get()
+                connections = self.open_connections.get()
             );
         }
         self.probe_backoff.set(Some((now + pause, pause)));
@@ -244,8 +246,8 @@
 
     /// Takes in that another VM of the zone has just sent a request there.
     pub fn record_peer_send(&self, now: Instant) {
-        let mut sent = self.others_sent.borrow_mut();
-        sent.retain(|at| now.saturating_duration_since(*at) < SENT_LIFE);
+        let mut sent = self.peer_sends.borrow_mut();
+        sent.retain(|at| now.saturating_duration_since(*at) < PEER_SEND_RETENTION);
         sent.push(now);
     }
 
@@ -260,23 +262,23 @@
 
     /// Counts a request as at the server, under which others ended, until the guard is dropped.
     pub fn track_suspect(self: &std::rc::Rc<Self>) -> SuspectGuard {
-        self.suspects.update(|suspects| suspects + 1);
+        self.running_suspects.update(|count| count + 1);
         SuspectGuard(self.clone())
     }
 
     /// Returns whether it runs a request of this VM under which other servers ended.
     pub fn is_running_suspect(&self) -> bool {
-        self.suspects.get() > 0
+        self.running_suspects.get() > 0
     }
 
     /// Returns the server as a request sees it.
-    pub fn candidate(&self, now: Instant, life: Duration, tried: bool) -> Candidate {
+    pub fn candidate(&self, now: Instant, max_age: Duration, tried: bool) -> Candidate {
         let reading = self.reading.get();
-        let reading = reading.filter(|(at, _)| now.saturating_duration_since(*at) < life);
+        let reading = reading.filter(|(at, _)| now.saturating_duration_since(*at) < max_age);
         let own = self.in_flight.borrow();
         let unseen = match reading {
             Some((at, _)) => {
-                let others = self.others_sent.borrow();
+                let others = self.peer_sends.borrow();
                 own.iter()
                     .chain(&*others)
                     .filter(|sent| **sent >= at)
@@ -304,7 +306,7 @@
 
 impl Drop for SuspectGuard {
     fn drop(&mut self) {
-        self.0.suspects.update(|suspects| suspects - 1);
+        self.0.running_suspects.update(|count| count - 1);
     }
 }
 
--- a/crates/kingcuploft-entry/src/upstream/probe.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe.rs
@@ -19,10 +19,10 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// How much longer an answer on a new connection is waited for: work at full servers ends within it.
-const LATE_TIMEOUT: Duration = Duration::from_millis(1500);
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The most bytes of a probe's answer.
-const MOST_PROBE_BYTES: usize = 16 * 1024;
+const MAX_PROBE_RESPONSE_BYTES: usize = 16 * 1024;
 
 /// Asks a server for its load, unless its last reading is fresh, a probe is on its way, or it did
 /// not answer lately.
@@ -33,11 +33,11 @@
         return;
     }
     if !upstream.has_connection_available(context.connection_share(&upstream.server.service)) {
-        context.metrics.probe("no_connection");
+        context.metrics.count_probe("no_connection");
         return;
     }
     if !context.take_probe(now) {
-        context.metrics.probe("no_budget");
+        context.metrics.count_probe("no_budget");
         return;
     }
     upstream.probe_in_flight.set(true);
@@ -53,19 +53,19 @@
 /// slot's time. So the server counts as one that does not answer, and the answer is still waited for: with it comes a
 /// connection on which the next one comes at once.
 async fn probe(context: &Context, upstream: &Rc<Upstream>, request: &[u8]) {
-    let begun = clock::now();
+    let started_at = clock::now();
     let step = Cell::new(ProbeStep::Connecting);
     let mut asking = std::pin::pin!(exchange(&*context.network, upstream, request, &step));
     if let Ok(answered) = tokio::time::timeout(PROBE_TIMEOUT, &mut asking).await {
-        return finish(context, upstream, answered, &step, begun);
+        return finish(context, upstream, answered, &step, started_at);
     }
-    finish(context, upstream, None, &step, begun);
+    finish(context, upstream, None, &step, started_at);
     if matches!(step.get(), ProbeStep::Connecting | ProbeStep::New) {
         upstream.awaits_late_answer.set(true);
-        let answered = tokio::time::timeout(LATE_TIMEOUT, asking).await;
+        let answered = tokio::time::timeout(LATE_ANSWER_TIMEOUT, asking).await;
         upstream.awaits_late_answer.set(false);
         if let Ok(Some(response)) = answered {
-            finish(context, upstream, Some(response), &step, begun);
+            finish(context, upstream, Some(response), &step, started_at);
         }
     }
 }
@@ -75,7 +75,7 @@
     upstream: &Rc<Upstream>,
     answered: Option<Response>,
     step: &Cell<ProbeStep>,
-    begun: Instant,
+    started_at: Instant,
 ) {
     upstream.probe_in_flight.set(false);
     let now = clock::now();
@@ -94,14 +94,14 @@
     });
     match reading {
         Some((reading, cold_for)) => {
-            context.metrics.probe("answered");
-            cold_servers::apply_probe_answer(context, upstream, cold_for, begun);
+            context.metrics.count_probe("answered");
+            cold_servers::apply_probe_answer(context, upstream, cold_for, started_at);
             upstream.record_reading(now, reading);
             readings::tell(context, &upstream.server.name, reading, Some(cold_for));
         }
         None => {
-            context.metrics.probe("failed");
-            upstream.probe_failed(now, step.get(), now - begun);
+            context.metrics.count_probe("failed");
+            upstream.probe_failed(now, step.get(), now - started_at);
             tracing::debug!(event = "probe_failed", server = %upstream.server.name);
         }
     }
@@ -122,7 +122,10 @@
         ProbeStep::New
     });
     connection.send(request).await.ok()?;
-    let response = connection.receive("GET", MOST_PROBE_BYTES).await.ok()?;
+    let response = connection
+        .receive("GET", MAX_PROBE_RESPONSE_BYTES)
+        .await
+        .ok()?;
     upstream.release(connection);
     Some(response)
 }
--- a/crates/kingcuploft-entry/tests/events_page.rs
+++ b/crates/kingcuploft-entry/tests/events_page.rs
@@ -124,12 +124,12 @@
 fn the_page_tells_every_counter() {
     let metrics = Metrics::default();
     // Counters with labels show once they have counted something.
-    metrics.attempt("succeeded");
-    metrics.repeat("late");
-    metrics.failure("no server can answer in time");
-    metrics.probe("answered");
-    metrics.reader_lost("silent");
-    metrics.answered(None, 200, Duration::ZERO);
+    metrics.count_attempt("succeeded");
+    metrics.count_repeat("late");
+    metrics.count_failure("no server can answer in time");
+    metrics.count_probe("answered");
+    metrics.count_reader_lost("silent");
+    metrics.observe_answer(None, 200, Duration::ZERO);
     let text = metrics.to_text();
     let helps = text
         .lines()
--- a/crates/kingcuploft-entry/tests/links/notices.rs
+++ b/crates/kingcuploft-entry/tests/links/notices.rs
@@ -36,7 +36,7 @@
         };
         let context = Rc::new(Context::new(settings(&vm, false), WORDS));
         let pulse = Rc::new(StoreAccess::default());
-        let waiting = context.notice_writes.open();
+        let waiting = context.notice_writes.open_queue();
         let client = Rc::new(store.clone());
         let feeling = store_liveness::monitor(context.clone(), client.clone(), pulse.clone());
         tokio::task::spawn_local(feeling);
