--- a/crates/kingcuploft-standins/src/experiments/peer_slope.rs
+++ b/crates/kingcuploft-standins/src/experiments/peer_slope.rs
@@ -81,13 +81,13 @@
         };
         let (dispatch, from_all) = crossbeam_channel::bounded(64);
         let shared = Shared::new(settings, vm, dispatch);
-        shared.fleet.membership().listens_at(address);
+        shared.fleet.membership().set_address(address);
         // There is no store to wait for before a peer's first manifest is taken.
-        shared.manifest.learn(
-            &shared,
-            "the experiment",
-            |adoption| Ok(adoption.gathered()),
-        );
+        shared
+            .manifest
+            .learn(&shared, "the experiment", |adoption| {
+                Ok(adoption.sources_asked())
+            });
         let keys = Keys::read(&shared.settings.peer).map_err(std::io::Error::other)?;
         let context = Arc::clone(&shared);
         let peers = std::thread::spawn(move || peer_link::run(&context, listener, keys));
@@ -183,7 +183,9 @@
         nodes.iter().all(|node| node.generation() == 1)
     })?;
     wait(size, "quiet", || {
-        nodes.iter().all(|n| n.shared.fleet.membership().is_quiet())
+        nodes
+            .iter()
+            .all(|n| n.shared.fleet.membership().is_gossip_empty())
     })?;
     let (idle, cpu) = spent(&nodes, || std::thread::sleep(time));
     let seconds = time.as_secs_f64();
--- a/crates/kingcuploft-standins/tests/fleet/members.rs
+++ b/crates/kingcuploft-standins/tests/fleet/members.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kingcuploft::decisions::membership::MemberState;
-use kingcuploft::decisions::notes::Note;
+use kingcuploft::decisions::notes::LoadNote;
 use kingcuploft::dispatcher::PeerNotes;
 use kingcuploft_platform::{ListedVm, ObjectStore, VmState};
 use kingcuploftd::fleet_keeper::{DrainNotice, PeerNews};
@@ -41,7 +41,7 @@
     let shared = bench.daemons[0].shared();
     until(
         IN_FORCE,
-        || shared.fleet.membership().sharing() == 6,
+        || shared.fleet.membership().serving_vms() == 6,
         || "sharing".into(),
     );
     // A planned stop is told at once; nobody needs to wait for silence.
@@ -175,7 +175,7 @@
         let notes = PeerNotes {
             service: "trip".into(),
             generation: 1,
-            notes: vec![Note {
+            notes: vec![LoadNote {
                 server: round,
                 in_flight: 9,
             }],
--- a/crates/kingcuploft/benches/admission.rs
+++ b/crates/kingcuploft/benches/admission.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use divan::{Bencher, black_box};
-use kingcuploft::decisions::admission::{Admission, Waiting};
+use kingcuploft::decisions::admission::{Admission, QueuedRequest};
 use kingcuploft::manifest::Service;
 use kingcuploft::world::contract::Priority;
 
@@ -13,8 +13,8 @@
     divan::main();
 }
 
-fn waiting(request: u64, now: Instant) -> Waiting {
-    Waiting {
+fn waiting(request: u64, now: Instant) -> QueuedRequest {
+    QueuedRequest {
         request,
         rule: "lookup".into(),
         priority: Priority::Interactive,
@@ -69,8 +69,8 @@
     let now = Instant::now();
     let mut admission = filled(len, now);
     bencher.bench_local(|| {
-        black_box(admission.next_hopeless());
-        black_box(admission.give_up(now))
+        black_box(admission.next_shed_at());
+        black_box(admission.shed_one(now))
     });
 }
 
--- a/crates/kingcuploft/benches/selection.rs
+++ b/crates/kingcuploft/benches/selection.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use divan::{Bencher, black_box};
-use kingcuploft::decisions::measuring::Measuring;
+use kingcuploft::decisions::measuring::ProbeScheduler;
 use kingcuploft::decisions::selection::{Choice, Selection};
 use kingcuploft::manifest::Service;
 use kingcuploft::world::backend_server::{CallEnd, CallReport, LoadReport};
@@ -43,16 +43,16 @@
     bencher.bench_local(|| {
         now += Duration::from_micros(500);
         if let Choice::Send(server) = selection.choose(now, &mut rng, |_| true) {
-            selection.sent(now, server);
-            selection.ended(now, server, black_box(&report));
+            selection.record_sent(now, server);
+            selection.record_end(now, server, black_box(&report));
         }
     });
 }
 
 #[divan::bench(args = SERVERS)]
 fn fourteen_vms_share_the_probing_anew(bencher: Bencher<'_, '_>, servers: u32) {
-    let mut measuring = Measuring::new(&service(servers));
+    let mut measuring = ProbeScheduler::new(&service(servers));
     let live: Vec<VmName> = (0..14).map(|i| format!("entry-{i}").into()).collect();
     let now = Instant::now();
-    bencher.bench_local(|| measuring.membership(now, &live[0], black_box(&live)));
+    bencher.bench_local(|| measuring.update_members(now, &live[0], black_box(&live)));
 }
--- a/crates/kingcuploft/src/decisions/admission/mod.rs
+++ b/crates/kingcuploft/src/decisions/admission/mod.rs
@@ -14,11 +14,11 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-pub use self::offer::{Next, Offer, Outlook, Waiting};
-use self::standing::{RuleLoad, Standing};
-use super::fair_queue::{FairQueue, Shares};
-use super::pace::{Pace, ServiceTime};
-use super::turns::{self, PRIORITIES, Turns};
+pub use self::offer::{AdmissionDecision, NextRequest, QueuedRequest, WaitEstimate};
+use self::standing::{QueueEntry, RuleLoad};
+use super::fair_queue::{CallerShares, FairQueue};
+use super::priority_scheduler::{self, PRIORITY_COUNT, PriorityScheduler};
+use super::service_time::{DequeueInterval, ServiceTime};
 use crate::manifest::Service;
 use crate::settings::admission::AdmissionSettings;
 use crate::utils::HashMap;
@@ -38,11 +38,11 @@
 #[derive(Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
-    queues: [FairQueue; PRIORITIES],
-    paces: [Pace; PRIORITIES],
-    shares: Shares,
-    turns: Turns,
-    standings: HashMap<RequestId, Standing>,
+    queues: [FairQueue; PRIORITY_COUNT],
+    paces: [DequeueInterval; PRIORITY_COUNT],
+    shares: CallerShares,
+    turns: PriorityScheduler,
+    standings: HashMap<RequestId, QueueEntry>,
     hopeless: BTreeSet<(Instant, RequestId)>,
     rules: HashMap<RuleName, RuleLoad>,
     keys: HashMap<IdempotencyKey, u32>,
@@ -55,8 +55,8 @@
         Self {
             queues: Default::default(),
             paces: Default::default(),
-            shares: Shares::new(settings.callers_remembered),
-            turns: Turns::new(&settings),
+            shares: CallerShares::new(settings.callers_remembered),
+            turns: PriorityScheduler::new(&settings),
             standings: HashMap::default(),
             hopeless: BTreeSet::new(),
             rules: HashMap::default(),
@@ -66,47 +66,53 @@
     }
 
     /// Goes on under a new manifest; what waits stays.
-    pub fn adopt(&mut self, service: &Service) {
+    pub fn update_service(&mut self, service: &Service) {
         self.settings = service.policy.admission.clone();
-        self.shares.adopt(self.settings.callers_remembered);
-        self.turns.adopt(&self.settings);
+        self.shares.resize(self.settings.callers_remembered);
+        self.turns.update_settings(&self.settings);
         let kept = |rule: &RuleName| service.rules.iter().any(|r| r.name == *rule);
         self.rules
             .retain(|rule, load| kept(rule) || load.waiting + load.claiming > 0);
     }
 
     /// Tells what a new request can expect.
-    pub fn outlook(&self, now: Instant, waiting: &Waiting) -> Outlook {
+    pub fn estimate_wait(&self, now: Instant, waiting: &QueuedRequest) -> WaitEstimate {
         let priority = self.priority(waiting);
         let queue = &self.queues[priority];
         let ahead = match self.settings.fair_share {
-            true => queue.ahead_of(&waiting.caller),
+            true => queue.requests_ahead_of(&waiting.caller),
             false => queue.len(),
         };
-        self.outlook_at(now, priority, ahead, &waiting.rule)
+        self.estimate_wait_behind(now, priority, ahead, &waiting.rule)
     }
 
-    fn outlook_at(&self, now: Instant, priority: usize, ahead: usize, rule: &RuleName) -> Outlook {
-        let wait = self.paces[priority].gap_now(now).mul_f64(ahead as f64);
-        Outlook {
+    fn estimate_wait_behind(
+        &self,
+        now: Instant,
+        priority: usize,
+        ahead: usize,
+        rule: &RuleName,
+    ) -> WaitEstimate {
+        let wait = self.paces[priority].expected(now).mul_f64(ahead as f64);
+        WaitEstimate {
             ahead,
             wait,
-            service_time: self.service_time(rule).high(),
+            service_time: self.service_time(rule).p90(),
         }
     }
 
     /// Judges a request at the door without queueing it.
-    pub fn check(&self, now: Instant, waiting: &Waiting) -> Offer {
+    pub fn check(&self, now: Instant, waiting: &QueuedRequest) -> AdmissionDecision {
         if let Some(refusal) = self.refusal_by_key(waiting) {
-            return Offer::Refused(refusal);
+            return AdmissionDecision::Refused(refusal);
         }
-        let outlook = self.outlook(now, waiting);
+        let outlook = self.estimate_wait(now, waiting);
         let left = waiting.deadline.saturating_duration_since(now);
         let contended = outlook.ahead > 0;
         let too_late = outlook.wait + outlook.service_time > left;
-        let too_long = outlook.wait > self.longest_wait(now, waiting, left);
+        let too_long = outlook.wait > self.max_wait(now, waiting, left);
         if self.settings.deadline_aware && contended && (too_late || too_long) {
-            return Offer::Refused(self.unreachable(waiting.request, outlook.wait));
+            return AdmissionDecision::Refused(self.unreachable(waiting.request, outlook.wait));
         }
         self.room(waiting, outlook.wait)
     }
@@ -116,9 +122,9 @@
     /// A burst may use the whole deadline: it ends, and then everybody was served. A queue that
     /// stands is overload: however long it is, the slots do the same work, and a longer one only
     /// makes every answer later and more of them too late.
-    fn longest_wait(&self, now: Instant, waiting: &Waiting, left: Duration) -> Duration {
+    fn max_wait(&self, now: Instant, waiting: &QueuedRequest, left: Duration) -> Duration {
         let standing_after = Duration::from_millis(self.settings.standing_after_ms);
-        match self.paces[self.priority(waiting)].stands_for(now) > standing_after {
+        match self.paces[self.priority(waiting)].nonempty_for(now) > standing_after {
             true => left.mul_f64(self.settings.standing_wait_share),
             false => left,
         }
@@ -126,64 +132,70 @@
 
     /// Refuses duplicates of a key beyond its share. They are not said to have "not run": the
     /// request with that key which is being worked on may run.
-    fn refusal_by_key(&self, waiting: &Waiting) -> Option<Refusal> {
+    fn refusal_by_key(&self, waiting: &QueuedRequest) -> Option<Refusal> {
         let held = *self.keys.get(waiting.key.as_ref()?)?;
         let refusal = Refusal::unknown(RefusalReason::KeyShare).retry_after(KEY_RETRY_AFTER);
         (held >= self.settings.key_limit).then_some(refusal)
     }
 
     /// Judges by the rule's and the caller's share of the queue.
-    fn room(&self, waiting: &Waiting, wait: Duration) -> Offer {
+    fn room(&self, waiting: &QueuedRequest, wait: Duration) -> AdmissionDecision {
         let load = self.rules.get(&waiting.rule);
         let held = load.map_or(0, |load| load.waiting + load.claiming);
         let limit = waiting.queue_limit as usize;
         let full = held >= limit;
         if !self.settings.fair_share {
             return match full {
-                true => Offer::Refused(refused(RefusalReason::QueueFull, waiting.request, wait)),
-                false => Offer::Queued,
+                true => AdmissionDecision::Refused(refused(
+                    RefusalReason::QueueFull,
+                    waiting.request,
+                    wait,
+                )),
+                false => AdmissionDecision::Queued,
             };
         }
         let queue = &self.queues[self.priority(waiting)];
-        let own = queue.of_caller(&waiting.caller);
+        let own = queue.waiting_of_caller(&waiting.caller);
         let share = (waiting.caller_share * f64::from(waiting.queue_limit)) as usize;
         let others_wait = queue.len() > own;
         if others_wait && own >= share.max(1) {
             let reason = RefusalReason::CallerShare;
-            return Offer::Refused(refused(reason, waiting.request, wait));
+            return AdmissionDecision::Refused(refused(reason, waiting.request, wait));
         }
         if !full {
-            return Offer::Queued;
+            return AdmissionDecision::Queued;
         }
         // Twice as many, so that chance alone does not turn out who waits already.
-        let heaviest = queue.heaviest_above(2 * (own + 1));
+        let heaviest = queue.last_of_heaviest_above(2 * (own + 1));
         match heaviest.filter(|heaviest| heaviest.rule == waiting.rule) {
             Some(heaviest) => {
                 let reason = RefusalReason::CallerShare;
                 let refusal = refused(reason, heaviest.request, wait);
-                Offer::QueuedInsteadOf(heaviest.request, refusal)
+                AdmissionDecision::QueuedReplacing(heaviest.request, refusal)
+            }
+            None => {
+                AdmissionDecision::Refused(refused(RefusalReason::QueueFull, waiting.request, wait))
             }
-            None => Offer::Refused(refused(RefusalReason::QueueFull, waiting.request, wait)),
         }
     }
 
     /// Queues a request, or refuses it.
-    pub fn offer(&mut self, now: Instant, waiting: Waiting) -> Offer {
+    pub fn offer(&mut self, now: Instant, waiting: QueuedRequest) -> AdmissionDecision {
         let offer = self.check(now, &waiting);
         match offer {
-            Offer::Refused(_) => return offer,
-            Offer::QueuedInsteadOf(other, _) => drop(self.remove(other)),
-            Offer::Queued => {}
+            AdmissionDecision::Refused(_) => return offer,
+            AdmissionDecision::QueuedReplacing(other, _) => drop(self.remove(other)),
+            AdmissionDecision::Queued => {}
         }
         self.push(now, waiting);
         offer
     }
 
-    fn push(&mut self, now: Instant, waiting: Waiting) {
+    fn push(&mut self, now: Instant, waiting: QueuedRequest) {
         let request = waiting.request;
         let priority = self.priority(&waiting);
         if self.queues[priority].is_empty() {
-            self.paces[priority].begins(now);
+            self.paces[priority].record_queue_start(now);
         }
         let load = self.rules.entry(waiting.rule.clone()).or_default();
         load.waiting += 1;
@@ -201,11 +213,11 @@
         self.hopeless.insert((hopeless_at, request));
         self.standings.insert(
             request,
-            Standing {
+            QueueEntry {
                 priority,
-                place,
+                position: place,
                 cost_us,
-                hopeless_at,
+                latest_start: hopeless_at,
             },
         );
     }
@@ -215,35 +227,35 @@
     /// A request that is too late is given up in favour of another that waits. The only one that
     /// waits is served whatever was measured: a slot that is free costs nothing, and where a slow
     /// spell has made every request look too late, its answer is the one sample that ends that.
-    pub fn next(&mut self, now: Instant) -> Next {
+    pub fn next(&mut self, now: Instant) -> NextRequest {
         let Some(priority) = self.turns.next(|i| self.waits(i)) else {
-            return Next::Empty;
+            return NextRequest::Empty;
         };
-        if let Some(refusal) = self.first_too_late(now, priority) {
+        if let Some(refusal) = self.shed_first(now, priority) {
             return refusal;
         }
         let Some((waiting, start_us)) = self.queues[priority].pop() else {
-            return Next::Empty;
+            return NextRequest::Empty;
         };
-        self.turns.served(priority);
-        self.left_queue(&waiting);
-        self.paces[priority].served(now, self.waits(priority));
+        self.turns.record_served(priority);
+        self.remove_from_indexes(&waiting);
+        self.paces[priority].record_dequeue(now, self.waits(priority));
         let starts = self.queues.iter().filter_map(FairQueue::first_start_us);
         self.shares.advance(starts.min().unwrap_or(start_us));
-        Next::Serve(waiting)
+        NextRequest::Serve(waiting)
     }
 
-    fn first_too_late(&mut self, now: Instant, priority: usize) -> Option<Next> {
+    fn shed_first(&mut self, now: Instant, priority: usize) -> Option<NextRequest> {
         let first = self.queues[priority].first()?;
         let (request, overdue) = (first.request, first.deadline <= now);
-        let hopeless = self.standings.get(&request)?.hopeless_at <= now;
+        let hopeless = self.standings.get(&request)?.latest_start <= now;
         let others_wait = self.len() > 1;
         if !overdue && (!hopeless || !others_wait) {
             return None;
         }
         self.remove(request);
-        let wait = self.paces[priority].gap().unwrap_or_default();
-        Some(Next::GivenUp(request, self.unreachable(request, wait)))
+        let wait = self.paces[priority].mean().unwrap_or_default();
+        Some(NextRequest::Shed(request, self.unreachable(request, wait)))
     }
 
     /// Takes a request off the queue that can not be answered in time any more, while no slot is
@@ -251,25 +263,25 @@
     ///
     /// That is one whose time left is shorter than the median service time, or the last of a
     /// priority where the queue has slowed down so much that its turn comes too late.
-    pub fn give_up(&mut self, now: Instant) -> Option<(RequestId, Refusal)> {
+    pub fn shed_one(&mut self, now: Instant) -> Option<(RequestId, Refusal)> {
         let &(at, request) = self.hopeless.first()?;
         if at <= now {
             let priority = self.standings.get(&request)?.priority;
-            let wait = self.paces[priority].gap().unwrap_or_default();
+            let wait = self.paces[priority].mean().unwrap_or_default();
             self.remove(request);
             return Some((request, self.unreachable(request, wait)));
         }
         if !self.settings.deadline_aware {
             return None;
         }
-        (0..PRIORITIES).find_map(|priority| self.give_up_last(now, priority))
+        (0..PRIORITY_COUNT).find_map(|priority| self.shed_last(now, priority))
     }
 
-    fn give_up_last(&mut self, now: Instant, priority: usize) -> Option<(RequestId, Refusal)> {
+    fn shed_last(&mut self, now: Instant, priority: usize) -> Option<(RequestId, Refusal)> {
         let queue = &self.queues[priority];
         let last = queue.last()?;
         let ahead = queue.len() - 1;
-        let outlook = self.outlook_at(now, priority, ahead, &last.rule);
+        let outlook = self.estimate_wait_behind(now, priority, ahead, &last.rule);
         let left = last.deadline.saturating_duration_since(now);
         if outlook.wait + self.service_time(&last.rule).median() <= left {
             return None;
@@ -285,20 +297,20 @@
             return false;
         };
         let queue = &mut self.queues[standing.priority];
-        let Some(waiting) = queue.remove(standing.place) else {
+        let Some(waiting) = queue.remove(standing.position) else {
             return false;
         };
-        self.shares.give_back(&waiting.caller, standing.cost_us);
-        self.left_queue(&waiting);
+        self.shares.refund(&waiting.caller, standing.cost_us);
+        self.remove_from_indexes(&waiting);
         if !self.waits(standing.priority) {
-            self.paces[standing.priority].emptied();
+            self.paces[standing.priority].reset();
         }
         true
     }
 
-    fn left_queue(&mut self, waiting: &Waiting) {
+    fn remove_from_indexes(&mut self, waiting: &QueuedRequest) {
         if let Some(standing) = self.standings.remove(&waiting.request) {
-            let hopeless = (standing.hopeless_at, waiting.request);
+            let hopeless = (standing.latest_start, waiting.request);
             self.hopeless.remove(&hopeless);
         }
         if let Some(load) = self.rules.get_mut(&waiting.rule) {
@@ -308,7 +320,7 @@
 
     /// Notes that a request's claim is asked for: it has its place in the queue, and its key is
     /// being worked on until [`Self::key_ended`].
-    pub fn claim_asked(&mut self, rule: &RuleName, key: Option<&IdempotencyKey>) {
+    pub fn claim_started(&mut self, rule: &RuleName, key: Option<&IdempotencyKey>) {
         self.rules.entry(rule.clone()).or_default().claiming += 1;
         if let Some(key) = key {
             *self.keys.entry(key.clone()).or_default() += 1;
@@ -316,7 +328,7 @@
     }
 
     /// Notes that a claim was settled.
-    pub fn claim_settled(&mut self, rule: &RuleName) {
+    pub fn claim_ended(&mut self, rule: &RuleName) {
         if let Some(load) = self.rules.get_mut(rule) {
             load.claiming = load.claiming.saturating_sub(1);
         }
@@ -333,9 +345,9 @@
     }
 
     /// Takes in how long a request of a rule took from sending to answer.
-    pub fn measured(&mut self, rule: &RuleName, service_time: Duration) {
+    pub fn record_service_time(&mut self, rule: &RuleName, service_time: Duration) {
         let load = self.rules.entry(rule.clone()).or_default();
-        load.service_time.sample(service_time);
+        load.service_time.record(service_time);
     }
 
     /// Returns what was measured of a rule.
@@ -345,7 +357,7 @@
     }
 
     /// Returns when the next request is given up at the latest.
-    pub fn next_hopeless(&self) -> Option<Instant> {
+    pub fn next_shed_at(&self) -> Option<Instant> {
         self.hopeless.first().map(|&(at, _)| at)
     }
 
@@ -360,8 +372,8 @@
     }
 
     /// Returns how many callers are held in memory.
-    pub fn callers_held(&self) -> usize {
-        let waiting: usize = self.queues.iter().map(FairQueue::callers).sum();
+    pub fn tracked_callers(&self) -> usize {
+        let waiting: usize = self.queues.iter().map(FairQueue::waiting_callers).sum();
         waiting + self.shares.len()
     }
 
@@ -374,9 +386,9 @@
         !self.queues[priority].is_empty()
     }
 
-    fn priority(&self, waiting: &Waiting) -> usize {
+    fn priority(&self, waiting: &QueuedRequest) -> usize {
         match self.settings.priorities {
-            true => turns::index(waiting.priority),
+            true => priority_scheduler::priority_index(waiting.priority),
             false => 0,
         }
     }
--- a/crates/kingcuploft/src/decisions/admission/offer.rs
+++ b/crates/kingcuploft/src/decisions/admission/offer.rs
@@ -8,7 +8,7 @@
 
 /// A request that waits for a backend server.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// The request.
     pub request: RequestId,
     /// Its rule.
@@ -31,29 +31,29 @@
 
 /// What became of a request that was offered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Offer {
+pub enum AdmissionDecision {
     /// It waits.
     Queued,
     /// It waits, and this request, which waited, is refused in its stead.
-    QueuedInsteadOf(RequestId, Refusal),
+    QueuedReplacing(RequestId, Refusal),
     /// It is refused at the door.
     Refused(Refusal),
 }
 
 /// Which waiting request is served next.
 #[derive(Debug)]
-pub enum Next {
+pub enum NextRequest {
     /// This one.
-    Serve(Waiting),
+    Serve(QueuedRequest),
     /// None yet: this one can not be answered in time any more and is refused.
-    GivenUp(RequestId, Refusal),
+    Shed(RequestId, Refusal),
     /// Nothing waits.
     Empty,
 }
 
 /// What a request can expect, as things stand.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Outlook {
+pub struct WaitEstimate {
     /// How many requests are served before it.
     pub ahead: usize,
     /// How long it waits.
--- a/crates/kingcuploft/src/decisions/admission/standing.rs
+++ b/crates/kingcuploft/src/decisions/admission/standing.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use crate::decisions::fair_queue::Place;
-use crate::decisions::pace::ServiceTime;
+use crate::decisions::fair_queue::QueuePosition;
+use crate::decisions::service_time::ServiceTime;
 
 /// The load of one rule.
 #[derive(Debug, Default)]
@@ -15,10 +15,10 @@
 
 /// Where a waiting request stands.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Standing {
+pub(super) struct QueueEntry {
     pub(super) priority: usize,
-    pub(super) place: Place,
+    pub(super) position: QueuePosition,
     pub(super) cost_us: u64,
     /// When it can not be answered in time any more.
-    pub(super) hopeless_at: Instant,
+    pub(super) latest_start: Instant,
 }
--- a/crates/kingcuploft/src/decisions/adoption.rs
+++ b/crates/kingcuploft/src/decisions/adoption.rs
@@ -22,22 +22,22 @@
 
 /// How many earlier roots are kept to answer peers with a difference; at 17,000 changes a day a
 /// peer that is 30 s behind misses 6, and at 740 services a root takes about 100 kB.
-pub const ROOTS_KEPT: usize = 8;
+pub const MAX_EARLIER_ROOTS: usize = 8;
 
 /// What a VM does next after it learnt something.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub enum AdoptionStep {
     /// Nothing is new.
-    Keep,
+    Unchanged,
     /// Parts of a newer manifest are missing: see [`Adoption::need`].
-    Fetch,
+    FetchMissing,
     /// This manifest is in force from now on.
     InForce(Accepted),
 }
 
 /// What is missing for the newest generation that is known of.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Need {
+pub enum MissingParts {
     /// Nothing.
     Nothing,
     /// The root of a generation at least this high; `since` is known.
@@ -59,7 +59,7 @@
     CorruptRoot(String),
     /// The difference does not fit the root known here, or its hash is wrong.
     #[error("the root of generation {0} does not follow from the one known here")]
-    Unfit(Generation),
+    DeltaMismatch(Generation),
     /// An object's text has another hash than its name says.
     #[error("service object {0} is corrupt: its text has another hash")]
     WrongHash(ContentHash),
@@ -76,7 +76,7 @@
     },
     /// The same generation has two contents: the store was reset or tampered with.
     #[error("generation {0} was seen with two contents; the one in force stays")]
-    TwoContents(Generation),
+    ConflictingContents(Generation),
 }
 
 /// What is known, for status pages and metrics.
@@ -123,7 +123,7 @@
 impl Adoption {
     /// Builds the adoption of a VM that just started: it puts nothing in force before enough
     /// sources were asked, for the first that answers may be a peer that was cut off for an hour.
-    pub fn gathering() -> Self {
+    pub fn awaiting_sources() -> Self {
         Self {
             gathers: true,
             ..Self::default()
@@ -131,12 +131,12 @@
     }
 
     /// Tells whether sources are still being asked for a first manifest.
-    pub fn gathers(&self) -> bool {
+    pub fn awaits_sources(&self) -> bool {
         self.gathers
     }
 
     /// Notes that enough sources were asked: the store answered, or peers had the time to.
-    pub fn gathered(&mut self) -> Step {
+    pub fn sources_asked(&mut self) -> AdoptionStep {
         self.gathers = false;
         self.step()
     }
@@ -154,7 +154,7 @@
     }
 
     /// Notes that some source knows this generation.
-    pub fn heard(&mut self, generation: Generation) {
+    pub fn note_generation(&mut self, generation: Generation) {
         self.heard = self.heard.max(generation);
     }
 
@@ -163,7 +163,7 @@
     /// # Errors
     ///
     /// [`AdoptionError::CorruptRoot`] or [`AdoptionError::TwoContents`]; nothing changes.
-    pub fn root_text(&mut self, text: &str) -> Result<Step, AdoptionError> {
+    pub fn root_text(&mut self, text: &str) -> Result<AdoptionStep, AdoptionError> {
         match serde_json::from_str::<Root>(text) {
             Ok(root) => self.root(root),
             Err(error) => self.failed(AdoptionError::CorruptRoot(error.to_string())),
@@ -175,10 +175,10 @@
     /// # Errors
     ///
     /// [`AdoptionError::Unfit`] or [`AdoptionError::TwoContents`]; nothing changes.
-    pub fn root_delta(&mut self, delta: &RootDelta) -> Result<Step, AdoptionError> {
+    pub fn root_delta(&mut self, delta: &RootDelta) -> Result<AdoptionStep, AdoptionError> {
         match delta.apply(self.newest_root()) {
             Some(root) => self.root(root),
-            None => self.failed(AdoptionError::Unfit(delta.root.generation)),
+            None => self.failed(AdoptionError::DeltaMismatch(delta.root.generation)),
         }
     }
 
@@ -187,12 +187,16 @@
     /// # Errors
     ///
     /// [`AdoptionError::WrongHash`] or [`AdoptionError::Unreadable`]; nothing changes.
-    pub fn service_text(&mut self, hash: &ContentHash, text: &str) -> Result<Step, AdoptionError> {
+    pub fn service_text(
+        &mut self,
+        hash: &ContentHash,
+        text: &str,
+    ) -> Result<AdoptionStep, AdoptionError> {
         if ContentHash::of(text) != *hash {
             return self.failed(AdoptionError::WrongHash(hash.clone()));
         }
         if !self.awaits(hash) {
-            return Ok(Step::Keep);
+            return Ok(AdoptionStep::Unchanged);
         }
         let service = match serde_json::from_str::<Service>(text) {
             Ok(service) => Arc::new(service),
@@ -214,23 +218,25 @@
     /// # Errors
     ///
     /// [`AdoptionError::Missing`], which the status then tells.
-    pub fn service_missing(&mut self, hash: &ContentHash) -> Result<Step, AdoptionError> {
+    pub fn service_missing(&mut self, hash: &ContentHash) -> Result<AdoptionStep, AdoptionError> {
         match self.awaits(hash) && !self.services.contains_key(hash) {
             true => self.failed(AdoptionError::Missing(hash.clone())),
-            false => Ok(Step::Keep),
+            false => Ok(AdoptionStep::Unchanged),
         }
     }
 
     /// Returns what is missing.
-    pub fn need(&self) -> Need {
+    pub fn missing_parts(&self) -> MissingParts {
         let newest = self.newest_root().map_or(0, |root| root.generation);
         match &self.awaited {
-            Some(awaited) if newest >= self.heard => Need::Services(self.missing(&awaited.root)),
-            _ if newest < self.heard => Need::Root {
+            Some(awaited) if newest >= self.heard => {
+                MissingParts::Services(self.missing(&awaited.root))
+            }
+            _ if newest < self.heard => MissingParts::Root {
                 generation: self.heard,
                 since: newest,
             },
-            _ => Need::Nothing,
+            _ => MissingParts::Nothing,
         }
     }
 
@@ -263,7 +269,7 @@
     }
 
     /// Takes a root whose form is sound.
-    fn root(&mut self, root: Root) -> Result<Step, AdoptionError> {
+    fn root(&mut self, root: Root) -> Result<AdoptionStep, AdoptionError> {
         let hash = ContentHash::of(&root.text());
         let generation = root.generation;
         let two_contents = |known: &Option<KnownRoot>| {
@@ -271,9 +277,9 @@
             known.is_some_and(|k| k.root.generation == generation && k.hash != hash)
         };
         if two_contents(&self.in_force) || two_contents(&self.awaited) {
-            return self.failed(AdoptionError::TwoContents(generation));
+            return self.failed(AdoptionError::ConflictingContents(generation));
         }
-        self.heard(generation);
+        self.note_generation(generation);
         // An older root than the newest here is a stale read or a peer that lags: the generation
         // only grows.
         if generation <= self.newest_root().map_or(0, |root| root.generation) {
@@ -284,26 +290,26 @@
     }
 
     /// Puts the awaited root in force if it is whole.
-    fn step(&mut self) -> Step {
+    fn step(&mut self) -> AdoptionStep {
         let Some(awaited) = &self.awaited else {
-            return Step::Keep;
+            return AdoptionStep::Unchanged;
         };
         // A first manifest must be the newest that any source told of; a later one is progress
         // even where a still newer one is known of.
         let first_is_stale = self.in_force.is_none() && awaited.root.generation < self.heard;
         if first_is_stale || self.gathers {
-            return Step::Fetch;
+            return AdoptionStep::FetchMissing;
         }
         let mut services = Vec::new();
         for part in &awaited.root.services {
             match self.services.get(&part.hash) {
                 Some(known) => services.push(Arc::clone(&known.service)),
-                None => return Step::Fetch,
+                None => return AdoptionStep::FetchMissing,
             }
         }
         let generation = awaited.root.generation;
         self.swap();
-        Step::InForce(Accepted {
+        AdoptionStep::InForce(Accepted {
             generation,
             manifest: Arc::new(Manifest { services }),
         })
@@ -313,7 +319,7 @@
     fn swap(&mut self) {
         let old = std::mem::replace(&mut self.in_force, self.awaited.take());
         self.earlier.extend(old.map(|known| known.root));
-        if self.earlier.len() > ROOTS_KEPT {
+        if self.earlier.len() > MAX_EARLIER_ROOTS {
             self.earlier.pop_front();
         }
         self.fault = None;
--- a/crates/kingcuploft/src/decisions/claim/message.rs
+++ b/crates/kingcuploft/src/decisions/claim/message.rs
@@ -22,12 +22,12 @@
     /// How long the key is remembered.
     pub window: Duration,
     /// When the claim is refused for want of a decision.
-    pub give_up: Instant,
+    pub deadline: Instant,
 }
 
 /// What a partition is asked to do.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub enum Order {
+pub enum ClaimCommand {
     /// Claim a key; a [`Verdict`] follows.
     Claim(ClaimId, Claim),
     /// Give a held claim back: nothing was sent.
@@ -71,7 +71,7 @@
 
 /// An object of the ledger.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub enum Stored {
+pub enum StoredObject {
     /// A partition's head.
     Head(Arc<Head>),
     /// A sealed segment.
@@ -106,7 +106,7 @@
         /// The object's key.
         name: String,
         /// The new value.
-        value: Stored,
+        value: StoredObject,
         /// What must hold.
         when: Precondition,
     },
@@ -123,7 +123,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum StoreAnswer {
     /// A read found this.
-    Found(Option<(Version, Stored)>),
+    Found(Option<(Version, StoredObject)>),
     /// A write took effect and gave the object this version.
     Written(Version),
     /// A deletion took effect.
@@ -134,16 +134,16 @@
         found: Option<Version>,
     },
     /// The call failed.
-    Failed(Failure),
+    Failed(StoreFailure),
 }
 
 /// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Failure {
+pub enum StoreFailure {
     /// No answer: a write may have taken effect, or may yet.
-    Silent,
+    NoAnswer,
     /// It is certain that nothing was written.
-    NotDone,
+    NotApplied,
     /// The store counts as down and was not called.
     Down {
         /// When it is tried again.
@@ -160,7 +160,7 @@
 
 /// What is worth counting.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Counted {
+pub enum ClaimEvent {
     /// A write lost against another VM's.
     Conflict,
     /// A write without an answer is settled by reading or writing again.
@@ -187,5 +187,5 @@
     /// A claim is decided.
     Verdict(ClaimId, Verdict),
     /// Something to count.
-    Count(Counted),
+    Event(ClaimEvent),
 }
--- a/crates/kingcuploft/src/decisions/claim/mod.rs
+++ b/crates/kingcuploft/src/decisions/claim/mod.rs
@@ -23,14 +23,14 @@
 
 pub mod ledger;
 pub mod message;
-mod pace;
 mod partition;
 mod read;
 mod seal;
 mod state;
 mod write;
+mod write_pacing;
 
-pub use self::partition::{Partition, Time};
+pub use self::partition::{EventContext, Partition};
 
 use std::time::Duration;
 
--- a/crates/kingcuploft/src/decisions/claim/partition.rs
+++ b/crates/kingcuploft/src/decisions/claim/partition.rs
@@ -6,16 +6,16 @@
 
 use super::ledger::{Claimant, EntryState, Fingerprint, KeyHash, Version};
 use super::message::{
-    Claim, ClaimId, Counted, Failure, Operation, Order, Output, StoreAnswer, Verdict,
+    Claim, ClaimCommand, ClaimEvent, ClaimId, Operation, Output, StoreAnswer, StoreFailure, Verdict,
 };
-use super::pace::Pace;
 use super::seal::{Garbage, Staged};
-use super::state::{Abandoned, End, Known, Open, Sealed, Waiting};
+use super::state::{AbandonedClaim, KnownMember, OpenCall, PendingEnd, QueuedRequest, SealedKeys};
+use super::write_pacing::DequeueInterval;
 use crate::settings::claim::ClaimSettings;
 
 /// The time and the random source of one event.
 #[derive(Debug)]
-pub struct Time<'a> {
+pub struct EventContext<'a> {
     /// The monotonic time.
     pub now: Instant,
     /// The wall clock, in ms since 1970.
@@ -31,28 +31,28 @@
     /// Makes the names of this VM's sealed objects its own.
     pub(super) owner: u64,
     pub(super) settings: Arc<ClaimSettings>,
-    pub(super) known: Option<Known>,
+    pub(super) known: Option<KnownMember>,
     /// The store is known to hold at least this version of the head.
-    pub(super) least_version: Version,
+    pub(super) min_version: Version,
     pub(super) must_read: bool,
     /// Whether other VMs write to the partition, so that a read before a write saves a write.
     pub(super) contended: bool,
     /// Whether the head may name sealed objects whose keys are not known yet.
-    pub(super) behind: bool,
-    pub(super) sealed: Sealed,
-    pub(super) waiting: BTreeMap<ClaimId, Waiting>,
+    pub(super) keys_missing: bool,
+    pub(super) sealed: SealedKeys,
+    pub(super) waiting: BTreeMap<ClaimId, QueuedRequest>,
     pub(super) held: BTreeMap<ClaimId, (KeyHash, Claimant)>,
     /// The keys of claims that wait or are held, and the content they were claimed for.
-    pub(super) local: BTreeMap<KeyHash, Fingerprint>,
-    pub(super) ends: Vec<End>,
-    pub(super) abandoned: Vec<Abandoned>,
+    pub(super) local_fingerprints: BTreeMap<KeyHash, Fingerprint>,
+    pub(super) ends: Vec<PendingEnd>,
+    pub(super) abandoned: Vec<AbandonedClaim>,
     pub(super) staged: Option<Staged>,
     pub(super) garbage: Vec<Garbage>,
-    pub(super) names: u64,
-    pub(super) open: Option<(Open, Instant)>,
-    pub(super) pace: Pace,
+    pub(super) sealed_objects_named: u64,
+    pub(super) open: Option<(OpenCall, Instant)>,
+    pub(super) pace: DequeueInterval,
     started: Instant,
-    hurried: bool,
+    flushing: bool,
     last_write: Option<Instant>,
     last_answer: Option<Instant>,
     pause_until: Option<Instant>,
@@ -75,23 +75,23 @@
             owner,
             settings,
             known: None,
-            least_version: 0,
+            min_version: 0,
             must_read: false,
             contended: false,
-            behind: false,
-            sealed: Sealed::default(),
+            keys_missing: false,
+            sealed: SealedKeys::default(),
             waiting: BTreeMap::new(),
             held: BTreeMap::new(),
-            local: BTreeMap::new(),
+            local_fingerprints: BTreeMap::new(),
             ends: Vec::new(),
             abandoned: Vec::new(),
             staged: None,
             garbage: Vec::new(),
-            names: 0,
+            sealed_objects_named: 0,
             open: None,
-            pace: Pace::default(),
+            pace: DequeueInterval::default(),
             started: now,
-            hurried: false,
+            flushing: false,
             last_write: None,
             last_answer: None,
             pause_until: None,
@@ -106,45 +106,55 @@
     }
 
     /// Takes an order in.
-    pub fn order(&mut self, time: &mut Time<'_>, order: Order, out: &mut Vec<Output>) {
-        match order {
-            Order::Claim(id, claim) => self.claim(time, id, claim, out),
-            Order::Release(id) => self.end(time.now, id, None),
-            Order::Acknowledge(id, state) => self.end(time.now, id, Some(state)),
+    pub fn handle_command(
+        &mut self,
+        time: &mut EventContext<'_>,
+        handle_command: ClaimCommand,
+        out: &mut Vec<Output>,
+    ) {
+        match handle_command {
+            ClaimCommand::Claim(id, claim) => self.claim(time, id, claim, out),
+            ClaimCommand::Release(id) => self.end(time.now, id, None),
+            ClaimCommand::Acknowledge(id, state) => self.end(time.now, id, Some(state)),
         }
         self.step(time, out);
     }
 
     /// Takes the answer to the open call in.
-    pub fn answered(&mut self, time: &mut Time<'_>, answer: StoreAnswer, out: &mut Vec<Output>) {
+    pub fn handle_answer(
+        &mut self,
+        time: &mut EventContext<'_>,
+        answer: StoreAnswer,
+        out: &mut Vec<Output>,
+    ) {
         let Some((open, _)) = self.open.take() else {
             return;
         };
         self.last_answer = Some(time.now);
         match answer {
-            StoreAnswer::Failed(failure) => self.failed(time, &open, failure, out),
+            StoreAnswer::Failed(failure) => self.handle_failure(time, &open, failure, out),
             answer => {
                 self.down_until = None;
-                self.closed(time, open, answer, out);
+                self.dispatch_answer(time, open, answer, out);
             }
         }
         self.step(time, out);
     }
 
     /// Refuses claims whose time is over and calls the store where that is due.
-    pub fn tick(&mut self, time: &mut Time<'_>, out: &mut Vec<Output>) {
+    pub fn tick(&mut self, time: &mut EventContext<'_>, out: &mut Vec<Output>) {
         let over = self.waiting.iter();
-        let over = over.filter(|(_, waiting)| waiting.claim.give_up <= time.now);
+        let over = over.filter(|(_, waiting)| waiting.claim.deadline <= time.now);
         let over: Vec<ClaimId> = over.map(|(id, _)| *id).collect();
         for id in over {
-            self.give_up(id, PROBE_PAUSE, out);
+            self.refuse_undecided(id, PROBE_PAUSE, out);
         }
         self.step(time, out);
     }
 
     /// Tells when the next tick is due.
     pub fn next_due(&self) -> Option<Instant> {
-        let give_up = self.waiting.values().map(|waiting| waiting.claim.give_up);
+        let give_up = self.waiting.values().map(|waiting| waiting.claim.deadline);
         self.work_due().into_iter().chain(give_up).min()
     }
 
@@ -157,8 +167,8 @@
     }
 
     /// Writes without waiting for others from now on: the VM stops.
-    pub fn hurry(&mut self) {
-        self.hurried = true;
+    pub fn flush_immediately(&mut self) {
+        self.flushing = true;
     }
 
     /// Returns how many claims are held.
@@ -166,23 +176,23 @@
         self.held.len()
     }
 
-    fn claim(&mut self, time: &Time<'_>, id: ClaimId, claim: Claim, out: &mut Vec<Output>) {
+    fn claim(&mut self, time: &EventContext<'_>, id: ClaimId, claim: Claim, out: &mut Vec<Output>) {
         if let Some(verdict) = self.known_verdict(time, &claim) {
             return out.push(Output::Verdict(id, verdict));
         }
-        self.local.insert(claim.key, claim.fingerprint);
-        let waiting = Waiting {
+        self.local_fingerprints.insert(claim.key, claim.fingerprint);
+        let waiting = QueuedRequest {
             claim,
             since: time.now,
-            tried: false,
-            fresh: false,
+            write_sent: false,
+            head_read: false,
         };
         self.waiting.insert(id, waiting);
     }
 
     /// Decides a claim without the store, where what is known can't change any more.
-    fn known_verdict(&self, time: &Time<'_>, claim: &Claim) -> Option<Verdict> {
-        if let Some(fingerprint) = self.local.get(&claim.key) {
+    fn known_verdict(&self, time: &EventContext<'_>, claim: &Claim) -> Option<Verdict> {
+        if let Some(fingerprint) = self.local_fingerprints.get(&claim.key) {
             return Some(match *fingerprint == claim.fingerprint {
                 true => Verdict::InProgress,
                 false => Verdict::Reused,
@@ -226,8 +236,8 @@
         let Some((key, claimant)) = self.held.remove(&id) else {
             return;
         };
-        self.local.remove(&key);
-        self.ends.push(End {
+        self.local_fingerprints.remove(&key);
+        self.ends.push(PendingEnd {
             key,
             claimant,
             state,
@@ -245,7 +255,7 @@
                 let claim = waiting.claim;
                 self.held.insert(id, (claim.key, claim.claimant));
             }
-            _ => drop(self.local.remove(&waiting.claim.key)),
+            _ => drop(self.local_fingerprints.remove(&waiting.claim.key)),
         }
         out.push(Output::Verdict(id, verdict));
     }
@@ -253,22 +263,22 @@
     /// Refuses a claim for want of a decision. Nothing was sent and nothing will be, so "not run"
     /// is true; but where a write may have carried the claim, it is taken back once it is found.
     /// Without that, a resend through any VM would be told "in progress" for the whole window.
-    fn give_up(&mut self, id: ClaimId, retry_after: Duration, out: &mut Vec<Output>) {
+    fn refuse_undecided(&mut self, id: ClaimId, retry_after: Duration, out: &mut Vec<Output>) {
         let Some(waiting) = self.waiting.get(&id) else {
             return;
         };
         let verdict = self.undecided(&waiting.claim, retry_after);
-        if waiting.tried {
-            self.abandoned.push(Abandoned {
+        if waiting.write_sent {
+            self.abandoned.push(AbandonedClaim {
                 key: waiting.claim.key,
                 claimant: waiting.claim.claimant.clone(),
             });
-            out.push(Output::Count(Counted::Abandoned));
+            out.push(Output::Event(ClaimEvent::Abandoned));
         }
         self.decide(id, verdict, out);
     }
 
-    pub(super) fn pause(&mut self, time: &mut Time<'_>) {
+    pub(super) fn back_off(&mut self, time: &mut EventContext<'_>) {
         let longest_ms = self.settings.longest_retry_pause_ms;
         let bound_ms = self.settings.retry_pause_ms << self.failures.min(DOUBLINGS);
         self.failures = (self.failures + 1).min(DOUBLINGS);
@@ -278,43 +288,47 @@
         self.last_write = None;
     }
 
-    pub(super) fn succeeded(&mut self) {
+    pub(super) fn reset_backoff(&mut self) {
         self.failures = 0;
         self.pause_until = None;
     }
 
-    fn failed(
+    fn handle_failure(
         &mut self,
-        time: &mut Time<'_>,
-        open: &Open,
-        failure: Failure,
+        time: &mut EventContext<'_>,
+        open: &OpenCall,
+        failure: StoreFailure,
         out: &mut Vec<Output>,
     ) {
         match open {
-            Open::Write { .. } if failure == Failure::Silent => {
+            OpenCall::Write { .. } if failure == StoreFailure::NoAnswer => {
                 self.must_read = true;
-                out.push(Output::Count(Counted::ReadBack));
+                out.push(Output::Event(ClaimEvent::ReadBack));
             }
-            Open::Stage => self.stage_failed(),
-            Open::DeleteGarbage => drop(self.garbage.pop()),
+            OpenCall::WriteSealed => self.discard_staged(),
+            OpenCall::DeleteGarbage => drop(self.garbage.pop()),
             _ => {}
         }
         match failure {
-            Failure::Silent | Failure::NotDone if self.down_until.is_none() => self.pause(time),
-            Failure::OverBudget { retry_after } => self.pause_until = Some(time.now + retry_after),
-            Failure::Down { retry_after } => self.went_down(time.now, retry_after, out),
-            Failure::Silent | Failure::NotDone | Failure::Corrupt => {
-                self.went_down(time.now, PROBE_PAUSE, out);
+            StoreFailure::NoAnswer | StoreFailure::NotApplied if self.down_until.is_none() => {
+                self.back_off(time)
+            }
+            StoreFailure::OverBudget { retry_after } => {
+                self.pause_until = Some(time.now + retry_after)
+            }
+            StoreFailure::Down { retry_after } => self.store_went_down(time.now, retry_after, out),
+            StoreFailure::NoAnswer | StoreFailure::NotApplied | StoreFailure::Corrupt => {
+                self.store_went_down(time.now, PROBE_PAUSE, out);
             }
         }
     }
 
     /// Refuses all that waits: the store is probed, and nothing waits for the probe.
-    fn went_down(&mut self, now: Instant, retry_after: Duration, out: &mut Vec<Output>) {
+    fn store_went_down(&mut self, now: Instant, retry_after: Duration, out: &mut Vec<Output>) {
         self.down_until = Some(now + retry_after);
         let ids: Vec<ClaimId> = self.waiting.keys().copied().collect();
         for id in ids {
-            self.give_up(id, retry_after.max(PROBE_PAUSE), out);
+            self.refuse_undecided(id, retry_after.max(PROBE_PAUSE), out);
         }
     }
 
@@ -333,12 +347,12 @@
             .iter()
             .map(|end| end.since + settings.end_linger());
         let chores = self.known.is_none()
-            || self.behind
+            || self.keys_missing
             || !self.abandoned.is_empty()
             || !self.garbage.is_empty();
         let chores = chores.then_some(self.last_answer.unwrap_or(self.started));
         let due = claims.chain(ends).chain(chores).min()?;
-        if self.hurried {
+        if self.flushing {
             return Some(self.pause_until.unwrap_or(self.started));
         }
         let pace_ms = self.known.as_ref().map_or(0, |known| known.head.pace_ms);
@@ -350,12 +364,12 @@
         )
     }
 
-    fn step(&mut self, time: &mut Time<'_>, out: &mut Vec<Output>) {
+    fn step(&mut self, time: &mut EventContext<'_>, out: &mut Vec<Output>) {
         if self.open.is_some() || self.work_due().is_none_or(|due| due > time.now) {
             return;
         }
         if let Some((open, operation)) = self.next(time, out) {
-            if matches!(open, Open::Write { .. }) {
+            if matches!(open, OpenCall::Write { .. }) {
                 self.last_write = Some(time.now);
             }
             self.open = Some((open, time.now));
@@ -363,11 +377,15 @@
         }
     }
 
-    fn next(&mut self, time: &mut Time<'_>, out: &mut Vec<Output>) -> Option<(Open, Operation)> {
+    fn next(
+        &mut self,
+        time: &mut EventContext<'_>,
+        out: &mut Vec<Output>,
+    ) -> Option<(OpenCall, Operation)> {
         if self.must_read || self.known.is_none() || self.down_until.is_some() {
             return Some(self.read_head());
         }
-        self.missing()
+        self.load_missing_keys()
             .or_else(|| self.decide_known(time, out))
             .or_else(|| self.stage(time))
             .or_else(|| self.write(time, out))
--- a/crates/kingcuploft/src/decisions/claim/read.rs
+++ b/crates/kingcuploft/src/decisions/claim/read.rs
@@ -4,44 +4,46 @@
 
 use super::ledger::{Head, SegmentNumber, Version};
 use super::message::{
-    ClaimId, Counted, Operation, Output, StoreAnswer, Stored, StoredKind, Verdict,
+    ClaimEvent, ClaimId, Operation, Output, StoreAnswer, StoredKind, StoredObject, Verdict,
 };
-use super::partition::{Partition, Time, settled_verdict};
-use super::state::{End, Known, Open};
+use super::partition::{EventContext, Partition, settled_verdict};
+use super::state::{KnownMember, OpenCall, PendingEnd};
 
 impl Partition {
-    pub(super) fn read_head(&self) -> (Open, Operation) {
+    pub(super) fn read_head(&self) -> (OpenCall, Operation) {
         let get = Operation::Get {
             name: Self::head_name(self.number),
             kind: StoredKind::Head,
         };
-        (Open::Head, get)
+        (OpenCall::Head, get)
     }
 
     /// Acts on an answer that did come.
-    pub(super) fn closed(
+    pub(super) fn dispatch_answer(
         &mut self,
-        time: &mut Time<'_>,
-        open: Open,
+        time: &mut EventContext<'_>,
+        open: OpenCall,
         answer: StoreAnswer,
         out: &mut Vec<Output>,
     ) {
         match (open, answer) {
-            (Open::Head, StoreAnswer::Found(found)) => self.head_found(time, found, out),
-            (Open::Load(name), StoreAnswer::Found(found)) => self.loaded(time, name, found),
-            (Open::Lookup(number), StoreAnswer::Found(found)) => {
-                self.looked_up(time, number, found, out);
+            (OpenCall::Head, StoreAnswer::Found(found)) => self.head_found(time, found, out),
+            (OpenCall::LoadKeys(name), StoreAnswer::Found(found)) => {
+                self.keys_found(time, name, found)
             }
-            (Open::Write { head, claims, ends }, StoreAnswer::Written(version)) => {
-                self.written(time, Known { version, head }, &claims, ends, out);
+            (OpenCall::LoadRecords(number), StoreAnswer::Found(found)) => {
+                self.records_found(time, number, found, out);
             }
-            (Open::Write { .. }, StoreAnswer::Conflict { found }) => {
-                self.lost(time, found, out);
+            (OpenCall::Write { head, claims, ends }, StoreAnswer::Written(version)) => {
+                self.write_applied(time, KnownMember { version, head }, &claims, ends, out);
             }
-            (Open::Stage, answer) => self.stage_closed(&answer),
-            (Open::FindGarbage, StoreAnswer::Found(found)) => self.garbage_found(found),
-            (Open::DeleteGarbage, _) => drop(self.garbage.pop()),
-            _ => self.pause(time),
+            (OpenCall::Write { .. }, StoreAnswer::Conflict { found }) => {
+                self.write_conflicted(time, found, out);
+            }
+            (OpenCall::WriteSealed, answer) => self.staged_write_ended(&answer),
+            (OpenCall::FindGarbage, StoreAnswer::Found(found)) => self.garbage_found(found),
+            (OpenCall::DeleteGarbage, _) => drop(self.garbage.pop()),
+            _ => self.back_off(time),
         }
     }
 
@@ -49,40 +51,40 @@
     /// reads, and going back would forget claims.
     fn head_found(
         &mut self,
-        time: &mut Time<'_>,
-        found: Option<(Version, Stored)>,
+        time: &mut EventContext<'_>,
+        found: Option<(Version, StoredObject)>,
         out: &mut Vec<Output>,
     ) {
         let (version, head) = match found {
-            Some((version, Stored::Head(head))) => (version, head),
+            Some((version, StoredObject::Head(head))) => (version, head),
             _ => (0, Arc::default()),
         };
         let known = self.known.as_ref().map(|known| known.version);
-        if version < self.least_version.max(known.unwrap_or_default()) {
-            out.push(Output::Count(Counted::StaleRead));
+        if version < self.min_version.max(known.unwrap_or_default()) {
+            out.push(Output::Event(ClaimEvent::StaleRead));
             self.must_read = true;
-            return self.pause(time);
+            return self.back_off(time);
         }
         self.must_read = false;
-        self.succeeded();
+        self.reset_backoff();
         for waiting in self.waiting.values_mut() {
-            waiting.fresh = true;
+            waiting.head_read = true;
         }
         if known == Some(version) {
             self.contended = false;
             return;
         }
-        self.adopt(time, Known { version, head });
+        self.adopt(time, KnownMember { version, head });
     }
 
     /// Takes over a newer head: every earlier write of this VM is decided by it.
-    fn adopt(&mut self, time: &Time<'_>, known: Known) {
-        self.least_version = known.version;
-        self.pace.see(time.now, known.head.writes);
+    fn adopt(&mut self, time: &EventContext<'_>, known: KnownMember) {
+        self.min_version = known.version;
+        self.pace.observe_writes(time.now, known.head.writes);
         for abandoned in std::mem::take(&mut self.abandoned) {
             let entry = known.head.entries.get(&abandoned.key);
             if entry.is_some_and(|entry| entry.claimant == abandoned.claimant) {
-                self.ends.push(End {
+                self.ends.push(PendingEnd {
                     key: abandoned.key,
                     claimant: abandoned.claimant,
                     state: None,
@@ -91,56 +93,61 @@
             }
         }
         self.known = Some(known);
-        self.behind = true;
-        self.forget();
+        self.keys_missing = true;
+        self.forget_dropped_segments();
     }
 
-    fn written(
+    fn write_applied(
         &mut self,
-        time: &mut Time<'_>,
-        known: Known,
+        time: &mut EventContext<'_>,
+        known: KnownMember,
         claims: &[ClaimId],
         ends: usize,
         out: &mut Vec<Output>,
     ) {
-        self.succeeded();
-        self.pace.written();
-        out.push(Output::Count(Counted::Group(claims.len() + ends)));
+        self.reset_backoff();
+        self.pace.record_written();
+        out.push(Output::Event(ClaimEvent::Group(claims.len() + ends)));
         for end in self.ends.drain(..ends) {
-            out.push(Output::Count(match end.state {
-                None => Counted::Released,
-                Some(_) => Counted::Acknowledged,
+            out.push(Output::Event(match end.state {
+                None => ClaimEvent::Released,
+                Some(_) => ClaimEvent::Acknowledged,
             }));
         }
         self.must_read = self.contended;
         if let Some(before) = self.known.take() {
-            self.mark_expired(&before.head, &known.head);
+            self.queue_garbage(&before.head, &known.head);
         }
-        if self.stage_written(&known) {
-            out.push(Output::Count(Counted::Sealed));
+        if self.staged_object_named(&known) {
+            out.push(Output::Event(ClaimEvent::Sealed));
         }
         self.adopt(time, known);
         // All that this head names was known before it was written.
-        self.behind = false;
+        self.keys_missing = false;
         for id in claims {
             self.decide(*id, Verdict::Held, out);
         }
     }
 
     /// Another VM's write came first, or an earlier one of this VM's own without an answer.
-    fn lost(&mut self, time: &mut Time<'_>, found: Option<Version>, out: &mut Vec<Output>) {
-        out.push(Output::Count(Counted::Conflict));
-        self.pace.lost();
+    fn write_conflicted(
+        &mut self,
+        time: &mut EventContext<'_>,
+        found: Option<Version>,
+        out: &mut Vec<Output>,
+    ) {
+        out.push(Output::Event(ClaimEvent::Conflict));
+        self.pace.record_conflict();
         self.contended = true;
         self.must_read = true;
         let known = self.known.as_ref().map_or(0, |known| known.version);
-        self.least_version = found.unwrap_or_default().max(known + 1);
-        self.pause(time);
+        self.min_version = found.unwrap_or_default().max(known + 1);
+        self.back_off(time);
     }
 
     /// Returns the read of a sealed object whose keys are not known yet: no key can be claimed
     /// before all earlier ones are known.
-    pub(super) fn missing(&mut self) -> Option<(Open, Operation)> {
+    pub(super) fn load_missing_keys(&mut self) -> Option<(OpenCall, Operation)> {
         let head = Arc::clone(&self.known.as_ref()?.head);
         for index in &head.indexes {
             let mut numbers = index.first..=index.last;
@@ -154,34 +161,39 @@
         let segments = head.segments.iter();
         let segments = segments.map(|segment| (&segment.name, StoredKind::Segment));
         let missing = indexes.chain(segments).find(|(name, _)| !loaded(name));
-        self.behind = missing.is_some();
+        self.keys_missing = missing.is_some();
         let (name, kind) = missing?;
         let get = Operation::Get {
             name: name.clone(),
             kind,
         };
-        Some((Open::Load(name.clone()), get))
+        Some((OpenCall::LoadKeys(name.clone()), get))
     }
 
-    fn loaded(&mut self, time: &mut Time<'_>, name: String, found: Option<(Version, Stored)>) {
+    fn keys_found(
+        &mut self,
+        time: &mut EventContext<'_>,
+        name: String,
+        found: Option<(Version, StoredObject)>,
+    ) {
         let mut segments = self.known.iter().flat_map(|known| &known.head.segments);
         let segment = segments.find(|segment| segment.name == name);
         match (found, segment.cloned()) {
-            (Some((_, Stored::Segment(sealed))), Some(segment)) => {
+            (Some((_, StoredObject::Segment(sealed))), Some(segment)) => {
                 let keys = sealed.entries.keys().copied();
-                self.sealed.learn(segment, keys);
+                self.sealed.add_segment(segment, keys);
             }
-            (Some((_, Stored::Index(index))), _) => {
+            (Some((_, StoredObject::Index(index))), _) => {
                 for indexed in &index.segments {
                     let keys = indexed.keys.iter().copied();
-                    self.sealed.learn(indexed.segment.clone(), keys);
+                    self.sealed.add_segment(indexed.segment.clone(), keys);
                 }
                 self.sealed.loaded.insert(name);
             }
             // Deleted since the head was read, or not yet seen by a read that lags.
             _ => {
                 self.must_read = true;
-                self.pause(time);
+                self.back_off(time);
             }
         }
     }
@@ -190,9 +202,9 @@
     /// is needed first.
     pub(super) fn decide_known(
         &mut self,
-        time: &Time<'_>,
+        time: &EventContext<'_>,
         out: &mut Vec<Output>,
-    ) -> Option<(Open, Operation)> {
+    ) -> Option<(OpenCall, Operation)> {
         let known = self.known.clone()?;
         let mut lookup = None;
         let mut stale = false;
@@ -209,7 +221,7 @@
                 self.decide(id, Verdict::Held, out);
             } else if self.is_released(&entry.claimant) {
                 // This VM's own release shares the next write with the claim.
-            } else if entry.state.is_settled() || waiting.fresh {
+            } else if entry.state.is_settled() || waiting.head_read {
                 let verdict = settled_verdict(entry.fingerprint, &entry.state, claim);
                 self.decide(id, verdict, out);
             } else {
@@ -219,7 +231,7 @@
         if stale {
             return Some(self.read_head());
         }
-        lookup.and_then(|number| self.lookup(number))
+        lookup.and_then(|number| self.load_records(number))
     }
 
     fn is_released(&self, claimant: &super::ledger::Claimant) -> bool {
@@ -228,26 +240,26 @@
         releases.any(|end| end.claimant == *claimant)
     }
 
-    fn lookup(&self, number: SegmentNumber) -> Option<(Open, Operation)> {
+    fn load_records(&self, number: SegmentNumber) -> Option<(OpenCall, Operation)> {
         let segment = self.sealed.segments.get(&number)?;
         let get = Operation::Get {
             name: segment.name.clone(),
             kind: StoredKind::Segment,
         };
-        Some((Open::Lookup(number), get))
+        Some((OpenCall::LoadRecords(number), get))
     }
 
-    fn looked_up(
+    fn records_found(
         &mut self,
-        time: &mut Time<'_>,
+        time: &mut EventContext<'_>,
         number: SegmentNumber,
-        found: Option<(Version, Stored)>,
+        found: Option<(Version, StoredObject)>,
         out: &mut Vec<Output>,
     ) {
-        let Some((_, Stored::Segment(segment))) = found else {
+        let Some((_, StoredObject::Segment(segment))) = found else {
             // Expired and deleted, or not yet seen by a read that lags.
             self.must_read = true;
-            return self.pause(time);
+            return self.back_off(time);
         };
         let ids: Vec<ClaimId> = self.waiting.keys().copied().collect();
         for id in ids {
@@ -269,7 +281,7 @@
     }
 
     /// Forgets the sealed segments that a newer head does not name any more.
-    fn forget(&mut self) {
+    fn forget_dropped_segments(&mut self) {
         let Some(known) = &self.known else {
             return;
         };
--- a/crates/kingcuploft/src/decisions/claim/seal.rs
+++ b/crates/kingcuploft/src/decisions/claim/seal.rs
@@ -11,22 +11,22 @@
     Entry, Head, Index, IndexRef, IndexedSegment, KeyHash, Segment, SegmentNumber, SegmentRef,
     Version,
 };
-use super::message::{Operation, Precondition, StoreAnswer, Stored, StoredKind};
-use super::partition::{Partition, Time};
-use super::state::{Known, Open, Sealed};
+use super::message::{Operation, Precondition, StoreAnswer, StoredKind, StoredObject};
+use super::partition::{EventContext, Partition};
+use super::state::{KnownMember, OpenCall, SealedKeys};
 
 /// A sealed object that is written, and not yet named by the head.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Staged {
     name: String,
-    what: What,
+    what: StagedContent,
     expires_ms: u64,
     /// The object's version, once it is written.
     version: Option<Version>,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-enum What {
+enum StagedContent {
     Segment(Arc<Segment>),
     Index(Vec<SegmentNumber>),
 }
@@ -39,10 +39,10 @@
     version: Option<Version>,
 }
 
-impl Sealed {
+impl SealedKeys {
     /// Learns the keys of a segment; a key that was claimed again after its window stays with the
     /// later segment.
-    pub(super) fn learn(&mut self, segment: SegmentRef, keys: impl Iterator<Item = KeyHash>) {
+    pub(super) fn add_segment(&mut self, segment: SegmentRef, keys: impl Iterator<Item = KeyHash>) {
         for key in keys {
             let number = self.keys.entry(key).or_default();
             *number = segment.number.max(*number);
@@ -55,7 +55,7 @@
 impl Partition {
     /// Writes a segment or an index where the head has grown; the head names it afterwards. Each
     /// VM draws its own threshold, so that seldom two seal at once.
-    pub(super) fn stage(&mut self, time: &mut Time<'_>) -> Option<(Open, Operation)> {
+    pub(super) fn stage(&mut self, time: &mut EventContext<'_>) -> Option<(OpenCall, Operation)> {
         if self.staged.is_some() || (self.waiting.is_empty() && self.ends.is_empty()) {
             return None;
         }
@@ -70,10 +70,10 @@
         } else {
             return None;
         };
-        self.names += 1;
+        self.sealed_objects_named += 1;
         let name = format!(
             "claims/{:03}/sealed-{:016x}-{}",
-            self.number, self.owner, self.names
+            self.number, self.owner, self.sealed_objects_named
         );
         self.staged = Some(Staged {
             name: name.clone(),
@@ -86,10 +86,10 @@
             value,
             when: Precondition::Absent,
         };
-        Some((Open::Stage, put))
+        Some((OpenCall::WriteSealed, put))
     }
 
-    fn index(&self, head: &Head) -> (What, Stored, u64) {
+    fn index(&self, head: &Head) -> (StagedContent, StoredObject, u64) {
         let numbers: Vec<SegmentNumber> = head.segments.iter().map(|s| s.number).collect();
         let mut segments: Vec<IndexedSegment> = head
             .segments
@@ -105,19 +105,23 @@
             }
         }
         let expires_ms = head.segments.iter().map(|segment| segment.expires_ms).max();
-        let index = Stored::Index(Arc::new(Index { segments }));
-        (What::Index(numbers), index, expires_ms.unwrap_or_default())
+        let index = StoredObject::Index(Arc::new(Index { segments }));
+        (
+            StagedContent::Index(numbers),
+            index,
+            expires_ms.unwrap_or_default(),
+        )
     }
 
-    pub(super) fn stage_closed(&mut self, answer: &StoreAnswer) {
+    pub(super) fn staged_write_ended(&mut self, answer: &StoreAnswer) {
         match (answer, &mut self.staged) {
             (StoreAnswer::Written(version), Some(staged)) => staged.version = Some(*version),
-            _ => self.stage_failed(),
+            _ => self.discard_staged(),
         }
     }
 
     /// Gives a staged object up; a write without an answer may have left it behind.
-    pub(super) fn stage_failed(&mut self) {
+    pub(super) fn discard_staged(&mut self) {
         if let Some(staged) = self.staged.take() {
             self.garbage.push(Garbage {
                 name: staged.name,
@@ -141,25 +145,25 @@
             return;
         }
         let applied = staged.version.is_some_and(|version| match &staged.what {
-            What::Segment(segment) => apply_segment(head, staged, version, segment),
-            What::Index(numbers) => apply_index(head, staged, version, numbers),
+            StagedContent::Segment(segment) => apply_segment(head, staged, version, segment),
+            StagedContent::Index(numbers) => apply_index(head, staged, version, numbers),
         });
         if !applied {
-            self.stage_failed();
+            self.discard_staged();
         }
     }
 
     /// Notes that the head now names the staged object; tells whether there was one.
-    pub(super) fn stage_written(&mut self, known: &Known) -> bool {
+    pub(super) fn staged_object_named(&mut self, known: &KnownMember) -> bool {
         let Some(staged) = self.staged.take() else {
             return false;
         };
         let mut segments = known.head.segments.iter();
         let segment = segments.find(|segment| segment.name == staged.name);
         match (staged.what, segment) {
-            (What::Segment(content), Some(segment)) => {
+            (StagedContent::Segment(content), Some(segment)) => {
                 let keys = content.entries.keys().copied();
-                self.sealed.learn(segment.clone(), keys);
+                self.sealed.add_segment(segment.clone(), keys);
             }
             _ => drop(self.sealed.loaded.insert(staged.name)),
         }
@@ -168,14 +172,14 @@
 
     /// Drops what has expired from a head, and marks its objects for deletion. Only the VM whose
     /// write drops them deletes them; they are then named by no head.
-    pub(super) fn expire(&mut self, head: &mut Head, unix_ms: u64) {
+    pub(super) fn drop_expired(&mut self, head: &mut Head, unix_ms: u64) {
         head.entries.retain(|_, entry| entry.expires_ms > unix_ms);
         head.segments.retain(|segment| segment.expires_ms > unix_ms);
         head.indexes.retain(|index| index.expires_ms > unix_ms);
     }
 
     /// Marks the objects that a newer head of this VM's own does not name any more.
-    pub(super) fn mark_expired(&mut self, before: &Head, after: &Head) {
+    pub(super) fn queue_garbage(&mut self, before: &Head, after: &Head) {
         let indexes = before.indexes.iter();
         for index in indexes.filter(|index| !after.indexes.contains(index)) {
             self.garbage.push(Garbage {
@@ -192,19 +196,19 @@
     }
 
     /// Deletes one object that no head names, when nothing else is to do.
-    pub(super) fn collect_garbage(&mut self) -> Option<(Open, Operation)> {
+    pub(super) fn collect_garbage(&mut self) -> Option<(OpenCall, Operation)> {
         let garbage = self.garbage.last()?;
         let name = garbage.name.clone();
         Some(match garbage.version {
-            Some(version) => (Open::DeleteGarbage, Operation::Delete { name, version }),
+            Some(version) => (OpenCall::DeleteGarbage, Operation::Delete { name, version }),
             None => {
                 let kind = StoredKind::Segment;
-                (Open::FindGarbage, Operation::Get { name, kind })
+                (OpenCall::FindGarbage, Operation::Get { name, kind })
             }
         })
     }
 
-    pub(super) fn garbage_found(&mut self, found: Option<(Version, Stored)>) {
+    pub(super) fn garbage_found(&mut self, found: Option<(Version, StoredObject)>) {
         match (found, self.garbage.last_mut()) {
             (Some((version, _)), Some(garbage)) => garbage.version = Some(version),
             _ => drop(self.garbage.pop()),
@@ -213,7 +217,7 @@
 }
 
 /// Cuts the settled entries off a head; `None` where there is none.
-fn segment(head: &Head) -> Option<(What, Stored, u64)> {
+fn segment(head: &Head) -> Option<(StagedContent, StoredObject, u64)> {
     let settled = head
         .entries
         .values()
@@ -224,8 +228,8 @@
     let segment = Arc::new(Segment {
         entries: entries.map(|entry| (entry.key, entry.clone())).collect(),
     });
-    let value = Stored::Segment(Arc::clone(&segment));
-    Some((What::Segment(segment), value, expires_ms))
+    let value = StoredObject::Segment(Arc::clone(&segment));
+    Some((StagedContent::Segment(segment), value, expires_ms))
 }
 
 fn apply_segment(head: &mut Head, staged: &Staged, version: Version, segment: &Segment) -> bool {
--- a/crates/kingcuploft/src/decisions/claim/state.rs
+++ b/crates/kingcuploft/src/decisions/claim/state.rs
@@ -9,7 +9,7 @@
 
 /// The head as last read or written.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(super) struct Known {
+pub(super) struct KnownMember {
     /// The version; 0 where the object was absent.
     pub(super) version: Version,
     pub(super) head: Arc<Head>,
@@ -17,18 +17,18 @@
 
 /// A claim that is not decided yet.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(super) struct Waiting {
+pub(super) struct QueuedRequest {
     pub(super) claim: Claim,
     pub(super) since: Instant,
     /// Whether a write with it was ever called for.
-    pub(super) tried: bool,
+    pub(super) write_sent: bool,
     /// Whether the head was read since it came.
-    pub(super) fresh: bool,
+    pub(super) head_read: bool,
 }
 
 /// A release or an acknowledgement that is not written yet.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(super) struct End {
+pub(super) struct PendingEnd {
     pub(super) key: KeyHash,
     pub(super) claimant: Claimant,
     /// The settled state; `None` gives the claim back.
@@ -38,32 +38,32 @@
 
 /// A claim that was refused although a write may have carried it.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(super) struct Abandoned {
+pub(super) struct AbandonedClaim {
     pub(super) key: KeyHash,
     pub(super) claimant: Claimant,
 }
 
 /// What the open call to the store is for.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(super) enum Open {
+pub(super) enum OpenCall {
     Head,
     /// Learn the keys of a sealed object.
-    Load(String),
+    LoadKeys(String),
     /// Find the answers of sealed keys.
-    Lookup(SegmentNumber),
+    LoadRecords(SegmentNumber),
     Write {
         head: Arc<Head>,
         claims: Vec<ClaimId>,
         ends: usize,
     },
-    Stage,
+    WriteSealed,
     FindGarbage,
     DeleteGarbage,
 }
 
 /// The sealed keys of the partition.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
-pub(super) struct Sealed {
+pub(super) struct SealedKeys {
     pub(super) keys: BTreeMap<KeyHash, SegmentNumber>,
     pub(super) segments: BTreeMap<SegmentNumber, SegmentRef>,
     /// The names of the sealed objects whose keys are known.
--- a/crates/kingcuploft/src/decisions/claim/write.rs
+++ b/crates/kingcuploft/src/decisions/claim/write.rs
@@ -3,20 +3,20 @@
 use std::sync::Arc;
 
 use super::ledger::{Entry, EntryState, Head};
-use super::message::{ClaimId, Operation, Output, Precondition, Stored, Verdict};
-use super::partition::{Partition, Time};
-use super::state::{End, Open};
+use super::message::{ClaimId, Operation, Output, Precondition, StoredObject, Verdict};
+use super::partition::{EventContext, Partition};
+use super::state::{OpenCall, PendingEnd};
 
 impl Partition {
     /// Builds the write that carries all ends and claims; `None` where there is nothing to write.
     pub(super) fn write(
         &mut self,
-        time: &Time<'_>,
+        time: &EventContext<'_>,
         out: &mut Vec<Output>,
-    ) -> Option<(Open, Operation)> {
+    ) -> Option<(OpenCall, Operation)> {
         let known = self.known.clone()?;
         let mut head = (*known.head).clone();
-        self.expire(&mut head, time.unix_ms);
+        self.drop_expired(&mut head, time.unix_ms);
         self.ends.retain(|end| applies(end, &head));
         for end in &self.ends {
             apply(end, &mut head, self.settings.object_bytes);
@@ -28,17 +28,17 @@
             return None;
         }
         head.writes += 1;
-        self.pace.adjust(&mut head, &self.settings);
+        self.pace.adjust_pause(&mut head, &self.settings);
         let head = Arc::new(head);
         let put = Operation::Put {
             name: Self::head_name(self.number),
-            value: Stored::Head(Arc::clone(&head)),
+            value: StoredObject::Head(Arc::clone(&head)),
             when: match known.version {
                 0 => Precondition::Absent,
                 version => Precondition::Version(version),
             },
         };
-        let open = Open::Write {
+        let open = OpenCall::Write {
             head,
             claims,
             ends: self.ends.len(),
@@ -48,7 +48,7 @@
 
     fn apply_claims(
         &mut self,
-        time: &Time<'_>,
+        time: &EventContext<'_>,
         head: &mut Head,
         out: &mut Vec<Output>,
     ) -> Vec<ClaimId> {
@@ -72,7 +72,7 @@
                 full.push(*id);
                 continue;
             }
-            waiting.tried = true;
+            waiting.write_sent = true;
             head.entries.insert(entry.key, entry);
             claims.push(*id);
         }
@@ -84,14 +84,14 @@
 }
 
 /// Tells whether an end is still to be written: a write without an answer may have carried it.
-fn applies(end: &End, head: &Head) -> bool {
+fn applies(end: &PendingEnd, head: &Head) -> bool {
     let entry = head.entries.get(&end.key);
     entry.is_some_and(|entry| entry.claimant == end.claimant && !entry.state.is_settled())
 }
 
 /// Applies an end. An answer that would take the object over its bound is not kept: a duplicate is
 /// then told that the action ran, which is true.
-fn apply(end: &End, head: &mut Head, object_bytes: usize) {
+fn apply(end: &PendingEnd, head: &mut Head, object_bytes: usize) {
     let Some(state) = &end.state else {
         head.entries.remove(&end.key);
         return;
--- a/crates/kingcuploft/src/decisions/claim/pace.rs
+++ b/crates/kingcuploft/src/decisions/claim/write_pacing.rs
@@ -20,7 +20,7 @@
 
 /// What one VM has seen of the fleet's writes.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
-pub(super) struct Pace {
+pub(super) struct DequeueInterval {
     /// The head's count of writes at the last look, and when that was.
     seen: Option<(u64, Instant)>,
     written: u32,
@@ -37,19 +37,19 @@
     between: Duration,
 }
 
-impl Pace {
+impl DequeueInterval {
     /// Notes a write of this VM that took effect.
-    pub(super) fn written(&mut self) {
+    pub(super) fn record_written(&mut self) {
         self.written = self.written.saturating_add(1);
     }
 
     /// Notes a write of this VM that lost: the store counts it too.
-    pub(super) fn lost(&mut self) {
+    pub(super) fn record_conflict(&mut self) {
         self.lost = self.lost.saturating_add(1);
     }
 
     /// Notes how often the head had been written by now.
-    pub(super) fn see(&mut self, now: Instant, writes: u64) {
+    pub(super) fn observe_writes(&mut self, now: Instant, writes: u64) {
         let (before, since) = *self.seen.get_or_insert((writes, now));
         let time = now.saturating_duration_since(since);
         if time < WINDOW {
@@ -69,7 +69,7 @@
     }
 
     /// Adjusts the pause in a head that is about to be written, once in half a second's writes.
-    pub(super) fn adjust(&self, head: &mut Head, settings: &ClaimSettings) {
+    pub(super) fn adjust_pause(&self, head: &mut Head, settings: &ClaimSettings) {
         let Some(observed) = self.observed else {
             return;
         };
--- a/crates/kingcuploft/src/decisions/concurrency.rs
+++ b/crates/kingcuploft/src/decisions/concurrency.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use super::pace::ServiceTime;
+use super::service_time::ServiceTime;
 use crate::manifest::Service;
 use crate::settings::concurrency::ConcurrencySettings;
 use crate::world::backend_server::{CallEnd, CallReport};
@@ -25,7 +25,7 @@
 
 /// The limit of one service on one VM.
 #[derive(Clone, Debug)]
-pub struct Concurrency {
+pub struct ConcurrencyLimit {
     settings: ConcurrencySettings,
     slots: f64,
     live_vms: u32,
@@ -34,7 +34,7 @@
     usual_s: Option<f64>,
 }
 
-impl Concurrency {
+impl ConcurrencyLimit {
     /// Builds a limit that begins at the even share, where live VMs are known, else at all slots.
     pub fn new(service: &Service, live_vms: Option<u32>) -> Self {
         let mut concurrency = Self {
@@ -53,15 +53,15 @@
     }
 
     /// Goes on under a new manifest.
-    pub fn adopt(&mut self, service: &Service) {
+    pub fn update_service(&mut self, service: &Service) {
         self.settings = service.policy.concurrency.clone();
         self.slots = slots(service);
         self.limit = self.limit.clamp(self.floor(), self.ceiling());
     }
 
     /// Takes in how many VMs are live.
-    pub fn live_vms(&mut self, live_vms: u32) {
-        self.live_vms = live_vms.max(1);
+    pub fn set_live_vms(&mut self, set_live_vms: u32) {
+        self.live_vms = set_live_vms.max(1);
         self.limit = self.limit.clamp(self.floor(), self.ceiling());
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Tells whether another call may be sent.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         !self.settings.adaptive || self.in_flight < self.limit()
     }
 
@@ -86,12 +86,12 @@
     }
 
     /// Notes that a call was sent.
-    pub fn sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.in_flight += 1;
     }
 
     /// Notes that a call ended; `slots` are its backend server's, `requests_wait` tells of this VM.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         report: &CallReport,
         slots: u32,
--- a/crates/kingcuploft/src/decisions/drain.rs
+++ b/crates/kingcuploft/src/decisions/drain.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes evidence that a backend server drains; tells whether it is news for peers.
-    pub fn evidence(&mut self, server: usize) -> bool {
+    pub fn report_draining(&mut self, server: usize) -> bool {
         if !self.settings.heed_evidence {
             return false;
         }
@@ -65,7 +65,7 @@
     }
 
     /// Returns how many backend servers may get new work.
-    pub fn working(&self) -> usize {
+    pub fn available_servers(&self) -> usize {
         self.working
     }
 
--- a/crates/kingcuploft/src/decisions/fair_queue.rs
+++ b/crates/kingcuploft/src/decisions/fair_queue.rs
@@ -12,13 +12,13 @@
 
 use lru::LruCache;
 
-use super::admission::Waiting;
+use super::admission::QueuedRequest;
 use crate::world::ids::Caller;
 
 /// A request's place in the order of service: its caller's slot time before it, in µs, then the
 /// order of arrival.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct QueuePosition {
     start_us: u64,
     arrival: u64,
 }
@@ -26,14 +26,14 @@
 /// The slot time that recent callers were given, in all priorities together: a caller that has
 /// its fill of one priority is not given as much again of the next.
 #[derive(Debug)]
-pub struct Shares {
+pub struct CallerShares {
     /// Where the next request of a recent caller starts.
     next_start_us: LruCache<Caller, u64>,
     /// Where the first of those that wait starts; who was idle starts here, not at zero.
     now_us: u64,
 }
 
-impl Shares {
+impl CallerShares {
     /// Begins with nobody having been given anything.
     pub fn new(callers_remembered: u32) -> Self {
         Self {
@@ -43,7 +43,7 @@
     }
 
     /// Goes on under new settings.
-    pub fn adopt(&mut self, callers_remembered: u32) {
+    pub fn resize(&mut self, callers_remembered: u32) {
         self.next_start_us.resize(capacity(callers_remembered));
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Takes a charge back for a request that is not served.
-    pub fn give_back(&mut self, caller: &Caller, cost_us: u64) {
+    pub fn refund(&mut self, caller: &Caller, cost_us: u64) {
         if let Some(next) = self.next_start_us.peek_mut(caller) {
             *next = next.saturating_sub(cost_us.max(1));
         }
@@ -82,18 +82,18 @@
 /// The waiting requests of one priority.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    order: BTreeMap<Place, Waiting>,
-    callers: BTreeMap<Caller, BTreeSet<Place>>,
+    order: BTreeMap<QueuePosition, QueuedRequest>,
+    callers: BTreeMap<Caller, BTreeSet<QueuePosition>>,
     heaviest: BTreeSet<(usize, Caller)>,
     arrivals: u64,
 }
 
 impl FairQueue {
     /// Queues a request that starts at a caller's share.
-    pub fn push(&mut self, waiting: Waiting, start_us: u64) -> Place {
+    pub fn push(&mut self, waiting: QueuedRequest, start_us: u64) -> QueuePosition {
         self.arrivals += 1;
         let caller = waiting.caller.clone();
-        let place = Place {
+        let place = QueuePosition {
             start_us,
             arrival: self.arrivals,
         };
@@ -105,14 +105,14 @@
     }
 
     /// Takes the next request off, and where it starts.
-    pub fn pop(&mut self) -> Option<(Waiting, u64)> {
+    pub fn pop(&mut self) -> Option<(QueuedRequest, u64)> {
         let (place, waiting) = self.order.pop_first()?;
         self.forget(&waiting.caller, place);
         Some((waiting, place.start_us))
     }
 
     /// Takes one request off that is not served.
-    pub fn remove(&mut self, place: Place) -> Option<Waiting> {
+    pub fn remove(&mut self, place: QueuePosition) -> Option<QueuedRequest> {
         let waiting = self.order.remove(&place)?;
         self.forget(&waiting.caller, place);
         Some(waiting)
@@ -125,14 +125,14 @@
             .map(|(place, _)| place.start_us)
     }
 
-    fn forget(&mut self, caller: &Caller, place: Place) {
+    fn forget(&mut self, caller: &Caller, place: QueuePosition) {
         self.weigh(caller.clone(), |places| {
             places.remove(&place);
         });
     }
 
     /// Changes what waits of a caller and keeps the order by weight.
-    fn weigh(&mut self, caller: Caller, change: impl FnOnce(&mut BTreeSet<Place>)) {
+    fn weigh(&mut self, caller: Caller, change: impl FnOnce(&mut BTreeSet<QueuePosition>)) {
         let places = self.callers.entry(caller.clone()).or_default();
         self.heaviest.remove(&(places.len(), caller.clone()));
         change(places);
@@ -143,17 +143,17 @@
     }
 
     /// Returns the next request.
-    pub fn first(&self) -> Option<&Waiting> {
+    pub fn first(&self) -> Option<&QueuedRequest> {
         self.order.first_key_value().map(|(_, waiting)| waiting)
     }
 
     /// Returns the request that is served last as things stand.
-    pub fn last(&self) -> Option<&Waiting> {
+    pub fn last(&self) -> Option<&QueuedRequest> {
         self.order.last_key_value().map(|(_, waiting)| waiting)
     }
 
     /// Returns the last request of the caller that has most waiting, if it has more than `own`.
-    pub fn heaviest_above(&self, own: usize) -> Option<&Waiting> {
+    pub fn last_of_heaviest_above(&self, own: usize) -> Option<&QueuedRequest> {
         let (waiting, caller) = self.heaviest.last()?;
         if *waiting <= own {
             return None;
@@ -162,7 +162,7 @@
     }
 
     /// Returns how many requests of a caller wait.
-    pub fn of_caller(&self, caller: &Caller) -> usize {
+    pub fn waiting_of_caller(&self, caller: &Caller) -> usize {
         self.callers.get(caller).map_or(0, BTreeSet::len)
     }
 
@@ -170,8 +170,8 @@
     ///
     /// Each caller that waits has about one served for each of this caller's, the new one
     /// included; of the last round about half start before it.
-    pub fn ahead_of(&self, caller: &Caller) -> usize {
-        let half_rounds = 2 * self.of_caller(caller) + 1;
+    pub fn requests_ahead_of(&self, caller: &Caller) -> usize {
+        let half_rounds = 2 * self.waiting_of_caller(caller) + 1;
         self.order
             .len()
             .min((half_rounds * self.callers.len()).div_ceil(2))
@@ -188,7 +188,7 @@
     }
 
     /// Returns how many callers wait.
-    pub fn callers(&self) -> usize {
+    pub fn waiting_callers(&self) -> usize {
         self.callers.len()
     }
 }
--- a/crates/kingcuploft/src/decisions/hedge.rs
+++ b/crates/kingcuploft/src/decisions/hedge.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use super::pace::ServiceTime;
+use super::service_time::ServiceTime;
 use crate::settings::hedge::HedgeSettings;
 use crate::utils::HashMap;
 use crate::world::ids::BackendServerName;
@@ -32,7 +32,7 @@
     /// Its answer came first and was passed on.
     Won,
     /// The first attempt's answer came first, and it was cancelled.
-    Lost,
+    Cancelled,
 }
 
 impl HedgeStep {
@@ -41,7 +41,7 @@
         Self::Sent(HedgeReason::SlowSpell),
         Self::Sent(HedgeReason::Late),
         Self::Won,
-        Self::Lost,
+        Self::Cancelled,
     ];
 
     /// Returns the word that stands in metrics.
@@ -50,33 +50,33 @@
             Self::Sent(HedgeReason::SlowSpell) => "sent_slow_spell",
             Self::Sent(HedgeReason::Late) => "sent_late",
             Self::Won => "won",
-            Self::Lost => "cancelled",
+            Self::Cancelled => "cancelled",
         }
     }
 }
 
 /// What is known when an attempt is looked at.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
+pub struct AttemptProgress {
     /// How long the attempt has been in flight.
     pub elapsed: Duration,
     /// Time to the request's deadline.
-    pub left: Duration,
+    pub remaining: Duration,
     /// How long requests of its rule take.
-    pub usual: ServiceTime,
+    pub service_time: ServiceTime,
     /// How long ago a request of this VM last waited for a slot, if one ever did.
-    pub calm_for: Option<Duration>,
+    pub since_last_wait: Option<Duration>,
 }
 
 /// What to do with an attempt that was looked at.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Judgement {
+pub enum HedgeDecision {
     /// Send the request to another backend server, if one has room.
     Hedge(HedgeReason),
     /// Look again after this time.
-    LookAgain(Duration),
+    CheckAgain(Duration),
     /// Leave it alone.
-    Leave,
+    DoNotHedge,
 }
 
 /// The weight of one new sample of a backend server's slowness.
@@ -105,13 +105,17 @@
     }
 
     /// Goes on under new settings; forgets backend servers that are gone.
-    pub fn adopt(&mut self, settings: &HedgeSettings, kept: impl Fn(&BackendServerName) -> bool) {
+    pub fn update_settings(
+        &mut self,
+        settings: &HedgeSettings,
+        kept: impl Fn(&BackendServerName) -> bool,
+    ) {
         self.settings = settings.clone();
         self.slowness.retain(|server, _| kept(server));
     }
 
     /// Notes that a lookup was sent, and returns after which time to look at it.
-    pub fn sent(&mut self, usual: &ServiceTime) -> Option<Duration> {
+    pub fn lookup_sent(&mut self, usual: &ServiceTime) -> Option<Duration> {
         if self.settings.budget_share <= 0.0 {
             return None;
         }
@@ -119,14 +123,19 @@
         let most = u64::from(self.settings.budget_most) * TOKEN;
         self.budget = (self.budget + earned).min(most);
         usual.mean()?;
-        Some(usual.high().max(self.shortest()))
+        Some(usual.p90().max(self.shortest()))
     }
 
     /// Takes in how long a backend server took to answer.
     ///
     /// One long job counts for no more than twice what a slow spell does, so that it takes
     /// several slow answers to tell of a spell.
-    pub fn measured(&mut self, server: &BackendServerName, took: Duration, usual: &ServiceTime) {
+    pub fn record_latency(
+        &mut self,
+        server: &BackendServerName,
+        took: Duration,
+        usual: &ServiceTime,
+    ) {
         let median_s = usual.median().as_secs_f64();
         if median_s <= 0.0 {
             return;
@@ -137,26 +146,26 @@
     }
 
     /// Judges an attempt that is in flight for longer than most.
-    pub fn judge(&self, server: &BackendServerName, look: &Look) -> Judgement {
-        let hopeless = look.left < look.usual.median();
+    pub fn decide(&self, server: &BackendServerName, look: &AttemptProgress) -> HedgeDecision {
+        let hopeless = look.remaining < look.service_time.median();
         let calm = Duration::from_millis(self.settings.calm_ms);
-        let waited = look.calm_for.is_some_and(|calm_for| calm_for < calm);
+        let waited = look.since_last_wait.is_some_and(|calm_for| calm_for < calm);
         if waited || hopeless || self.budget < TOKEN {
-            return Judgement::Leave;
+            return HedgeDecision::DoNotHedge;
         }
         if self.in_slow_spell(server) {
-            return Judgement::Hedge(HedgeReason::SlowSpell);
+            return HedgeDecision::Hedge(HedgeReason::SlowSpell);
         }
-        let late = look.usual.tail().max(self.shortest());
+        let late = look.service_time.p98().max(self.shortest());
         match late.checked_sub(look.elapsed) {
-            None | Some(Duration::ZERO) if !self.settings.late => Judgement::Leave,
-            None | Some(Duration::ZERO) => Judgement::Hedge(HedgeReason::Late),
-            Some(more) => Judgement::LookAgain(more),
+            None | Some(Duration::ZERO) if !self.settings.late => HedgeDecision::DoNotHedge,
+            None | Some(Duration::ZERO) => HedgeDecision::Hedge(HedgeReason::Late),
+            Some(more) => HedgeDecision::CheckAgain(more),
         }
     }
 
     /// Notes that a hedge was sent.
-    pub fn spend(&mut self) {
+    pub fn spend_token(&mut self) {
         self.budget = self.budget.saturating_sub(TOKEN);
     }
 
--- a/crates/kingcuploft/src/decisions/load_estimate.rs
+++ b/crates/kingcuploft/src/decisions/load_estimate.rs
@@ -92,17 +92,17 @@
     }
 
     /// Returns how many own calls are in flight.
-    pub fn own(&self) -> u32 {
+    pub fn own_calls(&self) -> u32 {
         self.own.len() as u32
     }
 
     /// Tells whether the reports of this server are ignored.
-    pub fn doubted(&self) -> bool {
+    pub fn is_distrusted(&self) -> bool {
         self.doubt >= DOUBTED_FROM
     }
 
     /// Returns the long-run mean of the others' calls.
-    pub fn mean_others(&self) -> f64 {
+    pub fn mean_other_calls(&self) -> f64 {
         self.mean_others
     }
 
@@ -114,12 +114,12 @@
     }
 
     /// Notes that an own call was sent.
-    pub fn sent(&mut self, now: Instant) {
+    pub fn record_sent(&mut self, now: Instant) {
         self.own.push(now);
     }
 
     /// Notes that an own call ended that took `latency`.
-    pub fn ended(&mut self, now: Instant, latency: Duration) {
+    pub fn record_end(&mut self, now: Instant, latency: Duration) {
         let distance = |sent: &Instant| {
             let took = now.saturating_duration_since(*sent);
             took.abs_diff(latency)
@@ -131,13 +131,13 @@
     }
 
     /// Takes a report in that left the server half a round trip ago.
-    pub fn reported(&mut self, now: Instant, report: LoadReport, rtt: Duration, doubt: bool) {
+    pub fn record_report(&mut self, now: Instant, report: LoadReport, rtt: Duration, doubt: bool) {
         let there = |sent: &&Instant| now.saturating_duration_since(**sent) > rtt;
         let own_there = self.own.iter().filter(there).count();
         if doubt {
             self.weigh(report, own_there);
         }
-        if self.doubted() {
+        if self.is_distrusted() {
             return;
         }
         self.others = (f64::from(report.in_flight) - own_there as f64).max(0.0);
@@ -146,8 +146,8 @@
     }
 
     /// Takes in what a peer learnt of the server's load.
-    pub fn told(&mut self, now: Instant, in_flight: u32) {
-        if !self.doubted() {
+    pub fn record_load(&mut self, now: Instant, in_flight: u32) {
+        if !self.is_distrusted() {
             self.others = (f64::from(in_flight) - self.own.len() as f64).max(0.0);
             self.reported = Some(now);
         }
@@ -155,9 +155,9 @@
 
     /// Returns the estimate of all calls at the server; `typical_others` stands for the others'
     /// where reports are ignored.
-    pub fn total(&self, now: Instant, ageing: Duration, typical_others: f64) -> f64 {
+    pub fn total_calls(&self, now: Instant, ageing: Duration, typical_others: f64) -> f64 {
         let own = self.own.len() as f64;
-        if self.doubted() || ageing.is_zero() {
+        if self.is_distrusted() || ageing.is_zero() {
             return own + typical_others;
         }
         own + self.others_now(now, ageing)
--- a/crates/kingcuploft/src/decisions/measuring.rs
+++ b/crates/kingcuploft/src/decisions/measuring.rs
@@ -23,7 +23,7 @@
 use crate::world::ids::VmName;
 
 /// The share of the budget that a prober earns: two probers of one server then stay within it.
-pub const GUARD: f64 = 0.5;
+pub const PROBER_BUDGET_SHARE: f64 = 0.5;
 /// Probes that can be saved up.
 const BURST_PROBES: f64 = 2.0;
 /// How many of its servers a VM looks at for one probe.
@@ -33,7 +33,7 @@
 
 /// The measuring of one service by one VM.
 #[derive(Debug)]
-pub struct Measuring {
+pub struct ProbeScheduler {
     settings: MeasuringSettings,
     servers: Vec<Measured>,
     /// The servers whose prober this VM is.
@@ -53,7 +53,7 @@
     probing: bool,
 }
 
-impl Measuring {
+impl ProbeScheduler {
     /// Builds the state of a VM that is no server's prober yet.
     pub fn new(service: &Service) -> Self {
         let servers = service.backend_servers.iter().map(|server| Measured {
@@ -87,7 +87,7 @@
     }
 
     /// Takes the live VMs in, `own` among them; finds the servers that this VM probes.
-    pub fn membership(&mut self, now: Instant, own: &VmName, live: &[VmName]) {
+    pub fn update_members(&mut self, now: Instant, own: &VmName, live: &[VmName]) {
         if self.settings.budget_share <= 0.0 {
             return;
         }
@@ -104,12 +104,12 @@
     }
 
     /// Notes that a reply told of a server.
-    pub fn told(&mut self, now: Instant, server: usize) {
+    pub fn record_reply(&mut self, now: Instant, server: usize) {
         self.servers[server].told = Some(now);
     }
 
     /// Notes that a probe came back, or that none will.
-    pub fn probed(&mut self, now: Instant, server: usize) {
+    pub fn record_probe_end(&mut self, now: Instant, server: usize) {
         self.servers[server].probing = false;
         self.servers[server].told = Some(now);
     }
@@ -120,7 +120,7 @@
     }
 
     /// Returns the next server to probe, if one needs it and the budget covers it.
-    pub fn next(&mut self, now: Instant) -> Option<usize> {
+    pub fn next_probe(&mut self, now: Instant) -> Option<usize> {
         self.look_at.take_if(|at| *at <= now)?;
         if self.own.is_empty() {
             return None;
@@ -155,7 +155,11 @@
         let since = self.earning_since.replace(now);
         let elapsed = since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let slots: f64 = self.own.iter().map(|&i| self.servers[i].slots).sum();
-        let earned_ms = elapsed.as_secs_f64() * 1000.0 * slots * self.settings.budget_share * GUARD;
+        let earned_ms = elapsed.as_secs_f64()
+            * 1000.0
+            * slots
+            * self.settings.budget_share
+            * PROBER_BUDGET_SHARE;
         let most_ms = BURST_PROBES * self.settings.probe_ms;
         self.earned_ms = (self.earned_ms + earned_ms).min(most_ms);
     }
--- a/crates/kingcuploft/src/decisions/membership/member.rs
+++ b/crates/kingcuploft/src/decisions/membership/member.rs
@@ -57,7 +57,7 @@
 impl Member {
     /// Orders news of one member: the greater is the newer. A stop that was announced goes before
     /// any beat of the same life.
-    pub(super) fn order(&self) -> (Incarnation, bool, u32, MemberState) {
+    pub(super) fn precedence(&self) -> (Incarnation, bool, u32, MemberState) {
         let leaving = self.state == MemberState::Leaving;
         (self.incarnation, leaving, self.beat, self.state)
     }
@@ -65,14 +65,14 @@
 
 /// A member with what this VM itself knows of it.
 #[derive(Clone, Debug)]
-pub(super) struct Known {
+pub(super) struct KnownMember {
     pub(super) member: Member,
     /// When it was heard on a link of this VM, or its news last changed.
-    pub(super) heard: Instant,
+    pub(super) last_heard: Instant,
     /// Whether it is heard on a link of this VM.
-    pub(super) direct: bool,
+    pub(super) linked: bool,
     /// Since when this VM should hear it as a neighbour; `None` while it is none.
-    pub(super) watched: Option<Instant>,
+    pub(super) monitored_since: Option<Instant>,
     /// The hashes of its name, computed once.
     pub(super) hashes: Hashes,
 }
@@ -84,11 +84,11 @@
     /// than have two.
     pub(super) affinity: u64,
     /// Its place on the ring.
-    pub(super) place: u64,
+    pub(super) ring_position: u64,
     /// As a watcher of the store.
-    pub(super) watch: u64,
+    pub(super) store_watch: u64,
     /// Its part of the digest.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
 }
 
 impl Hashes {
@@ -96,9 +96,9 @@
         let name = &member.name;
         Self {
             affinity: rendezvous(own.min(name), own.max(name)),
-            place: rendezvous("ring", name),
-            watch: rendezvous("watch", name),
-            life: rendezvous(name, &member.incarnation.to_string()),
+            ring_position: rendezvous("ring", name),
+            store_watch: rendezvous("watch", name),
+            incarnation: rendezvous(name, &member.incarnation.to_string()),
         }
     }
 }
--- a/crates/kingcuploft/src/decisions/membership/mod.rs
+++ b/crates/kingcuploft/src/decisions/membership/mod.rs
@@ -23,7 +23,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use self::member::{Candidate, Hashes, Known};
+use self::member::{Candidate, Hashes, KnownMember};
 pub use self::member::{Member, MemberState, Neighbour};
 use crate::settings::membership::MembershipSettings;
 use crate::utils::{HashMap, HashSet};
@@ -38,11 +38,11 @@
     own: Member,
     own_hashes: Hashes,
     settings: MembershipSettings,
-    members: HashMap<VmName, Known>,
+    members: HashMap<VmName, KnownMember>,
     candidates: HashMap<SocketAddr, Candidate>,
     /// Members that this VM counts as live and a peer does not know: they are tried.
-    doubted: HashSet<VmName>,
-    news: VecDeque<(VmName, u32)>,
+    unconfirmed: HashSet<VmName>,
+    gossip: VecDeque<(VmName, u32)>,
     last_tick: Option<Instant>,
     /// This VM's digest, and since when a neighbour's has differed from it.
     differs_since: Option<(u32, Instant)>,
@@ -58,8 +58,8 @@
             settings,
             members: HashMap::default(),
             candidates: HashMap::default(),
-            doubted: HashSet::default(),
-            news: VecDeque::new(),
+            unconfirmed: HashSet::default(),
+            gossip: VecDeque::new(),
             last_tick: None,
             differs_since: None,
             last_pull: None,
@@ -72,12 +72,12 @@
     }
 
     /// Sets where this VM listens for peers, once that is known.
-    pub fn listens_at(&mut self, address: SocketAddr) {
+    pub fn set_address(&mut self, address: SocketAddr) {
         self.own.address = address;
     }
 
     /// Counts a heartbeat of this VM.
-    pub fn beat(&mut self) -> u32 {
+    pub fn next_heartbeat(&mut self) -> u32 {
         self.own.beat += 1;
         self.own.beat
     }
@@ -85,14 +85,18 @@
     /// Notes that this VM stops; told to the peers like any news.
     pub fn leave(&mut self) {
         self.own.state = MemberState::Leaving;
-        self.spread(self.own.name.clone());
+        self.queue_gossip(self.own.name.clone());
     }
 
     /// Notes addresses that the settings or the platform's VM list name. The list lags: it only
     /// adds whom to try.
-    pub fn listed(&mut self, now: Instant, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_candidates(
+        &mut self,
+        now: Instant,
+        addresses: impl IntoIterator<Item = SocketAddr>,
+    ) {
         for address in addresses {
-            let known = |known: &Known| {
+            let known = |known: &KnownMember| {
                 known.member.address == address && known.member.state != MemberState::Gone
             };
             if address != self.own.address && !self.members.values().any(known) {
@@ -107,88 +111,91 @@
 
     /// Notes that an address could not be linked with; a candidate is left alone for a while, and
     /// a member that was in doubt is suspected.
-    pub fn unreachable(&mut self, now: Instant, address: SocketAddr) {
+    pub fn record_unreachable(&mut self, now: Instant, address: SocketAddr) {
         let mut suspected = Vec::new();
         for (name, known) in &mut self.members {
             let member = &mut known.member;
-            let doubted = member.address == address && self.doubted.remove(name);
-            if doubted && member.state == MemberState::Live && !known.direct {
-                (member.state, known.heard) = (MemberState::Suspect, now);
+            let doubted = member.address == address && self.unconfirmed.remove(name);
+            if doubted && member.state == MemberState::Live && !known.linked {
+                (member.state, known.last_heard) = (MemberState::Suspect, now);
                 suspected.push(name.clone());
             }
         }
-        suspected.into_iter().for_each(|name| self.spread(name));
+        suspected
+            .into_iter()
+            .for_each(|name| self.queue_gossip(name));
         if let Some(candidate) = self.candidates.get_mut(&address) {
             let pause = FIRST_PAUSE * (1 << candidate.tries.min(16));
-            candidate.not_before = now + pause.min(self.settings.forget());
+            candidate.not_before = now + pause.min(self.settings.forget_after());
             candidate.tries += 1;
         }
     }
 
     /// Takes what a member said of itself on a link; tells whether it may stay linked. An earlier
     /// life of a member that is known in a later one may not: it was replaced.
-    pub fn heard(&mut self, now: Instant, member: &Member) -> bool {
+    pub fn accept_peer(&mut self, now: Instant, member: &Member) -> bool {
         if member.name == self.own.name {
             return false;
         }
-        let later = |known: &Known| known.member.incarnation > member.incarnation;
+        let later = |known: &KnownMember| known.member.incarnation > member.incarnation;
         if self.members.get(&member.name).is_some_and(later) {
             return false;
         }
         self.candidates.remove(&member.address);
-        self.replaced(now, member);
-        self.take(now, member, true);
-        if self.doubted.remove(&member.name) {
-            self.spread(member.name.clone());
+        self.mark_replaced(now, member);
+        self.apply(now, member, true);
+        if self.unconfirmed.remove(&member.name) {
+            self.queue_gossip(member.name.clone());
         }
         true
     }
 
     /// Takes a heartbeat of a member that is linked.
-    pub fn heard_beat(&mut self, now: Instant, name: &VmName, beat: u32) {
+    pub fn record_heartbeat(&mut self, now: Instant, name: &VmName, beat: u32) {
         let Some(known) = self.members.get_mut(name) else {
             return;
         };
-        known.heard = now;
-        known.direct = true;
+        known.last_heard = now;
+        known.linked = true;
         let suspected = matches!(known.member.state, MemberState::Suspect | MemberState::Gone);
         if beat > known.member.beat {
             known.member.beat = beat;
             if suspected {
                 known.member.state = MemberState::Live;
-                self.spread(name.clone());
+                self.queue_gossip(name.clone());
             }
         }
     }
 
     /// Notes that the link with a member ended.
-    pub fn unlinked(&mut self, name: &VmName) {
+    pub fn record_unlinked(&mut self, name: &VmName) {
         if let Some(known) = self.members.get_mut(name) {
-            known.direct = false;
+            known.linked = false;
         }
     }
 
     /// Takes news that a peer passes on.
-    pub fn told(&mut self, now: Instant, member: &Member) {
+    pub fn apply_gossip(&mut self, now: Instant, member: &Member) {
         if member.name == self.own.name {
             // Someone suspects this VM: the next beat of this life ends that everywhere.
             if member.incarnation == self.own.incarnation && member.state != self.own.state {
-                self.spread(self.own.name.clone());
+                self.queue_gossip(self.own.name.clone());
             }
             return;
         }
         if member.state == MemberState::Live {
             self.candidates.remove(&member.address);
         }
-        self.take(now, member, false);
+        self.apply(now, member, false);
     }
 
     /// Takes a peer's whole list. Its lines are not passed on as news: who has them long told the
     /// others.
-    pub fn read(&mut self, now: Instant, list: &[Member]) {
-        let news = self.news.clone();
-        list.iter().for_each(|member| self.told(now, member));
-        self.news = news;
+    pub fn merge_list(&mut self, now: Instant, list: &[Member]) {
+        let news = self.gossip.clone();
+        list.iter()
+            .for_each(|member| self.apply_gossip(now, member));
+        self.gossip = news;
     }
 
     /// Takes a peer's whole list where views have differed for long.
@@ -197,13 +204,13 @@
     /// yet. Where this VM does not hear the member either, it tries the member itself and then
     /// tells what it found. To suspect it without a try would be wrong half of the time, and would
     /// stand against every line of the same beat.
-    pub fn mend(&mut self, now: Instant, list: &[Member]) {
-        self.read(now, list);
+    pub fn reconcile_list(&mut self, now: Instant, list: &[Member]) {
+        self.merge_list(now, list);
         let listed: HashSet<&VmName> = list.iter().map(|member| &member.name).collect();
         for (name, known) in &self.members {
-            let missed = !known.direct && !listed.contains(name);
+            let missed = !known.linked && !listed.contains(name);
             if missed && known.member.state == MemberState::Live {
-                self.doubted.insert(name.clone());
+                self.unconfirmed.insert(name.clone());
             }
         }
     }
@@ -220,52 +227,54 @@
             .collect();
         for (name, known) in &mut self.members {
             if paused {
-                known.heard = now;
+                known.last_heard = now;
                 continue;
             }
-            let silent = now.saturating_duration_since(known.heard);
+            let silent = now.saturating_duration_since(known.last_heard);
             let state = known.member.state;
             // Only who should hear a member may suspect it; the others learn it as news. One that
             // has just become a neighbour gets the time to be heard.
-            known.watched = match watched.contains(name) {
-                true => Some(known.watched.unwrap_or(now)),
+            known.monitored_since = match watched.contains(name) {
+                true => Some(known.monitored_since.unwrap_or(now)),
                 false => None,
             };
-            let long = |since| now.saturating_duration_since(since) > settings.suspect();
-            let watches = known.direct || known.watched.is_some_and(long);
+            let long = |since| now.saturating_duration_since(since) > settings.suspect_after();
+            let watches = known.linked || known.monitored_since.is_some_and(long);
             let next = match state {
-                MemberState::Live if watches && silent > settings.suspect() => MemberState::Suspect,
-                MemberState::Suspect if silent > settings.gone() => MemberState::Gone,
+                MemberState::Live if watches && silent > settings.suspect_after() => {
+                    MemberState::Suspect
+                }
+                MemberState::Suspect if silent > settings.gone_after() => MemberState::Gone,
                 _ => continue,
             };
             known.member.state = next;
-            known.direct = false;
+            known.linked = false;
             changed.push(name.clone());
         }
         for name in &changed {
-            self.spread(name.clone());
+            self.queue_gossip(name.clone());
         }
         let members = &self.members;
-        self.doubted.retain(|name| members.contains_key(name));
+        self.unconfirmed.retain(|name| members.contains_key(name));
         let before = self.members.len();
-        let forget = self.settings.forget();
+        let forget = self.settings.forget_after();
         self.members.retain(|_, known| {
             let out = matches!(known.member.state, MemberState::Gone | MemberState::Leaving);
-            !out || now.saturating_duration_since(known.heard) <= forget
+            !out || now.saturating_duration_since(known.last_heard) <= forget
         });
         !changed.is_empty() || before != self.members.len()
     }
 
     /// Returns the news for one heartbeat: the least often told first, a few lines at most.
-    pub fn news(&mut self, most: usize) -> Vec<Member> {
+    pub fn next_gossip(&mut self, most: usize) -> Vec<Member> {
         let mut told = Vec::new();
-        for _ in 0..most.min(self.news.len()) {
-            let Some((name, left)) = self.news.pop_front() else {
+        for _ in 0..most.min(self.gossip.len()) {
+            let Some((name, left)) = self.gossip.pop_front() else {
                 break;
             };
             told.extend(self.member(&name).cloned());
             if left > 1 {
-                self.news.push_back((name, left - 1));
+                self.gossip.push_back((name, left - 1));
             }
         }
         told
@@ -275,8 +284,8 @@
     pub fn digest(&self) -> u32 {
         let members = self.members.values();
         let live = members.filter(|known| known.member.state == MemberState::Live);
-        let lives = live.map(|known| known.hashes.life);
-        lives.fold(self.own_hashes.life, u64::wrapping_add) as u32
+        let lives = live.map(|known| known.hashes.incarnation);
+        lives.fold(self.own_hashes.incarnation, u64::wrapping_add) as u32
     }
 
     /// Takes a neighbour's digest; tells whether to read its whole list of members.
@@ -284,7 +293,7 @@
     /// News is told a bounded number of times, so some may miss a VM when many change at once. A
     /// difference that lasts is mended by reading one neighbour's list, and not more often than
     /// once in the time after which a silent member counts as gone.
-    pub fn differs(&mut self, now: Instant, digest: u32) -> bool {
+    pub fn needs_resync(&mut self, now: Instant, digest: u32) -> bool {
         let own = self.digest();
         if digest == own {
             // Another neighbour may still differ: two may have missed the same line.
@@ -295,8 +304,8 @@
             _ => now,
         };
         self.differs_since = Some((own, since));
-        let lasts = now.saturating_duration_since(since) >= self.settings.suspect();
-        let gone = self.settings.gone();
+        let lasts = now.saturating_duration_since(since) >= self.settings.suspect_after();
+        let gone = self.settings.gone_after();
         let waited = |last: Instant| now.saturating_duration_since(last) >= gone;
         if !lasts || !self.last_pull.is_none_or(waited) {
             return false;
@@ -307,8 +316,8 @@
     }
 
     /// Tells whether all news was told.
-    pub fn is_quiet(&self) -> bool {
-        self.news.is_empty()
+    pub fn is_gossip_empty(&self) -> bool {
+        self.gossip.is_empty()
     }
 
     /// Returns every member that is known, this VM included, in the order of names.
@@ -320,46 +329,48 @@
     }
 
     /// A new VM answers at the address of another one: that one is gone.
-    fn replaced(&mut self, now: Instant, member: &Member) {
+    fn mark_replaced(&mut self, now: Instant, member: &Member) {
         let mut replaced = Vec::new();
         for known in self.members.values_mut() {
             let old = &mut known.member;
             let same_place = old.address == member.address && old.name != member.name;
             if same_place && old.state != MemberState::Gone {
-                (old.state, known.heard, known.direct) = (MemberState::Gone, now, false);
+                (old.state, known.last_heard, known.linked) = (MemberState::Gone, now, false);
                 replaced.push(old.name.clone());
             }
         }
-        replaced.into_iter().for_each(|name| self.spread(name));
+        replaced
+            .into_iter()
+            .for_each(|name| self.queue_gossip(name));
     }
 
-    fn take(&mut self, now: Instant, member: &Member, direct: bool) {
+    fn apply(&mut self, now: Instant, member: &Member, direct: bool) {
         match self.members.get_mut(&member.name) {
             None => {
                 // News of someone who is gone already is no news.
                 if !direct && member.state == MemberState::Gone {
                     return;
                 }
-                let known = Known {
+                let known = KnownMember {
                     member: member.clone(),
-                    heard: now,
-                    direct,
-                    watched: None,
+                    last_heard: now,
+                    linked: direct,
+                    monitored_since: None,
                     hashes: Hashes::new(&self.own.name, member),
                 };
                 self.members.insert(member.name.clone(), known);
             }
             Some(known) => {
-                known.direct |= direct;
+                known.linked |= direct;
                 if direct {
-                    known.heard = now;
+                    known.last_heard = now;
                 }
-                if known.member.order() >= member.order() {
+                if known.member.precedence() >= member.precedence() {
                     return;
                 }
                 // A suspicion does not end the grace that leads to "gone".
                 if member.state == MemberState::Live || member.state == MemberState::Leaving {
-                    known.heard = now;
+                    known.last_heard = now;
                 }
                 let quiet = known.member.state == member.state
                     && known.member.incarnation == member.incarnation;
@@ -372,15 +383,15 @@
                 }
             }
         }
-        self.spread(member.name.clone());
+        self.queue_gossip(member.name.clone());
     }
 
     /// Puts a member's line on the list of news: each is told a number of times that grows with
     /// the logarithm of the fleet, enough for it to reach every VM with high probability.
-    fn spread(&mut self, name: VmName) {
-        self.news.retain(|(known, _)| *known != name);
+    fn queue_gossip(&mut self, name: VmName) {
+        self.gossip.retain(|(known, _)| *known != name);
         let log2 = usize::BITS - (self.members.len() + 1).leading_zeros();
-        self.news.push_front((name, log2 + 2));
+        self.gossip.push_front((name, log2 + 2));
     }
 
     fn member(&self, name: &VmName) -> Option<&Member> {
@@ -393,7 +404,7 @@
     /// A process that was paused would take everyone's silence for death, while it is its own.
     fn was_paused(&mut self, now: Instant) -> bool {
         let last = self.last_tick.replace(now);
-        let pause = self.settings.beat() * 2;
+        let pause = self.settings.heartbeat_interval() * 2;
         last.is_some_and(|last| now.saturating_duration_since(last) > pause)
     }
 }
--- a/crates/kingcuploft/src/decisions/membership/neighbours.rs
+++ b/crates/kingcuploft/src/decisions/membership/neighbours.rs
@@ -4,14 +4,14 @@
 use std::time::Instant;
 
 use super::Membership;
-use super::member::{Known, Member, MemberState, Neighbour};
+use super::member::{KnownMember, Member, MemberState, Neighbour};
 use crate::utils::rendezvous::rendezvous;
 
 impl Membership {
     /// Returns how many VMs share the backend servers: the members that take callers, and this VM.
-    pub fn sharing(&self) -> usize {
+    pub fn serving_vms(&self) -> usize {
         let mut members = self.members.values();
-        let shares = |known: &Known| known.member.state != MemberState::Gone;
+        let shares = |known: &KnownMember| known.member.state != MemberState::Gone;
         members.by_ref().filter(|known| shares(known)).count() + 1
     }
 
@@ -19,7 +19,7 @@
     pub fn neighbours(&self, now: Instant) -> Vec<Neighbour> {
         let fits = |state| matches!(state, MemberState::Live | MemberState::Suspect);
         let members = self.members.values();
-        let mut fitting: Vec<&Known> = members.filter(|k| fits(k.member.state)).collect();
+        let mut fitting: Vec<&KnownMember> = members.filter(|k| fits(k.member.state)).collect();
         fitting.sort_by_key(|known| std::cmp::Reverse(known.hashes.affinity));
         let successor = self.successor(&fitting);
         let fitting = fitting.iter().map(|known| &known.member);
@@ -44,7 +44,7 @@
             address: member.address,
         });
         let doubted = self
-            .doubted
+            .unconfirmed
             .iter()
             .filter_map(|name| self.members.get(name));
         let doubted = doubted
@@ -53,7 +53,10 @@
                 name: Some(known.member.name.clone()),
                 address: known.member.address,
             });
-        chosen.chain(doubted).chain(self.tried(now)).collect()
+        chosen
+            .chain(doubted)
+            .chain(self.due_candidates(now))
+            .collect()
     }
 
     /// Tells whether this VM is one of the few of its availability zone that watch the store.
@@ -63,21 +66,23 @@
             let member = &known.member;
             member.state == MemberState::Live && member.availability_zone == *zone
         });
-        let own = self.own_hashes.watch;
-        let better = rivals.filter(|rival| rival.hashes.watch > own).count();
+        let own = self.own_hashes.store_watch;
+        let better = rivals
+            .filter(|rival| rival.hashes.store_watch > own)
+            .count();
         better < self.settings.watchers_per_zone
     }
 
     /// Returns the next member on the ring of hashed names.
-    fn successor<'a>(&self, fitting: &[&'a Known]) -> Option<&'a Member> {
-        let own = self.own_hashes.place;
-        let distance = |known: &&&Known| known.hashes.place.wrapping_sub(own);
+    fn successor<'a>(&self, fitting: &[&'a KnownMember]) -> Option<&'a Member> {
+        let own = self.own_hashes.ring_position;
+        let distance = |known: &&&KnownMember| known.hashes.ring_position.wrapping_sub(own);
         let next = fitting.iter().min_by_key(distance);
         next.map(|known| &known.member)
     }
 
     /// Returns a few candidates to try.
-    fn tried(&self, now: Instant) -> Vec<Neighbour> {
+    fn due_candidates(&self, now: Instant) -> Vec<Neighbour> {
         let candidates = self.candidates.iter();
         let due = candidates.filter(|(_, candidate)| candidate.not_before <= now);
         let mut due: Vec<SocketAddr> = due.map(|(address, _)| *address).collect();
--- a/crates/kingcuploft/src/decisions/notes.rs
+++ b/crates/kingcuploft/src/decisions/notes.rs
@@ -23,7 +23,7 @@
 
 /// The load of one backend server, told to peers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Note {
+pub struct LoadNote {
     /// The index of the backend server in the manifest of the message's generation.
     pub server: u16,
     /// Its load when it was reported to the teller.
@@ -32,10 +32,10 @@
 
 /// The notes of one service on one VM.
 #[derive(Debug)]
-pub struct Notes {
+pub struct LoadNotes {
     settings: NotesSettings,
-    servers: Vec<Known>,
-    pending: Vec<Note>,
+    servers: Vec<KnownMember>,
+    pending: Vec<LoadNote>,
     due: Option<Instant>,
     budget_bytes: f64,
     filled: Option<Instant>,
@@ -43,15 +43,15 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownMember {
     slots: f64,
     full: bool,
 }
 
-impl Notes {
+impl LoadNotes {
     /// Builds the state in which no backend server was told full.
     pub fn new(settings: &NotesSettings, slots: impl Iterator<Item = u32>) -> Self {
-        let known = |slots: u32| Known {
+        let known = |slots: u32| KnownMember {
             slots: f64::from(slots),
             full: false,
         };
@@ -67,14 +67,14 @@
     }
 
     /// Takes a load report in; a backend server that turned full or free is noted.
-    pub fn reported(&mut self, now: Instant, server: usize, in_flight: u32) {
+    pub fn record_report(&mut self, now: Instant, server: usize, in_flight: u32) {
         if self.settings.bytes_per_second <= 0.0 || !self.turned(server, in_flight) {
             return;
         }
         self.pending
             .retain(|note| usize::from(note.server) != server);
         if let Ok(number) = u16::try_from(server) {
-            self.pending.push(Note {
+            self.pending.push(LoadNote {
                 server: number,
                 in_flight: in_flight.min(u32::from(u8::MAX)) as u8,
             });
@@ -84,7 +84,7 @@
     }
 
     /// Takes a peer's note in: what it told need not be told again.
-    pub fn heard(&mut self, note: Note) {
+    pub fn record_peer_note(&mut self, note: LoadNote) {
         let server = usize::from(note.server);
         if server < self.servers.len() {
             self.turned(server, u32::from(note.in_flight));
@@ -98,7 +98,7 @@
     }
 
     /// Takes the notes that are due for `peers` peers; none where the budget does not cover them.
-    pub fn take(&mut self, now: Instant, peers: usize) -> Option<Vec<Note>> {
+    pub fn take_due(&mut self, now: Instant, peers: usize) -> Option<Vec<LoadNote>> {
         self.due.take_if(|due| *due <= now)?;
         let notes = std::mem::take(&mut self.pending);
         if notes.is_empty() || peers == 0 {
--- a/crates/kingcuploft/src/decisions/outlier.rs
+++ b/crates/kingcuploft/src/decisions/outlier.rs
@@ -20,7 +20,7 @@
 
 /// The ejections of one service on one VM.
 #[derive(Debug)]
-pub struct Outlier {
+pub struct OutlierDetection {
     settings: OutlierSettings,
     keep_share: f64,
     servers: Vec<Health>,
@@ -34,7 +34,7 @@
     until: Option<Instant>,
 }
 
-impl Outlier {
+impl OutlierDetection {
     /// Builds the state in which no server is ejected.
     pub fn new(settings: &OutlierSettings, keep_share: f64, servers: usize) -> Self {
         Self {
@@ -58,7 +58,13 @@
 
     /// Takes the end of a call in; `working` servers take work by every other decision. Tells
     /// whether the server is ejected by it.
-    pub fn ended(&mut self, now: Instant, server: usize, end: CallEnd, working: usize) -> bool {
+    pub fn record_end(
+        &mut self,
+        now: Instant,
+        server: usize,
+        end: CallEnd,
+        working: usize,
+    ) -> bool {
         match verdict(end) {
             Sign::Good => {
                 self.lift(server);
--- a/crates/kingcuploft/src/decisions/turns.rs
+++ b/crates/kingcuploft/src/decisions/priority_scheduler.rs
@@ -10,7 +10,7 @@
 use crate::world::contract::Priority;
 
 /// How many priorities there are.
-pub const PRIORITIES: usize = 3;
+pub const PRIORITY_COUNT: usize = 3;
 
 /// One turn of a priority with weight 1; large enough that integer division loses nothing
 /// noticeable.
@@ -18,35 +18,35 @@
 
 /// The turns of the priorities of one service.
 #[derive(Clone, Copy, Debug)]
-pub struct Turns {
-    weights: [u32; PRIORITIES],
-    next: [u64; PRIORITIES],
+pub struct PriorityScheduler {
+    weights: [u32; PRIORITY_COUNT],
+    next: [u64; PRIORITY_COUNT],
     now: u64,
 }
 
-impl Turns {
+impl PriorityScheduler {
     /// Begins with nobody having had a turn.
     pub fn new(settings: &AdmissionSettings) -> Self {
         Self {
             weights: weights(settings),
-            next: [0; PRIORITIES],
+            next: [0; PRIORITY_COUNT],
             now: 0,
         }
     }
 
     /// Goes on with other weights.
-    pub fn adopt(&mut self, settings: &AdmissionSettings) {
+    pub fn update_settings(&mut self, settings: &AdmissionSettings) {
         self.weights = weights(settings);
     }
 
     /// Returns the priority to serve next among those that wait.
     pub fn next(&self, waits: impl Fn(usize) -> bool) -> Option<usize> {
-        let waiting = (0..PRIORITIES).filter(|&i| waits(i));
+        let waiting = (0..PRIORITY_COUNT).filter(|&i| waits(i));
         waiting.min_by_key(|&i| self.next[i].max(self.now))
     }
 
     /// Notes that a priority was served.
-    pub fn served(&mut self, priority: usize) {
+    pub fn record_served(&mut self, priority: usize) {
         let start = self.next[priority].max(self.now);
         self.now = start;
         self.next[priority] = start + TURN / u64::from(self.weights[priority]);
@@ -54,7 +54,7 @@
 }
 
 /// Returns the index of a priority.
-pub fn index(priority: Priority) -> usize {
+pub fn priority_index(priority: Priority) -> usize {
     match priority {
         Priority::Protected => 0,
         Priority::Interactive => 1,
@@ -62,7 +62,7 @@
     }
 }
 
-fn weights(settings: &AdmissionSettings) -> [u32; PRIORITIES] {
+fn weights(settings: &AdmissionSettings) -> [u32; PRIORITY_COUNT] {
     let AdmissionSettings {
         protected_weight,
         interactive_weight,
--- a/crates/kingcuploft/src/decisions/retry.rs
+++ b/crates/kingcuploft/src/decisions/retry.rs
@@ -50,7 +50,7 @@
 
 /// What to do after an attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// Pass the answer on.
     Answer,
     /// Send the request again.
@@ -64,7 +64,7 @@
     Refuse(Refusal),
 }
 
-impl Verdict {
+impl RetryDecision {
     /// Decides where no attempt may follow: an answer is passed on, whatever its status.
     pub fn without_retry(end: CallEnd) -> Self {
         match end {
@@ -76,7 +76,7 @@
 
 /// The attempt that ended, and what it belongs to.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended<'a> {
+pub struct EndedAttempt<'a> {
     /// What the rule promises.
     pub contract: Contract,
     /// How many attempts were begun, this one included.
@@ -110,7 +110,7 @@
     }
 
     /// Goes on under new settings with what was earned.
-    pub fn adopt(&mut self, settings: &RetrySettings) {
+    pub fn update_settings(&mut self, settings: &RetrySettings) {
         self.settings = settings.clone();
         self.budget = self.budget.min(self.most());
     }
@@ -118,22 +118,27 @@
     /// Decides what follows an attempt that ended.
     ///
     /// A backend server that fails fast answers, but its errors do not pay for more calls.
-    pub fn decide(&mut self, now: Instant, rng: &mut fastrand::Rng, ended: &Ended<'_>) -> Verdict {
+    pub fn decide(
+        &mut self,
+        now: Instant,
+        rng: &mut fastrand::Rng,
+        ended: &EndedAttempt<'_>,
+    ) -> RetryDecision {
         let end = ended.report.end;
         if end.succeeded() {
             let earned = (self.settings.budget_share * TOKEN as f64) as u64;
             self.budget = (self.budget + earned).min(self.most());
         }
         let Some(reason) = reason(end, ended.contract) else {
-            return Verdict::without_retry(end);
+            return RetryDecision::without_retry(end);
         };
         let after = self.backoff(rng, ended.attempts);
         let in_time = now + after < ended.deadline;
         if !in_time || ended.attempts >= self.settings.attempts || self.budget < TOKEN {
-            return Verdict::without_retry(end);
+            return RetryDecision::without_retry(end);
         }
         self.budget -= TOKEN;
-        Verdict::Retry { reason, after }
+        RetryDecision::Retry { reason, after }
     }
 
     /// Returns the pause before the next attempt: none before the second, which goes to another
@@ -152,7 +157,7 @@
     }
 
     /// Returns when to ask again after every backend server has refused.
-    pub fn refused_by_all(&self) -> Duration {
+    pub fn retry_after_all_refused(&self) -> Duration {
         REFUSED_BY_ALL
     }
 
--- a/crates/kingcuploft/src/decisions/selection.rs
+++ b/crates/kingcuploft/src/decisions/selection.rs
@@ -34,7 +34,7 @@
     /// All that take work are full: the call waits.
     Full,
     /// None takes work.
-    NoneLeft,
+    NoneAvailable,
 }
 
 /// What one VM knows of the backend servers of one service.
@@ -96,34 +96,34 @@
     }
 
     /// Returns when calls that found no room should look again.
-    pub fn look_again(&self) -> Option<Instant> {
+    pub fn recheck_at(&self) -> Option<Instant> {
         self.look_again
     }
 
     /// Returns how many calls of this VM are in flight to a backend server.
     pub fn in_flight(&self, server: usize) -> u32 {
-        self.servers[server].load.own()
+        self.servers[server].load.own_calls()
     }
 
     /// Notes that a call was handed over.
-    pub fn sent(&mut self, now: Instant, server: usize) {
-        self.servers[server].sent(now);
+    pub fn record_sent(&mut self, now: Instant, server: usize) {
+        self.servers[server].record_sent(now);
     }
 
     /// Notes how a call ended.
-    pub fn ended(&mut self, now: Instant, server: usize, report: &CallReport) {
+    pub fn record_end(&mut self, now: Instant, server: usize, report: &CallReport) {
         let view = &mut self.servers[server];
-        view.ended(now, report, &self.settings);
-        if report.load.is_some() && !view.load.doubted() {
-            let others = view.load.mean_others() / view.slots;
+        view.record_end(now, report, &self.settings);
+        if report.load.is_some() && !view.load.is_distrusted() {
+            let others = view.load.mean_other_calls() / view.slots;
             self.typical_others += TYPICAL_WEIGHT * (others - self.typical_others);
         }
     }
 
     /// Takes in what a peer learnt of a backend server's load.
-    pub fn told(&mut self, now: Instant, server: usize, in_flight: u32) {
+    pub fn record_load(&mut self, now: Instant, server: usize, in_flight: u32) {
         if let Some(view) = self.servers.get_mut(server) {
-            view.load.told(now, in_flight);
+            view.load.record_load(now, in_flight);
         }
     }
 
@@ -155,7 +155,7 @@
         let from = rng.usize(0..count);
         let walk = (from..count).chain(0..from);
         let usable = walk.into_iter().find(|&i| takes_work(i));
-        usable.map_or(Choice::NoneLeft, Choice::Send)
+        usable.map_or(Choice::NoneAvailable, Choice::Send)
     }
 
     fn weigh(&self, now: Instant, i: usize, rng: &mut fastrand::Rng, best: &mut Best) {
@@ -163,8 +163,8 @@
         let server = &self.servers[i];
         let ageing = Duration::from_secs_f64(self.settings.ageing_ms / 1000.0);
         let typical = self.typical_others * server.slots;
-        let total = server.load.total(now, ageing, typical);
-        let full_of_own = f64::from(server.load.own()) >= server.slots;
+        let total = server.load.total_calls(now, ageing, typical);
+        let full_of_own = f64::from(server.load.own_calls()) >= server.slots;
         if full_of_own || total >= server.slots + self.settings.allowance {
             return;
         }
@@ -184,7 +184,7 @@
     ) -> Choice {
         let usable: Vec<usize> = (0..self.servers.len()).filter(|&i| takes_work(i)).collect();
         if usable.is_empty() {
-            return Choice::NoneLeft;
+            return Choice::NoneAvailable;
         }
         match policy {
             SelectionPolicy::Random => Choice::Send(usable[rng.usize(0..usable.len())]),
@@ -203,7 +203,7 @@
         let has_least = |&&i: &&usize| Some(self.in_flight(i)) == least;
         let count = usable.iter().filter(has_least).count();
         let chosen = usable.iter().filter(has_least).nth(rng.usize(0..count));
-        chosen.map_or(Choice::NoneLeft, |&i| Choice::Send(i))
+        chosen.map_or(Choice::NoneAvailable, |&i| Choice::Send(i))
     }
 }
 
@@ -219,7 +219,7 @@
 impl Best {
     fn choice(&self) -> Choice {
         match (self.seen, self.server) {
-            (false, _) => Choice::NoneLeft,
+            (false, _) => Choice::NoneAvailable,
             (true, None) => Choice::Full,
             (true, Some(server)) => Choice::Send(server),
         }
--- a/crates/kingcuploft/src/decisions/server_view.rs
+++ b/crates/kingcuploft/src/decisions/server_view.rs
@@ -50,26 +50,26 @@
         }
     }
 
-    pub(super) fn sent(&mut self, now: Instant) {
-        self.load.sent(now);
-        self.idle_connections = self.idle_at(now).saturating_sub(1);
+    pub(super) fn record_sent(&mut self, now: Instant) {
+        self.load.record_sent(now);
+        self.idle_connections = self.idle_connections_at(now).saturating_sub(1);
         self.used = Some(now);
     }
 
-    pub(super) fn ended(
+    pub(super) fn record_end(
         &mut self,
         now: Instant,
         report: &CallReport,
         settings: &SelectionSettings,
     ) {
-        self.load.ended(now, report.latency);
+        self.load.record_end(now, report.latency);
         match report.end {
-            CallEnd::Answered { status } if status < 500 => self.succeeded(now),
+            CallEnd::Answered { status } if status < 500 => self.record_success(now),
             CallEnd::Answered { .. } | CallEnd::Refused | CallEnd::TimedOut => {
-                self.fail(now, settings);
+                self.record_failure(now, settings);
             }
             CallEnd::NeverSent | CallEnd::Broken => {
-                self.fail(now, settings);
+                self.record_failure(now, settings);
                 self.away = true;
                 self.idle_connections = 0;
             }
@@ -77,18 +77,18 @@
         }
         if let Some(load) = report.load {
             let doubt = settings.doubt_reports;
-            self.load.reported(now, load, self.rtt, doubt);
+            self.load.record_report(now, load, self.rtt, doubt);
         }
     }
 
     /// Returns what a call would cost now, in ms, beyond the work itself.
     pub(super) fn cost_ms(&self, now: Instant, total: f64, settings: &SelectionSettings) -> f64 {
-        let phantom = self.failure_calls_at(now, settings) + self.ramp_calls(now, settings);
+        let phantom = self.failure_calls_at(now, settings) + self.slow_start_calls(now, settings);
         let total = total + phantom;
         let ahead = (total + 1.0 - self.slots).max(0.0) / self.slots;
         let usual = Duration::from_secs_f64(settings.overdue_ms / 1000.0);
         let overdue_ms = self.load.overdue(now, usual).as_secs_f64() * 1000.0;
-        let connect_ms = match self.idle_at(now) {
+        let connect_ms = match self.idle_connections_at(now) {
             0 => settings.connect_ms,
             _ => 0.0,
         };
@@ -99,16 +99,16 @@
             + connect_ms
     }
 
-    fn succeeded(&mut self, now: Instant) {
+    fn record_success(&mut self, now: Instant) {
         self.failure_calls /= 2.0;
-        self.idle_connections = self.idle_at(now) + 1;
+        self.idle_connections = self.idle_connections_at(now) + 1;
         if std::mem::take(&mut self.away) {
             self.back = Some(now);
         }
     }
 
     /// Counts a failure as calls; each further one while it counts doubles them.
-    fn fail(&mut self, now: Instant, settings: &SelectionSettings) {
+    fn record_failure(&mut self, now: Instant, settings: &SelectionSettings) {
         let calls = 2.0 * self.failure_calls_at(now, settings) + settings.failure_calls;
         self.failure_calls = calls.min(MOST_FAILURE_CALLS * self.slots);
         self.failed = Some(now);
@@ -126,7 +126,7 @@
     }
 
     /// Returns the calls that a server counts as having while it warms up.
-    fn ramp_calls(&self, now: Instant, settings: &SelectionSettings) -> f64 {
+    fn slow_start_calls(&self, now: Instant, settings: &SelectionSettings) -> f64 {
         let Some(back) = self.back else {
             return 0.0;
         };
@@ -135,7 +135,7 @@
         left.max(0.0) * self.slots
     }
 
-    fn idle_at(&self, now: Instant) -> u32 {
+    fn idle_connections_at(&self, now: Instant) -> u32 {
         let used = self.used.map(|at| now.saturating_duration_since(at));
         match used {
             Some(age) if age < CONNECTION_IDLE => self.idle_connections,
--- a/crates/kingcuploft/src/decisions/pace.rs
+++ b/crates/kingcuploft/src/decisions/service_time.rs
@@ -32,7 +32,7 @@
 
 impl ServiceTime {
     /// Takes one measured time in.
-    pub fn sample(&mut self, time: Duration) {
+    pub fn record(&mut self, time: Duration) {
         let time_s = time.as_secs_f64();
         let Some(mean_s) = &mut self.mean_s else {
             self.mean_s = Some(time_s);
@@ -58,13 +58,13 @@
     }
 
     /// Returns the time that nine of ten requests stay under; zero while nothing was measured.
-    pub fn high(&self) -> Duration {
+    pub fn p90(&self) -> Duration {
         Duration::from_secs_f64(self.high_s.max(self.median_s))
     }
 
     /// Returns the time that 98 of 100 requests stay under; zero while nothing was measured.
-    pub fn tail(&self) -> Duration {
-        Duration::from_secs_f64(self.tail_s).max(self.high())
+    pub fn p98(&self) -> Duration {
+        Duration::from_secs_f64(self.tail_s).max(self.p90())
     }
 }
 
@@ -80,7 +80,7 @@
 
 /// How fast a queue moves.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct DequeueInterval {
     gap_s: Option<f64>,
     /// When a request was last taken off, if the queue has not been empty since.
     last_served: Option<Instant>,
@@ -88,9 +88,9 @@
     waits_since: Option<Instant>,
 }
 
-impl Pace {
+impl DequeueInterval {
     /// Notes that a request was taken off, and whether others still wait.
-    pub fn served(&mut self, now: Instant, others_wait: bool) {
+    pub fn record_dequeue(&mut self, now: Instant, others_wait: bool) {
         if let Some(last) = self.last_served {
             let gap_s = now.saturating_duration_since(last).as_secs_f64();
             let mean_s = self.gap_s.get_or_insert(gap_s);
@@ -101,25 +101,25 @@
     }
 
     /// Notes that a request begins to wait in an empty queue.
-    pub fn begins(&mut self, now: Instant) {
+    pub fn record_queue_start(&mut self, now: Instant) {
         self.last_served = Some(now);
         self.waits_since = Some(now);
     }
 
     /// Notes that the queue ran empty other than by service.
-    pub fn emptied(&mut self) {
+    pub fn reset(&mut self) {
         self.last_served = None;
         self.waits_since = None;
     }
 
     /// Returns for how long the queue has not been empty.
-    pub fn stands_for(&self, now: Instant) -> Duration {
+    pub fn nonempty_for(&self, now: Instant) -> Duration {
         let since = self.waits_since.map(|since| now - since.min(now));
         since.unwrap_or_default()
     }
 
     /// Returns the mean time between two requests taken off, if it was measured.
-    pub fn gap(&self) -> Option<Duration> {
+    pub fn mean(&self) -> Option<Duration> {
         self.gap_s.map(Duration::from_secs_f64)
     }
 
@@ -128,8 +128,8 @@
     ///
     /// A single long job on this VM's few slots opens a long gap and must not empty the queue; a
     /// queue that stands still for good must.
-    pub fn gap_now(&self, now: Instant) -> Duration {
-        let gap = self.gap().unwrap_or_default();
+    pub fn expected(&self, now: Instant) -> Duration {
+        let gap = self.mean().unwrap_or_default();
         let open = self.last_served.map(|last| now - last.min(now));
         let longer = open.unwrap_or_default().saturating_sub(gap);
         gap + longer.mul_f64(SAMPLE_WEIGHT)
--- a/crates/kingcuploft/src/dispatcher/attempts.rs
+++ b/crates/kingcuploft/src/dispatcher/attempts.rs
@@ -6,7 +6,7 @@
 use super::request::{Attempt, Claim};
 use super::{Action, Call, Dispatcher};
 use crate::decisions::hedge::HedgeStep;
-use crate::decisions::retry::Verdict;
+use crate::decisions::retry::RetryDecision;
 use crate::world::backend_server::{CallEnd, CallReport};
 use crate::world::ids::{AttemptId, RequestId};
 
@@ -144,11 +144,11 @@
         }
         let verdict = match self.services.get_mut(&attempt.service) {
             Some(state) => state.after(now, &mut self.rng, request, report),
-            None => Verdict::without_retry(report.end),
+            None => RetryDecision::without_retry(report.end),
         };
         match verdict {
-            Verdict::Answer => self.answer(attempt.request, id, attempt, actions),
-            Verdict::Retry { reason, after } => {
+            RetryDecision::Answer => self.answer(attempt.request, id, attempt, actions),
+            RetryDecision::Retry { reason, after } => {
                 actions.push(Action::Retried(attempt.service.clone(), reason));
                 request.retry = Some(reason);
                 let waiting = request.waiting(attempt.request);
@@ -157,7 +157,7 @@
                     state.retry_at(now + after, waiting, tried, report.end);
                 }
             }
-            Verdict::Refuse(refusal) => self.refuse(attempt.request, refusal, actions),
+            RetryDecision::Refuse(refusal) => self.refuse(attempt.request, refusal, actions),
         }
     }
 
@@ -182,7 +182,7 @@
         }
         let lost = request.live.iter().filter_map(|id| self.attempts.get(id));
         let lost = lost.filter(|attempt| attempt.is_hedge);
-        actions.extend(lost.map(|_| Action::Hedged(service.clone(), HedgeStep::Lost)));
+        actions.extend(lost.map(|_| Action::Hedged(service.clone(), HedgeStep::Cancelled)));
         actions.extend(request.live.into_iter().map(Action::Cancel));
     }
 
--- a/crates/kingcuploft/src/dispatcher/mod.rs
+++ b/crates/kingcuploft/src/dispatcher/mod.rs
@@ -19,7 +19,7 @@
 
 use std::time::Instant;
 
-use crate::decisions::admission::{Offer, Waiting};
+use crate::decisions::admission::{AdmissionDecision, QueuedRequest};
 use crate::decisions::hedge::HedgeStep;
 use crate::decisions::retry::RetryReason;
 use crate::manifest::Accepted;
@@ -323,17 +323,19 @@
     }
 
     /// Queues a request whose claim, if it needs one, is held.
-    fn enqueue(&mut self, now: Instant, waiting: Waiting, actions: &mut Vec<Action>) {
+    fn enqueue(&mut self, now: Instant, waiting: QueuedRequest, actions: &mut Vec<Action>) {
         let id = waiting.request;
         let service = self.requests[&id].service();
         let offer = match self.services.get_mut(service) {
             Some(state) => state.offer(now, waiting),
-            None => Offer::Refused(Refusal::not_run(RefusalReason::NoSuchService)),
+            None => AdmissionDecision::Refused(Refusal::not_run(RefusalReason::NoSuchService)),
         };
         match offer {
-            Offer::Queued => {}
-            Offer::QueuedInsteadOf(other, refusal) => self.refuse(other, refusal, actions),
-            Offer::Refused(refusal) => self.refuse(id, refusal, actions),
+            AdmissionDecision::Queued => {}
+            AdmissionDecision::QueuedReplacing(other, refusal) => {
+                self.refuse(other, refusal, actions)
+            }
+            AdmissionDecision::Refused(refusal) => self.refuse(id, refusal, actions),
         }
     }
 
--- a/crates/kingcuploft/src/dispatcher/request.rs
+++ b/crates/kingcuploft/src/dispatcher/request.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use super::Arrival;
-use crate::decisions::admission::Waiting;
+use crate::decisions::admission::QueuedRequest;
 use crate::decisions::retry::RetryReason;
 use crate::manifest::routing::Route;
 use crate::world::backend_server::CallEnd;
@@ -81,9 +81,9 @@
     }
 
     /// Returns what the queue needs to know of the request.
-    pub(super) fn waiting(&self, id: RequestId) -> Waiting {
+    pub(super) fn waiting(&self, id: RequestId) -> QueuedRequest {
         let rule = self.route.rule();
-        Waiting {
+        QueuedRequest {
             request: id,
             rule: rule.name.clone(),
             priority: rule.priority,
--- a/crates/kingcuploft/src/dispatcher/service_ending.rs
+++ b/crates/kingcuploft/src/dispatcher/service_ending.rs
@@ -5,8 +5,8 @@
 use super::request::{Attempt, Request};
 use super::retry_queue::Waits;
 use super::service_state::ServiceState;
-use crate::decisions::admission::Waiting;
-use crate::decisions::retry::{Ended, Verdict};
+use crate::decisions::admission::QueuedRequest;
+use crate::decisions::retry::{EndedAttempt, RetryDecision};
 use crate::world::backend_server::{CallEnd, CallReport};
 use crate::world::ids::BackendServerName;
 
@@ -16,25 +16,27 @@
         if matches!(report.end, CallEnd::Answered { .. } | CallEnd::TimedOut) {
             let usual = self.admission.service_time(&attempt.rule);
             self.hedge
-                .measured(&attempt.backend_server, report.latency, &usual);
-            self.admission.measured(&attempt.rule, report.latency);
+                .record_latency(&attempt.backend_server, report.latency, &usual);
+            self.admission
+                .record_service_time(&attempt.rule, report.latency);
         }
         let server = self.server_of(attempt);
         let slots = server.map_or(u32::MAX, |i| self.service.backend_servers[i].slots);
         let usual = self.admission.service_time(&attempt.rule);
         let requests_wait = !self.admission.is_empty();
-        self.concurrency.ended(report, slots, usual, requests_wait);
+        self.concurrency
+            .record_end(report, slots, usual, requests_wait);
         let Some(server) = server else {
             return false;
         };
-        self.selection.ended(now, server, report);
-        let working = self.drain.working();
-        self.outlier.ended(now, server, report.end, working);
+        self.selection.record_end(now, server, report);
+        let working = self.drain.available_servers();
+        self.outlier.record_end(now, server, report.end, working);
         if let Some(load) = report.load {
-            self.measuring.told(now, server);
-            self.notes.reported(now, server, load.in_flight);
+            self.measuring.record_reply(now, server);
+            self.notes.record_report(now, server, load.in_flight);
         }
-        report.draining && self.drain.evidence(server)
+        report.draining && self.drain.report_draining(server)
     }
 
     /// Decides what follows an attempt that ended.
@@ -44,8 +46,8 @@
         rng: &mut fastrand::Rng,
         request: &Request,
         report: &CallReport,
-    ) -> Verdict {
-        let ended = Ended {
+    ) -> RetryDecision {
+        let ended = EndedAttempt {
             contract: request.contract(),
             attempts: request.attempts,
             deadline: request.deadline,
@@ -58,7 +60,7 @@
     pub(super) fn retry_at(
         &mut self,
         not_before: Instant,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         tried: Vec<BackendServerName>,
         last_end: CallEnd,
     ) {
--- a/crates/kingcuploft/src/dispatcher/service_news.rs
+++ b/crates/kingcuploft/src/dispatcher/service_news.rs
@@ -4,19 +4,19 @@
 
 use super::probing::{Probe, Probed};
 use super::service_state::ServiceState;
-use crate::decisions::notes::Note;
+use crate::decisions::notes::LoadNote;
 use crate::world::backend_server::CallEnd;
 use crate::world::ids::VmName;
 
 impl ServiceState {
     /// Takes the live VMs in, `own` among them.
     pub(super) fn membership(&mut self, now: Instant, own: &VmName, live: &[VmName]) {
-        self.measuring.membership(now, own, live);
+        self.measuring.update_members(now, own, live);
     }
 
     /// Returns the next probe, if one is due.
     pub(super) fn next_probe(&mut self, now: Instant) -> Option<Probe> {
-        let server = self.measuring.next(now)?;
+        let server = self.measuring.next_probe(now)?;
         let backend_server = &self.service.backend_servers[server];
         let timeout_ms = self.service.policy.measuring.timeout_ms;
         Some(Probe {
@@ -33,29 +33,29 @@
         let Some(&server) = self.by_name.get(&probed.backend_server) else {
             return false;
         };
-        self.measuring.probed(now, server);
+        self.measuring.record_probe_end(now, server);
         if let Some(load) = probed.load {
-            self.selection.told(now, server, load.in_flight);
-            self.notes.reported(now, server, load.in_flight);
+            self.selection.record_load(now, server, load.in_flight);
+            self.notes.record_report(now, server, load.in_flight);
         }
         let end = match probed.healthy || probed.draining {
             true => CallEnd::Answered { status: 200 },
             false => CallEnd::Answered { status: 503 },
         };
-        let working = self.drain.working();
-        self.outlier.ended(now, server, end, working);
-        probed.draining && self.drain.evidence(server)
+        let working = self.drain.available_servers();
+        self.outlier.record_end(now, server, end, working);
+        probed.draining && self.drain.report_draining(server)
     }
 
     /// Takes the notes that are due.
-    pub(super) fn take_notes(&mut self, now: Instant, peers: usize) -> Option<Vec<Note>> {
-        self.notes.take(now, peers)
+    pub(super) fn take_notes(&mut self, now: Instant, peers: usize) -> Option<Vec<LoadNote>> {
+        self.notes.take_due(now, peers)
     }
 
     /// Takes a peer's note in.
-    pub(super) fn heard(&mut self, now: Instant, note: Note) {
-        self.notes.heard(note);
+    pub(super) fn heard(&mut self, now: Instant, note: LoadNote) {
+        self.notes.record_peer_note(note);
         let (server, in_flight) = (usize::from(note.server), u32::from(note.in_flight));
-        self.selection.told(now, server, in_flight);
+        self.selection.record_load(now, server, in_flight);
     }
 }
--- a/crates/kingcuploft/src/dispatcher/service_state.rs
+++ b/crates/kingcuploft/src/dispatcher/service_state.rs
@@ -7,13 +7,13 @@
 use super::hedging::HedgePick;
 use super::request::{Attempt, Request};
 use super::retry_queue::RetryQueue;
-use crate::decisions::admission::{Admission, Next, Offer, Waiting};
-use crate::decisions::concurrency::Concurrency;
+use crate::decisions::admission::{Admission, AdmissionDecision, NextRequest, QueuedRequest};
+use crate::decisions::concurrency::ConcurrencyLimit;
 use crate::decisions::drain::Drain;
-use crate::decisions::hedge::{Hedge, HedgeStep, Judgement, Look};
-use crate::decisions::measuring::Measuring;
-use crate::decisions::notes::Notes;
-use crate::decisions::outlier::Outlier;
+use crate::decisions::hedge::{AttemptProgress, Hedge, HedgeDecision, HedgeStep};
+use crate::decisions::measuring::ProbeScheduler;
+use crate::decisions::notes::LoadNotes;
+use crate::decisions::outlier::OutlierDetection;
 use crate::decisions::retry::Retry;
 use crate::decisions::selection::{Choice, Selection};
 use crate::manifest::{BackendServer, Service};
@@ -43,12 +43,12 @@
     pub(super) by_name: HashMap<BackendServerName, usize>,
     pub(super) admission: Admission,
     pub(super) retries: RetryQueue,
-    pub(super) concurrency: Concurrency,
+    pub(super) concurrency: ConcurrencyLimit,
     pub(super) selection: Selection,
     pub(super) drain: Drain,
-    pub(super) notes: Notes,
-    pub(super) outlier: Outlier,
-    pub(super) measuring: Measuring,
+    pub(super) notes: LoadNotes,
+    pub(super) outlier: OutlierDetection,
+    pub(super) measuring: ProbeScheduler,
     pub(super) retry: Retry,
     pub(super) hedge: Hedge,
     /// When a request last waited because all was full.
@@ -71,8 +71,8 @@
     ) -> Self {
         let mut selection = Selection::new(&service, &vm.availability_zone);
         let mut drain = Drain::new(&service);
-        let mut measuring = Measuring::new(&service);
-        let mut outlier = Outlier::new(
+        let mut measuring = ProbeScheduler::new(&service);
+        let mut outlier = OutlierDetection::new(
             &service.policy.outlier,
             service.policy.drain.keep_share,
             service.backend_servers.len(),
@@ -82,7 +82,7 @@
             None => (
                 Admission::new(&service),
                 RetryQueue::default(),
-                Concurrency::new(&service, live_vms),
+                ConcurrencyLimit::new(&service, live_vms),
                 Retry::new(&service.policy.retry),
                 Hedge::new(&service.policy.hedge),
             ),
@@ -91,11 +91,11 @@
                 drain.take_over(&old.drain, &old_of);
                 measuring.take_over(&old.measuring, &old_of);
                 outlier.take_over(&old.outlier, &old_of);
-                old.admission.adopt(&service);
-                old.concurrency.adopt(&service);
-                old.retry.adopt(&service.policy.retry);
+                old.admission.update_service(&service);
+                old.concurrency.update_service(&service);
+                old.retry.update_settings(&service.policy.retry);
                 let kept = |name: &_| service.backend_servers.iter().any(|s| s.name == *name);
-                old.hedge.adopt(&service.policy.hedge, kept);
+                old.hedge.update_settings(&service.policy.hedge, kept);
                 (
                     old.admission,
                     old.retries,
@@ -115,7 +115,7 @@
             concurrency,
             selection,
             drain,
-            notes: Notes::new(
+            notes: LoadNotes::new(
                 &service.policy.notes,
                 service.backend_servers.iter().map(|s| s.slots),
             ),
@@ -130,7 +130,7 @@
             if let Some(server) = state.server_of(attempt)
                 && old_of[server].is_none()
             {
-                state.selection.sent(now, server);
+                state.selection.record_sent(now, server);
             }
         }
         state
@@ -160,8 +160,8 @@
     }
 
     /// Returns the load as one request finds it.
-    pub(super) fn load_for(&self, now: Instant, waiting: &Waiting) -> LoadSeen {
-        let outlook = self.admission.outlook(now, waiting);
+    pub(super) fn load_for(&self, now: Instant, waiting: &QueuedRequest) -> LoadSeen {
+        let outlook = self.admission.estimate_wait(now, waiting);
         LoadSeen {
             expected_wait_ms: ms(outlook.wait),
             service_time_ms: ms(outlook.service_time),
@@ -170,30 +170,30 @@
     }
 
     /// Judges a protected request at the door, before its claim is asked for.
-    pub(super) fn check(&mut self, now: Instant, waiting: &Waiting) -> Option<Refusal> {
+    pub(super) fn check(&mut self, now: Instant, waiting: &QueuedRequest) -> Option<Refusal> {
         match self.admission.check(now, waiting) {
-            Offer::Refused(refusal) => Some(refusal),
-            Offer::Queued | Offer::QueuedInsteadOf(..) => {
+            AdmissionDecision::Refused(refusal) => Some(refusal),
+            AdmissionDecision::Queued | AdmissionDecision::QueuedReplacing(..) => {
                 let key = waiting.key.as_ref();
-                self.admission.claim_asked(&waiting.rule, key);
+                self.admission.claim_started(&waiting.rule, key);
                 None
             }
         }
     }
 
     pub(super) fn live_vms(&mut self, live_vms: u32) {
-        self.concurrency.live_vms(live_vms);
+        self.concurrency.set_live_vms(live_vms);
     }
 
     pub(super) fn claim_settled(&mut self, rule: &RuleName) {
-        self.admission.claim_settled(rule);
+        self.admission.claim_ended(rule);
     }
 
     pub(super) fn key_ended(&mut self, key: &IdempotencyKey) {
         self.admission.key_ended(key);
     }
 
-    pub(super) fn offer(&mut self, now: Instant, waiting: Waiting) -> Offer {
+    pub(super) fn offer(&mut self, now: Instant, waiting: QueuedRequest) -> AdmissionDecision {
         self.admission.offer(now, waiting)
     }
 
@@ -209,17 +209,17 @@
         let choice = self.choose(now, rng, &[]);
         if choice == Choice::Full {
             self.last_full = Some(now);
-            let given_up = self.admission.give_up(now);
+            let given_up = self.admission.shed_one(now);
             return given_up.map_or(Pick::Idle, |(id, refusal)| Pick::Refuse(id, refusal));
         }
         let waiting = match self.admission.next(now) {
-            Next::Empty => return Pick::Idle,
-            Next::GivenUp(id, refusal) => return Pick::Refuse(id, refusal),
-            Next::Serve(waiting) => waiting,
+            NextRequest::Empty => return Pick::Idle,
+            NextRequest::Shed(id, refusal) => return Pick::Refuse(id, refusal),
+            NextRequest::Serve(waiting) => waiting,
         };
         match choice {
             Choice::Send(server) => Pick::Send(waiting.request, server),
-            Choice::Full | Choice::NoneLeft => {
+            Choice::Full | Choice::NoneAvailable => {
                 let refusal = Refusal::not_run(RefusalReason::NoBackendServer);
                 Pick::Refuse(waiting.request, refusal)
             }
@@ -237,14 +237,14 @@
                     let waits = self.retries.take(at);
                     return Some(Pick::Send(waits.request, server));
                 }
-                (Choice::NoneLeft, CallEnd::Refused) => return Some(self.refused_by_all(at)),
-                (Choice::NoneLeft, _) => match self.choose(now, rng, &[]) {
+                (Choice::NoneAvailable, CallEnd::Refused) => return Some(self.refused_by_all(at)),
+                (Choice::NoneAvailable, _) => match self.choose(now, rng, &[]) {
                     Choice::Full => {}
                     Choice::Send(server) => {
                         let waits = self.retries.take(at);
                         return Some(Pick::Send(waits.request, server));
                     }
-                    Choice::NoneLeft => {
+                    Choice::NoneAvailable => {
                         let waits = self.retries.take(at);
                         let refusal = Refusal::not_run(RefusalReason::NoBackendServer);
                         return Some(Pick::Refuse(waits.request, refusal));
@@ -266,14 +266,14 @@
         let takes_work =
             |i| drain.takes_work(i) && outlier.takes_work(now, i) && !tried.contains(&i);
         match self.selection.choose(now, rng, takes_work) {
-            Choice::Send(_) if !self.concurrency.has_room() => Choice::Full,
+            Choice::Send(_) if !self.concurrency.has_capacity() => Choice::Full,
             choice => choice,
         }
     }
 
     /// Notes that a lookup was sent, and returns after which time to look at it.
     pub(super) fn lookup_sent(&mut self, rule: &RuleName) -> Option<Duration> {
-        self.hedge.sent(&self.admission.service_time(rule))
+        self.hedge.lookup_sent(&self.admission.service_time(rule))
     }
 
     /// Judges a lookup's first attempt that takes long.
@@ -284,21 +284,21 @@
         request: &Request,
         attempt: &Attempt,
     ) -> HedgePick {
-        let look = Look {
+        let look = AttemptProgress {
             elapsed: now - attempt.sent_at.min(now),
-            left: request.deadline.saturating_duration_since(now),
-            usual: self.admission.service_time(&attempt.rule),
-            calm_for: self.last_full.map(|at| now - at.min(now)),
+            remaining: request.deadline.saturating_duration_since(now),
+            service_time: self.admission.service_time(&attempt.rule),
+            since_last_wait: self.last_full.map(|at| now - at.min(now)),
         };
-        let reason = match self.hedge.judge(&attempt.backend_server, &look) {
-            Judgement::Leave => return HedgePick::Leave,
-            Judgement::LookAgain(after) => return HedgePick::LookAgain(now + after),
-            Judgement::Hedge(reason) => reason,
+        let reason = match self.hedge.decide(&attempt.backend_server, &look) {
+            HedgeDecision::DoNotHedge => return HedgePick::Leave,
+            HedgeDecision::CheckAgain(after) => return HedgePick::LookAgain(now + after),
+            HedgeDecision::Hedge(reason) => reason,
         };
         let tried = self.indices(&request.tried);
         match self.choose(now, rng, &tried) {
             Choice::Send(server) if !self.in_slow_spell(server) => {
-                self.hedge.spend();
+                self.hedge.spend_token();
                 HedgePick::Send(server, HedgeStep::Sent(reason))
             }
             _ => HedgePick::Leave,
@@ -316,19 +316,19 @@
         let refusal = Refusal::not_run(RefusalReason::BackendServerRefused);
         Pick::Refuse(
             waits.request,
-            refusal.retry_after(self.retry.refused_by_all()),
+            refusal.retry_after(self.retry.retry_after_all_refused()),
         )
     }
 
     pub(super) fn sent(&mut self, now: Instant, server: usize) -> &BackendServer {
-        self.selection.sent(now, server);
-        self.concurrency.sent();
+        self.selection.record_sent(now, server);
+        self.concurrency.record_sent();
         &self.service.backend_servers[server]
     }
 
     pub(super) fn draining(&mut self, server: &BackendServerName) -> bool {
         let server = self.by_name.get(server);
-        server.is_some_and(|&server| self.drain.evidence(server))
+        server.is_some_and(|&server| self.drain.report_draining(server))
     }
 
     /// Takes a request that no longer waits off the queues.
@@ -342,10 +342,10 @@
     /// for room.
     pub(super) fn next_due(&self, now: Instant) -> Option<Instant> {
         let waits = !self.admission.is_empty() || self.retries.due(now) > 0;
-        let look_again = self.selection.look_again().filter(|_| waits);
+        let look_again = self.selection.recheck_at().filter(|_| waits);
         let due = [
             self.retries.next_due(now),
-            self.admission.next_hopeless(),
+            self.admission.next_shed_at(),
             self.notes.due(),
             self.measuring.due(),
             look_again,
--- a/crates/kingcuploft/src/dispatcher/telling.rs
+++ b/crates/kingcuploft/src/dispatcher/telling.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use super::{Action, Dispatcher};
-use crate::decisions::notes::Note;
+use crate::decisions::notes::LoadNote;
 use crate::world::ids::{Generation, ServiceName, VmName};
 
 /// Notes of one service, for every live peer.
@@ -14,7 +14,7 @@
     /// The manifest whose backend servers the notes number.
     pub generation: Generation,
     /// The notes.
-    pub notes: Vec<Note>,
+    pub notes: Vec<LoadNote>,
 }
 
 impl Dispatcher {
--- a/crates/kingcuploft/tests/admission/differential.rs
+++ b/crates/kingcuploft/tests/admission/differential.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use arbtest::arbitrary::{Result, Unstructured};
-use kingcuploft::decisions::admission::{Admission, Next, Offer, Waiting};
+use kingcuploft::decisions::admission::{Admission, AdmissionDecision, NextRequest, QueuedRequest};
 use kingcuploft::settings::admission::AdmissionSettings;
 use kingcuploft::world::contract::Priority;
 
@@ -18,7 +18,7 @@
     Priority::Background,
 ];
 
-fn any_waiting(u: &mut Unstructured<'_>, request: u64, now: Instant) -> Result<Waiting> {
+fn any_waiting(u: &mut Unstructured<'_>, request: u64, now: Instant) -> Result<QueuedRequest> {
     let caller = *u.choose(&["squad", "school", "club", "office"])?;
     let mut waiting = waiting(request, caller, *u.choose(&PRIORITIES)?, now);
     waiting.queue_limit = 12;
@@ -27,11 +27,11 @@
     Ok(waiting)
 }
 
-fn verdict(offer: Offer) -> Verdict {
+fn verdict(offer: AdmissionDecision) -> Verdict {
     match offer {
-        Offer::Queued => Verdict::Queued,
-        Offer::QueuedInsteadOf(other, _) => Verdict::InsteadOf(other),
-        Offer::Refused(refusal) => Verdict::Refused(refusal.reason),
+        AdmissionDecision::Queued => Verdict::Queued,
+        AdmissionDecision::QueuedReplacing(other, _) => Verdict::InsteadOf(other),
+        AdmissionDecision::Refused(refusal) => Verdict::Refused(refusal.reason),
     }
 }
 
@@ -51,9 +51,9 @@
             }
             5 | 6 => {
                 let served = match admission.next(now) {
-                    Next::Serve(waiting) => Some((waiting.request, true)),
-                    Next::GivenUp(request, _) => Some((request, false)),
-                    Next::Empty => None,
+                    NextRequest::Serve(waiting) => Some((waiting.request, true)),
+                    NextRequest::Shed(request, _) => Some((request, false)),
+                    NextRequest::Empty => None,
                 };
                 assert_eq!(served, naive.next(now));
             }
@@ -64,13 +64,13 @@
             8 => {
                 let rule = format!("{:?}", u.choose(&PRIORITIES)?).into();
                 let time = Duration::from_millis(u.int_in_range(1..=60)?);
-                admission.measured(&rule, time);
+                admission.record_service_time(&rule, time);
                 naive.measured(&rule, time);
             }
             _ => now += Duration::from_millis(u.int_in_range(0..=30)?),
         }
         while u.ratio(1, 2)? {
-            let given_up = admission.give_up(now).map(|(request, _)| request);
+            let given_up = admission.shed_one(now).map(|(request, _)| request);
             assert_eq!(given_up, naive.give_up(now));
             if given_up.is_none() {
                 break;
--- a/crates/kingcuploft/tests/admission/door.rs
+++ b/crates/kingcuploft/tests/admission/door.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use kingcuploft::decisions::admission::{Admission, Next, Offer};
+use kingcuploft::decisions::admission::{Admission, AdmissionDecision, NextRequest};
 use kingcuploft::settings::admission::AdmissionSettings;
 use kingcuploft::world::contract::Priority;
 use kingcuploft::world::refusal::{Outcome, Refusal, RefusalReason};
@@ -16,19 +16,19 @@
     for request in 0..20 + len {
         let mut waiting = waiting(request, "squad", Priority::Interactive, now);
         waiting.deadline += Duration::from_secs(60);
-        assert_eq!(admission.offer(now, waiting), Offer::Queued);
+        assert_eq!(admission.offer(now, waiting), AdmissionDecision::Queued);
     }
     for _ in 0..20 {
         now += Duration::from_millis(100);
-        assert!(matches!(admission.next(now), Next::Serve(_)));
+        assert!(matches!(admission.next(now), NextRequest::Serve(_)));
     }
-    admission.measured(&"Interactive".into(), Duration::from_millis(50));
+    admission.record_service_time(&"Interactive".into(), Duration::from_millis(50));
     (admission, now)
 }
 
-fn refused(offer: Offer) -> Refusal {
+fn refused(offer: AdmissionDecision) -> Refusal {
     match offer {
-        Offer::Refused(refusal) => refusal,
+        AdmissionDecision::Refused(refusal) => refusal,
         other => panic!("{other:?}"),
     }
 }
@@ -54,7 +54,7 @@
     };
     let (mut admission, now) = slow_queue(settings, 20);
     let late = waiting(100, "squad", Priority::Interactive, now);
-    assert_eq!(admission.offer(now, late), Offer::Queued);
+    assert_eq!(admission.offer(now, late), AdmissionDecision::Queued);
 }
 
 /// The queue stalls: nothing is served for a second. Who waits at the end can not be answered in
@@ -67,10 +67,10 @@
     };
     let (mut admission, now) = slow_queue(settings, 6);
     let last = waiting(100, "squad", Priority::Interactive, now);
-    assert_eq!(admission.offer(now, last), Offer::Queued);
-    assert_eq!(admission.give_up(now), None);
+    assert_eq!(admission.offer(now, last), AdmissionDecision::Queued);
+    assert_eq!(admission.shed_one(now), None);
     let stalled = now + Duration::from_millis(700);
-    let (request, refusal) = admission.give_up(stalled).expect("given up");
+    let (request, refusal) = admission.shed_one(stalled).expect("given up");
     assert_eq!(request, 100);
     assert_eq!(refusal.reason, RefusalReason::DeadlineUnreachable);
     assert!(refusal.retry_after.is_some());
@@ -85,14 +85,14 @@
     let mut hold = waiting(1, "squad", Priority::Protected, now);
     hold.key = Some("squad-7".into());
     for _ in 0..4 {
-        assert_eq!(admission.check(now, &hold), Offer::Queued);
-        admission.claim_asked(&hold.rule, hold.key.as_ref());
+        assert_eq!(admission.check(now, &hold), AdmissionDecision::Queued);
+        admission.claim_started(&hold.rule, hold.key.as_ref());
     }
     let refusal = refused(admission.check(now, &hold));
     assert_eq!(refusal.reason, RefusalReason::KeyShare);
     assert_eq!(refusal.outcome, Outcome::Unknown);
     admission.key_ended(&"squad-7".into());
-    assert_eq!(admission.check(now, &hold), Offer::Queued);
+    assert_eq!(admission.check(now, &hold), AdmissionDecision::Queued);
 }
 
 /// A slow spell makes a rule's answers take longer than its callers allow. Had the door refused
@@ -102,11 +102,11 @@
     let mut admission = Admission::new(&service(AdmissionSettings::default()));
     let now = Instant::now();
     for _ in 0..100 {
-        admission.measured(&"Interactive".into(), Duration::from_secs(5));
+        admission.record_service_time(&"Interactive".into(), Duration::from_secs(5));
     }
     for request in 0..3 {
         let alone = waiting(request, "squad", Priority::Interactive, now);
-        assert_eq!(admission.offer(now, alone), Offer::Queued);
-        assert!(matches!(admission.next(now), Next::Serve(_)));
+        assert_eq!(admission.offer(now, alone), AdmissionDecision::Queued);
+        assert!(matches!(admission.next(now), NextRequest::Serve(_)));
     }
 }
--- a/crates/kingcuploft/tests/admission/main.rs
+++ b/crates/kingcuploft/tests/admission/main.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use kingcuploft::decisions::admission::Waiting;
+use kingcuploft::decisions::admission::QueuedRequest;
 use kingcuploft::manifest::Service;
 use kingcuploft::settings::admission::AdmissionSettings;
 use kingcuploft::world::contract::Priority;
@@ -23,8 +23,8 @@
     service
 }
 
-fn waiting(request: RequestId, caller: &str, priority: Priority, now: Instant) -> Waiting {
-    Waiting {
+fn waiting(request: RequestId, caller: &str, priority: Priority, now: Instant) -> QueuedRequest {
+    QueuedRequest {
         request,
         rule: format!("{priority:?}").into(),
         priority,
--- a/crates/kingcuploft/tests/admission/naive.rs
+++ b/crates/kingcuploft/tests/admission/naive.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use kingcuploft::decisions::admission::Waiting;
-use kingcuploft::decisions::pace::{Pace, ServiceTime};
-use kingcuploft::decisions::turns::{self, Turns};
+use kingcuploft::decisions::admission::QueuedRequest;
+use kingcuploft::decisions::priority_scheduler::{self, PriorityScheduler};
+use kingcuploft::decisions::service_time::{DequeueInterval, ServiceTime};
 use kingcuploft::settings::admission::AdmissionSettings;
 use kingcuploft::world::ids::{Caller, RequestId, RuleName};
 use kingcuploft::world::refusal::RefusalReason;
 
 struct Item {
-    waiting: Waiting,
+    waiting: QueuedRequest,
     priority: usize,
     place: (u64, u64),
     cost_us: u64,
@@ -28,8 +28,8 @@
 
 pub(crate) struct Naive {
     items: Vec<Item>,
-    turns: Turns,
-    paces: [Pace; 3],
+    turns: PriorityScheduler,
+    paces: [DequeueInterval; 3],
     times: BTreeMap<RuleName, ServiceTime>,
     next_start: BTreeMap<Caller, u64>,
     now_us: u64,
@@ -40,7 +40,7 @@
     pub(crate) fn new(settings: &AdmissionSettings) -> Self {
         Self {
             items: Vec::new(),
-            turns: Turns::new(settings),
+            turns: PriorityScheduler::new(settings),
             paces: Default::default(),
             times: BTreeMap::new(),
             next_start: BTreeMap::new(),
@@ -58,11 +58,11 @@
     }
 
     fn wait(&self, now: Instant, priority: usize, ahead: usize) -> Duration {
-        self.paces[priority].gap_now(now).mul_f64(ahead as f64)
+        self.paces[priority].expected(now).mul_f64(ahead as f64)
     }
 
-    pub(crate) fn offer(&mut self, now: Instant, waiting: Waiting) -> Verdict {
-        let priority = turns::index(waiting.priority);
+    pub(crate) fn offer(&mut self, now: Instant, waiting: QueuedRequest) -> Verdict {
+        let priority = priority_scheduler::priority_index(waiting.priority);
         let own = |caller: &Caller| {
             let items = self.in_priority(priority);
             items.filter(|i| i.waiting.caller == *caller).count()
@@ -77,9 +77,9 @@
         let ahead = len.min(((2 * mine + 1) * callers.len()).div_ceil(2));
         let wait = self.wait(now, priority, ahead);
         let left = waiting.deadline - now;
-        let stands = self.paces[priority].stands_for(now) > Duration::from_millis(300);
+        let stands = self.paces[priority].nonempty_for(now) > Duration::from_millis(300);
         let too_long = stands && wait > left.mul_f64(0.1);
-        if ahead > 0 && (too_long || wait + self.time(&waiting.rule).high() > left) {
+        if ahead > 0 && (too_long || wait + self.time(&waiting.rule).p90() > left) {
             return Verdict::Refused(RefusalReason::DeadlineUnreachable);
         }
         let limit = waiting.queue_limit as usize;
@@ -109,9 +109,9 @@
         verdict
     }
 
-    fn push(&mut self, now: Instant, priority: usize, waiting: Waiting) {
+    fn push(&mut self, now: Instant, priority: usize, waiting: QueuedRequest) {
         if self.in_priority(priority).next().is_none() {
-            self.paces[priority].begins(now);
+            self.paces[priority].record_queue_start(now);
         }
         self.arrivals += 1;
         let time = self.time(&waiting.rule);
@@ -146,11 +146,11 @@
             return Some((request, false));
         }
         let item = self.items.remove(at);
-        self.turns.served(priority);
+        self.turns.record_served(priority);
         let first = self.items.iter().map(|i| i.place.0).min();
         self.now_us = self.now_us.max(first.unwrap_or(item.place.0));
         let others_wait = self.in_priority(priority).next().is_some();
-        self.paces[priority].served(now, others_wait);
+        self.paces[priority].record_dequeue(now, others_wait);
         Some((item.waiting.request, true))
     }
 
@@ -185,13 +185,13 @@
             *next = next.saturating_sub(item.cost_us);
         }
         if self.in_priority(item.priority).next().is_none() {
-            self.paces[item.priority].emptied();
+            self.paces[item.priority].reset();
         }
         true
     }
 
     pub(crate) fn measured(&mut self, rule: &RuleName, time: Duration) {
-        self.times.entry(rule.clone()).or_default().sample(time);
+        self.times.entry(rule.clone()).or_default().record(time);
     }
 
     pub(crate) fn len(&self) -> usize {
--- a/crates/kingcuploft/tests/admission/shares.rs
+++ b/crates/kingcuploft/tests/admission/shares.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use kingcuploft::decisions::admission::{Admission, Next, Offer};
+use kingcuploft::decisions::admission::{Admission, AdmissionDecision, NextRequest};
 use kingcuploft::settings::admission::AdmissionSettings;
 use kingcuploft::world::contract::Priority;
 use kingcuploft::world::refusal::RefusalReason;
@@ -19,8 +19,8 @@
 /// Serves the next `count` requests and counts those of a caller.
 fn served(admission: &mut Admission, now: Instant, count: usize, caller: &str) -> usize {
     let served = (0..count).filter_map(|_| match admission.next(now) {
-        Next::Serve(waiting) => Some(waiting),
-        Next::GivenUp(..) | Next::Empty => None,
+        NextRequest::Serve(waiting) => Some(waiting),
+        NextRequest::Shed(..) | NextRequest::Empty => None,
     });
     served.filter(|waiting| &*waiting.caller == caller).count()
 }
@@ -32,11 +32,11 @@
     let now = Instant::now();
     for request in 0..40 {
         let burst = waiting(request, "script", Priority::Interactive, now);
-        assert_eq!(admission.offer(now, burst), Offer::Queued);
+        assert_eq!(admission.offer(now, burst), AdmissionDecision::Queued);
     }
     admission.next(now);
     let one = waiting(100, "squad", Priority::Interactive, now);
-    assert_eq!(admission.offer(now, one), Offer::Queued);
+    assert_eq!(admission.offer(now, one), AdmissionDecision::Queued);
     let place = (1..).find(|_| served(&mut admission, now, 1, "squad") == 1);
     place.unwrap()
 }
@@ -55,16 +55,16 @@
     let now = Instant::now();
     for request in 0..64 {
         let burst = waiting(request, "script", Priority::Interactive, now);
-        assert_eq!(admission.offer(now, burst), Offer::Queued);
+        assert_eq!(admission.offer(now, burst), AdmissionDecision::Queued);
     }
     let one = waiting(100, "squad", Priority::Interactive, now);
-    let Offer::QueuedInsteadOf(63, refusal) = admission.offer(now, one) else {
+    let AdmissionDecision::QueuedReplacing(63, refusal) = admission.offer(now, one) else {
         panic!("the squad is turned away");
     };
     assert_eq!(refusal.reason, RefusalReason::CallerShare);
     assert!(refusal.retry_after.is_some());
     let more = waiting(101, "script", Priority::Interactive, now);
-    let Offer::Refused(refusal) = admission.offer(now, more) else {
+    let AdmissionDecision::Refused(refusal) = admission.offer(now, more) else {
         panic!("the script has more than its share");
     };
     assert_eq!(refusal.reason, RefusalReason::CallerShare);
@@ -75,8 +75,8 @@
 fn callers_share_slot_time() {
     let mut admission = Admission::new(&service(AdmissionSettings::default()));
     let now = Instant::now();
-    admission.measured(&"Interactive".into(), Duration::from_millis(10));
-    admission.measured(&"export".into(), Duration::from_millis(100));
+    admission.record_service_time(&"Interactive".into(), Duration::from_millis(10));
+    admission.record_service_time(&"export".into(), Duration::from_millis(100));
     for request in 0..60 {
         let caller = if request % 2 == 0 { "short" } else { "long" };
         let mut waiting = waiting(request, caller, Priority::Interactive, now);
@@ -84,7 +84,7 @@
         if caller == "long" {
             waiting.rule = "export".into();
         }
-        assert_eq!(admission.offer(now, waiting), Offer::Queued);
+        assert_eq!(admission.offer(now, waiting), AdmissionDecision::Queued);
     }
     let long = served(&mut admission, now, 22, "long");
     assert!((2..=3).contains(&long), "{long} long jobs among 22");
@@ -138,5 +138,5 @@
             admission.next(now);
         }
     }
-    assert!(admission.callers_held() <= 100 + 64);
+    assert!(admission.tracked_callers() <= 100 + 64);
 }
--- a/crates/kingcuploft/tests/adoption.rs
+++ b/crates/kingcuploft/tests/adoption.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use kingcuploft::decisions::adoption::{Adoption, AdoptionError, Need, Step};
+use kingcuploft::decisions::adoption::{Adoption, AdoptionError, AdoptionStep, MissingParts};
 use kingcuploft::manifest::root::{ContentHash, Root, RootDelta, ServiceObject, ServiceRef};
 use kingcuploft::manifest::{Accepted, Service};
 use pathfinding::directed::bfs::bfs_reach;
@@ -68,8 +68,8 @@
     let world = World::new();
     let mut adoption = Adoption::default();
     let step = adoption.root_text(&world.roots[1].text()).unwrap();
-    assert!(matches!(step, Step::Fetch));
-    let Need::Services(missing) = adoption.need() else {
+    assert!(matches!(step, AdoptionStep::FetchMissing));
+    let MissingParts::Services(missing) = adoption.missing_parts() else {
         panic!("services are missing");
     };
     assert_eq!(missing.len(), 2);
@@ -77,11 +77,11 @@
         .service_text(&missing[0], &world.objects[2].text)
         .unwrap();
     let step = adoption.service_text(&missing[1], &world.objects[1].text);
-    assert!(matches!(step, Ok(Step::InForce(_))));
+    assert!(matches!(step, Ok(AdoptionStep::InForce(_))));
     let stale = adoption.root_text(&world.roots[0].text()).unwrap();
-    assert!(matches!(stale, Step::Keep));
+    assert!(matches!(stale, AdoptionStep::Unchanged));
     assert_eq!(adoption.generation(), 2);
-    assert_eq!(adoption.need(), Need::Nothing);
+    assert_eq!(adoption.missing_parts(), MissingParts::Nothing);
 }
 
 #[test]
@@ -94,11 +94,14 @@
     adoption.root_text(&world.roots[0].text()).unwrap();
     for object in &world.objects[..2] {
         let step = adoption.service_text(&object.hash, &object.text).unwrap();
-        assert!(matches!(step, Step::Fetch | Step::Keep));
+        assert!(matches!(
+            step,
+            AdoptionStep::FetchMissing | AdoptionStep::Unchanged
+        ));
     }
     assert_eq!(adoption.generation(), 0);
-    let need = adoption.need();
-    let wanted = Need::Root {
+    let need = adoption.missing_parts();
+    let wanted = MissingParts::Root {
         generation: 2,
         since: 1,
     };
@@ -106,7 +109,7 @@
     adoption.root_text(&world.roots[1].text()).unwrap();
     let trip = &world.objects[2];
     let step = adoption.service_text(&trip.hash, &trip.text).unwrap();
-    assert!(matches!(step, Step::InForce(accepted) if accepted.generation == 2));
+    assert!(matches!(step, AdoptionStep::InForce(accepted) if accepted.generation == 2));
 }
 
 #[test]
@@ -129,7 +132,7 @@
     assert_eq!((status.in_force, status.heard, status.missing), (1, 2, 1));
     assert!(status.fault.is_some());
     let step = adoption.service_text(&trip.hash, &trip.text).unwrap();
-    assert!(matches!(step, Step::InForce(_)));
+    assert!(matches!(step, AdoptionStep::InForce(_)));
     assert_eq!(adoption.status().fault, None);
 }
 
@@ -143,7 +146,7 @@
     }
     let other = root(1, &[&world.objects[0]]);
     let step = adoption.root_text(&other.text());
-    assert_eq!(step.unwrap_err(), AdoptionError::TwoContents(1));
+    assert_eq!(step.unwrap_err(), AdoptionError::ConflictingContents(1));
 }
 
 #[test]
@@ -178,9 +181,9 @@
     fn key(&self, world: &World) -> Key;
 }
 
-fn in_force(step: Result<Step, AdoptionError>) -> Option<Accepted> {
+fn in_force(step: Result<AdoptionStep, AdoptionError>) -> Option<Accepted> {
     match step {
-        Ok(Step::InForce(accepted)) => Some(accepted),
+        Ok(AdoptionStep::InForce(accepted)) => Some(accepted),
         _ => None,
     }
 }
@@ -195,15 +198,15 @@
     }
 
     fn heard(&mut self, generation: u64) {
-        Self::heard(self, generation);
+        self.note_generation(generation);
     }
 
     fn key(&self, world: &World) -> Key {
         let status = self.status();
-        let awaited = match self.need() {
-            Need::Nothing => 0,
-            Need::Root { since, .. } => 10 + since,
-            Need::Services(missing) => {
+        let awaited = match self.missing_parts() {
+            MissingParts::Nothing => 0,
+            MissingParts::Root { since, .. } => 10 + since,
+            MissingParts::Services(missing) => {
                 let objects = world.objects.iter().enumerate();
                 let bits = objects.map(|(i, o)| u64::from(missing.contains(&o.hash)) << i);
                 100 + bits.sum::<u64>()
--- a/crates/kingcuploft/tests/adoption_pair.rs
+++ b/crates/kingcuploft/tests/adoption_pair.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-use kingcuploft::decisions::adoption::{Adoption, Need, Step};
+use kingcuploft::decisions::adoption::{Adoption, AdoptionStep, MissingParts};
 use kingcuploft::manifest::Service;
 use kingcuploft::manifest::root::{Root, ServiceObject, ServiceRef};
 use pathfinding::directed::bfs::bfs_reach;
@@ -55,8 +55,8 @@
         let status = self.adoption.status();
         let held = world.objects.iter();
         let held = held.map(|o| self.adoption.service(&o.hash).is_some());
-        let need = match self.adoption.need() {
-            Need::Nothing => String::new(),
+        let need = match self.adoption.missing_parts() {
+            MissingParts::Nothing => String::new(),
             need => format!("{need:?}"),
         };
         (
@@ -94,8 +94,12 @@
 }
 
 /// Notes what a step put in force, and which promise that broke.
-fn take(vm: &mut Vm, step: Result<Step, impl Sized>, broken: &RefCell<BTreeSet<&'static str>>) {
-    let Ok(Step::InForce(accepted)) = step else {
+fn take(
+    vm: &mut Vm,
+    step: Result<AdoptionStep, impl Sized>,
+    broken: &RefCell<BTreeSet<&'static str>>,
+) {
+    let Ok(AdoptionStep::InForce(accepted)) = step else {
         return;
     };
     let mut broken = broken.borrow_mut();
@@ -157,11 +161,11 @@
         // The second VM hears the first's heartbeat, asks for the difference, asks for objects.
         step(&|s| {
             let generation = s.first.adoption.generation();
-            s.second.adoption.heard(generation);
+            s.second.adoption.note_generation(generation);
             s.second.told = s.second.told.max(generation);
         });
-        let since = match state.second.adoption.need() {
-            Need::Root { since, .. } => since,
+        let since = match state.second.adoption.missing_parts() {
+            MissingParts::Root { since, .. } => since,
             _ => state.second.adoption.generation(),
         };
         for since in [0, since] {
--- a/crates/kingcuploft/tests/claim_model/model.rs
+++ b/crates/kingcuploft/tests/claim_model/model.rs
@@ -7,9 +7,10 @@
 
 use kingcuploft::decisions::claim::ledger::{Claimant, EntryState, Head, Record, Version};
 use kingcuploft::decisions::claim::message::{
-    Claim, Failure, Operation, Order, Output, Precondition, StoreAnswer, Stored, Verdict,
+    Claim, ClaimCommand, Operation, Output, Precondition, StoreAnswer, StoreFailure, StoredObject,
+    Verdict,
 };
-use kingcuploft::decisions::claim::{Partition, Time};
+use kingcuploft::decisions::claim::{EventContext, Partition};
 use kingcuploft::settings::claim::ClaimSettings;
 use pathfinding::prelude::bfs_reach;
 
@@ -44,8 +45,8 @@
     /// The open call of each VM, not yet at the store.
     calls: Vec<Option<Operation>>,
     requests: Vec<Phase>,
-    objects: BTreeMap<String, (Version, Stored)>,
-    before: BTreeMap<String, Option<(Version, Stored)>>,
+    objects: BTreeMap<String, (Version, StoredObject)>,
+    before: BTreeMap<String, Option<(Version, StoredObject)>>,
     revision: Version,
     late: Vec<Operation>,
     runs: u8,
@@ -113,10 +114,10 @@
         &self,
         model: &mut Model,
         vm: usize,
-        event: impl FnOnce(&mut Partition, &mut Time<'_>, &mut Vec<Output>),
+        event: impl FnOnce(&mut Partition, &mut EventContext<'_>, &mut Vec<Output>),
     ) {
         let mut rng = fastrand::Rng::with_seed(0);
-        let mut time = Time {
+        let mut time = EventContext {
             now: self.now,
             unix_ms: NOW_MS,
             rng: &mut rng,
@@ -127,15 +128,15 @@
             match output {
                 Output::Store(operation) => model.calls[vm] = Some(operation),
                 Output::Verdict(id, verdict) => model.verdict(id as usize, &verdict),
-                Output::Count(_) => {}
+                Output::Event(_) => {}
             }
         }
     }
 
-    fn order(&self, model: &mut Model, request: usize, order: Order) {
+    fn order(&self, model: &mut Model, request: usize, order: ClaimCommand) {
         let vm = self.vm_of(request);
         self.feed(model, vm, |partition, time, out| {
-            partition.order(time, order, out);
+            partition.handle_command(time, order, out);
         });
     }
 
@@ -182,14 +183,14 @@
                     claimant: claimant(request),
                     window: Duration::from_secs(60),
                     // A tick at any moment gives the claim up.
-                    give_up: self.now,
+                    deadline: self.now,
                 };
-                self.order(&mut after, request, Order::Claim(id, claim));
+                self.order(&mut after, request, ClaimCommand::Claim(id, claim));
             }
             Phase::Held => {
                 let mut released = model.clone();
                 released.requests[request] = Phase::ToldNotRun;
-                self.order(&mut released, request, Order::Release(id));
+                self.order(&mut released, request, ClaimCommand::Release(id));
                 next.push(released);
                 after.requests[request] = Phase::Sent;
                 after.runs += 1;
@@ -200,13 +201,13 @@
             Phase::Sent => {
                 let mut unknown = model.clone();
                 unknown.requests[request] = Phase::Ended;
-                let end = Order::Acknowledge(id, EntryState::EndUnknown);
+                let end = ClaimCommand::Acknowledge(id, EntryState::EndUnknown);
                 self.order(&mut unknown, request, end);
                 next.push(unknown);
                 after.requests[request] = Phase::Ended;
                 after.answered_by = Some(request as u8);
                 let end = EntryState::Answered(Arc::new(record(request)));
-                self.order(&mut after, request, Order::Acknowledge(id, end));
+                self.order(&mut after, request, ClaimCommand::Acknowledge(id, end));
             }
             _ => return,
         }
@@ -246,7 +247,7 @@
     fn silence(&self, model: &mut Model, vm: usize) {
         let answer = match self.bounds.variant {
             Variant::SentBeforeReadBack => StoreAnswer::Written(model.revision + 1),
-            _ => StoreAnswer::Failed(Failure::Silent),
+            _ => StoreAnswer::Failed(StoreFailure::NoAnswer),
         };
         self.answer(model, vm, answer);
     }
@@ -254,7 +255,7 @@
     fn answer(&self, model: &mut Model, vm: usize, answer: StoreAnswer) {
         model.calls[vm] = None;
         self.feed(model, vm, |partition, time, out| {
-            partition.answered(time, answer, out);
+            partition.handle_answer(time, answer, out);
         });
     }
 
@@ -329,7 +330,7 @@
 
     fn head(&self) -> Option<&Arc<Head>> {
         match self.objects.get(&Partition::head_name(0)) {
-            Some((_, Stored::Head(head))) => Some(head),
+            Some((_, StoredObject::Head(head))) => Some(head),
             _ => None,
         }
     }
@@ -344,7 +345,7 @@
         }
         let mut after = self.clone();
         after.revision += 1;
-        let stored = (after.revision, Stored::Head(Arc::new(free)));
+        let stored = (after.revision, StoredObject::Head(Arc::new(free)));
         after.objects.insert(Partition::head_name(0), stored);
         Some(after)
     }
--- a/crates/kingcuploft/tests/claims/main.rs
+++ b/crates/kingcuploft/tests/claims/main.rs
@@ -7,7 +7,9 @@
 
 use arbtest::arbtest;
 use kingcuploft::decisions::claim::ledger::{Claimant, Entry, EntryState, Head, Record};
-use kingcuploft::decisions::claim::message::{Counted, Failure, Order, Stored, Verdict};
+use kingcuploft::decisions::claim::message::{
+    ClaimCommand, ClaimEvent, StoreFailure, StoredObject, Verdict,
+};
 use kingcuploft::settings::claim::ClaimSettings;
 use std::sync::Arc;
 
@@ -70,11 +72,11 @@
         world.answer(vm, key, &key.to_le_bytes());
     }
     world.settle();
-    let (_, Stored::Head(head)) = &world.objects["claims/000/head"] else {
+    let (_, StoredObject::Head(head)) = &world.objects["claims/000/head"] else {
         panic!("no head");
     };
     assert!(head.indexes.len() > 2, "{head:?}");
-    assert!(bytes(&Stored::Head(Arc::clone(head))) < 40_000);
+    assert!(bytes(&StoredObject::Head(Arc::clone(head))) < 40_000);
     let fresh = world.add_vm(0);
     for key in (0..600).step_by(7) {
         let duplicate = 10_000 + key;
@@ -88,7 +90,7 @@
         world.claim(fresh, 20_000 + key, u128::from(key));
         world.run(Duration::from_secs(1));
         assert_eq!(world.verdicts[&(20_000 + key)], Verdict::Held, "{key}");
-        world.order(fresh, Order::Release(20_000 + key));
+        world.order(fresh, ClaimCommand::Release(20_000 + key));
     }
     world.run(Duration::from_secs(2));
     let after = world.objects.len();
@@ -130,7 +132,7 @@
 fn a_refused_claim_that_a_late_write_carried_is_taken_back() {
     let mut world = World::new(2, ClaimSettings::default());
     world.settle();
-    world.outage = Some(Failure::Silent);
+    world.outage = Some(StoreFailure::NoAnswer);
     world.claim(0, 1, 7);
     world.run(Duration::from_millis(1000));
     let told = world.verdicts.get(&1);
@@ -154,10 +156,10 @@
     };
     let mut head = Head::default();
     head.entries.insert(7, entry);
-    let stored = (1_000, Stored::Head(Arc::new(head)));
+    let stored = (1_000, StoredObject::Head(Arc::new(head)));
     world.objects.insert("claims/000/head".into(), stored);
     world.settle();
-    assert!(world.counted.contains(&Counted::Released));
+    assert!(world.counted.contains(&ClaimEvent::Released));
     world.claim(1, 2, 7);
     world.settle();
     assert_eq!(world.verdicts[&2], Verdict::Held);
@@ -174,7 +176,7 @@
     world.claim(1, 2, 8);
     world.settle();
     let retry_after = Duration::from_millis(300);
-    world.outage = Some(Failure::Down { retry_after });
+    world.outage = Some(StoreFailure::Down { retry_after });
     world.claim(1, 3, 9);
     world.run(Duration::from_millis(20));
     let told = &world.verdicts[&3];
@@ -268,7 +270,7 @@
     }
     world.settle();
     assert_eq!(world.writes - before, 1);
-    assert!(world.counted.contains(&Counted::Group(100)));
+    assert!(world.counted.contains(&ClaimEvent::Group(100)));
 }
 
 #[test]
