--- a/crates/kingcuploft/tests/claims/world.rs
+++ b/crates/kingcuploft/tests/claims/world.rs
@@ -6,10 +6,10 @@
 
 use kingcuploft::decisions::claim::ledger::{Claimant, EntryState, Record, Version};
 use kingcuploft::decisions::claim::message::{
-    Claim, ClaimId, Counted, Failure, Operation, Order, Output, Precondition, StoreAnswer, Stored,
-    Verdict,
+    Claim, ClaimCommand, ClaimEvent, ClaimId, Operation, Output, Precondition, StoreAnswer,
+    StoreFailure, StoredObject, Verdict,
 };
-use kingcuploft::decisions::claim::{Partition, Time};
+use kingcuploft::decisions::claim::{EventContext, Partition};
 use kingcuploft::settings::claim::ClaimSettings;
 
 pub(crate) const WINDOW: Duration = Duration::from_secs(600);
@@ -23,12 +23,12 @@
 
 pub(crate) struct World {
     vms: Vec<Vm>,
-    pub(crate) objects: BTreeMap<String, (Version, Stored)>,
+    pub(crate) objects: BTreeMap<String, (Version, StoredObject)>,
     pub(crate) writes: u64,
     pub(crate) conflicts: u64,
     pub(crate) verdicts: BTreeMap<ClaimId, Verdict>,
-    pub(crate) counted: Vec<Counted>,
-    pub(crate) outage: Option<Failure>,
+    pub(crate) counted: Vec<ClaimEvent>,
+    pub(crate) outage: Option<StoreFailure>,
     revision: Version,
     start: Instant,
     pub(crate) elapsed: Duration,
@@ -73,8 +73,10 @@
         self.start + self.elapsed
     }
 
-    pub(crate) fn order(&mut self, vm: usize, order: Order) {
-        self.feed(vm, |partition, time, out| partition.order(time, order, out));
+    pub(crate) fn order(&mut self, vm: usize, order: ClaimCommand) {
+        self.feed(vm, |partition, time, out| {
+            partition.handle_command(time, order, out)
+        });
     }
 
     /// Claims a key on a VM; the claim's id is its nonce.
@@ -92,14 +94,14 @@
                 nonce: id,
             },
             window: WINDOW,
-            give_up: self.now() + self.settings.timeout(),
+            deadline: self.now() + self.settings.timeout(),
         };
-        self.order(vm, Order::Claim(id, claim));
+        self.order(vm, ClaimCommand::Claim(id, claim));
     }
 
     pub(crate) fn answer(&mut self, vm: usize, id: ClaimId, body: &[u8]) {
         let state = EntryState::Answered(Arc::new(record(body)));
-        self.order(vm, Order::Acknowledge(id, state));
+        self.order(vm, ClaimCommand::Acknowledge(id, state));
     }
 
     /// Lets time pass in steps of 1 ms, each with at most one call of each VM.
@@ -137,7 +139,7 @@
                     None => self.apply(&call),
                 };
                 self.feed(vm, |partition, time, out| {
-                    partition.answered(time, answer, out);
+                    partition.handle_answer(time, answer, out);
                 });
             }
             self.feed(vm, |partition, time, out| partition.tick(time, out));
@@ -147,12 +149,12 @@
     fn feed(
         &mut self,
         vm: usize,
-        event: impl FnOnce(&mut Partition, &mut Time<'_>, &mut Vec<Output>),
+        event: impl FnOnce(&mut Partition, &mut EventContext<'_>, &mut Vec<Output>),
     ) {
         let unix_ms = START_MS + self.elapsed.as_millis() as u64;
         let now = self.now();
         let vm = &mut self.vms[vm];
-        let mut time = Time {
+        let mut time = EventContext {
             now,
             unix_ms: unix_ms.saturating_add_signed(vm.skew_ms),
             rng: &mut self.rng,
@@ -166,7 +168,7 @@
                     let before = self.verdicts.insert(id, verdict);
                     assert_eq!(before, None, "claim {id} is decided twice");
                 }
-                Output::Count(counted) => self.counted.push(counted),
+                Output::Event(counted) => self.counted.push(counted),
             }
         }
     }
@@ -206,11 +208,11 @@
 }
 
 /// Returns the length of an object as it stands in the store.
-pub(crate) fn bytes(value: &Stored) -> usize {
+pub(crate) fn bytes(value: &StoredObject) -> usize {
     let text = match value {
-        Stored::Head(head) => serde_json::to_string(head.as_ref()),
-        Stored::Segment(segment) => serde_json::to_string(segment.as_ref()),
-        Stored::Index(index) => serde_json::to_string(index.as_ref()),
+        StoredObject::Head(head) => serde_json::to_string(head.as_ref()),
+        StoredObject::Segment(segment) => serde_json::to_string(segment.as_ref()),
+        StoredObject::Index(index) => serde_json::to_string(index.as_ref()),
     };
     text.unwrap().len()
 }
--- a/crates/kingcuploft/tests/dispatcher/hedging.rs
+++ b/crates/kingcuploft/tests/dispatcher/hedging.rs
@@ -68,7 +68,7 @@
     let first = calls(&lookup.actions)[0].attempt;
     let hedges = calls_within(&mut world, 100);
     let actions = world.end(first, OK);
-    assert_eq!(steps(&actions), [HedgeStep::Lost]);
+    assert_eq!(steps(&actions), [HedgeStep::Cancelled]);
     let cancelled = |action: &Action| matches!(action, Action::Cancel(id) if *id == hedges[0]);
     assert!(actions.iter().any(cancelled));
 }
--- a/crates/kingcuploft/tests/measuring.rs
+++ b/crates/kingcuploft/tests/measuring.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use kingcuploft::decisions::measuring::{Measuring, prober};
+use kingcuploft::decisions::measuring::{ProbeScheduler, prober};
 use kingcuploft::manifest::Service;
 use kingcuploft::world::ids::VmName;
 
@@ -33,7 +33,7 @@
 struct Fleet {
     now: Instant,
     began: Instant,
-    nodes: Vec<(VmName, Measuring)>,
+    nodes: Vec<(VmName, ProbeScheduler)>,
     probes: u64,
 }
 
@@ -44,7 +44,9 @@
         Self {
             now,
             began: now,
-            nodes: nodes.map(|vm| (vm, Measuring::new(&service()))).collect(),
+            nodes: nodes
+                .map(|vm| (vm, ProbeScheduler::new(&service())))
+                .collect(),
             probes: 0,
         }
     }
@@ -52,7 +54,7 @@
     /// Gives each VM its own view: the one that `view` returns for it.
     fn views(mut self, view: impl Fn(usize) -> Vec<VmName>) -> Self {
         for (i, (vm, measuring)) in self.nodes.iter_mut().enumerate() {
-            measuring.membership(self.now, vm, &view(i));
+            measuring.update_members(self.now, vm, &view(i));
         }
         self
     }
@@ -63,9 +65,9 @@
         while self.now < end {
             self.now += Duration::from_millis(10);
             for (_, measuring) in &mut self.nodes {
-                while let Some(server) = measuring.next(self.now) {
+                while let Some(server) = measuring.next_probe(self.now) {
                     self.probes += 1;
-                    measuring.probed(self.now, server);
+                    measuring.record_probe_end(self.now, server);
                 }
             }
         }
@@ -84,12 +86,12 @@
         let mut claimed = [0; SERVERS];
         let now = Instant::now();
         for vm in &live {
-            let mut measuring = Measuring::new(&service());
-            measuring.membership(now, vm, &live);
+            let mut measuring = ProbeScheduler::new(&service());
+            measuring.update_members(now, vm, &live);
             // Far in the future everything was earned and every server is silent.
             for step in 1..400 {
                 let at = now + Duration::from_secs(20 * step);
-                if let Some(server) = measuring.next(at) {
+                if let Some(server) = measuring.next_probe(at) {
                     claimed[server] += u64::from(measuring_owner(&live, server) != *vm);
                 }
             }
@@ -162,12 +164,12 @@
         let place = life % 14;
         fleet.nodes[place] = (
             format!("entry-new-{life}").into(),
-            Measuring::new(&service()),
+            ProbeScheduler::new(&service()),
         );
         let live: Vec<VmName> = fleet.nodes.iter().map(|(vm, _)| vm.clone()).collect();
         let now = fleet.now;
         for (vm, measuring) in &mut fleet.nodes {
-            measuring.membership(now, vm, &live);
+            measuring.update_members(now, vm, &live);
         }
         fleet.run(Duration::from_secs(5));
     }
--- a/crates/kingcuploft/tests/membership.rs
+++ b/crates/kingcuploft/tests/membership.rs
@@ -55,7 +55,7 @@
         };
         for index in 0..size {
             let mut view = Membership::new(member(index, 1), MembershipSettings::default());
-            view.listed(now, [address(0)]);
+            view.add_candidates(now, [address(0)]);
             fleet.views.push(Some(view));
         }
         fleet
@@ -85,7 +85,7 @@
         }
         for (a, b) in self.before.difference(&self.links) {
             if let Some(view) = &mut self.views[*a] {
-                view.unlinked(&name(*b));
+                view.record_unlinked(&name(*b));
             }
         }
         for view in self.views.iter_mut().flatten() {
@@ -95,7 +95,7 @@
 
     fn failed(&mut self, from: usize, to: &Neighbour) {
         if let Some(view) = &mut self.views[from] {
-            view.unreachable(self.now, to.address);
+            view.record_unreachable(self.now, to.address);
         }
     }
 
@@ -105,17 +105,18 @@
             let Some(sender) = &mut self.views[a] else {
                 continue;
             };
-            let beat = sender.beat();
+            let beat = sender.next_heartbeat();
             let own = sender.own().clone();
-            let news = sender.news(4);
+            let news = sender.next_gossip(4);
             self.lines += news.len();
             self.beats += 1;
             let Some(receiver) = &mut self.views[b] else {
                 continue;
             };
-            receiver.heard(self.now, &own);
-            receiver.heard_beat(self.now, &own.name, beat);
-            news.iter().for_each(|line| receiver.told(self.now, line));
+            receiver.accept_peer(self.now, &own);
+            receiver.record_heartbeat(self.now, &own.name, beat);
+            news.iter()
+                .for_each(|line| receiver.apply_gossip(self.now, line));
         }
         self.mend(from, to);
     }
@@ -130,9 +131,9 @@
             return;
         };
         if begins {
-            view.read(self.now, &list.1);
-        } else if view.differs(self.now, list.0) {
-            view.mend(self.now, &list.1);
+            view.merge_list(self.now, &list.1);
+        } else if view.needs_resync(self.now, list.0) {
+            view.reconcile_list(self.now, &list.1);
         }
     }
 
@@ -188,13 +189,13 @@
     fleet.rounds(10);
     assert!(fleet.live().iter().all(|n| *n == 13), "{:?}", fleet.live());
     let mut view = Membership::new(member(5, 2), MembershipSettings::default());
-    view.listed(fleet.now, [address(1)]);
+    view.add_candidates(fleet.now, [address(1)]);
     fleet.views[5] = Some(view);
     fleet.rounds(20);
     assert!(fleet.live().iter().all(|n| *n == 14), "{:?}", fleet.live());
     // The dead life's late words are not believed.
     let view = fleet.views[1].as_mut().unwrap();
-    assert!(!view.heard(fleet.now, &member(5, 1)));
+    assert!(!view.accept_peer(fleet.now, &member(5, 1)));
 }
 
 #[test]
@@ -228,7 +229,7 @@
     // The settings' and the VM list's addresses are what finds the other half again.
     for _ in 0..12 {
         for view in fleet.views.iter_mut().flatten() {
-            view.listed(fleet.now, (0..16).map(address));
+            view.add_candidates(fleet.now, (0..16).map(address));
         }
         fleet.rounds(5);
     }
@@ -253,10 +254,10 @@
 fn a_new_vm_at_an_old_address_ends_the_old_one() {
     let now = Instant::now();
     let mut view = Membership::new(member(0, 1), MembershipSettings::default());
-    view.heard(now, &member(1, 1));
+    view.accept_peer(now, &member(1, 1));
     let mut new = member(2, 1);
     new.address = address(1);
-    view.heard(now, &new);
+    view.accept_peer(now, &new);
     let members = view.members();
     let state = |name: &str| members.iter().find(|m| &*m.name == name).map(|m| m.state);
     assert_eq!(state("entry-1"), Some(MemberState::Gone));
@@ -293,9 +294,9 @@
     let doubtful = member(1, 1);
     let doubts = || {
         let mut view = Membership::new(member(0, 1), MembershipSettings::default());
-        view.told(now, &doubtful);
-        while !view.news(8).is_empty() {}
-        view.mend(now, &[member(2, 1)]);
+        view.apply_gossip(now, &doubtful);
+        while !view.next_gossip(8).is_empty() {}
+        view.reconcile_list(now, &[member(2, 1)]);
         assert!(
             view.members().contains(&doubtful),
             "it still counts as live"
@@ -307,11 +308,15 @@
     let mut view = doubts();
     let mut heard = doubtful.clone();
     heard.beat = 4;
-    assert!(view.heard(now, &heard));
-    assert_eq!(view.news(8), [heard], "the others are told that it lives");
+    assert!(view.accept_peer(now, &heard));
+    assert_eq!(
+        view.next_gossip(8),
+        [heard],
+        "the others are told that it lives"
+    );
     let mut view = doubts();
-    view.unreachable(now, address(1));
-    let told = view.news(8);
+    view.record_unreachable(now, address(1));
+    let told = view.next_gossip(8);
     assert_eq!(told.len(), 1);
     assert_eq!(told[0].state, MemberState::Suspect);
 }
@@ -327,8 +332,8 @@
     let beats = settings.suspect_ms / settings.beat_ms + 1;
     let mut mends = 0;
     for _ in 0..beats {
-        mends += usize::from(view.differs(now, same));
-        mends += usize::from(view.differs(now, other));
+        mends += usize::from(view.needs_resync(now, same));
+        mends += usize::from(view.needs_resync(now, other));
         now += BEAT;
     }
     assert_eq!(mends, 1);
--- a/crates/kingcuploft/tests/retry.rs
+++ b/crates/kingcuploft/tests/retry.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use arbtest::arbitrary::{Result, Unstructured};
-use kingcuploft::decisions::retry::{Ended, Retry, RetryReason, Verdict};
+use kingcuploft::decisions::retry::{EndedAttempt, Retry, RetryDecision, RetryReason};
 use kingcuploft::settings::retry::RetrySettings;
 use kingcuploft::world::backend_server::{CallEnd, CallReport};
 use kingcuploft::world::contract::Contract;
@@ -32,10 +32,10 @@
 }
 
 /// Decides the end of a first attempt with plenty of time left.
-fn decide(retry: &mut Retry, contract: Contract, end: CallEnd) -> Verdict {
+fn decide(retry: &mut Retry, contract: Contract, end: CallEnd) -> RetryDecision {
     let (now, mut rng) = (Instant::now(), fastrand::Rng::with_seed(1));
     let report = report(end);
-    let ended = Ended {
+    let ended = EndedAttempt {
         contract,
         attempts: 1,
         deadline: now + Duration::from_secs(1),
@@ -68,7 +68,7 @@
         let contract = *u.choose(&[Contract::RetryFreely, Contract::AtMostOnce])?;
         let allowed = recount(&history, &settings) > 0;
         let verdict = decide(&mut retry, contract, end);
-        let retried = matches!(verdict, Verdict::Retry { .. });
+        let retried = matches!(verdict, RetryDecision::Retry { .. });
         let may = match (end, contract) {
             (CallEnd::NeverSent | CallEnd::Refused, _) => true,
             (CallEnd::Broken, contract) => contract == Contract::RetryFreely,
@@ -102,7 +102,7 @@
     let mut retry = Retry::new(&settings);
     let unavailable = CallEnd::Answered { status: 503 };
     let verdict = decide(&mut retry, Contract::RetryFreely, unavailable);
-    assert_eq!(verdict, Verdict::Answer);
+    assert_eq!(verdict, RetryDecision::Answer);
 }
 
 /// Every backend server refuses a lookup twice; the third attempt waits a little, and not as long
@@ -114,14 +114,14 @@
     let report = report(CallEnd::Refused);
     let mut pauses = Vec::new();
     for _ in 0..2 {
-        let ended = Ended {
+        let ended = EndedAttempt {
             contract: Contract::RetryFreely,
             attempts: 2,
             deadline: now + Duration::from_secs(1),
             report: &report,
         };
         match retry.decide(now, &mut rng, &ended) {
-            Verdict::Retry { reason, after } => {
+            RetryDecision::Retry { reason, after } => {
                 assert_eq!(reason, RetryReason::Refused);
                 pauses.push(after);
             }
--- a/crates/kingcuploftd/src/admin_fleet.rs
+++ b/crates/kingcuploftd/src/admin_fleet.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
-use kingcuploft::decisions::adoption::{AdoptionError, Step};
+use kingcuploft::decisions::adoption::{AdoptionError, AdoptionStep};
 use kingcuploft::manifest::root::ContentHash;
 use serde::{Deserialize, Serialize};
 
@@ -86,7 +86,7 @@
         Err(error) => return (StatusCode::BAD_REQUEST, format!("{error}\n")),
     };
     let source = "an operator";
-    let learn = |teach: &mut dyn FnMut(&mut _) -> Result<Step, AdoptionError>| {
+    let learn = |teach: &mut dyn FnMut(&mut _) -> Result<AdoptionStep, AdoptionError>| {
         shared
             .manifest
             .learn(shared, source, |adoption| teach(adoption))
@@ -97,7 +97,7 @@
     for text in &handed.services {
         learn(&mut |adoption| adoption.service_text(&ContentHash::of(text), text));
     }
-    learn(&mut |adoption| Ok(adoption.gathered()));
+    learn(&mut |adoption| Ok(adoption.sources_asked()));
     json(&shared.manifest.read(|a| a.status()))
 }
 
--- a/crates/kingcuploftd/src/claims/calls.rs
+++ b/crates/kingcuploftd/src/claims/calls.rs
@@ -5,7 +5,7 @@
 use crossbeam_channel::{Receiver, Sender};
 use kingcuploft::decisions::claim::ledger::Version;
 use kingcuploft::decisions::claim::message::{
-    Failure, Operation, Precondition, StoreAnswer, Stored, StoredKind,
+    Operation, Precondition, StoreAnswer, StoreFailure, StoredKind, StoredObject,
 };
 use kingcuploft_platform::{Expect, ObjectStore, StoreError};
 
@@ -64,32 +64,32 @@
         Ok(stored) => StoreAnswer::Found(Some((object.version as Version, stored))),
         Err(error) => {
             tracing::error!("claims: {name} can not be read, its keys are refused: {error}.");
-            StoreAnswer::Failed(Failure::Corrupt)
+            StoreAnswer::Failed(StoreFailure::Corrupt)
         }
     })
 }
 
-fn parse(text: &str, kind: StoredKind) -> Result<Stored, serde_json::Error> {
+fn parse(text: &str, kind: StoredKind) -> Result<StoredObject, serde_json::Error> {
     Ok(match kind {
-        StoredKind::Head => Stored::Head(Arc::new(serde_json::from_str(text)?)),
-        StoredKind::Segment => Stored::Segment(Arc::new(serde_json::from_str(text)?)),
-        StoredKind::Index => Stored::Index(Arc::new(serde_json::from_str(text)?)),
+        StoredKind::Head => StoredObject::Head(Arc::new(serde_json::from_str(text)?)),
+        StoredKind::Segment => StoredObject::Segment(Arc::new(serde_json::from_str(text)?)),
+        StoredKind::Index => StoredObject::Index(Arc::new(serde_json::from_str(text)?)),
     })
 }
 
 fn put(
     store: &dyn ObjectStore,
     name: &str,
-    value: &Stored,
+    value: &StoredObject,
     when: Precondition,
 ) -> Result<StoreAnswer, StoreError> {
     let text = match value {
-        Stored::Head(head) => serde_json::to_string(head.as_ref()),
-        Stored::Segment(segment) => serde_json::to_string(segment.as_ref()),
-        Stored::Index(index) => serde_json::to_string(index.as_ref()),
+        StoredObject::Head(head) => serde_json::to_string(head.as_ref()),
+        StoredObject::Segment(segment) => serde_json::to_string(segment.as_ref()),
+        StoredObject::Index(index) => serde_json::to_string(index.as_ref()),
     };
     let Ok(text) = text else {
-        return Ok(StoreAnswer::Failed(Failure::NotDone));
+        return Ok(StoreAnswer::Failed(StoreFailure::NotApplied));
     };
     let expect = match when {
         Precondition::Absent => Expect::Absent,
@@ -102,13 +102,15 @@
 fn failed(error: &StoreError) -> StoreAnswer {
     StoreAnswer::Failed(match error {
         StoreError::Conflict { found } => return StoreAnswer::Conflict { found: *found },
-        StoreError::Silent(_) => Failure::Silent,
-        StoreError::Down { retry_after } => Failure::Down {
+        StoreError::Silent(_) => StoreFailure::NoAnswer,
+        StoreError::Down { retry_after } => StoreFailure::Down {
             retry_after: *retry_after,
         },
-        StoreError::OverBudget { retry_after } => Failure::OverBudget {
+        StoreError::OverBudget { retry_after } => StoreFailure::OverBudget {
             retry_after: *retry_after,
         },
-        StoreError::NotSent(_) | StoreError::Refused(_) | StoreError::Lapsed => Failure::NotDone,
+        StoreError::NotSent(_) | StoreError::Refused(_) | StoreError::Lapsed => {
+            StoreFailure::NotApplied
+        }
     })
 }
--- a/crates/kingcuploftd/src/claims/metrics.rs
+++ b/crates/kingcuploftd/src/claims/metrics.rs
@@ -1,6 +1,6 @@
 //! What the claims duty counts.
 
-use kingcuploft::decisions::claim::message::{Counted, Verdict};
+use kingcuploft::decisions::claim::message::{ClaimEvent, Verdict};
 use kingcuploft_platform::StoreError;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -96,16 +96,16 @@
     }
 
     /// Counts an event.
-    pub(super) fn count(&self, counted: Counted) {
+    pub(super) fn count(&self, counted: ClaimEvent) {
         let event = match counted {
-            Counted::Group(size) => return self.group_size.observe(size as f64),
-            Counted::Conflict => "conflict",
-            Counted::ReadBack => "read_back",
-            Counted::StaleRead => "stale_read",
-            Counted::Released => "released",
-            Counted::Acknowledged => "acknowledged",
-            Counted::Abandoned => "abandoned",
-            Counted::Sealed => "sealed",
+            ClaimEvent::Group(size) => return self.group_size.observe(size as f64),
+            ClaimEvent::Conflict => "conflict",
+            ClaimEvent::ReadBack => "read_back",
+            ClaimEvent::StaleRead => "stale_read",
+            ClaimEvent::Released => "released",
+            ClaimEvent::Acknowledged => "acknowledged",
+            ClaimEvent::Abandoned => "abandoned",
+            ClaimEvent::Sealed => "sealed",
         };
         self.events.get_or_create(&EventLabel { event }).inc();
     }
--- a/crates/kingcuploftd/src/claims/mod.rs
+++ b/crates/kingcuploftd/src/claims/mod.rs
@@ -14,8 +14,8 @@
 
 use crossbeam_channel::{Receiver, Sender, bounded, select};
 use kingcuploft::decisions::claim::ledger::Claimant;
-use kingcuploft::decisions::claim::message::{Claim, Order, Output, Verdict};
-use kingcuploft::decisions::claim::{Partition, Time, partition_of};
+use kingcuploft::decisions::claim::message::{Claim, ClaimCommand, Output, Verdict};
+use kingcuploft::decisions::claim::{EventContext, Partition, partition_of};
 use kingcuploft::utils::HashMap;
 use kingcuploft::world::ids::RequestId;
 use kingcuploft_platform::ObjectStore;
@@ -108,7 +108,9 @@
     /// Writes what is left, so that a planned stop loses no recorded answer.
     fn finish(mut self, answers: &Receiver<CallAnswer>) {
         let until = Instant::now() + STOP_TIMEOUT;
-        self.partitions.iter_mut().for_each(Partition::hurry);
+        self.partitions
+            .iter_mut()
+            .for_each(Partition::flush_immediately);
         self.tick();
         while !self.partitions.iter().all(Partition::is_idle) {
             if Instant::now() > until {
@@ -149,19 +151,19 @@
                     fingerprint,
                     claimant: self.claimant(request),
                     window,
-                    give_up: give_up.min(deadline),
+                    deadline: give_up.min(deadline),
                 };
-                self.pass(placed, Order::Claim(request, claim));
+                self.pass(placed, ClaimCommand::Claim(request, claim));
             }
             ClaimOrder::Release { request } => {
                 if let Some(placed) = self.placed.remove(&request) {
-                    self.pass(placed, Order::Release(request));
+                    self.pass(placed, ClaimCommand::Release(request));
                 }
             }
             ClaimOrder::Acknowledge { request, answer } => {
                 if let Some(placed) = self.placed.remove(&request) {
                     let end = records::end(answer.as_deref(), placed.record_bytes);
-                    self.pass(placed, Order::Acknowledge(request, end));
+                    self.pass(placed, ClaimCommand::Acknowledge(request, end));
                 }
             }
         }
@@ -176,16 +178,16 @@
         }
     }
 
-    fn pass(&mut self, placed: Placed, order: Order) {
+    fn pass(&mut self, placed: Placed, order: ClaimCommand) {
         self.feed(placed.partition, |partition, time, out| {
-            partition.order(time, order, out);
+            partition.handle_command(time, order, out);
         });
     }
 
     fn answered(&mut self, answer: CallAnswer) {
         let CallAnswer { partition, answer } = answer;
         self.feed(partition, |partition, time, out| {
-            partition.answered(time, answer, out);
+            partition.handle_answer(time, answer, out);
         });
     }
 
@@ -208,10 +210,10 @@
     fn feed(
         &mut self,
         number: u16,
-        event: impl FnOnce(&mut Partition, &mut Time<'_>, &mut Vec<Output>),
+        event: impl FnOnce(&mut Partition, &mut EventContext<'_>, &mut Vec<Output>),
     ) {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
-        let mut time = Time {
+        let mut time = EventContext {
             now: Instant::now(),
             unix_ms: since.map_or(0, |since| since.as_millis() as u64),
             rng: &mut self.rng,
@@ -240,7 +242,7 @@
                 }
             }
             Output::Verdict(request, verdict) => self.verdict(request, &verdict),
-            Output::Count(counted) => self.shared.metrics.claims.count(counted),
+            Output::Event(counted) => self.shared.metrics.claims.count(counted),
         }
     }
 
--- a/crates/kingcuploftd/src/daemon.rs
+++ b/crates/kingcuploftd/src/daemon.rs
@@ -104,7 +104,7 @@
         let peer_address = peers.as_ref().map(|peers| peers.address);
         if let Some(peers) = peers {
             let shown = shared.settings.peer.address.unwrap_or(peers.address);
-            shared.fleet.membership().listens_at(shown);
+            shared.fleet.membership().set_address(shown);
             let context = shared.clone();
             let duty = move || peer_link::run(&context, peers.listener, peers.keys);
             others.push(spawn("peers", duty)?);
--- a/crates/kingcuploftd/src/fleet_keeper.rs
+++ b/crates/kingcuploftd/src/fleet_keeper.rs
@@ -151,7 +151,7 @@
     /// A VM that hears nobody has lost its links rather than its fleet: it goes by the number in
     /// its settings. To take the whole of every backend server would be the costlier mistake.
     pub fn sharing(&self, shared: &Shared) -> usize {
-        match self.membership().sharing() {
+        match self.membership().serving_vms() {
             1 => shared.settings.limits.vms,
             sharing => sharing,
         }
--- a/crates/kingcuploftd/src/manifest_keeper.rs
+++ b/crates/kingcuploftd/src/manifest_keeper.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use kingcuploft::decisions::adoption::{Adoption, AdoptionError, Step};
+use kingcuploft::decisions::adoption::{Adoption, AdoptionError, AdoptionStep};
 use kingcuploft::world::ids::Generation;
 use tokio::sync::watch;
 
@@ -18,7 +18,7 @@
 impl Default for ManifestKeeper {
     fn default() -> Self {
         Self {
-            adoption: Mutex::new(Adoption::gathering()),
+            adoption: Mutex::new(Adoption::awaiting_sources()),
             in_force: watch::Sender::new(0),
         }
     }
@@ -38,19 +38,19 @@
         &self,
         shared: &Shared,
         source: &str,
-        teach: impl FnOnce(&mut Adoption) -> Result<Step, AdoptionError>,
+        teach: impl FnOnce(&mut Adoption) -> Result<AdoptionStep, AdoptionError>,
     ) -> bool {
         let mut adoption = self.lock();
         let taught = teach(&mut adoption);
         let learnt = match taught {
-            Ok(Step::InForce(accepted)) => {
+            Ok(AdoptionStep::InForce(accepted)) => {
                 let generation = accepted.generation;
                 tracing::info!("manifest: generation {generation} is in force, from {source}.");
                 shared.put_in_force(accepted);
                 self.in_force.send_replace(generation);
                 true
             }
-            Ok(Step::Keep | Step::Fetch) => true,
+            Ok(AdoptionStep::Unchanged | AdoptionStep::FetchMissing) => true,
             Err(error) => {
                 shared.metrics.fleet.manifest_faults.inc();
                 tracing::warn!("manifest: a part from {source} was not taken: {error}.");
--- a/crates/kingcuploftd/src/manifest_watch.rs
+++ b/crates/kingcuploftd/src/manifest_watch.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::decisions::adoption::Need;
+use kingcuploft::decisions::adoption::MissingParts;
 use kingcuploft::manifest::root::ContentHash;
 use kingcuploft::utils::HashMap;
 use kingcuploft_platform::manifest_root::{ROOT_KEY, SERVICES_PREFIX, service_key};
@@ -82,7 +82,7 @@
 impl ManifestWatch<'_> {
     /// Reads the root by watch, listing or poll, then fetches what is missing.
     fn turn(&mut self) -> Result<(), String> {
-        let incomplete = self.need() != Need::Nothing;
+        let incomplete = self.need() != MissingParts::Nothing;
         let none = self.shared.accepted.load().generation == 0;
         let root = match self.shared.watches_store() || incomplete || none {
             true => self.watch(incomplete),
@@ -141,8 +141,8 @@
     /// Notes that enough sources were asked for a first manifest.
     fn gathered(&self, source: &str) {
         let keeper = &self.shared.manifest;
-        if keeper.read(|adoption| adoption.gathers()) {
-            keeper.learn(self.shared, source, |adoption| Ok(adoption.gathered()));
+        if keeper.read(|adoption| adoption.awaits_sources()) {
+            keeper.learn(self.shared, source, |adoption| Ok(adoption.sources_asked()));
         }
     }
 
@@ -155,13 +155,13 @@
 
     /// Fetches the missing service objects from the store.
     fn fetch(&self) -> Result<(), String> {
-        let Need::Services(mut missing) = self.need() else {
+        let MissingParts::Services(mut missing) = self.need() else {
             return Ok(());
         };
         if missing.len() > LIST_ABOVE {
             self.fetch_all(&missing)
                 .map_err(|error| format!("the store does not answer: {error}"))?;
-            let Need::Services(left) = self.need() else {
+            let MissingParts::Services(left) = self.need() else {
                 return Ok(());
             };
             missing = left;
@@ -221,7 +221,9 @@
         }
     }
 
-    fn need(&self) -> Need {
-        self.shared.manifest.read(|adoption| adoption.need())
+    fn need(&self) -> MissingParts {
+        self.shared
+            .manifest
+            .read(|adoption| adoption.missing_parts())
     }
 }
--- a/crates/kingcuploftd/src/membership_duty.rs
+++ b/crates/kingcuploftd/src/membership_duty.rs
@@ -97,7 +97,10 @@
     }
     // Before a manifest is known a backend server can not be told from an entry VM.
     if accepted.generation > 0 {
-        shared.fleet.membership().listed(Instant::now(), entries);
+        shared
+            .fleet
+            .membership()
+            .add_candidates(Instant::now(), entries);
     }
 }
 
--- a/crates/kingcuploftd/src/peer_link/link.rs
+++ b/crates/kingcuploftd/src/peer_link/link.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinHandle;
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-use super::counted::Counted;
+use super::counted::ClaimEvent;
 use super::node::{Link, Node, in_time};
 use super::peer_capnp::peer;
 use super::server::PeerServer;
@@ -133,7 +133,7 @@
     where
         S: AsyncRead + AsyncWrite + Unpin + 'static,
     {
-        let stream = Counted::new(stream, node.shared.clone());
+        let stream = ClaimEvent::new(stream, node.shared.clone());
         let (reader, writer) = tokio::io::split(stream);
         let writer = futures::io::BufWriter::new(writer.compat_write());
         let mut options = ReaderOptions::new();
@@ -190,7 +190,7 @@
     let member = answer.get_self().and_then(read_member).map_err(greeting)?;
     let beat = answer.get_beat().and_then(Beat::read).map_err(greeting)?;
     let now = Instant::now();
-    if !node.shared.fleet.membership().heard(now, &member) {
+    if !node.shared.fleet.membership().accept_peer(now, &member) {
         return Err(LinkEnd::Replaced);
     }
     let link = Rc::new(Link {
--- a/crates/kingcuploftd/src/peer_link/mod.rs
+++ b/crates/kingcuploftd/src/peer_link/mod.rs
@@ -79,7 +79,10 @@
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listening socket");
     let node = Rc::new(Node::new(Arc::clone(shared), keys.0));
     let seeds = shared.settings.peer.peers.clone();
-    shared.fleet.membership().listed(Instant::now(), seeds);
+    shared
+        .fleet
+        .membership()
+        .add_candidates(Instant::now(), seeds);
     tokio::task::spawn_local(telling::tell_peers(Rc::clone(&node)));
     tokio::task::spawn_local(telling::follow_manifest(Rc::clone(&node)));
     tokio::task::spawn_local(choose_links(Rc::clone(&node)));
--- a/crates/kingcuploftd/src/peer_link/node.rs
+++ b/crates/kingcuploftd/src/peer_link/node.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::decisions::adoption::Need;
+use kingcuploft::decisions::adoption::MissingParts;
 use kingcuploft::decisions::membership::Neighbour;
 use kingcuploft::dispatcher::PeerNotes;
 use kingcuploft::manifest::root::ContentHash;
@@ -90,9 +90,9 @@
         Beat {
             generation,
             root_hash,
-            beat: membership.beat(),
+            beat: membership.next_heartbeat(),
             digest: membership.digest(),
-            news: membership.news(if room { NEWS } else { 0 }),
+            news: membership.next_gossip(if room { NEWS } else { 0 }),
         }
     }
 
@@ -102,11 +102,11 @@
         link.heard.set(now);
         link.knows.set(link.knows.get().max(beat.generation));
         let mut membership = self.shared.fleet.membership();
-        membership.heard_beat(now, &link.name, beat.beat);
+        membership.record_heartbeat(now, &link.name, beat.beat);
         for member in &beat.news {
-            membership.told(now, member);
+            membership.apply_gossip(now, member);
         }
-        let differs = membership.differs(now, beat.digest);
+        let differs = membership.needs_resync(now, beat.digest);
         drop(membership);
         if differs {
             let (node, link) = (Rc::clone(self), Rc::clone(link));
@@ -129,8 +129,8 @@
         }
         if beat.generation > own.0 {
             keeper.learn(&self.shared, "a peer", |adoption| {
-                adoption.heard(beat.generation);
-                Ok(kingcuploft::decisions::adoption::Step::Keep)
+                adoption.note_generation(beat.generation);
+                Ok(kingcuploft::decisions::adoption::AdoptionStep::Unchanged)
             });
             self.pull(link);
         }
@@ -155,10 +155,14 @@
 
     async fn pull_all(&self, link: &Link) -> capnp::Result<()> {
         loop {
-            match self.shared.manifest.read(|adoption| adoption.need()) {
-                Need::Nothing => return Ok(()),
-                Need::Root { since, .. } => self.pull_root(link, since).await?,
-                Need::Services(missing) => self.pull_services(link, &missing).await?,
+            match self
+                .shared
+                .manifest
+                .read(|adoption| adoption.missing_parts())
+            {
+                MissingParts::Nothing => return Ok(()),
+                MissingParts::Root { since, .. } => self.pull_root(link, since).await?,
+                MissingParts::Services(missing) => self.pull_services(link, &missing).await?,
             }
         }
     }
@@ -233,8 +237,8 @@
         }
         let mut membership = self.shared.fleet.membership();
         match mends {
-            true => membership.mend(Instant::now(), &list),
-            false => membership.read(Instant::now(), &list),
+            true => membership.reconcile_list(Instant::now(), &list),
+            false => membership.merge_list(Instant::now(), &list),
         }
         Ok(())
     }
@@ -252,7 +256,7 @@
         let left = links.iter().any(|other| other.name == link.name);
         drop(links);
         if !left {
-            self.shared.fleet.membership().unlinked(&link.name);
+            self.shared.fleet.membership().record_unlinked(&link.name);
         }
         self.show_links();
     }
@@ -311,7 +315,7 @@
         drop(dials);
         if !end.was_linked() {
             let mut membership = self.shared.fleet.membership();
-            membership.unreachable(now, neighbour.address);
+            membership.record_unreachable(now, neighbour.address);
         }
         self.ended(end);
     }
--- a/crates/kingcuploftd/src/peer_link/server.rs
+++ b/crates/kingcuploftd/src/peer_link/server.rs
@@ -73,7 +73,7 @@
         };
         let now = Instant::now();
         let node = &self.node;
-        if !node.shared.fleet.membership().heard(now, &member) {
+        if !node.shared.fleet.membership().accept_peer(now, &member) {
             return Err(refused("a later life of this VM is known"));
         }
         let link = Rc::new(Link {
--- a/crates/kingcuploftd/src/peer_link/wire.rs
+++ b/crates/kingcuploftd/src/peer_link/wire.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use kingcuploft::decisions::membership::{Member, MemberState};
-use kingcuploft::decisions::notes::Note;
+use kingcuploft::decisions::notes::LoadNote;
 use kingcuploft::dispatcher::PeerNotes;
 use kingcuploft::world::ids::Generation;
 
@@ -123,7 +123,7 @@
     if entries.len() > NOTES {
         return Err(capnp::Error::failed("too many notes".into()));
     }
-    let notes = entries.iter().map(|entry| Note {
+    let notes = entries.iter().map(|entry| LoadNote {
         server: (entry >> 8) as u16,
         in_flight: entry as u8,
     });
