--- a/crates/kingcuploft-entry/src/http/head.rs
+++ b/crates/kingcuploft-entry/src/http/head.rs
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// Returns an error for bytes that are no request, or one that can be read in two ways.
-pub fn request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
+pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
     let mut slots = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut parsed = httparse::Request::new(&mut slots);
     let status = parsed.parse(bytes).map_err(|_| HeadError::Malformed)?;
@@ -63,7 +63,7 @@
     };
     let headers = collect(parsed.headers);
     let old = parsed.version == Some(0);
-    let hosts = headers.all("host").count();
+    let hosts = headers.get_all("host").count();
     if hosts > 1 || (hosts == 0 && !old) {
         return Err(HeadError::Host);
     }
@@ -86,7 +86,10 @@
 /// # Errors
 ///
 /// Returns an error for bytes that are no response, or one that can be read in two ways.
-pub fn response(bytes: &[u8], method: &str) -> Result<Option<(ResponseHead, usize)>, HeadError> {
+pub fn parse_response(
+    bytes: &[u8],
+    method: &str,
+) -> Result<Option<(ResponseHead, usize)>, HeadError> {
     let mut slots = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut parsed = httparse::Response::new(&mut slots);
     let status = parsed.parse(bytes).map_err(|_| HeadError::Malformed)?;
@@ -120,16 +123,16 @@
 
 fn keep_alive(headers: &Headers, old: bool) -> bool {
     match old {
-        true => headers.lists("connection", "keep-alive"),
-        false => !headers.lists("connection", "close"),
+        true => headers.has_token("connection", "keep-alive"),
+        false => !headers.has_token("connection", "close"),
     }
 }
 
 /// Returns how the body ends, if the headers say. A message with both a length and an encoding, or
 /// with two lengths, is how requests are smuggled past a proxy, and is refused.
 fn framing(headers: &Headers) -> Result<Option<Framing>, HeadError> {
-    let encodings: Vec<&[u8]> = headers.all("transfer-encoding").collect();
-    let lengths: Vec<&[u8]> = headers.all("content-length").collect();
+    let encodings: Vec<&[u8]> = headers.get_all("transfer-encoding").collect();
+    let lengths: Vec<&[u8]> = headers.get_all("content-length").collect();
     match (encodings.as_slice(), lengths.as_slice()) {
         ([], []) => Ok(None),
         ([encoding], []) if encoding.eq_ignore_ascii_case(b"chunked") => Ok(Some(Framing::Chunked)),
