--- a/crates/kingcuploft-entry/tests/entry/cold.rs
+++ b/crates/kingcuploft-entry/tests/entry/cold.rs
@@ -32,7 +32,7 @@
         if at == 0 {
             entry.cold_for = cold_for;
         }
-        store.0.serve(entry);
+        store.0.write_backend_server(entry);
         servers.push(server);
     }
     (store, servers)
@@ -98,7 +98,7 @@
         store.0.configure(with_cold_starts(1));
         let server = TestServer::start(Act::After(WORK)).await;
         server.holds_new.set(Duration::from_millis(200));
-        store.0.serve(entry(0, &server));
+        store.0.write_backend_server(entry(0, &server));
         store.0.evacuate("thun", true);
         let vms = zone_of(FLEET, &store).await;
         until(|| followers(&vms) == FLEET - 1).await;
--- a/crates/kingcuploft-entry/tests/entry/evacuation.rs
+++ b/crates/kingcuploft-entry/tests/entry/evacuation.rs
@@ -20,7 +20,7 @@
         let server = TestServer::start(Act::Answer).await;
         let mut entry = entry(at, &server);
         entry.zone = zone.into();
-        store.0.serve(entry);
+        store.0.write_backend_server(entry);
         servers.push(server);
     }
     let vm = start("vm", &store).await;
--- a/crates/kingcuploft-entry/tests/entry/following.rs
+++ b/crates/kingcuploft-entry/tests/entry/following.rs
@@ -52,15 +52,15 @@
         store.0.configure(configuration(1));
         let vms = zone_of(3, &store).await;
         until(|| followers(&vms) == 2).await;
-        let watches = store.0.watches.get();
+        let watches = store.0.watch_calls.get();
         let server = TestServer::start(Act::Answer).await;
         store.0.configure(configuration(2));
-        store.0.serve(entry(0, &server));
+        store.0.write_backend_server(entry(0, &server));
         let version = |vm: &Running| vm.context.configuration().map(|c| c.version);
         until(|| vms.iter().all(|vm| version(vm) == Some(2))).await;
         until(|| vms.iter().all(|vm| vm.context.upstream("s0").is_some())).await;
         tokio::time::sleep(Duration::from_millis(900)).await;
-        let woken = store.0.watches.get() - watches;
+        let woken = store.0.watch_calls.get() - watches;
         assert!(woken <= 4, "{woken} watches for two changes");
     });
 }
@@ -72,13 +72,13 @@
         let store = TestStore::default();
         store.0.configure(configuration(1));
         let server = TestServer::start(Act::Answer).await;
-        store.0.serve(entry(0, &server));
+        store.0.write_backend_server(entry(0, &server));
         let vms = zone_of(3, &store).await;
         until(|| followers(&vms) == 2).await;
         let at = vms.iter().position(|vm| !vm.context.followers.is_empty());
         let reader = &vms[at.unwrap()];
         reader.context.followers.fall_silent();
-        store.0.remove("s0");
+        store.0.remove_backend_server("s0");
         tokio::time::sleep(Duration::from_millis(1900)).await;
         for vm in vms
             .iter()
@@ -180,7 +180,7 @@
     play(async {
         let store = TestStore::default();
         store.0.configure(configuration(1));
-        store.0.hides_zones.set(true);
+        store.0.zone_list_hangs.set(true);
         let vm = start_in_zone("vm", &store).await;
         assert_eq!(vm.context.readers.borrow().records(), vec![]);
     });
@@ -214,12 +214,12 @@
         until(|| followers(&vms) == 19).await;
         let most = vms.iter().map(|vm| vm.context.followers.len()).max();
         assert!(most <= Some(13), "{most:?}");
-        let watches = store.0.watches.get();
+        let watches = store.0.watch_calls.get();
         store.0.configure(configuration(2));
         let version = |vm: &Running| vm.context.configuration().map(|c| c.version);
         until(|| vms.iter().all(|vm| version(vm) == Some(2))).await;
         tokio::time::sleep(Duration::from_millis(900)).await;
-        let woken = store.0.watches.get() - watches;
+        let woken = store.0.watch_calls.get() - watches;
         assert!(woken <= 2, "{woken} watches for a change");
     });
 }
@@ -230,7 +230,7 @@
     play(async {
         let store = TestStore::default();
         store.0.configure(configuration(1));
-        let turned_away = TestStore::turning_away(&store);
+        let turned_away = TestStore::separate_client(&store);
         let reader = start_of("thun", "reader", &turned_away).await;
         let second = start_of("thun", "second", &store).await;
         until(|| reader.context.followers.len() == 1).await;
@@ -290,7 +290,7 @@
         let second = start_in_zone("second", &store).await;
         let counts_both = |record: &ZoneRecord| record.settled && record.count == 2;
         until(|| store.0.zones.borrow().first().is_some_and(counts_both)).await;
-        store.0.move_on(1000);
+        store.0.advance_revision(1000);
         second.context.set_position(Collection::Configuration, 900);
         second.context.set_position(Collection::BackendServers, 900);
         reader.context.followers.let_go();
--- a/crates/kingcuploft-entry/tests/entry/limits.rs
+++ b/crates/kingcuploft-entry/tests/entry/limits.rs
@@ -36,7 +36,7 @@
     let mut servers = Vec::new();
     for (at, act) in acts.iter().enumerate() {
         let server = TestServer::start(*act).await;
-        store.0.serve(entry(at, &server));
+        store.0.write_backend_server(entry(at, &server));
         servers.push(server);
     }
     let vms = zone_of(vms, &store).await;
--- a/crates/kingcuploft-entry/tests/entry/quarantine.rs
+++ b/crates/kingcuploft-entry/tests/entry/quarantine.rs
@@ -44,7 +44,7 @@
     let mut all = Vec::new();
     for at in 0..servers {
         let server = TestServer::start(Act::CrashUnder).await;
-        store.0.serve(entry(at, &server));
+        store.0.write_backend_server(entry(at, &server));
         all.push(server);
     }
     let vms = zone_of(vms, &store).await;
@@ -218,8 +218,8 @@
 fn a_notice_wakes_one_watch() {
     play(async {
         let world = World::with(&[Act::Answer]).await;
-        until(|| world.store.watches.get() >= 3).await;
-        let before = world.store.watches.get();
+        until(|| world.store.watch_calls.get() >= 3).await;
+        let before = world.store.watch_calls.get();
         let report = CrashReport {
             fingerprint: 7,
             of: "s0".into(),
@@ -228,7 +228,7 @@
         let store = TestStore::of(&world.store);
         store.tell(&Notice::Crash(report)).await.unwrap();
         tokio::time::sleep(Duration::from_millis(3500)).await;
-        let woken = world.store.watches.get() - before;
+        let woken = world.store.watch_calls.get() - before;
         assert!(woken <= 1, "{woken} watches");
     });
 }
--- a/crates/kingcuploft-entry/tests/entry/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/entry/rewinds.rs
@@ -11,9 +11,9 @@
         let copy = world.store.copy();
         world.store.configure(with_route(2, "/added/"));
         let young = TestServer::start(Act::Answer).await;
-        world.store.serve(entry(1, &young));
+        world.store.write_backend_server(entry(1, &young));
         world.servers.push(young);
-        world.store.remove("s0");
+        world.store.remove_backend_server("s0");
         let context = world.vm.context.clone();
         let is_known = || {
             let version = context.in_force.version() == Some(2);
--- a/crates/kingcuploft-entry/tests/entry/store_faults.rs
+++ b/crates/kingcuploft-entry/tests/entry/store_faults.rs
@@ -41,9 +41,9 @@
 fn what_changed_while_the_store_forgot_is_known_from_a_new_list() {
     play(async {
         let world = World::with(&[Act::Answer, Act::Answer]).await;
-        world.store.forgotten.set(1000);
-        world.store.remove("s0");
-        until(|| world.store.lists.get() >= 3).await;
+        world.store.compacted_until.set(1000);
+        world.store.remove_backend_server("s0");
+        until(|| world.store.list_calls.get() >= 3).await;
         until(|| world.vm.context.upstream("s0").is_none()).await;
         assert!(world.vm.context.upstream("s1").is_some());
     });
@@ -70,7 +70,7 @@
             draining: true,
             ..entry(0, &world.servers[0])
         };
-        world.store.serve(leaving);
+        world.store.write_backend_server(leaving);
         tokio::time::sleep(Duration::from_millis(1800)).await;
         let before = world.servers[0].seen.borrow().len();
         for id in 0..10 {
@@ -170,8 +170,8 @@
             name: "short-lived".into(),
             ..entry(9, &server)
         };
-        world.store.serve(ready.clone());
-        world.store.serve(BackendServer {
+        world.store.write_backend_server(ready.clone());
+        world.store.write_backend_server(BackendServer {
             draining: true,
             ..ready
         });
--- a/crates/kingcuploft-entry/tests/entry/world.rs
+++ b/crates/kingcuploft-entry/tests/entry/world.rs
@@ -13,17 +13,17 @@
 use kingcuploft::world::contract::Contract;
 use kingcuploft_entry::run::{self, Running};
 use kingcuploft_entry::settings::{Bounds, EntrySettings, Vocabulary};
-use kingcuploft_simulation::words;
+use kingcuploft_simulation::header_names;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 use crate::server::{Act, TestServer};
-use crate::store::{Held, TestStore};
+use crate::store::{StoreState, TestStore};
 
 /// The names that this world uses.
 pub(crate) const WORDS: Vocabulary = Vocabulary {
     limit: "server-limit",
-    ..words::WORDS
+    ..header_names::HEADER_NAMES
 };
 
 /// The memory of a VM: a hundredth of the smallest that there is.
@@ -35,7 +35,7 @@
 /// A VM with servers that act as told.
 pub(crate) struct World {
     pub(crate) vm: Running,
-    pub(crate) store: Rc<Held>,
+    pub(crate) store: Rc<StoreState>,
     pub(crate) servers: Vec<TestServer>,
 }
 
@@ -47,7 +47,7 @@
         let mut servers = Vec::new();
         for (at, act) in acts.iter().enumerate() {
             let server = TestServer::start(*act).await;
-            store.0.serve(entry(at, &server));
+            store.0.write_backend_server(entry(at, &server));
             servers.push(server);
         }
         let vm = start("vm", &store).await;
--- a/crates/kingcuploft-entry/tests/links/fleet.rs
+++ b/crates/kingcuploft-entry/tests/links/fleet.rs
@@ -16,7 +16,7 @@
 use kingcuploft_entry::pulse::Pulse;
 use kingcuploft_entry::run;
 use kingcuploft_entry::settings::{Bounds, EntrySettings};
-use kingcuploft_simulation::words::WORDS;
+use kingcuploft_simulation::header_names::HEADER_NAMES;
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
@@ -101,7 +101,7 @@
     pub(crate) fn power_on(&self, at: usize, all_start: bool) {
         let (entry, mbit) = &self.entries[at];
         let nic = Rc::new(Nic::of(*mbit));
-        let context = Rc::new(Context::new(settings(entry, all_start), WORDS));
+        let context = Rc::new(Context::new(settings(entry, all_start), HEADER_NAMES));
         let pulse = Rc::new(Pulse::default());
         let store = Rc::new(LinkedStore {
             store: TestStore(self.store.0.clone(), self.turned_away[at].clone()),
--- a/crates/kingcuploft-entry/tests/links/interleavings.rs
+++ b/crates/kingcuploft-entry/tests/links/interleavings.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::fleet::{Fleet, Links, play, server};
-use crate::store::Copy;
+use crate::store::Snapshot;
 
 const LINKS: Links = Links {
     large_mbit: 200,
@@ -61,7 +61,7 @@
 /// What the operator and the server have written last: they write it again.
 struct Written {
     fleet: Fleet,
-    copy: Option<Copy>,
+    copy: Option<Snapshot>,
     is_there: bool,
     is_evacuated: bool,
 }
@@ -72,11 +72,11 @@
         match act {
             Act::Join => {
                 self.is_there = true;
-                store.serve(server("s"));
+                store.write_backend_server(server("s"));
             }
             Act::Leave => {
                 self.is_there = false;
-                store.remove("s");
+                store.remove_backend_server("s");
             }
             Act::Configure => self.fleet.change_one(),
             Act::Evacuate => {
@@ -100,8 +100,8 @@
         let [has_server, has_evacuation, has_configuration] =
             store.holds("s", "zone-0", self.fleet.version());
         match (has_server, self.is_there) {
-            (false, true) => store.serve(server("s")),
-            (true, false) => store.remove("s"),
+            (false, true) => store.write_backend_server(server("s")),
+            (true, false) => store.remove_backend_server("s"),
             _ => {}
         }
         if has_evacuation != self.is_evacuated {
@@ -134,7 +134,7 @@
 fn follow(acts: &[Act], hides_eras: bool) {
     play(async {
         let fleet = Fleet::start(&[2], LINKS, 3, 1).await;
-        fleet.store.0.hides_eras.set(hides_eras);
+        fleet.store.0.ignores_eras.set(hides_eras);
         let mut written = Written {
             fleet,
             copy: None,
--- a/crates/kingcuploft-entry/tests/links/joining.rs
+++ b/crates/kingcuploft-entry/tests/links/joining.rs
@@ -18,7 +18,7 @@
 use crate::configurations::configuration;
 use crate::fleet::{Fleet, Links, play};
 use crate::network::{Host, address};
-use crate::pipe::{self, End, Nic};
+use crate::pipe::{self, LinkEnd, Nic};
 
 const LINKS: Links = Links {
     large_mbit: 200,
@@ -30,12 +30,12 @@
 
 /// A VM whose frames the test writes and reads.
 struct Script {
-    lines: Lines<ReadHalf<End>>,
-    write: WriteHalf<End>,
+    lines: Lines<ReadHalf<LinkEnd>>,
+    write: WriteHalf<LinkEnd>,
 }
 
 impl Script {
-    fn of(link: End) -> Self {
+    fn of(link: LinkEnd) -> Self {
         let (read, write) = tokio::io::split(link);
         Self {
             lines: Lines::of(read),
@@ -206,12 +206,12 @@
 }
 
 /// A network in which every VM is the script of a test.
-struct Scripted(std::cell::RefCell<Vec<End>>);
+struct Scripted(std::cell::RefCell<Vec<LinkEnd>>);
 
 impl Dial for Scripted {
-    type Link = End;
+    type Link = LinkEnd;
 
-    async fn dial(&self, _: SocketAddr) -> std::io::Result<End> {
+    async fn dial(&self, _: SocketAddr) -> std::io::Result<LinkEnd> {
         let next = self.0.borrow_mut().pop();
         next.ok_or_else(|| std::io::ErrorKind::ConnectionRefused.into())
     }
--- a/crates/kingcuploft-entry/tests/links/network.rs
+++ b/crates/kingcuploft-entry/tests/links/network.rs
@@ -19,7 +19,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::pipe::{self, End, Nic};
+use crate::pipe::{self, LinkEnd, Nic};
 use crate::store::TestStore;
 
 /// How long bytes take from one VM to another.
@@ -100,9 +100,9 @@
 }
 
 impl Dial for Dialer {
-    type Link = End;
+    type Link = LinkEnd;
 
-    async fn dial(&self, address: SocketAddr) -> std::io::Result<End> {
+    async fn dial(&self, address: SocketAddr) -> std::io::Result<LinkEnd> {
         tokio::time::sleep(2 * DELAY).await;
         let to = self.network.host(usize::from(address.port()) - 1);
         let (Some(to), Some(from)) = (to, self.network.host(self.from)) else {
--- a/crates/kingcuploft-entry/tests/links/notices.rs
+++ b/crates/kingcuploft-entry/tests/links/notices.rs
@@ -15,7 +15,7 @@
 use crate::fleet::{play, settings};
 use crate::network::address;
 use crate::store::TestStore;
-use kingcuploft_simulation::words::WORDS;
+use kingcuploft_simulation::header_names::HEADER_NAMES;
 
 /// Longer than any write is tried for.
 const OUTAGE: Duration = Duration::from_secs(120);
@@ -34,7 +34,7 @@
             address: address(0),
             cpu_milli: 200,
         };
-        let context = Rc::new(Context::new(settings(&vm, false), WORDS));
+        let context = Rc::new(Context::new(settings(&vm, false), HEADER_NAMES));
         let pulse = Rc::new(Pulse::default());
         let waiting = context.notice_writes.open();
         let client = Rc::new(store.clone());
--- a/crates/kingcuploft-entry/tests/links/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/links/rewinds.rs
@@ -46,18 +46,18 @@
 async fn comes_back(zones: &[usize]) {
     let mut fleet = Fleet::start(zones, LINKS, 100, 3).await;
     let store = fleet.store.clone();
-    store.0.serve(server("old"));
-    store.0.serve(server("leaves"));
+    store.0.write_backend_server(server("old"));
+    store.0.write_backend_server(server("leaves"));
     tokio::time::sleep(KNOWN).await;
     let copy = store.0.copy();
-    store.0.serve(server("young"));
-    store.0.remove("leaves");
+    store.0.write_backend_server(server("young"));
+    store.0.remove_backend_server("leaves");
     store.0.evacuate("zone-1", true);
     store.tell(&report(7, "young")).await.unwrap();
     fleet.change_one();
     tokio::time::sleep(KNOWN).await;
     assert!(fleet.behind().is_empty());
-    let (lists, records) = (store.0.lists.get(), store.0.records.get());
+    let (lists, records) = (store.0.list_calls.get(), store.0.zone_write_calls.get());
     let newest = store.0.configuration.borrow().clone().unwrap();
     store.0.rewind(copy);
     tokio::time::sleep(WRITTEN_AGAIN).await;
@@ -73,11 +73,11 @@
         context.evacuations.borrow().holds("zone-1")
     };
     assert_eq!(but(&fleet, evacuated), 0);
-    store.0.serve(server("young"));
+    store.0.write_backend_server(server("young"));
     store.0.evacuate("zone-1", true);
     store.0.configure(newest);
     tokio::time::sleep(SETTLED).await;
-    store.0.remove("leaves");
+    store.0.remove_backend_server("leaves");
     tokio::time::sleep(KNOWN).await;
     assert_eq!((uses(&fleet, "old"), uses(&fleet, "young")), (all, all));
     assert_eq!((uses(&fleet, "leaves"), but(&fleet, evacuated)), (0, 0));
@@ -89,8 +89,8 @@
         1,
         "the report is in the store again"
     );
-    let lists = store.0.lists.get() - lists;
-    let records = store.0.records.get() - records;
+    let lists = store.0.list_calls.get() - lists;
+    let records = store.0.zone_write_calls.get() - records;
     assert!(
         lists as usize <= 12 * zones.len() + 12,
         "{lists} lists by {all} VMs"
--- a/crates/kingcuploft-simulation/src/balancer.rs
+++ b/crates/kingcuploft-simulation/src/balancer.rs
@@ -8,7 +8,7 @@
 
 /// How often a VM is asked, and after how many misses it gets no callers.
 const ASK_EVERY: Duration = Duration::from_secs(1);
-const MISSES: u32 = 2;
+const UNHEALTHY_AFTER_MISSES: u32 = 2;
 
 /// The balancer.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
 impl Balancer {
     /// Returns the balancer of these VMs.
     pub fn new(vms: Vec<Rc<Vm>>) -> Self {
-        let misses = RefCell::new(vec![MISSES; vms.len()]);
+        let misses = RefCell::new(vec![UNHEALTHY_AFTER_MISSES; vms.len()]);
         Self { vms, misses }
     }
 
@@ -61,6 +61,6 @@
     }
 
     fn is_open(&self, vm: &Vm) -> bool {
-        self.misses.borrow()[vm.index] < MISSES
+        self.misses.borrow()[vm.index] < UNHEALTHY_AFTER_MISSES
     }
 }
--- a/crates/kingcuploft-simulation/src/day.rs
+++ b/crates/kingcuploft-simulation/src/day.rs
@@ -16,7 +16,7 @@
 ];
 
 /// The longest day.
-const LONGEST_MS: u64 = 300_000;
+const MAX_LENGTH_MS: u64 = 300_000;
 
 /// Why a day can't be read.
 #[derive(Debug, thiserror::Error)]
@@ -31,7 +31,7 @@
     },
     /// A value can't be played.
     #[error("{file}: disruption {number}: {field}: {what}")]
-    Unplayable {
+    InvalidDisruption {
         /// The file.
         file: String,
         /// Which disruption, from 1 on.
@@ -149,7 +149,7 @@
     ];
 
     /// Returns the least and the greatest strength.
-    pub fn strengths(self) -> (f64, f64) {
+    pub fn strength_range(self) -> (f64, f64) {
         match self {
             Self::ServersRefuse | Self::ServersLoseAnswers => (0.0, 1.0),
             Self::DeadlyRequests => (0.0, 0.5),
@@ -168,7 +168,7 @@
     }
 
     /// Returns how long it lasts.
-    pub fn lasts(&self) -> Duration {
+    pub fn duration(&self) -> Duration {
         Duration::from_millis(self.for_ms)
     }
 }
@@ -228,15 +228,15 @@
                 self.deployment
             )));
         };
-        if self.length_ms == 0 || self.length_ms > LONGEST_MS {
+        if self.length_ms == 0 || self.length_ms > MAX_LENGTH_MS {
             let what = format!(
-                "length_ms: {} is not from 1 to {LONGEST_MS}",
+                "length_ms: {} is not from 1 to {MAX_LENGTH_MS}",
                 self.length_ms
             );
             return Err(unreadable(what));
         }
         for (at, disruption) in self.disruptions.iter().enumerate() {
-            let unplayable = |field, what| DayError::Unplayable {
+            let unplayable = |field, what| DayError::InvalidDisruption {
                 file: file.into(),
                 number: at + 1,
                 field,
@@ -248,7 +248,7 @@
                     format!("{} is not from 0 to 1", disruption.share),
                 ));
             }
-            let (least, most) = disruption.kind.strengths();
+            let (least, most) = disruption.kind.strength_range();
             if !(least..=most).contains(&disruption.strength) {
                 let what = format!("{} is not from {least} to {most}", disruption.strength);
                 return Err(unplayable("strength", what));
--- a/crates/kingcuploft-simulation/src/deployment.rs
+++ b/crates/kingcuploft-simulation/src/deployment.rs
@@ -15,7 +15,7 @@
     /// The services.
     pub services: Vec<Service>,
     /// The kinds of requests.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RequestKind>,
     /// What must hold.
     pub bounds: Bounds,
 }
@@ -43,7 +43,7 @@
 /// A kind of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
+pub struct RequestKind {
     /// Its name, which begins its paths.
     pub name: String,
     /// The service that answers it.
@@ -99,7 +99,7 @@
     }
 
     /// Returns how long a VM must have run undisturbed.
-    pub fn contact(&self) -> Duration {
+    pub fn undisturbed_time(&self) -> Duration {
         Duration::from_millis(self.contact_ms)
     }
 }
--- a/crates/kingcuploft-simulation/src/disruptions.rs
+++ b/crates/kingcuploft-simulation/src/disruptions.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use crate::day::{Disruption, DisruptionKind};
-use crate::seen::Cause;
+use crate::history::Cause;
 use crate::server::Server;
+use crate::simulation::Simulation;
 use crate::vm::Vm;
-use crate::world::World;
 
 /// How long a VM that was killed is away, and the pause between two planned stops.
 const RESTART: Duration = Duration::from_millis(500);
@@ -27,25 +27,37 @@
 const SERVES_ON: Duration = Duration::from_millis(1500);
 
 /// Strikes, and returns when it is over.
-pub async fn strike(world: &Rc<World>, disruption: &Disruption) {
+pub async fn apply(world: &Rc<Simulation>, disruption: &Disruption) {
     match disruption.kind {
         DisruptionKind::VmsKilled => {
             let vms = some_vms(world, disruption.share);
             vms.iter().for_each(|vm| vm.kill());
-            come_back(world, &vms, disruption.lasts().max(RESTART), Cause::Fault).await;
+            come_back(
+                world,
+                &vms,
+                disruption.duration().max(RESTART),
+                Cause::Fault,
+            )
+            .await;
         }
         DisruptionKind::VmsLosePower => {
             let vms = some_vms(world, disruption.share);
             vms.iter().for_each(|vm| vm.lose_power());
-            come_back(world, &vms, disruption.lasts().max(RESTART), Cause::Fault).await;
+            come_back(
+                world,
+                &vms,
+                disruption.duration().max(RESTART),
+                Cause::Fault,
+            )
+            .await;
         }
         DisruptionKind::VmsFrozen => {
             let vms = some_vms(world, disruption.share);
-            during(world, &vms, disruption.lasts(), Vm::freeze).await;
+            during(world, &vms, disruption.duration(), Vm::freeze).await;
         }
         DisruptionKind::VmsCutOff => {
             let vms = some_vms(world, disruption.share);
-            during(world, &vms, disruption.lasts(), Vm::cut_off).await;
+            during(world, &vms, disruption.duration(), Vm::cut_off).await;
         }
         DisruptionKind::VmsStopped => stop_in_turn(world, disruption).await,
         DisruptionKind::ServersRefuse => {
@@ -53,7 +65,7 @@
             fail(world, disruption, |server, is_on| {
                 server
                     .faults
-                    .refuses
+                    .refused_share
                     .set(if is_on { strength } else { 0.0 });
             })
             .await;
@@ -61,32 +73,38 @@
         DisruptionKind::ServersLoseAnswers => {
             let strength = disruption.strength;
             fail(world, disruption, |server, is_on| {
-                server.faults.loses.set(if is_on { strength } else { 0.0 });
+                server
+                    .faults
+                    .lost_answer_share
+                    .set(if is_on { strength } else { 0.0 });
             })
             .await;
         }
         DisruptionKind::ServersSlow => {
             let strength = disruption.strength;
             fail(world, disruption, |server, is_on| {
-                server.faults.slow.set(if is_on { strength } else { 0.0 });
+                server
+                    .faults
+                    .slow_factor
+                    .set(if is_on { strength } else { 0.0 });
             })
             .await;
         }
         DisruptionKind::ServersCrash => crash(world, &servers_of(world, disruption)).await,
         DisruptionKind::ServersNameLimits => name_limits(world, disruption).await,
         DisruptionKind::DeadlyRequests => {
-            world.deadly.set(disruption.strength);
-            tokio::time::sleep(disruption.lasts()).await;
-            world.deadly.set(0.0);
+            world.deadly_share.set(disruption.strength);
+            tokio::time::sleep(disruption.duration()).await;
+            world.deadly_share.set(0.0);
         }
-        DisruptionKind::StoreRewinds => rewind(world, disruption.lasts()).await,
+        DisruptionKind::StoreRewinds => rewind(world, disruption.duration()).await,
         DisruptionKind::ServersLeave => leave(world, disruption).await,
         DisruptionKind::ServersStart => start(world, disruption),
-        DisruptionKind::StoreSilent => silence(world, disruption.lasts()).await,
+        DisruptionKind::StoreSilent => silence(world, disruption.duration()).await,
         DisruptionKind::Crowd => {
-            let usual = world.crowd.replace(disruption.strength);
-            tokio::time::sleep(disruption.lasts()).await;
-            world.crowd.set(usual.min(1.0));
+            let usual = world.load_factor.replace(disruption.strength);
+            tokio::time::sleep(disruption.duration()).await;
+            world.load_factor.set(usual.min(1.0));
         }
         DisruptionKind::ConfigurationChange => {
             world.operator.configure();
@@ -94,13 +112,13 @@
         DisruptionKind::ZoneEvacuated => {
             let zone = fastrand::usize(0..world.deployment.zones.len());
             world.operator.evacuate(zone, true);
-            tokio::time::sleep(disruption.lasts()).await;
+            tokio::time::sleep(disruption.duration()).await;
             world.operator.evacuate(zone, false);
         }
     }
 }
 
-fn some_vms(world: &World, share: f64) -> Vec<Rc<Vm>> {
+fn some_vms(world: &Simulation, share: f64) -> Vec<Rc<Vm>> {
     let running: Vec<_> = world.vms.iter().filter(|vm| vm.is_running()).collect();
     let count = (share * world.vms.len() as f64).round() as usize;
     let mut rng = fastrand::Rng::with_seed(fastrand::u64(..));
@@ -108,17 +126,17 @@
     chosen.into_iter().cloned().collect()
 }
 
-async fn come_back(world: &World, vms: &[Rc<Vm>], after: Duration, cause: Cause) {
+async fn come_back(world: &Simulation, vms: &[Rc<Vm>], after: Duration, cause: Cause) {
     vms.iter()
-        .for_each(|vm| world.seen.disturb(vm.index, cause));
+        .for_each(|vm| world.history.record_disturbance(vm.index, cause));
     tokio::time::sleep(after).await;
     for vm in vms.iter().filter(|vm| !vm.is_running()) {
-        world.seen.disturb(vm.index, cause);
+        world.history.record_disturbance(vm.index, cause);
         vm.start(false);
     }
 }
 
-async fn during(world: &World, vms: &[Rc<Vm>], lasts: Duration, act: fn(&Vm, bool)) {
+async fn during(world: &Simulation, vms: &[Rc<Vm>], lasts: Duration, act: fn(&Vm, bool)) {
     for vm in vms {
         act(vm, true);
     }
@@ -126,23 +144,27 @@
     let mut left = lasts;
     while !left.is_zero() {
         vms.iter()
-            .for_each(|vm| world.seen.disturb(vm.index, Cause::Fault));
+            .for_each(|vm| world.history.record_disturbance(vm.index, Cause::Fault));
         tokio::time::sleep(step.min(left)).await;
         left = left.saturating_sub(step);
     }
     for vm in vms {
-        world.seen.disturb(vm.index, Cause::Fault);
+        world.history.record_disturbance(vm.index, Cause::Fault);
         act(vm, false);
     }
 }
 
-async fn stop_in_turn(world: &Rc<World>, disruption: &Disruption) {
+async fn stop_in_turn(world: &Rc<Simulation>, disruption: &Disruption) {
     for vm in some_vms(world, disruption.share) {
         let world = world.clone();
         tokio::task::spawn_local(async move {
-            let now = world.seen.now();
-            world.seen.stops.borrow_mut().push((vm.index, now));
-            world.seen.disturb(vm.index, Cause::Planned);
+            let now = world.history.now();
+            world
+                .history
+                .planned_stops
+                .borrow_mut()
+                .push((vm.index, now));
+            world.history.record_disturbance(vm.index, Cause::Planned);
             vm.stop();
             while vm.is_running() {
                 tokio::time::sleep(LOOK_EVERY).await;
@@ -154,13 +176,13 @@
     }
 }
 
-fn servers_of(world: &World, disruption: &Disruption) -> Vec<Rc<Server>> {
+fn servers_of(world: &Simulation, disruption: &Disruption) -> Vec<Rc<Server>> {
     let servers = world.servers.borrow();
     let of_service = |server: &&Rc<Server>| {
         let service = disruption.service.as_deref();
         service.is_none_or(|service| server.service.name == service)
     };
-    let there = |server: &&Rc<Server>| !server.has_ended.get() && !server.is_leaving.get();
+    let there = |server: &&Rc<Server>| !server.has_stopped.get() && !server.is_draining.get();
     let all: Vec<_> = servers.iter().filter(there).filter(of_service).collect();
     let count = (disruption.share * all.len() as f64).round() as usize;
     let mut rng = fastrand::Rng::with_seed(fastrand::u64(..));
@@ -168,15 +190,15 @@
     chosen.into_iter().cloned().collect()
 }
 
-async fn fail(world: &World, disruption: &Disruption, act: impl Fn(&Server, bool)) {
+async fn fail(world: &Simulation, disruption: &Disruption, act: impl Fn(&Server, bool)) {
     let servers = servers_of(world, disruption);
     servers.iter().for_each(|server| act(server, true));
-    tokio::time::sleep(disruption.lasts()).await;
+    tokio::time::sleep(disruption.duration()).await;
     servers.iter().for_each(|server| act(server, false));
 }
 
 /// Ends servers without a word, and starts others in their place.
-pub async fn crash(world: &Rc<World>, servers: &[Rc<Server>]) {
+pub async fn crash(world: &Rc<Simulation>, servers: &[Rc<Server>]) {
     for server in servers {
         world.end_server(server);
     }
@@ -186,76 +208,76 @@
     }
     tokio::time::sleep(LAPSES_AFTER.saturating_sub(REPLACED_AFTER)).await;
     for server in servers {
-        world.store.0.remove(&server.name);
+        world.store.0.remove_backend_server(&server.name);
     }
 }
 
-async fn leave(world: &Rc<World>, disruption: &Disruption) {
+async fn leave(world: &Rc<Simulation>, disruption: &Disruption) {
     let servers = servers_of(world, disruption);
     for server in &servers {
-        server.is_leaving.set(true);
+        server.is_draining.set(true);
         world.operator.register(server);
     }
     let drain = Duration::from_millis(world.deployment.bounds.drain_ms);
     tokio::time::sleep(drain + SERVES_ON).await;
     for server in &servers {
         world.end_server(server);
-        world.store.0.remove(&server.name);
+        world.store.0.remove_backend_server(&server.name);
         world.start_server(&server.service.name, server.zone, true);
     }
 }
 
-fn start(world: &World, disruption: &Disruption) {
+fn start(world: &Simulation, disruption: &Disruption) {
     for server in servers_of(world, disruption) {
         world.start_server(&server.service.name, server.zone, true);
     }
 }
 
-async fn silence(world: &World, lasts: Duration) {
-    let from = world.seen.now();
+async fn silence(world: &Simulation, lasts: Duration) {
+    let from = world.history.now();
     world.store.0.silent.set(true);
     let at = {
-        let mut disturbed = world.seen.store_disturbed.borrow_mut();
+        let mut disturbed = world.history.store_disturbances.borrow_mut();
         disturbed.push((from, Duration::MAX));
         disturbed.len() - 1
     };
     tokio::time::sleep(lasts).await;
     world.store.0.silent.set(false);
-    world.seen.store_disturbed.borrow_mut()[at].1 = world.seen.now();
+    world.history.store_disturbances.borrow_mut()[at].1 = world.history.now();
 }
 
-async fn name_limits(world: &World, disruption: &Disruption) {
+async fn name_limits(world: &Simulation, disruption: &Disruption) {
     let servers = servers_of(world, disruption);
     let per_s = disruption.strength;
     for server in &servers {
         server.faults.limit.set(Some(per_s));
-        world.seen.names_limit(server.index, Some(per_s));
+        world.history.record_named_limit(server.index, Some(per_s));
     }
-    tokio::time::sleep(disruption.lasts()).await;
+    tokio::time::sleep(disruption.duration()).await;
     for server in &servers {
         // Another one may hold by now.
         if server.faults.limit.get() == Some(per_s) {
             server.faults.limit.set(None);
-            world.seen.names_limit(server.index, None);
+            world.history.record_named_limit(server.index, None);
         }
     }
 }
 
 /// Brings the store back from a copy; the operator and the servers write again what it lacks.
-async fn rewind(world: &World, age: Duration) {
+async fn rewind(world: &Simulation, age: Duration) {
     let copy = world.store.0.copy();
     tokio::time::sleep(age).await;
-    let from = world.seen.now();
+    let from = world.history.now();
     world.store.0.rewind(copy);
     tokio::time::sleep(WRITES_AGAIN).await;
-    world.operator.write_again();
+    world.operator.rewrite();
     let servers = world.servers.borrow().clone();
     for server in &servers {
-        match server.has_ended.get() {
-            true => world.store.0.remove(&server.name),
+        match server.has_stopped.get() {
+            true => world.store.0.remove_backend_server(&server.name),
             false => world.operator.register(server),
         }
     }
-    let mut disturbed = world.seen.store_disturbed.borrow_mut();
-    disturbed.push((from, world.seen.now()));
+    let mut disturbed = world.history.store_disturbances.borrow_mut();
+    disturbed.push((from, world.history.now()));
 }
--- a/crates/kingcuploft-simulation/src/draw.rs
+++ b/crates/kingcuploft-simulation/src/generator.rs
@@ -60,7 +60,7 @@
 }
 
 /// Returns a day that differs in one or two things.
-pub fn change(rng: &mut Rng, day: &Day) -> Day {
+pub fn mutate(rng: &mut Rng, day: &Day) -> Day {
     let mut day = day.clone();
     for _ in 0..rng.usize(1..=2) {
         change_one(rng, &mut day);
@@ -69,7 +69,7 @@
 }
 
 /// Returns a day on which some of what strikes on two others does.
-pub fn join(rng: &mut Rng, day: &Day, other: &Day) -> Day {
+pub fn splice(rng: &mut Rng, day: &Day, other: &Day) -> Day {
     let mut joined = day.clone();
     joined.disruptions.extend(other.disruptions.iter().cloned());
     rng.shuffle(&mut joined.disruptions);
--- a/crates/kingcuploft-simulation/src/words.rs
+++ b/crates/kingcuploft-simulation/src/header_names.rs
@@ -4,7 +4,7 @@
 use kingcuploft_entry::settings::Vocabulary;
 
 /// The names.
-pub const WORDS: Vocabulary = Vocabulary {
+pub const HEADER_NAMES: Vocabulary = Vocabulary {
     request_id: "x-id",
     deadline_ms: "x-deadline-ms",
     signature: "x-signed",
--- a/crates/kingcuploft-simulation/src/seen.rs
+++ b/crates/kingcuploft-simulation/src/history.rs
@@ -31,7 +31,7 @@
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Answer {
+pub enum Outcome {
     /// The server's whole answer to this request.
     Whole,
     /// Something else that claims success.
@@ -46,13 +46,13 @@
 
 /// The end of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Answered {
+pub struct Completion {
     /// The request's id.
     pub id: u64,
     /// When.
     pub at: Duration,
     /// How.
-    pub answer: Answer,
+    pub answer: Outcome,
 }
 
 /// A request that reached a server.
@@ -76,9 +76,9 @@
 
 /// Something that the store has taken, which VMs have to follow in time.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Accepted {
+pub enum AcceptedWrite {
     /// A server leaves.
-    Leaving {
+    ServerDraining {
         /// Its number.
         server: usize,
     },
@@ -88,12 +88,12 @@
         version: u64,
     },
     /// A zone is evacuated.
-    Evacuated {
+    ZoneEvacuated {
         /// Its number.
         zone: usize,
     },
     /// A zone is taken back.
-    TakenBack {
+    ZoneReinstated {
         /// Its number.
         zone: usize,
     },
@@ -101,7 +101,7 @@
 
 /// Where a server is, and when it is cold.
 #[derive(Clone, Debug)]
-pub struct ServerSeen {
+pub struct ServerHistory {
     /// Its service.
     pub service: String,
     /// Its zone.
@@ -125,7 +125,7 @@
 
 /// A VM that is disturbed.
 #[derive(Clone, Copy, Debug)]
-pub struct Disturbed {
+pub struct Disturbance {
     /// The VM.
     pub vm: VmIndex,
     /// When.
@@ -136,35 +136,35 @@
 
 /// All that was seen.
 #[derive(Debug)]
-pub struct Seen {
+pub struct History {
     begun: Cell<Instant>,
     /// The requests.
     pub requests: RefCell<Vec<Request>>,
     /// Their ends.
-    pub answers: RefCell<Vec<Answered>>,
+    pub answers: RefCell<Vec<Completion>>,
     /// What reached servers.
     pub arrivals: RefCell<Vec<Arrival>>,
     /// What the store has taken, and when.
-    pub accepted: RefCell<Vec<(Duration, Accepted)>>,
+    pub accepted: RefCell<Vec<(Duration, AcceptedWrite)>>,
     /// The servers.
-    pub servers: RefCell<Vec<ServerSeen>>,
+    pub servers: RefCell<Vec<ServerHistory>>,
     /// When VMs were disturbed.
-    pub disturbed: RefCell<Vec<Disturbed>>,
+    pub disturbed: RefCell<Vec<Disturbance>>,
     /// From when until when the store was.
-    pub store_disturbed: RefCell<Vec<(Duration, Duration)>>,
+    pub store_disturbances: RefCell<Vec<(Duration, Duration)>>,
     /// When VMs were stopped as planned.
-    pub stops: RefCell<Vec<(VmIndex, Duration)>>,
+    pub planned_stops: RefCell<Vec<(VmIndex, Duration)>>,
     /// Versions that VMs were seen to serve by, in the order of time.
-    pub served_by: RefCell<Vec<(VmIndex, u64, Duration, bool)>>,
+    pub version_checks: RefCell<Vec<(VmIndex, u64, Duration, bool)>>,
     /// When VMs were asked for a route that a version added, at the first service.
-    pub looks: RefCell<Vec<Duration>>,
+    pub version_check_times: RefCell<Vec<Duration>>,
     /// How many probes servers got, and how many seconds servers were there.
     pub probes: Cell<u64>,
     /// As `probes` says.
-    pub server_s: Cell<f64>,
+    pub server_seconds: Cell<f64>,
 }
 
-impl Default for Seen {
+impl Default for History {
     fn default() -> Self {
         Self {
             begun: Cell::new(Instant::now()),
@@ -174,17 +174,17 @@
             accepted: RefCell::default(),
             servers: RefCell::default(),
             disturbed: RefCell::default(),
-            store_disturbed: RefCell::default(),
-            stops: RefCell::default(),
-            served_by: RefCell::default(),
-            looks: RefCell::default(),
+            store_disturbances: RefCell::default(),
+            planned_stops: RefCell::default(),
+            version_checks: RefCell::default(),
+            version_check_times: RefCell::default(),
             probes: Cell::new(0),
-            server_s: Cell::new(0.0),
+            server_seconds: Cell::new(0.0),
         }
     }
 }
 
-impl Seen {
+impl History {
     /// Counts time from now on.
     pub fn begin(&self) {
         self.begun.set(Instant::now());
@@ -196,12 +196,12 @@
     }
 
     /// Takes note that the store has taken something.
-    pub fn accepted(&self, what: Accepted) {
+    pub fn accepted(&self, what: AcceptedWrite) {
         self.accepted.borrow_mut().push((self.now(), what));
     }
 
     /// Takes note of the limit that a server names from now on.
-    pub fn names_limit(&self, server: usize, per_s: Option<f64>) {
+    pub fn record_named_limit(&self, server: usize, per_s: Option<f64>) {
         let now = self.now();
         let mut servers = self.servers.borrow_mut();
         let limits = &mut servers[server].limits;
@@ -212,30 +212,30 @@
     }
 
     /// Returns when the store has last taken a configuration of the day, if it has.
-    pub fn last_configuration(&self) -> Option<Duration> {
+    pub fn last_configuration_change(&self) -> Option<Duration> {
         let accepted = self.accepted.borrow();
         let of_day = accepted.iter().filter(|(_, what)| match what {
-            Accepted::Configuration { version } => *version > 1,
+            AcceptedWrite::Configuration { version } => *version > 1,
             _ => false,
         });
         of_day.map(|(at, _)| *at).next_back()
     }
 
     /// Takes note that a VM is disturbed now.
-    pub fn disturb(&self, vm: VmIndex, cause: Cause) {
+    pub fn record_disturbance(&self, vm: VmIndex, cause: Cause) {
         let at = self.now();
         let mut disturbed = self.disturbed.borrow_mut();
-        disturbed.push(Disturbed { vm, at, cause });
+        disturbed.push(Disturbance { vm, at, cause });
     }
 
     /// Returns whether neither a VM nor the store was disturbed for so long before a moment.
-    pub fn is_in_touch(&self, vm: VmIndex, at: Duration, contact: Duration) -> bool {
+    pub fn was_undisturbed(&self, vm: VmIndex, at: Duration, contact: Duration) -> bool {
         let since = at.saturating_sub(contact);
         let of_vm = self.disturbed.borrow();
         let vm_is_calm = !of_vm
             .iter()
             .any(|other| other.vm == vm && other.at >= since && other.at <= at);
-        let of_store = self.store_disturbed.borrow();
+        let of_store = self.store_disturbances.borrow();
         vm_is_calm
             && !of_store
                 .iter()
@@ -244,6 +244,6 @@
 }
 
 /// Returns whether requests of a contract may run more than once.
-pub fn may_repeat(contract: Contract) -> bool {
+pub fn is_idempotent(contract: Contract) -> bool {
     contract == Contract::RetryFreely
 }
--- a/crates/kingcuploft-simulation/src/link.rs
+++ b/crates/kingcuploft-simulation/src/link.rs
@@ -33,7 +33,7 @@
     /// Nothing leaves or arrives.
     pub is_cut: Cell<bool>,
     /// Its VM has lost power for good; one that comes back has another link.
-    pub is_dark: Cell<bool>,
+    pub is_powered_off: Cell<bool>,
 }
 
 impl Nic {
@@ -45,7 +45,7 @@
             receives_until: Cell::new(Instant::now()),
             sent_bytes: Cell::new(0),
             is_cut: Cell::new(false),
-            is_dark: Cell::new(false),
+            is_powered_off: Cell::new(false),
         }
     }
 
@@ -97,7 +97,7 @@
     }
 
     fn is_cut(&self) -> bool {
-        let stops = |nic: &Nic| nic.is_cut.get() || nic.is_dark.get();
+        let stops = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
         stops(&self.from) || stops(&self.to)
     }
 
@@ -110,16 +110,16 @@
 
 /// One end of a link.
 #[derive(Debug)]
-pub struct End {
+pub struct LinkEnd {
     incoming: Rc<Pipe>,
     outgoing: Rc<Pipe>,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 /// Opens a link between two VMs.
-pub fn link(a: &Rc<Nic>, b: &Rc<Nic>, delay: Duration) -> (End, End) {
+pub fn link(a: &Rc<Nic>, b: &Rc<Nic>, delay: Duration) -> (LinkEnd, LinkEnd) {
     let (there, back) = (Pipe::new(a, b, delay), Pipe::new(b, a, delay));
-    let end = |incoming: &Rc<Pipe>, outgoing: &Rc<Pipe>| End {
+    let end = |incoming: &Rc<Pipe>, outgoing: &Rc<Pipe>| LinkEnd {
         incoming: incoming.clone(),
         outgoing: outgoing.clone(),
         timer: None,
@@ -127,7 +127,7 @@
     (end(&back, &there), end(&there, &back))
 }
 
-impl End {
+impl LinkEnd {
     fn wait_until(&mut self, moment: Instant, context: &mut Context<'_>) {
         let mut timer = Box::pin(tokio::time::sleep_until(moment));
         if timer.as_mut().poll(context).is_ready() {
@@ -137,7 +137,7 @@
     }
 }
 
-impl AsyncRead for End {
+impl AsyncRead for LinkEnd {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -175,7 +175,7 @@
     }
 }
 
-impl AsyncWrite for End {
+impl AsyncWrite for LinkEnd {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -211,7 +211,7 @@
     }
 }
 
-impl Link for End {
+impl Link for LinkEnd {
     fn try_read(&mut self, bytes: &mut [u8]) -> std::io::Result<usize> {
         let pipe = &self.incoming;
         let mut segments = pipe.segments.borrow_mut();
@@ -236,10 +236,10 @@
     }
 }
 
-impl Drop for End {
+impl Drop for LinkEnd {
     fn drop(&mut self) {
         // Nobody hears of the end of what has no power.
-        if self.outgoing.from.is_dark.get() {
+        if self.outgoing.from.is_powered_off.get() {
             return;
         }
         self.outgoing.ended.set(true);
--- a/crates/kingcuploft-simulation/src/log.rs
+++ b/crates/kingcuploft-simulation/src/log.rs
@@ -7,7 +7,7 @@
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::FormatTime;
 
-use crate::seen::VmIndex;
+use crate::history::VmIndex;
 
 thread_local! {
     static VM: Cell<Option<VmIndex>> = const { Cell::new(None) };
@@ -16,17 +16,17 @@
 }
 
 /// Names the VM whose lines are written until this is dropped.
-pub struct Named(Option<VmIndex>);
+pub struct VmScope(Option<VmIndex>);
 
-impl Drop for Named {
+impl Drop for VmScope {
     fn drop(&mut self) {
         VM.set(self.0);
     }
 }
 
 /// Names the VM whose lines are written from now on.
-pub fn name(vm: VmIndex) -> Named {
-    Named(VM.replace(Some(vm)))
+pub fn enter_vm(vm: VmIndex) -> VmScope {
+    VmScope(VM.replace(Some(vm)))
 }
 
 struct VirtualTime;
@@ -66,7 +66,7 @@
 }
 
 /// Plays something and returns the lines that were written meanwhile on this thread.
-pub fn collected<T>(play: impl FnOnce() -> T) -> (T, Vec<u8>) {
+pub fn capture<T>(play: impl FnOnce() -> T) -> (T, Vec<u8>) {
     LINES.with_borrow_mut(Vec::clear);
     let subscriber = tracing_subscriber::fmt()
         .json()
--- a/crates/kingcuploft-simulation/src/main.rs
+++ b/crates/kingcuploft-simulation/src/main.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use kingcuploft_simulation::day::Day;
-use kingcuploft_simulation::plant::{self, Planted};
-use kingcuploft_simulation::rules::{self, Distance, Rule};
-use kingcuploft_simulation::search::{Found, Search, judged};
-use kingcuploft_simulation::{plot, shrink, world};
+use kingcuploft_simulation::planted_fault::{self, Planted};
+use kingcuploft_simulation::rules::{self, BoundUsage, Rule};
+use kingcuploft_simulation::search::{Search, SearchResult, check_day};
+use kingcuploft_simulation::{plot, shrink, simulation};
 use lexopt::prelude::*;
 
 const HELP: &str = "\
@@ -56,7 +56,7 @@
     #[error("{0}")]
     Day(#[from] kingcuploft_simulation::day::DayError),
     #[error("{0}")]
-    Play(#[from] world::PlayError),
+    Play(#[from] simulation::RunError),
     #[error("{0}: {1}")]
     File(PathBuf, std::io::Error),
 }
@@ -137,19 +137,19 @@
     let mut any_broken = false;
     for path in &asked.days {
         let day = read(asked, path)?;
-        let played = plant::with(asked.planted, || world::play(&day))?;
-        let distances = rules::judge(&played);
-        any_broken |= distances.iter().any(Distance::is_broken);
+        let played = planted_fault::with(asked.planted, || simulation::play(&day))?;
+        let distances = rules::check(&played);
+        any_broken |= distances.iter().any(BoundUsage::is_broken);
         if let Some(log) = &asked.log {
             let written = std::fs::write(log, &played.lines);
             written.map_err(|error| Fault::File(log.clone(), error))?;
         }
-        tell(asked, path, rules::served(&played), &distances);
+        tell(asked, path, rules::answered_share(&played), &distances);
     }
     Ok(any_broken)
 }
 
-fn tell(asked: &Asked, path: &Path, served: f64, distances: &[Distance]) {
+fn tell(asked: &Asked, path: &Path, served: f64, distances: &[BoundUsage]) {
     let name = path.display();
     if asked.json {
         let told =
@@ -162,7 +162,7 @@
     }
 }
 
-fn tell_distance(distance: &Distance) {
+fn tell_distance(distance: &BoundUsage) {
     let verdict = match distance.is_broken() {
         true => "BROKEN",
         false => "kept",
@@ -179,11 +179,11 @@
     let search = Search {
         deployment: asked.deployment.clone().unwrap_or_else(|| "19-vms".into()),
         seed: asked.seed.unwrap_or(1),
-        most_days: asked.most_days.unwrap_or(usize::MAX),
+        max_days: asked.most_days.unwrap_or(usize::MAX),
         within: Duration::from_secs(asked.seconds.unwrap_or(60)),
         jobs: asked.jobs.unwrap_or(4),
-        is_guided: !asked.plain,
-        ends_at_first: asked.first,
+        is_mutating: !asked.plain,
+        stops_at_first: asked.first,
         planted: asked.planted,
     };
     let found = search.run(|days, distance| {
@@ -196,12 +196,12 @@
     Ok(!found.broken().is_empty())
 }
 
-fn report(asked: &Asked, found: &Found) {
+fn report(asked: &Asked, found: &SearchResult) {
     if asked.json {
         let nearest = Rule::ALL
             .iter()
             .filter_map(|rule| found.nearest.get(rule)?.first());
-        let nearest: Vec<_> = nearest.map(|near| &near.distance).collect();
+        let nearest: Vec<_> = nearest.map(|near| &near.usage).collect();
         let first = found.first_broken_after;
         let told = serde_json::json!({ "days": found.days, "first_broken_after": first, "nearest": nearest });
         return println!("{told}");
@@ -213,19 +213,19 @@
     let nearest = Rule::ALL
         .iter()
         .filter_map(|rule| found.nearest.get(rule)?.first());
-    nearest.for_each(|near| tell_distance(&near.distance));
+    nearest.for_each(|near| tell_distance(&near.usage));
 }
 
 /// Writes the nearest day of each rule, those that break it shrunk, and the course.
-fn write_out(asked: &Asked, found: &Found, out: &Path) -> Result<(), Fault> {
+fn write_out(asked: &Asked, found: &SearchResult, out: &Path) -> Result<(), Fault> {
     let fault = |error| Fault::File(out.into(), error);
     std::fs::create_dir_all(out).map_err(fault)?;
     for rule in Rule::ALL {
         let Some(near) = found.nearest.get(&rule).and_then(|all| all.first()) else {
             continue;
         };
-        let day = match near.distance.is_broken() {
-            true => plant::with(asked.planted, || shrink::shrink(&near.day, rule)),
+        let day = match near.usage.is_broken() {
+            true => planted_fault::with(asked.planted, || shrink::shrink(&near.day, rule)),
             false => near.day.clone(),
         };
         let file = out.join(format!("{rule:?}-{}.yaml", day.seed));
@@ -244,8 +244,8 @@
     let mut any_broken = false;
     for path in &asked.days {
         let day = read(asked, path)?;
-        let day = plant::with(asked.planted, || shrink::shrink(&day, rule));
-        let judged = plant::with(asked.planted, || judged(&day))?;
+        let day = planted_fault::with(asked.planted, || shrink::shrink(&day, rule));
+        let judged = planted_fault::with(asked.planted, || check_day(&day))?;
         any_broken |= judged.iter().any(|d| d.rule == rule && d.is_broken());
         print!("{}", day.to_text());
     }
--- a/crates/kingcuploft-simulation/src/network.rs
+++ b/crates/kingcuploft-simulation/src/network.rs
@@ -12,8 +12,8 @@
 use kingcuploft_entry::peers::zone_socket::{Telling, Told};
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::link::{self, End, Nic};
-use crate::seen::VmIndex;
+use crate::history::VmIndex;
+use crate::link::{self, LinkEnd, Nic};
 
 /// How long bytes take within a zone, to another one, and between callers and VMs.
 const IN_ZONE: Duration = Duration::from_micros(100);
@@ -27,7 +27,7 @@
 const MBIT_PER_S: u32 = 1000;
 
 /// A connection that was opened, and the VM that opened it.
-pub type Accepted = (End, Option<VmIndex>);
+pub type Accepted = (LinkEnd, Option<VmIndex>);
 
 /// A datagram, and where it comes from.
 pub type Datagram = (Told, SocketAddr);
@@ -58,42 +58,42 @@
 
 /// Where a host is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Place {
+pub enum Location {
     /// In a zone.
     Zone(usize),
     /// With the callers.
-    Outside,
+    External,
 }
 
 /// The network as one host reaches it.
 #[derive(Clone, Debug)]
 pub struct Host {
     network: Network,
-    place: Place,
+    place: Location,
     vm: Option<VmIndex>,
     /// Its way to callers and servers.
     pub nic: Rc<Nic>,
     /// Its way to other VMs and the store.
-    pub inner_nic: Rc<Nic>,
+    pub peer_nic: Rc<Nic>,
     /// Where other VMs reach it.
     pub peer_address: Cell<Option<SocketAddr>>,
 }
 
 impl Network {
     /// Returns a new host.
-    pub fn host(&self, place: Place, vm: Option<VmIndex>) -> Host {
+    pub fn host(&self, place: Location, vm: Option<VmIndex>) -> Host {
         Host {
             network: self.clone(),
             place,
             vm,
             nic: Rc::new(Nic::of(MBIT_PER_S)),
-            inner_nic: Rc::new(Nic::of(MBIT_PER_S)),
+            peer_nic: Rc::new(Nic::of(MBIT_PER_S)),
             peer_address: Cell::new(None),
         }
     }
 
     /// Stops listening at an address.
-    pub fn close(&self, address: SocketAddr) {
+    pub fn stop_listening(&self, address: SocketAddr) {
         self.0.listeners.borrow_mut().remove(&address);
         self.0.mailboxes.borrow_mut().remove(&address);
     }
@@ -106,16 +106,16 @@
     }
 
     /// Listens at an address, on its way to other VMs.
-    pub fn listen_to_others(
+    pub fn listen_to_peers(
         &self,
         address: SocketAddr,
         accepts: UnboundedSender<Accepted>,
         datagrams: UnboundedSender<Datagram>,
     ) {
         self.peer_address.set(Some(address));
-        self.listen_on(&self.inner_nic, address, accepts);
+        self.listen_on(&self.peer_nic, address, accepts);
         let mailbox = Mailbox {
-            nic: self.inner_nic.clone(),
+            nic: self.peer_nic.clone(),
             receives: datagrams,
         };
         let mut all = self.network.0.mailboxes.borrow_mut();
@@ -124,8 +124,8 @@
 
     fn listen_on(&self, nic: &Rc<Nic>, address: SocketAddr, accepts: UnboundedSender<Accepted>) {
         let zone = match self.place {
-            Place::Zone(zone) => zone,
-            Place::Outside => usize::MAX,
+            Location::Zone(zone) => zone,
+            Location::External => usize::MAX,
         };
         let listener = Listener {
             nic: nic.clone(),
@@ -138,29 +138,29 @@
 
     /// Cuts the host off from other VMs and the store, or ends that.
     pub fn cut_off(&self, is_cut: bool) {
-        self.inner_nic.is_cut.set(is_cut);
+        self.peer_nic.is_cut.set(is_cut);
     }
 
     /// Takes its power away; a host that has it again is another one.
     pub fn lose_power(&self) {
-        self.nic.is_dark.set(true);
-        self.inner_nic.is_dark.set(true);
+        self.nic.is_powered_off.set(true);
+        self.peer_nic.is_powered_off.set(true);
     }
 
     /// Returns whether it reaches other VMs and the store.
     pub fn is_cut_off(&self) -> bool {
-        self.inner_nic.is_cut.get() || self.inner_nic.is_dark.get()
+        self.peer_nic.is_cut.get() || self.peer_nic.is_powered_off.get()
     }
 
     fn delay(&self, zone: usize) -> Duration {
         match self.place {
-            Place::Outside => TO_CALLER,
-            Place::Zone(own) if own == zone => IN_ZONE,
-            Place::Zone(_) => TO_OTHER_ZONE,
+            Location::External => TO_CALLER,
+            Location::Zone(own) if own == zone => IN_ZONE,
+            Location::Zone(_) => TO_OTHER_ZONE,
         }
     }
 
-    async fn open(&self, own: &Rc<Nic>, address: SocketAddr) -> std::io::Result<End> {
+    async fn open(&self, own: &Rc<Nic>, address: SocketAddr) -> std::io::Result<LinkEnd> {
         loop {
             let refused = || Error::from(ErrorKind::ConnectionRefused);
             let found = {
@@ -172,7 +172,7 @@
                 tokio::time::sleep(2 * TO_OTHER_ZONE).await;
                 return Err(refused());
             };
-            let stops = |nic: &Nic| nic.is_cut.get() || nic.is_dark.get();
+            let stops = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
             if stops(own) || stops(&nic) {
                 tokio::time::sleep(TRY_AGAIN).await;
                 continue;
@@ -195,10 +195,10 @@
 }
 
 impl Dial for Host {
-    type Link = End;
+    type Link = LinkEnd;
 
-    async fn dial(&self, address: SocketAddr) -> std::io::Result<End> {
-        self.open(&self.inner_nic, address).await
+    async fn dial(&self, address: SocketAddr) -> std::io::Result<LinkEnd> {
+        self.open(&self.peer_nic, address).await
     }
 }
 
@@ -212,8 +212,8 @@
             let Some(Mailbox { nic, receives }) = found else {
                 continue;
             };
-            let stops = |nic: &Nic| nic.is_cut.get() || nic.is_dark.get();
-            if stops(&self.inner_nic) || stops(&nic) {
+            let stops = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
+            if stops(&self.peer_nic) || stops(&nic) {
                 continue;
             }
             let told = told.clone();
--- a/crates/kingcuploft-simulation/src/operator.rs
+++ b/crates/kingcuploft-simulation/src/operator.rs
@@ -11,7 +11,7 @@
 use kingcuploft::world::contract::Contract;
 
 use crate::deployment::Deployment;
-use crate::seen::{Accepted, Seen};
+use crate::history::{AcceptedWrite, History};
 use crate::server::Server;
 use crate::store::TestStore;
 
@@ -26,17 +26,17 @@
 pub struct Operator {
     deployment: Rc<Deployment>,
     store: TestStore,
-    seen: Rc<Seen>,
+    history: Rc<History>,
     version: Cell<u64>,
 }
 
 impl Operator {
     /// Returns an operator that has written nothing.
-    pub fn new(deployment: Rc<Deployment>, store: TestStore, seen: Rc<Seen>) -> Self {
+    pub fn new(deployment: Rc<Deployment>, store: TestStore, seen: Rc<History>) -> Self {
         Self {
             deployment,
             store,
-            seen,
+            history: seen,
             version: Cell::new(0),
         }
     }
@@ -46,7 +46,8 @@
         let version = self.version.get() + 1;
         self.version.set(version);
         self.store.0.configure(self.configuration(version));
-        self.seen.accepted(Accepted::Configuration { version });
+        self.history
+            .accepted(AcceptedWrite::Configuration { version });
         version
     }
 
@@ -60,7 +61,7 @@
         let added = (1..=version).map(|added| {
             let second = Duration::from_secs(1);
             route(
-                &marker(added),
+                &version_route_name(added),
                 service,
                 Contract::RetryFreely,
                 second,
@@ -85,27 +86,27 @@
 
     /// Writes the entry of a server.
     pub fn register(&self, server: &Server) {
-        self.store.0.serve(BackendServer {
+        self.store.0.write_backend_server(BackendServer {
             name: server.name.as_str().into(),
             service: server.service.name.as_str().into(),
             address: server.address,
             zone: format!("zone-{}", server.zone).into(),
             slots: server.service.slots,
-            draining: server.is_leaving.get(),
+            draining: server.is_draining.get(),
             cold_for: server.cold_for(),
             started_at: None,
         });
-        let leaving = Accepted::Leaving {
+        let leaving = AcceptedWrite::ServerDraining {
             server: server.index,
         };
         let is_known = self
-            .seen
+            .history
             .accepted
             .borrow()
             .iter()
             .any(|(_, what)| *what == leaving);
-        if server.is_leaving.get() && !is_known {
-            self.seen.accepted(Accepted::Leaving {
+        if server.is_draining.get() && !is_known {
+            self.history.accepted(AcceptedWrite::ServerDraining {
                 server: server.index,
             });
         }
@@ -114,22 +115,24 @@
     /// Has a zone evacuated, or takes it back.
     pub fn evacuate(&self, zone: usize, is_evacuated: bool) {
         self.store.0.evacuate(&format!("zone-{zone}"), is_evacuated);
-        self.seen.accepted(match is_evacuated {
-            true => Accepted::Evacuated { zone },
-            false => Accepted::TakenBack { zone },
+        self.history.accepted(match is_evacuated {
+            true => AcceptedWrite::ZoneEvacuated { zone },
+            false => AcceptedWrite::ZoneReinstated { zone },
         });
     }
 
     /// Writes again what is in force, to a store that may lack it.
-    pub fn write_again(&self) {
+    pub fn rewrite(&self) {
         let configuration = self.configuration(self.version.get());
         self.store.0.configure(configuration);
         for zone in 0..self.deployment.zones.len() {
-            let mut accepted = self.seen.accepted.borrow().clone().into_iter().rev();
+            let mut accepted = self.history.accepted.borrow().clone().into_iter().rev();
             let last = accepted.find(|(_, what)| {
-                *what == Accepted::Evacuated { zone } || *what == Accepted::TakenBack { zone }
+                *what == AcceptedWrite::ZoneEvacuated { zone }
+                    || *what == AcceptedWrite::ZoneReinstated { zone }
             });
-            let is_evacuated = last.is_some_and(|(_, what)| what == Accepted::Evacuated { zone });
+            let is_evacuated =
+                last.is_some_and(|(_, what)| what == AcceptedWrite::ZoneEvacuated { zone });
             self.store.0.evacuate(&format!("zone-{zone}"), is_evacuated);
         }
     }
@@ -141,7 +144,7 @@
 }
 
 /// Returns the name of the route that a version adds.
-pub fn marker(version: u64) -> String {
+pub fn version_route_name(version: u64) -> String {
     format!("version-{version}")
 }
 
--- a/crates/kingcuploft-simulation/src/plot.rs
+++ b/crates/kingcuploft-simulation/src/plot.rs
@@ -5,7 +5,7 @@
 use plotters::prelude::*;
 
 use crate::rules::Rule;
-use crate::search::Found;
+use crate::search::SearchResult;
 
 /// What is drawn of a bound that is far exceeded.
 const MOST: f64 = 2.0;
@@ -20,7 +20,7 @@
 /// # Errors
 ///
 /// Returns an error if the file can't be written.
-pub fn draw(found: &Found, file: &Path) -> Result<(), PlotError> {
+pub fn draw(found: &SearchResult, file: &Path) -> Result<(), PlotError> {
     let fault = |error: &dyn std::fmt::Display| PlotError(error.to_string());
     let area = SVGBackend::new(file, (960, 480)).into_drawing_area();
     area.fill(&WHITE).map_err(|e| fault(&e))?;
@@ -50,7 +50,7 @@
     area.present().map_err(|e| fault(&e))
 }
 
-fn steps(found: &Found, rule: Rule) -> Vec<(f64, f64)> {
+fn steps(found: &SearchResult, rule: Rule) -> Vec<(f64, f64)> {
     let mut steps = vec![(0.0, 0.0)];
     let mut last = 0.0;
     let of_rule = found.course.iter().filter(|(_, other, _)| *other == rule);
--- a/crates/kingcuploft-simulation/src/rules/repeats.rs
+++ b/crates/kingcuploft-simulation/src/rules/fleet.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::{Case, Distance, Rule};
-use crate::seen::Arrival;
+use super::{BoundUsage, Case, Rule};
+use crate::history::Arrival;
 
 /// The users' second.
 const SECOND: Duration = Duration::from_secs(1);
@@ -21,15 +21,15 @@
 }
 
 /// The most repeats of any service in any window, of those allowed.
-pub(super) fn budget(case: &Case<'_>) -> Distance {
+pub(super) fn budget(case: &Case<'_>) -> BoundUsage {
     let bounds = case.deployment.bounds.repeats();
-    let mut nearest = Distance::nothing(Rule::RepeatBudget);
+    let mut nearest = BoundUsage::nothing(Rule::RepeatBudget);
     for service in &case.deployment.services {
         let of_service = |kind: usize| case.deployment.kinds[kind].service == service.name;
         let requests = case.requests.iter().filter(|r| of_service(r.kind));
         let mut requests: Vec<_> = requests.map(|request| request.at).collect();
         if service.name == case.deployment.services[0].name {
-            requests.extend(case.seen.looks.borrow().iter());
+            requests.extend(case.history.version_check_times.borrow().iter());
         }
         requests.sort();
         let repeats = repeats_of(case, of_service);
@@ -68,10 +68,10 @@
 }
 
 /// The most requests that any cold server got in any second, of those it may get.
-pub(super) fn cold_servers(case: &Case<'_>) -> Distance {
+pub(super) fn cold_servers(case: &Case<'_>) -> BoundUsage {
     let bounds = &case.deployment.bounds;
-    let mut nearest = Distance::nothing(Rule::ColdServers);
-    for (index, server) in case.seen.servers.borrow().iter().enumerate() {
+    let mut nearest = BoundUsage::nothing(Rule::ColdServers);
+    for (index, server) in case.history.servers.borrow().iter().enumerate() {
         let Some((from, to)) = server.cold else {
             continue;
         };
@@ -90,14 +90,14 @@
 }
 
 /// The most requests that a server got in any four seconds after it had named a limit, of those it may get.
-pub(super) fn named_limits(case: &Case<'_>) -> Distance {
-    let contact = case.deployment.bounds.contact();
-    let mut nearest = Distance::nothing(Rule::NamedLimits);
-    for (index, server) in case.seen.servers.borrow().iter().enumerate() {
+pub(super) fn named_limits(case: &Case<'_>) -> BoundUsage {
+    let contact = case.deployment.bounds.undisturbed_time();
+    let mut nearest = BoundUsage::nothing(Rule::NamedLimits);
+    for (index, server) in case.history.servers.borrow().iter().enumerate() {
         for (per_s, from, to) in &server.limits {
             let told = *from + TOLD_WITHIN;
             let named = |a: &&Arrival| {
-                let in_touch = case.seen.is_in_touch(a.vm, a.at, contact);
+                let in_touch = case.history.was_undisturbed(a.vm, a.at, contact);
                 a.server == index && a.at >= told && a.at < *to && in_touch
             };
             let mut times: Vec<_> = case.arrivals.iter().filter(named).map(|a| a.at).collect();
@@ -115,10 +115,10 @@
 }
 
 /// The probes of a server and second over the day, of those allowed.
-pub(super) fn probes(case: &Case<'_>) -> Distance {
-    let server_s = case.seen.server_s.get().max(1.0);
-    let per_s = case.seen.probes.get() as f64 / server_s;
+pub(super) fn probes(case: &Case<'_>) -> BoundUsage {
+    let server_s = case.history.server_seconds.get().max(1.0);
+    let per_s = case.history.probes.get() as f64 / server_s;
     let used = per_s / case.deployment.bounds.probes_per_s;
-    Distance::nothing(Rule::Probes)
+    BoundUsage::nothing(Rule::Probes)
         .or_nearer(used, || format!("{per_s:.1} probes of a server and second"))
 }
--- a/crates/kingcuploft-simulation/src/rules/mod.rs
+++ b/crates/kingcuploft-simulation/src/rules/mod.rs
@@ -2,16 +2,16 @@
 //!
 //! They judge by what callers, servers and the store saw.
 
-mod repeats;
+mod fleet;
+mod propagation;
 mod requests;
-mod times;
 
 use kingcuploft::utils::HashMap;
 use serde::Serialize;
 
 use crate::deployment::Deployment;
-use crate::seen::{Answer, Answered, Arrival, Request, Seen};
-use crate::world::Played;
+use crate::history::{Arrival, Completion, History, Outcome, Request};
+use crate::simulation::DayResult;
 
 /// A rule.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize)]
@@ -66,7 +66,7 @@
 
 /// How near a day came to the bound of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Distance {
+pub struct BoundUsage {
     /// The rule.
     pub rule: Rule,
     /// The most that was used of what is allowed: the rule is broken above 1.
@@ -75,7 +75,7 @@
     pub what: String,
 }
 
-impl Distance {
+impl BoundUsage {
     /// Returns whether the rule is broken.
     pub fn is_broken(&self) -> bool {
         self.used > 1.0
@@ -113,26 +113,26 @@
 /// What was seen, found by request.
 struct Case<'a> {
     deployment: &'a Deployment,
-    seen: &'a Seen,
+    history: &'a History,
     requests: Vec<Request>,
     arrivals: Vec<Arrival>,
-    answers: HashMap<u64, Answered>,
+    answers: HashMap<u64, Completion>,
 }
 
 impl<'a> Case<'a> {
-    fn of(played: &'a Played) -> Self {
-        let seen = &*played.seen;
+    fn of(played: &'a DayResult) -> Self {
+        let seen = &*played.history;
         let answers = seen.answers.borrow();
         Self {
             deployment: &played.deployment,
-            seen,
+            history: seen,
             requests: seen.requests.borrow().clone(),
             arrivals: seen.arrivals.borrow().clone(),
             answers: answers.iter().map(|answer| (answer.id, *answer)).collect(),
         }
     }
 
-    fn answer(&self, id: u64) -> Option<Answer> {
+    fn answer(&self, id: u64) -> Option<Outcome> {
         self.answers.get(&id).map(|answered| answered.answer)
     }
 
@@ -146,33 +146,33 @@
 }
 
 /// Judges a day by all rules.
-pub fn judge(played: &Played) -> Vec<Distance> {
+pub fn check(played: &DayResult) -> Vec<BoundUsage> {
     let case = Case::of(played);
     let judged = Rule::ALL.map(|rule| match rule {
-        Rule::RepeatBudget => repeats::budget(&case),
+        Rule::RepeatBudget => fleet::budget(&case),
         Rule::AtMostOnce => requests::at_most_once(&case),
         Rule::TruthfulRefusals => requests::truthful_refusals(&case),
         Rule::WholeAnswers => requests::whole_answers(&case),
         Rule::PlannedStops => requests::planned_stops(&case),
-        Rule::Draining => times::draining(&case),
-        Rule::ConfigurationInForce => times::configuration(&case),
-        Rule::NeverReverts => times::never_reverts(&case),
-        Rule::Evacuations => times::evacuations(&case),
-        Rule::ColdServers => repeats::cold_servers(&case),
-        Rule::NamedLimits => repeats::named_limits(&case),
+        Rule::Draining => propagation::draining(&case),
+        Rule::ConfigurationInForce => propagation::configuration(&case),
+        Rule::NeverReverts => propagation::never_reverts(&case),
+        Rule::Evacuations => propagation::evacuations(&case),
+        Rule::ColdServers => fleet::cold_servers(&case),
+        Rule::NamedLimits => fleet::named_limits(&case),
         Rule::Quarantine => requests::quarantine(&case),
-        Rule::Probes => repeats::probes(&case),
+        Rule::Probes => fleet::probes(&case),
     });
     judged.to_vec()
 }
 
 /// Returns the share of first requests that were answered whole in the end, by their callers' own count.
-pub fn served(played: &Played) -> f64 {
+pub fn answered_share(played: &DayResult) -> f64 {
     let case = Case::of(played);
     let asked = case.requests.iter();
     let asked = asked.filter(|request| request.is_first && !request.is_deadly);
     let asked = asked.count();
     let whole = case.requests.iter();
-    let whole = whole.filter(|request| case.answer(request.id) == Some(Answer::Whole));
+    let whole = whole.filter(|request| case.answer(request.id) == Some(Outcome::Whole));
     whole.count() as f64 / asked.max(1) as f64
 }
--- a/crates/kingcuploft-simulation/src/rules/times.rs
+++ b/crates/kingcuploft-simulation/src/rules/propagation.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::{Case, Distance, Rule};
-use crate::seen::{Accepted, Arrival};
+use super::{BoundUsage, Case, Rule};
+use crate::history::{AcceptedWrite, Arrival};
 
 /// A request that a VM has just sent is on its way.
 const ON_ITS_WAY: Duration = Duration::from_millis(2);
@@ -17,11 +17,13 @@
     bound_ms: u64,
 ) -> Option<(f64, Duration)> {
     let bound = Duration::from_millis(bound_ms);
-    let contact = case.deployment.bounds.contact();
+    let contact = case.deployment.bounds.undisturbed_time();
     let in_touch = arrivals.filter(|arrival| {
         arrival.at >= accepted
             && arrival.at < until
-            && case.seen.is_in_touch(arrival.vm, arrival.at, contact)
+            && case
+                .history
+                .was_undisturbed(arrival.vm, arrival.at, contact)
     });
     let last = in_touch.map(|arrival| arrival.at).max()?;
     let late = last.saturating_sub(accepted + ON_ITS_WAY);
@@ -29,10 +31,10 @@
 }
 
 /// How long a leaving server got requests, of the time that is allowed.
-pub(super) fn draining(case: &Case<'_>) -> Distance {
-    let mut nearest = Distance::nothing(Rule::Draining);
-    for (at, accepted) in case.seen.accepted.borrow().iter() {
-        let Accepted::Leaving { server } = accepted else {
+pub(super) fn draining(case: &Case<'_>) -> BoundUsage {
+    let mut nearest = BoundUsage::nothing(Rule::Draining);
+    for (at, accepted) in case.history.accepted.borrow().iter() {
+        let AcceptedWrite::ServerDraining { server } = accepted else {
             continue;
         };
         let arrivals = case.arrivals.iter().filter(|a| a.server == *server);
@@ -47,17 +49,17 @@
 }
 
 /// How long an emptied zone got requests, of the time that is allowed.
-pub(super) fn evacuations(case: &Case<'_>) -> Distance {
-    let mut nearest = Distance::nothing(Rule::Evacuations);
-    let all = case.seen.accepted.borrow();
-    let servers = case.seen.servers.borrow();
+pub(super) fn evacuations(case: &Case<'_>) -> BoundUsage {
+    let mut nearest = BoundUsage::nothing(Rule::Evacuations);
+    let all = case.history.accepted.borrow();
+    let servers = case.history.servers.borrow();
     for (at, accepted) in all.iter() {
-        let Accepted::Evacuated { zone } = accepted else {
+        let AcceptedWrite::ZoneEvacuated { zone } = accepted else {
             continue;
         };
-        let back = all
-            .iter()
-            .find(|(back_at, back)| back_at > at && *back == Accepted::TakenBack { zone: *zone });
+        let back = all.iter().find(|(back_at, back)| {
+            back_at > at && *back == AcceptedWrite::ZoneReinstated { zone: *zone }
+        });
         let until = back.map_or(Duration::MAX, |(back_at, _)| *back_at);
         let of_zone = |a: &&Arrival| servers.get(a.server).is_some_and(|s| s.zone == *zone);
         let arrivals = case.arrivals.iter().filter(of_zone);
@@ -72,16 +74,16 @@
 }
 
 /// How long VMs went on without a route that a configuration added, of the time that is allowed.
-pub(super) fn configuration(case: &Case<'_>) -> Distance {
+pub(super) fn configuration(case: &Case<'_>) -> BoundUsage {
     let bound = Duration::from_millis(case.deployment.bounds.configuration_ms);
-    let contact = case.deployment.bounds.contact();
-    let mut nearest = Distance::nothing(Rule::ConfigurationInForce);
-    for (accepted_at, accepted) in case.seen.accepted.borrow().iter() {
-        let Accepted::Configuration { version } = accepted else {
+    let contact = case.deployment.bounds.undisturbed_time();
+    let mut nearest = BoundUsage::nothing(Rule::ConfigurationInForce);
+    for (accepted_at, accepted) in case.history.accepted.borrow().iter() {
+        let AcceptedWrite::Configuration { version } = accepted else {
             continue;
         };
-        for (vm, looked, at, has_route) in case.seen.served_by.borrow().iter() {
-            let in_touch = case.seen.is_in_touch(*vm, *at, contact);
+        for (vm, looked, at, has_route) in case.history.version_checks.borrow().iter() {
+            let in_touch = case.history.was_undisturbed(*vm, *at, contact);
             if looked != version || *has_route || !in_touch || at < accepted_at {
                 continue;
             }
@@ -95,13 +97,13 @@
 }
 
 /// No VM that had a route lacks it later, unless it has started again meanwhile.
-pub(super) fn never_reverts(case: &Case<'_>) -> Distance {
-    let served_by = case.seen.served_by.borrow();
-    let contact = case.deployment.bounds.contact();
+pub(super) fn never_reverts(case: &Case<'_>) -> BoundUsage {
+    let served_by = case.history.version_checks.borrow();
+    let contact = case.deployment.bounds.undisturbed_time();
     let mut reverts = 0;
     let mut what = String::new();
     for (at, (vm, version, when, has_route)) in served_by.iter().enumerate() {
-        if *has_route || !case.seen.is_in_touch(*vm, *when, contact) {
+        if *has_route || !case.history.was_undisturbed(*vm, *when, contact) {
             continue;
         }
         let since = when.saturating_sub(contact);
@@ -114,5 +116,5 @@
             what = format!("VM {vm} lacks version {version} again at {when:?}");
         }
     }
-    Distance::of_count(Rule::NeverReverts, reverts, what)
+    BoundUsage::of_count(Rule::NeverReverts, reverts, what)
 }
--- a/crates/kingcuploft-simulation/src/rules/requests.rs
+++ b/crates/kingcuploft-simulation/src/rules/requests.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::{Case, Distance, Rule};
-use crate::seen::{Answer, Cause, may_repeat};
+use super::{BoundUsage, Case, Rule};
+use crate::history::{Cause, Outcome, is_idempotent};
 
 /// How long after a planned stop began requests must not be cut.
 const STOPS: Duration = Duration::from_secs(7);
@@ -20,70 +20,72 @@
 const SENT_IN_TIME: Duration = Duration::from_secs(3);
 
 /// No request that may run once ran twice.
-pub(super) fn at_most_once(case: &Case<'_>) -> Distance {
+pub(super) fn at_most_once(case: &Case<'_>) -> BoundUsage {
     let by_request = case.arrivals_by_request();
     let twice = by_request.iter().filter(|(_, arrivals)| {
         let kind = &case.deployment.kinds[arrivals[0].kind];
         let runs = arrivals.iter().filter(|arrival| arrival.ran.get()).count();
-        !may_repeat(kind.contract) && runs > 1
+        !is_idempotent(kind.contract) && runs > 1
     });
     let twice: Vec<_> = twice.map(|(id, _)| *id).collect();
     let what = twice
         .first()
         .map_or_else(String::new, |id| format!("request {id:016x}"));
-    Distance::of_count(Rule::AtMostOnce, twice.len(), what)
+    BoundUsage::of_count(Rule::AtMostOnce, twice.len(), what)
 }
 
 /// No request that was refused as not run ran.
-pub(super) fn truthful_refusals(case: &Case<'_>) -> Distance {
+pub(super) fn truthful_refusals(case: &Case<'_>) -> BoundUsage {
     let by_request = case.arrivals_by_request();
     let ran = by_request.iter().filter(|(id, arrivals)| {
         let kind = &case.deployment.kinds[arrivals[0].kind];
         let ran = arrivals.iter().any(|arrival| arrival.ran.get());
-        !may_repeat(kind.contract) && ran && case.answer(**id) == Some(Answer::NotRun)
+        !is_idempotent(kind.contract) && ran && case.answer(**id) == Some(Outcome::NotRun)
     });
     let ran: Vec<_> = ran.map(|(id, _)| *id).collect();
     let what = ran
         .first()
         .map_or_else(String::new, |id| format!("request {id:016x}"));
-    Distance::of_count(Rule::TruthfulRefusals, ran.len(), what)
+    BoundUsage::of_count(Rule::TruthfulRefusals, ran.len(), what)
 }
 
 /// How often a request was sent on after servers had ended under it and all VMs had had time to know, of what is allowed.
-pub(super) fn quarantine(case: &Case<'_>) -> Distance {
+pub(super) fn quarantine(case: &Case<'_>) -> BoundUsage {
     let deadly = case.arrivals.iter().filter(|arrival| arrival.is_deadly);
     let mut deadly: Vec<_> = deadly.collect();
     deadly.sort_by_key(|arrival| arrival.at);
-    let contact = case.deployment.bounds.contact();
+    let contact = case.deployment.bounds.undisturbed_time();
     let known_at = deadly.get(ENDS - 1).map(|last| last.at + contact);
     let sent_on = deadly.iter().filter(|arrival| {
-        let in_touch = case.seen.is_in_touch(arrival.vm, arrival.at, contact);
+        let in_touch = case
+            .history
+            .was_undisturbed(arrival.vm, arrival.at, contact);
         in_touch && known_at.is_some_and(|known| arrival.at > known)
     });
     let sent_on = sent_on.count();
     let what = || format!("sent on {sent_on} times after {ENDS} servers had ended");
     let used = sent_on as f64 / MOST_SENT_ON as f64;
-    Distance::nothing(Rule::Quarantine).or_nearer(used, what)
+    BoundUsage::nothing(Rule::Quarantine).or_nearer(used, what)
 }
 
 /// No caller got another answer than its own, whole.
-pub(super) fn whole_answers(case: &Case<'_>) -> Distance {
+pub(super) fn whole_answers(case: &Case<'_>) -> BoundUsage {
     let wrong = case.answers.values();
     let wrong: Vec<_> = wrong
-        .filter(|answered| answered.answer == Answer::Wrong)
+        .filter(|answered| answered.answer == Outcome::Wrong)
         .collect();
     let what = wrong
         .first()
         .map_or_else(String::new, |a| format!("request {:016x}", a.id));
-    Distance::of_count(Rule::WholeAnswers, wrong.len(), what)
+    BoundUsage::of_count(Rule::WholeAnswers, wrong.len(), what)
 }
 
 /// No request that a stopping VM had in hand ended without an answer, unless its server lost it.
-pub(super) fn planned_stops(case: &Case<'_>) -> Distance {
+pub(super) fn planned_stops(case: &Case<'_>) -> BoundUsage {
     let bounds = &case.deployment.bounds;
-    let stops = case.seen.stops.borrow();
+    let stops = case.history.planned_stops.borrow();
     let by_request = case.arrivals_by_request();
-    let disturbed = case.seen.disturbed.borrow();
+    let disturbed = case.history.disturbed.borrow();
     let cut = case.requests.iter().filter(|request| {
         let of_vm = stops.iter().filter(|(vm, _)| *vm == request.vm);
         let near = |at: &Duration| request.at + ON_ITS_WAY >= *at && request.at <= *at + STOPS;
@@ -94,7 +96,7 @@
         let answered = case.answers.get(&request.id);
         let ended_at = answered.map_or(request.at, |answered| answered.at);
         let was_struck = disturbed.iter().any(|other| {
-            let near = other.at + bounds.contact() >= request.at && other.at <= ended_at;
+            let near = other.at + bounds.undisturbed_time() >= request.at && other.at <= ended_at;
             other.vm == request.vm && other.cause == Cause::Fault && near
         });
         let had_to_end = stopping.iter().any(|stopped_at| {
@@ -105,12 +107,12 @@
         let kind = &case.deployment.kinds[request.kind];
         let deadline = request.at + Duration::from_millis(kind.deadline_ms);
         let had_time = answered.is_some_and(|answered| answered.at < deadline);
-        let is_cut = case.answer(request.id) == Some(Answer::None);
+        let is_cut = case.answer(request.id) == Some(Outcome::None);
         was_passed_on && is_cut && had_time && !was_struck && !had_to_end
     });
     let cut: Vec<_> = cut.map(|request| request.id).collect();
     let what = cut
         .first()
         .map_or_else(String::new, |id| format!("request {id:016x}"));
-    Distance::of_count(Rule::PlannedStops, cut.len(), what)
+    BoundUsage::of_count(Rule::PlannedStops, cut.len(), what)
 }
--- a/crates/kingcuploft-simulation/src/search.rs
+++ b/crates/kingcuploft-simulation/src/search.rs
@@ -10,10 +10,10 @@
 use serde::Serialize;
 
 use crate::day::Day;
-use crate::draw;
-use crate::plant::{self, Planted};
-use crate::rules::{self, Distance, Rule};
-use crate::world;
+use crate::generator;
+use crate::planted_fault::{self, Planted};
+use crate::rules::{self, BoundUsage, Rule};
+use crate::simulation;
 
 /// How many days are kept for each rule.
 const KEPT: usize = 6;
@@ -32,44 +32,44 @@
     /// What its chances are drawn from.
     pub seed: u64,
     /// The most days that are played.
-    pub most_days: usize,
+    pub max_days: usize,
     /// How long it may take.
     pub within: Duration,
     /// How many threads play.
     pub jobs: usize,
     /// Whether days are changed, or only drawn.
-    pub is_guided: bool,
+    pub is_mutating: bool,
     /// Whether it ends with the first day that breaks a rule.
-    pub ends_at_first: bool,
+    pub stops_at_first: bool,
     /// The fault that is planted.
     pub planted: Option<Planted>,
 }
 
 /// A day, and how near it came to a bound.
 #[derive(Clone, Debug)]
-pub struct Near {
+pub struct NearDay {
     /// The day.
     pub day: Day,
     /// How near it came.
-    pub distance: Distance,
+    pub usage: BoundUsage,
 }
 
 /// What a search found.
 #[derive(Debug, Default, Serialize)]
-pub struct Found {
+pub struct SearchResult {
     /// How many days were played.
     pub days: usize,
     /// How many of them had been played when the first rule broke.
     pub first_broken_after: Option<usize>,
     /// The nearest days of each rule, the nearest first.
     #[serde(skip)]
-    pub nearest: HashMap<Rule, Vec<Near>>,
+    pub nearest: HashMap<Rule, Vec<NearDay>>,
     /// How near the nearest day of each rule had come, by days played.
     pub course: Vec<(usize, Rule, f64)>,
 }
 
-impl Found {
-    fn add(&mut self, day: &Day, distances: Vec<Distance>) {
+impl SearchResult {
+    fn add(&mut self, day: &Day, distances: Vec<BoundUsage>) {
         self.days += 1;
         for distance in distances {
             if distance.is_broken() && self.first_broken_after.is_none() {
@@ -78,14 +78,17 @@
             let of_rule = self.nearest.entry(distance.rule).or_default();
             let is_nearest = of_rule
                 .first()
-                .is_none_or(|near| near.distance.used < distance.used);
+                .is_none_or(|near| near.usage.used < distance.used);
             if is_nearest {
                 let used = distance.used;
                 self.course.push((self.days, distance.rule, used));
             }
             let day = day.clone();
-            of_rule.push(Near { day, distance });
-            of_rule.sort_by(|a, b| b.distance.used.total_cmp(&a.distance.used));
+            of_rule.push(NearDay {
+                day,
+                usage: distance,
+            });
+            of_rule.sort_by(|a, b| b.usage.used.total_cmp(&a.usage.used));
             of_rule.truncate(KEPT);
         }
     }
@@ -94,7 +97,7 @@
     fn near(&self, turn: usize) -> Vec<Day> {
         let of_rule = |rule: &Rule| {
             let near = self.nearest.get(rule)?;
-            let near = near.iter().filter(|near| near.distance.used > 0.0);
+            let near = near.iter().filter(|near| near.usage.used > 0.0);
             let near: Vec<_> = near.map(|near| near.day.clone()).collect();
             (!near.is_empty()).then_some(near)
         };
@@ -106,31 +109,32 @@
     }
 
     /// Returns the nearest day of each rule that is broken.
-    pub fn broken(&self) -> Vec<&Near> {
+    pub fn broken(&self) -> Vec<&NearDay> {
         let nearest = Rule::ALL
             .iter()
             .filter_map(|rule| self.nearest.get(rule)?.first());
-        nearest.filter(|near| near.distance.is_broken()).collect()
+        nearest.filter(|near| near.usage.is_broken()).collect()
     }
 }
 
 impl Search {
     /// Searches; `progress` is told of each rule that a day broke first.
-    pub fn run(&self, progress: impl Fn(usize, &Distance) + Sync) -> Found {
-        let found = Mutex::new(Found::default());
+    pub fn run(&self, progress: impl Fn(usize, &BoundUsage) + Sync) -> SearchResult {
+        let found = Mutex::new(SearchResult::default());
         let (begun, next, ends) = (Instant::now(), AtomicUsize::new(0), AtomicBool::new(false));
         thread::scope(|scope| {
             for _ in 0..self.jobs.max(1) {
                 scope.spawn(|| {
                     while !ends.load(Ordering::Relaxed) && begun.elapsed() < self.within {
                         let number = next.fetch_add(1, Ordering::Relaxed);
-                        if number >= self.most_days {
+                        if number >= self.max_days {
                             return;
                         }
                         let mut rng =
                             Rng::with_seed(self.seed.wrapping_mul(1_000_003) + number as u64);
                         let day = self.next_day(&mut rng, number, &found);
-                        let Ok(distances) = plant::with(self.planted, || judged(&day)) else {
+                        let Ok(distances) = planted_fault::with(self.planted, || check_day(&day))
+                        else {
                             return;
                         };
                         let Ok(mut found) = found.lock() else {
@@ -139,10 +143,10 @@
                         let broken = distances.iter().filter(|distance| distance.is_broken());
                         for distance in broken {
                             let known = found.nearest.get(&distance.rule).and_then(|n| n.first());
-                            if known.is_none_or(|known| !known.distance.is_broken()) {
+                            if known.is_none_or(|known| !known.usage.is_broken()) {
                                 progress(found.days + 1, distance);
                             }
-                            ends.fetch_or(self.ends_at_first, Ordering::Relaxed);
+                            ends.fetch_or(self.stops_at_first, Ordering::Relaxed);
                         }
                         found.add(&day, distances);
                     }
@@ -154,19 +158,19 @@
 
     /// Returns a day that is drawn, or one that came near to a bound and is changed or joined with another such; the bounds
     /// that days come near to take turns.
-    fn next_day(&self, rng: &mut Rng, number: usize, found: &Mutex<Found>) -> Day {
-        if !self.is_guided || rng.f64() < DRAWN_SHARE {
-            return draw::draw(rng, &self.deployment);
+    fn next_day(&self, rng: &mut Rng, number: usize, found: &Mutex<SearchResult>) -> Day {
+        if !self.is_mutating || rng.f64() < DRAWN_SHARE {
+            return generator::draw(rng, &self.deployment);
         }
         let near = found.lock().map(|found| found.near(number));
         let near = near.unwrap_or_default();
         match rng.choice(&near) {
             Some(day) if rng.f64() < JOINED_SHARE => {
                 let other = rng.choice(&near).unwrap_or(day);
-                draw::join(rng, day, other)
+                generator::splice(rng, day, other)
             }
-            Some(day) => draw::change(rng, day),
-            None => draw::draw(rng, &self.deployment),
+            Some(day) => generator::mutate(rng, day),
+            None => generator::draw(rng, &self.deployment),
         }
     }
 }
@@ -176,6 +180,6 @@
 /// # Errors
 ///
 /// Returns an error if it can't be played.
-pub fn judged(day: &Day) -> Result<Vec<Distance>, world::PlayError> {
-    Ok(rules::judge(&world::play_unlogged(day)?))
+pub fn check_day(day: &Day) -> Result<Vec<BoundUsage>, simulation::RunError> {
+    Ok(rules::check(&simulation::run_unlogged(day)?))
 }
--- a/crates/kingcuploft-simulation/src/server.rs
+++ b/crates/kingcuploft-simulation/src/server.rs
@@ -14,10 +14,10 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::deployment::{Kind, Service};
-use crate::link::End;
+use crate::deployment::{RequestKind, Service};
+use crate::history::{Arrival, History};
+use crate::link::LinkEnd;
 use crate::network::{Accepted, Host};
-use crate::seen::{Arrival, Seen};
 
 /// How often a server's speed is drawn anew, how often it is slow, and how slow.
 const REDRAW: Duration = Duration::from_millis(150);
@@ -25,7 +25,7 @@
 const SLOW_TIMES: f64 = 5.0;
 
 /// What the path of a request ends with under which servers end.
-pub const DEADLY: &str = "deadly";
+pub const DEADLY_PATH: &str = "deadly";
 
 /// The most bytes of a request's body.
 const MOST_BODY_BYTES: usize = 1 << 20;
@@ -34,11 +34,11 @@
 #[derive(Debug, Default)]
 pub struct Faults {
     /// The part of the requests that it refuses.
-    pub refuses: Cell<f64>,
+    pub refused_share: Cell<f64>,
     /// The part of the requests whose answers it loses.
-    pub loses: Cell<f64>,
+    pub lost_answer_share: Cell<f64>,
     /// How many times as long its work takes; 0 is usual.
-    pub slow: Cell<f64>,
+    pub slow_factor: Cell<f64>,
     /// How many requests a second it names as its limit.
     pub limit: Cell<Option<f64>>,
 }
@@ -61,11 +61,11 @@
     /// Until when it is cold.
     pub cold_until: Cell<Option<Instant>>,
     /// Whether it has ended.
-    pub has_ended: Cell<bool>,
+    pub has_stopped: Cell<bool>,
     /// Whether it leaves.
-    pub is_leaving: Cell<bool>,
-    kinds: Rc<Vec<Kind>>,
-    seen: Rc<Seen>,
+    pub is_draining: Cell<bool>,
+    kinds: Rc<Vec<RequestKind>>,
+    history: Rc<History>,
     slots: Semaphore,
     running: Cell<u32>,
     waiting: Cell<u32>,
@@ -86,8 +86,8 @@
         index: usize,
         service: &Service,
         zone: usize,
-        kinds: Rc<Vec<Kind>>,
-        seen: Rc<Seen>,
+        kinds: Rc<Vec<RequestKind>>,
+        history: Rc<History>,
         ends_under: UnboundedSender<usize>,
     ) -> Rc<Self> {
         let address: SocketAddr = ([127, 0, 2, 1], 1000 + index as u16).into();
@@ -99,10 +99,10 @@
             address,
             faults: Faults::default(),
             cold_until: Cell::new(None),
-            has_ended: Cell::new(false),
-            is_leaving: Cell::new(false),
+            has_stopped: Cell::new(false),
+            is_draining: Cell::new(false),
             kinds,
-            seen,
+            history: history,
             slots: Semaphore::new(service.slots as usize),
             running: Cell::new(0),
             waiting: Cell::new(0),
@@ -129,7 +129,7 @@
 
     /// Ends the server: its connections close.
     pub fn end(&self) {
-        self.has_ended.set(true);
+        self.has_stopped.set(true);
         for task in self.tasks.take() {
             task.abort();
         }
@@ -145,7 +145,7 @@
 
     /// Returns how many times as long work takes now.
     fn slowness(&self) -> f64 {
-        let draw = self.seen.now().as_millis() / REDRAW.as_millis();
+        let draw = self.history.now().as_millis() / REDRAW.as_millis();
         let mut rng = fastrand::Rng::with_seed(draw as u64 * 7919 + self.index as u64);
         // The first draws of near seeds are alike.
         rng.u64(..);
@@ -153,7 +153,7 @@
             true => SLOW_TIMES,
             false => 1.0,
         };
-        noise * self.faults.slow.get().max(1.0)
+        noise * self.faults.slow_factor.get().max(1.0)
     }
 
     fn load(&self) -> String {
@@ -162,7 +162,7 @@
         format!("{running},{waiting},{},{percent}", self.service.slots)
     }
 
-    async fn serve(&self, mut end: End, vm: usize) {
+    async fn serve(&self, mut end: LinkEnd, vm: usize) {
         let mut buffer = BytesMut::new();
         while let Some(head) = read_request(&mut end, &mut buffer).await {
             let next = match head.target.starts_with("/health") {
@@ -175,14 +175,14 @@
         }
     }
 
-    async fn tell_health(&self, end: &mut End) -> Next {
-        self.seen.probes.set(self.seen.probes.get() + 1);
+    async fn tell_health(&self, end: &mut LinkEnd) -> Next {
+        self.history.probes.set(self.history.probes.get() + 1);
         let cold = match self.cold_for().as_millis() {
             0 => String::new(),
             ms => format!("x-cold-ms: {ms}\r\n"),
         };
         let load = self.load();
-        let status = match self.is_leaving.get() {
+        let status = match self.is_draining.get() {
             true => "503 Leaving",
             false => "200 OK",
         };
@@ -191,7 +191,7 @@
         write(end, &answer).await
     }
 
-    async fn answer(&self, end: &mut End, head: &RequestHead, vm: usize) -> Next {
+    async fn answer(&self, end: &mut LinkEnd, head: &RequestHead, vm: usize) -> Next {
         let id = head.headers.get("x-id").unwrap_or_default().to_owned();
         let meant_for = head.headers.get("x-meant-for");
         if meant_for.is_some_and(|name| name != self.name) {
@@ -200,24 +200,24 @@
         let Some(kind) = self.kind(&head.target) else {
             return write(end, &self.whole(&id)).await;
         };
-        let is_deadly = head.target.ends_with(DEADLY);
+        let is_deadly = head.target.ends_with(DEADLY_PATH);
         let arrival = Arrival {
             id: u64::from_str_radix(&id, 16).unwrap_or_default(),
             kind,
-            at: self.seen.now(),
+            at: self.history.now(),
             server: self.index,
             vm,
             ran: Cell::new(false),
             is_deadly,
         };
         let at = {
-            let mut arrivals = self.seen.arrivals.borrow_mut();
+            let mut arrivals = self.history.arrivals.borrow_mut();
             arrivals.push(arrival);
             arrivals.len() - 1
         };
         let is_full =
             self.running.get() + self.waiting.get() >= self.service.slots + self.service.queue;
-        if is_full || fastrand::f64() < self.faults.refuses.get() {
+        if is_full || fastrand::f64() < self.faults.refused_share.get() {
             let load = self.load();
             let answer = format!(
                 "HTTP/1.1 503 Full\r\nx-not-run: 1\r\nx-load: {load}\r\nContent-Length: 0\r\n\r\n"
@@ -225,11 +225,12 @@
             return write(end, &answer).await;
         }
         if is_deadly {
-            self.seen.arrivals.borrow()[at].ran.set(true);
+            self.history.arrivals.borrow()[at].ran.set(true);
             let _ = self.ends_under.send(self.index);
             return Next::Close;
         }
-        if !self.work(end, kind, at).await || fastrand::f64() < self.faults.loses.get() {
+        if !self.work(end, kind, at).await || fastrand::f64() < self.faults.lost_answer_share.get()
+        {
             return Next::Close;
         }
         write(end, &self.whole(&id)).await
@@ -237,7 +238,7 @@
 
     /// Returns the whole answer to a request; its body is what its caller checks.
     fn whole(&self, id: &str) -> String {
-        let (name, load, body) = (&self.name, self.load(), body_of(id));
+        let (name, load, body) = (&self.name, self.load(), answer_body(id));
         let limit = self.faults.limit.get();
         let limit = limit.map_or_else(String::new, |per_s| format!("x-limit: {per_s}\r\n"));
         let length = body.len();
@@ -247,7 +248,7 @@
     }
 
     /// Waits for a slot and works; returns whether the connection is still open then.
-    async fn work(&self, end: &mut End, kind: usize, arrival: usize) -> bool {
+    async fn work(&self, end: &mut LinkEnd, kind: usize, arrival: usize) -> bool {
         let waiting = Counted::one(&self.waiting);
         let mut byte = [0; 1];
         let slot = tokio::select! {
@@ -260,7 +261,7 @@
             return false;
         }
         let _running = Counted::one(&self.running);
-        if let Some(arrival) = self.seen.arrivals.borrow().get(arrival) {
+        if let Some(arrival) = self.history.arrivals.borrow().get(arrival) {
             arrival.ran.set(true);
         }
         let spread = 0.7 + 0.6 * fastrand::f64();
@@ -299,18 +300,18 @@
 }
 
 /// Returns the body of the answer to a request.
-pub fn body_of(id: &str) -> String {
+pub fn answer_body(id: &str) -> String {
     format!("answer to {id}")
 }
 
-async fn write(end: &mut End, answer: &str) -> Next {
+async fn write(end: &mut LinkEnd, answer: &str) -> Next {
     match end.write_all(answer.as_bytes()).await {
         Ok(()) => Next::Keep,
         Err(_) => Next::Close,
     }
 }
 
-async fn read_request(end: &mut End, buffer: &mut BytesMut) -> Option<RequestHead> {
+async fn read_request(end: &mut LinkEnd, buffer: &mut BytesMut) -> Option<RequestHead> {
     loop {
         if let Some((head, length)) = head::request(buffer).ok()? {
             let _ = buffer.split_to(length);
--- a/crates/kingcuploft-simulation/src/shrink.rs
+++ b/crates/kingcuploft-simulation/src/shrink.rs
@@ -2,13 +2,13 @@
 
 use crate::day::Day;
 use crate::rules::Rule;
-use crate::search::judged;
+use crate::search::check_day;
 
 /// Shares and times are halved so often at most.
 const MOST_HALVED: usize = 3;
 
 fn breaks(day: &Day, rule: Rule) -> bool {
-    let judged = judged(day).unwrap_or_default();
+    let judged = check_day(day).unwrap_or_default();
     judged.iter().any(|d| d.rule == rule && d.is_broken())
 }
 
--- a/crates/kingcuploft-simulation/src/world.rs
+++ b/crates/kingcuploft-simulation/src/simulation.rs
@@ -13,10 +13,10 @@
 use crate::day::Day;
 use crate::deployment::Deployment;
 use crate::disruptions;
+use crate::history::{History, ServerHistory};
 use crate::log;
-use crate::network::{Host, Network, Place};
-use crate::operator::{Operator, marker};
-use crate::seen::{Seen, ServerSeen};
+use crate::network::{Host, Location, Network};
+use crate::operator::{Operator, version_route_name};
 use crate::server::Server;
 use crate::store::TestStore;
 use crate::vm::Vm;
@@ -37,7 +37,7 @@
 
 /// Why a day can't be played.
 #[derive(Debug, thiserror::Error)]
-pub enum PlayError {
+pub enum RunError {
     /// Its deployment is not known.
     #[error("no deployment is called {0}")]
     Deployment(String),
@@ -48,23 +48,23 @@
 
 /// A day that was played.
 #[derive(Debug)]
-pub struct Played {
+pub struct DayResult {
     /// What was played.
     pub deployment: Rc<Deployment>,
     /// What was seen.
-    pub seen: Rc<Seen>,
+    pub history: Rc<History>,
     /// How many VMs each VM counts in the end; none of one that does not run.
-    pub counted: Vec<Option<usize>>,
+    pub known_vms: Vec<Option<usize>>,
     /// The VMs' lines.
     pub lines: Vec<u8>,
 }
 
 /// The world while it is played.
-pub struct World {
+pub struct Simulation {
     /// What is played.
     pub deployment: Rc<Deployment>,
     /// What is seen.
-    pub seen: Rc<Seen>,
+    pub history: Rc<History>,
     /// The store.
     pub store: TestStore,
     /// The operator.
@@ -74,9 +74,9 @@
     /// All servers that there ever were.
     pub servers: RefCell<Vec<Rc<Server>>>,
     /// How many times the usual callers ask.
-    pub crowd: Cell<f64>,
+    pub load_factor: Cell<f64>,
     /// The part of the requests of the first kind under which servers end.
-    pub deadly: Cell<f64>,
+    pub deadly_share: Cell<f64>,
     ends_under: UnboundedSender<usize>,
     ending: RefCell<UnboundedReceiver<usize>>,
     network: Network,
@@ -89,9 +89,9 @@
 /// # Errors
 ///
 /// Returns an error if it can't be played.
-pub fn play(day: &Day) -> Result<Played, PlayError> {
-    let (played, lines) = log::collected(|| play_unlogged(day));
-    Ok(Played { lines, ..played? })
+pub fn play(day: &Day) -> Result<DayResult, RunError> {
+    let (played, lines) = log::capture(|| run_unlogged(day));
+    Ok(DayResult { lines, ..played? })
 }
 
 /// Plays a day, and leaves out what its VMs write.
@@ -99,32 +99,32 @@
 /// # Errors
 ///
 /// Returns an error if it can't be played.
-pub fn play_unlogged(day: &Day) -> Result<Played, PlayError> {
-    let unknown = || PlayError::Deployment(day.deployment.clone());
+pub fn run_unlogged(day: &Day) -> Result<DayResult, RunError> {
+    let unknown = || RunError::Deployment(day.deployment.clone());
     let deployment = Rc::new(day.deployment().ok_or_else(unknown)?);
     fastrand::seed(day.seed);
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build()?;
     let tasks = tokio::task::LocalSet::new();
     let (seen, counted) = tasks.block_on(&runtime, async {
-        let world = Rc::new(World::new(deployment.clone()));
+        let world = Rc::new(Simulation::new(deployment.clone()));
         world.play(day).await;
-        let counted = world.vms.iter().map(|vm| vm.counted());
-        (world.seen.clone(), counted.collect())
+        let counted = world.vms.iter().map(|vm| vm.known_vms());
+        (world.history.clone(), counted.collect())
     });
-    Ok(Played {
+    Ok(DayResult {
         deployment,
-        seen,
-        counted,
+        history: seen,
+        known_vms: counted,
         lines: Vec::new(),
     })
 }
 
-impl World {
+impl Simulation {
     fn new(deployment: Rc<Deployment>) -> Self {
         let (network, store) = (Network::default(), TestStore::default());
         let (ends_under, ending) = mpsc::unbounded_channel();
-        let seen = Rc::new(Seen::default());
+        let seen = Rc::new(History::default());
         let zones = deployment.zones.iter().enumerate();
         let zones = zones.flat_map(|(zone, vms)| std::iter::repeat_n(zone, *vms));
         let vms = zones
@@ -134,14 +134,14 @@
         Self {
             operator: Operator::new(deployment.clone(), store.clone(), seen.clone()),
             balancer: Balancer::new(vms.clone()),
-            callers: Rc::new(network.host(Place::Outside, None)),
+            callers: Rc::new(network.host(Location::External, None)),
             servers: RefCell::default(),
-            crowd: Cell::new(1.0),
-            deadly: Cell::new(0.0),
+            load_factor: Cell::new(1.0),
+            deadly_share: Cell::new(0.0),
             ends_under,
             ending: RefCell::new(ending),
             deployment,
-            seen,
+            history: seen,
             store,
             vms,
             network,
@@ -164,12 +164,12 @@
         tokio::task::spawn_local(async move { world.balancer.run().await });
         tokio::time::sleep(LEAD).await;
         log::begin();
-        self.seen.begin();
+        self.history.begin();
         for disruption in &day.disruptions {
             let (world, disruption) = (self.clone(), disruption.clone());
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(disruption.at()).await;
-                disruptions::strike(&world, &disruption).await;
+                disruptions::apply(&world, &disruption).await;
             });
         }
         let world = self.clone();
@@ -191,7 +191,7 @@
                 return;
             };
             let server = self.servers.borrow()[index].clone();
-            if !server.has_ended.get() {
+            if !server.has_stopped.get() {
                 let world = self.clone();
                 tokio::task::spawn_local(
                     async move { disruptions::crash(&world, &[server]).await },
@@ -205,22 +205,22 @@
         let service = self.deployment.service(service)?;
         let index = self.servers.borrow().len();
         let kinds = Rc::new(self.deployment.kinds.clone());
-        let host = self.network.host(Place::Zone(zone), None);
+        let host = self.network.host(Location::Zone(zone), None);
         let server = Server::start(
             &host,
             index,
             service,
             zone,
             kinds,
-            self.seen.clone(),
+            self.history.clone(),
             self.ends_under.clone(),
         );
         let lasts = Duration::from_millis(service.cold_ms);
         let cold = (is_cold && service.cold_per_s > 0.0).then(|| {
             server.cold_until.set(Some(Instant::now() + lasts));
-            (self.seen.now(), self.seen.now() + lasts)
+            (self.history.now(), self.history.now() + lasts)
         });
-        self.seen.servers.borrow_mut().push(ServerSeen {
+        self.history.servers.borrow_mut().push(ServerHistory {
             service: service.name.clone(),
             zone,
             cold,
@@ -235,14 +235,14 @@
     /// Ends a server; nobody listens at its address any more.
     pub fn end_server(&self, server: &Server) {
         server.end();
-        self.network.close(server.address);
+        self.network.stop_listening(server.address);
     }
 
     async fn have_callers_ask(self: &Rc<Self>, lasts: Duration) {
         let kinds = self.deployment.kinds.clone();
         let per_s: f64 = kinds.iter().map(|kind| kind.per_s).sum();
-        while self.seen.now() < lasts {
-            let pause_s = -(1.0 - fastrand::f64()).ln() / (per_s * self.crowd.get());
+        while self.history.now() < lasts {
+            let pause_s = -(1.0 - fastrand::f64()).ln() / (per_s * self.load_factor.get());
             tokio::time::sleep(Duration::from_secs_f64(pause_s)).await;
             let mut drawn = fastrand::f64() * per_s;
             let kind = kinds.iter().position(|kind| {
@@ -252,10 +252,10 @@
             let kind = kind.unwrap_or(0);
             let caller = Caller {
                 host: self.callers.clone(),
-                seen: self.seen.clone(),
+                history: self.history.clone(),
                 kind,
-                of_kind: kinds[kind].clone(),
-                is_deadly: kind == 0 && fastrand::f64() < self.deadly.get(),
+                request_kind: kinds[kind].clone(),
+                is_deadly: kind == 0 && fastrand::f64() < self.deadly_share.get(),
             };
             let zone = fastrand::usize(0..self.deployment.zones.len());
             let (world, of_zone) = (self.clone(), fastrand::u64(0..CALLERS));
@@ -266,10 +266,10 @@
             let running = self.servers.borrow();
             let running = running
                 .iter()
-                .filter(|server| !server.has_ended.get())
+                .filter(|server| !server.has_stopped.get())
                 .count();
-            let server_s = self.seen.server_s.get() + pause_s * running as f64;
-            self.seen.server_s.set(server_s);
+            let server_s = self.history.server_seconds.get() + pause_s * running as f64;
+            self.history.server_seconds.set(server_s);
         }
     }
 
@@ -278,17 +278,17 @@
         loop {
             tokio::time::sleep(LOOK_EVERY).await;
             let version = self.operator.version();
-            let accepted = self.seen.last_configuration();
-            if accepted.is_none_or(|at| self.seen.now() > at + LOOK_FOR) {
+            let accepted = self.history.last_configuration_change();
+            if accepted.is_none_or(|at| self.history.now() > at + LOOK_FOR) {
                 continue;
             }
             for vm in self.vms.iter().filter(|vm| vm.is_running()) {
                 let (world, vm) = (self.clone(), vm.clone());
                 tokio::task::spawn_local(async move {
-                    let at = world.seen.now();
+                    let at = world.history.now();
                     let looked = tokio::time::timeout(LOOK_PATIENCE, world.look(&vm, version));
                     if let Ok(Some(has_route)) = looked.await {
-                        let mut served_by = world.seen.served_by.borrow_mut();
+                        let mut served_by = world.history.version_checks.borrow_mut();
                         served_by.push((vm.index, version, at, has_route));
                     }
                 });
@@ -300,9 +300,12 @@
     async fn look(&self, vm: &Vm, version: u64) -> Option<bool> {
         let opening = Connection::open(&*self.callers, vm.callers);
         let mut connection = opening.await.ok()?;
-        let path = marker(version);
+        let path = version_route_name(version);
         let text = format!("GET /{path}/ HTTP/1.1\r\nHost: a.example\r\nx-id: look\r\n\r\n");
-        self.seen.looks.borrow_mut().push(self.seen.now());
+        self.history
+            .version_check_times
+            .borrow_mut()
+            .push(self.history.now());
         connection.send(text.as_bytes()).await.ok()?;
         let response = connection.receive("GET", 1 << 16).await.ok()?;
         match response.head.status {
--- a/crates/kingcuploft-simulation/src/store.rs
+++ b/crates/kingcuploft-simulation/src/store.rs
@@ -18,7 +18,7 @@
 
 /// What the store holds, shared with the test.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct StoreState {
     /// The configuration.
     pub configuration: RefCell<Option<Configuration>>,
     /// The servers.
@@ -34,27 +34,27 @@
     /// Writes are refused.
     pub refuses_writes: Cell<bool>,
     /// Watches are answered with "history gone" up to this revision.
-    pub forgotten: Cell<Revision>,
+    pub compacted_until: Cell<Revision>,
     /// Whether the list of the zones is never answered.
-    pub hides_zones: Cell<bool>,
+    pub zone_list_hangs: Cell<bool>,
     /// Calls that watch.
-    pub watches: Cell<u32>,
+    pub watch_calls: Cell<u32>,
     /// Calls that list.
-    pub lists: Cell<u32>,
+    pub list_calls: Cell<u32>,
     /// Calls that write the record of a zone.
-    pub records: Cell<u32>,
+    pub zone_write_calls: Cell<u32>,
     changes: RefCell<Vec<(u64, Collection, StoreChange)>>,
     revision: Cell<u64>,
     /// How often the store came back from a copy.
     era: Cell<Era>,
     /// Whether revisions of other eras are taken for those of this one.
-    pub hides_eras: Cell<bool>,
+    pub ignores_eras: Cell<bool>,
     changed: Notify,
 }
 
 /// A copy of what the store holds.
 #[derive(Debug)]
-pub struct Copy {
+pub struct Snapshot {
     configuration: Option<Configuration>,
     servers: Vec<BackendServer>,
     zones: Vec<ZoneRecord>,
@@ -64,7 +64,7 @@
     revision: u64,
 }
 
-impl Held {
+impl StoreState {
     /// Writes the configuration.
     pub fn configure(&self, configuration: Configuration) {
         *self.configuration.borrow_mut() = Some(configuration.clone());
@@ -73,7 +73,7 @@
     }
 
     /// Writes the entry of a backend server.
-    pub fn serve(&self, server: BackendServer) {
+    pub fn write_backend_server(&self, server: BackendServer) {
         let mut servers = self.servers.borrow_mut();
         servers.retain(|known| known.name != server.name);
         servers.push(server.clone());
@@ -83,7 +83,7 @@
     }
 
     /// Removes the entry of a backend server.
-    pub fn remove(&self, name: &str) {
+    pub fn remove_backend_server(&self, name: &str) {
         let mut servers = self.servers.borrow_mut();
         servers.retain(|known| &*known.name != name);
         drop(servers);
@@ -91,8 +91,8 @@
     }
 
     /// Returns a copy.
-    pub fn copy(&self) -> Copy {
-        Copy {
+    pub fn copy(&self) -> Snapshot {
+        Snapshot {
             configuration: self.configuration.borrow().clone(),
             servers: self.servers.borrow().clone(),
             zones: self.zones.borrow().clone(),
@@ -104,7 +104,7 @@
     }
 
     /// Comes back from a copy: what was written since is gone, and its revisions are given out again.
-    pub fn rewind(&self, copy: Copy) {
+    pub fn rewind(&self, copy: Snapshot) {
         self.configuration.replace(copy.configuration);
         self.servers.replace(copy.servers);
         self.zones.replace(copy.zones);
@@ -128,7 +128,7 @@
 
     /// Returns the moment that the store has reached.
     fn moment(&self) -> Revision {
-        match self.hides_eras.get() {
+        match self.ignores_eras.get() {
             true => self.revision.get(),
             false => era::moment(self.era.get(), self.revision.get()),
         }
@@ -150,7 +150,7 @@
     }
 
     /// Moves on to a later moment without a change that anybody watches for.
-    pub fn move_on(&self, by: u64) {
+    pub fn advance_revision(&self, by: u64) {
         self.revision.set(self.revision.get() + by);
     }
 
@@ -182,19 +182,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct TestStore(
     /// What the store holds.
-    pub Rc<Held>,
+    pub Rc<StoreState>,
     /// Whether the store turns this client away.
     pub Rc<Cell<bool>>,
 );
 
 impl TestStore {
     /// Returns another client of a store.
-    pub fn of(held: &Rc<Held>) -> Self {
+    pub fn of(held: &Rc<StoreState>) -> Self {
         Self(held.clone(), Rc::default())
     }
 
     /// Returns another client of the same store, which may be turned away alone.
-    pub fn turning_away(other: &Self) -> Self {
+    pub fn separate_client(other: &Self) -> Self {
         Self(other.0.clone(), Rc::default())
     }
 
@@ -216,7 +216,7 @@
         let held = &self.0;
         self.admitted()?;
         held.hang_if_silent().await;
-        held.lists.set(held.lists.get() + 1);
+        held.list_calls.set(held.list_calls.get() + 1);
         let records = match collection {
             Collection::Configuration => {
                 let configuration = held.configuration.borrow().clone();
@@ -240,7 +240,7 @@
                 records.collect()
             }
             Collection::Zones => {
-                if held.hides_zones.get() {
+                if held.zone_list_hangs.get() {
                     std::future::pending::<()>().await;
                 }
                 let zones = held.zones.borrow().clone().into_iter();
@@ -273,7 +273,9 @@
     ) -> Result<Recorded, StoreError> {
         self.admitted()?;
         self.0.hang_if_silent().await;
-        self.0.records.set(self.0.records.get() + 1);
+        self.0
+            .zone_write_calls
+            .set(self.0.zone_write_calls.get() + 1);
         if self.0.refuses_writes.get() {
             return Err(StoreError::Refused(429));
         }
@@ -326,9 +328,10 @@
         let held = &self.0;
         self.admitted()?;
         held.hang_if_silent().await;
-        held.watches.set(held.watches.get() + 1);
+        held.watch_calls.set(held.watch_calls.get() + 1);
         let began = held.era.get();
-        if revision_of(from) < held.forgotten.get() || revision_of(from) > held.revision.get() {
+        if revision_of(from) < held.compacted_until.get() || revision_of(from) > held.revision.get()
+        {
             return Err(StoreError::HistoryGone);
         }
         let until = tokio::time::Instant::now() + wait;
@@ -339,7 +342,7 @@
             self.admitted()?;
             // A store that comes back cuts the watches that wait, and one that asks from another era is told so.
             let is_other = held.era.get() != began || era_of(from) != held.era.get();
-            if is_other && !held.hides_eras.get() {
+            if is_other && !held.ignores_eras.get() {
                 return Err(StoreError::HistoryGone);
             }
             let changes = held.since(collection, revision_of(from));
--- a/crates/kingcuploft-simulation/src/vm.rs
+++ b/crates/kingcuploft-simulation/src/vm.rs
@@ -18,12 +18,12 @@
 use tokio::task::{AbortHandle, LocalSet};
 
 use crate::deployment::Deployment;
+use crate::header_names::HEADER_NAMES;
+use crate::history::VmIndex;
 use crate::log;
-use crate::network::{Host, Network, Place};
-use crate::seen::VmIndex;
+use crate::network::{Host, Location, Network};
 use crate::store::TestStore;
 use crate::store_client::StoreClient;
-use crate::words::WORDS;
 
 /// The memory of a VM.
 const MEMORY_BYTES: usize = 260_000_000;
@@ -62,7 +62,7 @@
             *self.freeze.waker.borrow_mut() = Some(polling.waker().clone());
             return Poll::Pending;
         }
-        let _named = log::name(self.vm);
+        let _named = log::enter_vm(self.vm);
         self.running.as_mut().poll(polling)
     }
 }
@@ -110,7 +110,7 @@
             callers: ([127, 0, 0, 1], port).into(),
             peers: ([127, 0, 1, 1], port).into(),
             network: network.clone(),
-            store: TestStore::turning_away(store),
+            store: TestStore::separate_client(store),
             bounds: Bounds {
                 stop_within: Duration::from_millis(deployment.bounds.stop_ms),
                 repeats: deployment.bounds.repeats(),
@@ -124,14 +124,16 @@
 
     /// Starts it; it knows nothing.
     pub fn start(&self, all_start: bool) {
-        let host = self.network.host(Place::Zone(self.zone), Some(self.index));
+        let host = self
+            .network
+            .host(Location::Zone(self.zone), Some(self.index));
         let (accepts, mut callers) = mpsc::unbounded_channel();
         host.listen(self.callers, accepts);
         let (accepts, mut peers) = mpsc::unbounded_channel();
         let (receives, mut datagrams) = mpsc::unbounded_channel();
-        host.listen_to_others(self.peers, accepts, receives);
+        host.listen_to_peers(self.peers, accepts, receives);
         let network = Rc::new(host.clone());
-        let context = Context::on(network.clone(), self.settings(all_start), WORDS);
+        let context = Context::on(network.clone(), self.settings(all_start), HEADER_NAMES);
         let context = Rc::new(context);
         let _ = context.peer_readings.set(network);
         let (freeze, stop) = (Rc::new(Freeze::default()), Rc::new(Notify::new()));
@@ -209,8 +211,8 @@
 
     /// Ends its process at once; what it knew is gone. Its connections close.
     pub fn kill(&self) {
-        self.network.close(self.callers);
-        self.network.close(self.peers);
+        self.network.stop_listening(self.callers);
+        self.network.stop_listening(self.peers);
         if let Some(life) = self.life.borrow_mut().take() {
             life.process.abort();
         }
@@ -253,7 +255,7 @@
     }
 
     /// Returns how many VMs it counts, if it runs.
-    pub fn counted(&self) -> Option<usize> {
+    pub fn known_vms(&self) -> Option<usize> {
         let life = self.life.borrow();
         life.as_ref().map(|life| life.context.vms.get())
     }
--- a/crates/kingcuploft-simulation/tests/corpus.rs
+++ b/crates/kingcuploft-simulation/tests/corpus.rs
@@ -3,9 +3,9 @@
 use std::path::{Path, PathBuf};
 
 use kingcuploft_simulation::day::Day;
-use kingcuploft_simulation::plant::{self, Planted};
-use kingcuploft_simulation::rules::Distance;
-use kingcuploft_simulation::search::judged;
+use kingcuploft_simulation::planted_fault::{self, Planted};
+use kingcuploft_simulation::rules::BoundUsage;
+use kingcuploft_simulation::search::check_day;
 
 fn days(folder: &str) -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -18,17 +18,17 @@
     files
 }
 
-fn broken(file: &Path, planted: Option<Planted>) -> Vec<Distance> {
+fn broken(file: &Path, planted: Option<Planted>) -> Vec<BoundUsage> {
     broken_with(file, 0, planted)
 }
 
 /// Plays a day with another seed than its own.
-fn broken_with(file: &Path, more: u64, planted: Option<Planted>) -> Vec<Distance> {
+fn broken_with(file: &Path, more: u64, planted: Option<Planted>) -> Vec<BoundUsage> {
     let text = std::fs::read_to_string(file).expect("a day");
     let mut day = Day::read(&file.display().to_string(), &text).expect("a day");
     day.seed += more;
-    let judged = plant::with(planted, || judged(&day)).expect("it can be played");
-    judged.into_iter().filter(Distance::is_broken).collect()
+    let judged = planted_fault::with(planted, || check_day(&day)).expect("it can be played");
+    judged.into_iter().filter(BoundUsage::is_broken).collect()
 }
 
 #[test]
--- a/crates/kingcuploft-simulation/tests/world.rs
+++ b/crates/kingcuploft-simulation/tests/world.rs
@@ -2,19 +2,19 @@
 
 use kingcuploft_simulation::day::Day;
 use kingcuploft_simulation::rules;
-use kingcuploft_simulation::world::{Played, play};
+use kingcuploft_simulation::simulation::{DayResult, play};
 
 fn day(text: &str) -> Day {
     Day::read("test", text).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn played(text: &str) -> Played {
+fn played(text: &str) -> DayResult {
     play(&day(text)).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn broken(played: &Played) -> Vec<rules::Distance> {
-    let judged = rules::judge(played).into_iter();
-    judged.filter(rules::Distance::is_broken).collect()
+fn broken(played: &DayResult) -> Vec<rules::BoundUsage> {
+    let judged = rules::check(played).into_iter();
+    judged.filter(rules::BoundUsage::is_broken).collect()
 }
 
 const CALM: &str = "deployment: 19-vms\nseed: 1\nlength_ms: 10000\ndisruptions: []\n";
@@ -22,7 +22,7 @@
 #[test]
 fn callers_of_a_calm_day_are_served_and_no_rule_is_broken() {
     let played = played(CALM);
-    assert!(rules::served(&played) > 0.99);
+    assert!(rules::answered_share(&played) > 0.99);
     assert_eq!(broken(&played), []);
 }
 
@@ -37,6 +37,6 @@
 fn all_vms_are_counted_when_zones_have_been_handed_over() {
     for seed in 1..=5 {
         let text = CALM.replace("seed: 1", &format!("seed: {seed}"));
-        assert_eq!(played(&text).counted, vec![Some(19); 19], "seed {seed}");
+        assert_eq!(played(&text).known_vms, vec![Some(19); 19], "seed {seed}");
     }
 }
