--- a/crates/kingcuploft-entry/tests/entry/cold.rs
+++ b/crates/kingcuploft-entry/tests/entry/cold.rs
@@ -23,7 +23,7 @@
 /// A cold server in the VM's zone, and others in another zone that are not.
 async fn zones(cold_for: Duration) -> (TestStore, Vec<TestServer>) {
     let store = TestStore::default();
-    store.0.configure(with_cold_starts(1));
+    store.0.write_configuration(with_cold_starts(1));
     let mut servers = Vec::new();
     for (at, zone) in ["thun", "bern", "bern", "bern"].into_iter().enumerate() {
         let server = TestServer::start(Act::After(WORK)).await;
@@ -79,10 +79,10 @@
         assert_eq!(crowd(&vms).await, CROWD);
         let before = servers[0].seen.borrow().len();
         assert!(before > MOST, "{before}");
-        store.0.evacuate("thun", true);
+        store.0.set_evacuated("thun", true);
         until(|| vms[0].context.evacuations.borrow().holds("thun")).await;
         servers[0].cold_ms.set(3_000);
-        store.0.evacuate("thun", false);
+        store.0.set_evacuated("thun", false);
         until(|| !vms[0].context.evacuations.borrow().holds("thun")).await;
         assert_eq!(crowd(&vms).await, CROWD);
         let seen = servers[0].seen.borrow().len() - before;
@@ -95,15 +95,15 @@
 fn a_server_that_may_be_cold_gets_nothing_before_it_has_said_so() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(with_cold_starts(1));
+        store.0.write_configuration(with_cold_starts(1));
         let server = TestServer::start(Act::After(WORK)).await;
         server.holds_new.set(Duration::from_millis(200));
         store.0.write_backend_server(entry(0, &server));
-        store.0.evacuate("thun", true);
+        store.0.set_evacuated("thun", true);
         let vms = zone_of(FLEET, &store).await;
         until(|| followers(&vms) == FLEET - 1).await;
         server.cold_ms.set(3_000);
-        store.0.evacuate("thun", false);
+        store.0.set_evacuated("thun", false);
         let holds = |vm: &Running| vm.context.evacuations.borrow().holds("thun");
         until(|| !vms.iter().any(holds)).await;
         crowd(&vms).await;
@@ -119,7 +119,7 @@
         let (store, servers) = zones(Duration::ZERO).await;
         let vms = [start("vm", &store).await];
         for is_evacuated in [true, false] {
-            store.0.evacuate("thun", is_evacuated);
+            store.0.set_evacuated("thun", is_evacuated);
             let holds = || vms[0].context.evacuations.borrow().holds("thun");
             until(|| holds() == is_evacuated).await;
         }
--- a/crates/kingcuploft-entry/tests/entry/evacuation.rs
+++ b/crates/kingcuploft-entry/tests/entry/evacuation.rs
@@ -14,7 +14,7 @@
 /// A server in the VM's zone, and one in another.
 async fn two_zones() -> World {
     let store = TestStore::default();
-    store.0.configure(configuration(1));
+    store.0.write_configuration(configuration(1));
     let mut servers = Vec::new();
     for (at, zone) in ["thun", "bern"].into_iter().enumerate() {
         let server = TestServer::start(Act::Answer).await;
@@ -45,11 +45,11 @@
         let seen = |at: usize| world.servers[at].seen.borrow().len();
         ask(&world, 6).await;
         assert_eq!([seen(0), seen(1)], [6, 0]);
-        world.store.evacuate("thun", true);
+        world.store.set_evacuated("thun", true);
         until(|| world.vm.context.evacuations.borrow().holds("thun")).await;
         ask(&world, 6).await;
         assert_eq!([seen(0), seen(1)], [6, 6]);
-        world.store.evacuate("thun", false);
+        world.store.set_evacuated("thun", false);
         until(|| !world.vm.context.evacuations.borrow().holds("thun")).await;
         ask(&world, 6).await;
         assert_eq!([seen(0), seen(1)], [12, 6]);
@@ -62,7 +62,7 @@
     play(async {
         let world = two_zones().await;
         for zone in ["thun", "bern"] {
-            world.store.evacuate(zone, true);
+            world.store.set_evacuated(zone, true);
             until(|| world.vm.context.evacuations.borrow().holds(zone)).await;
         }
         let begun = Instant::now();
@@ -71,7 +71,7 @@
         assert_eq!(answer.status, 503);
         assert!(answer.has("retry-after: 2"), "{}", answer.head);
         assert_eq!(world.seen(), 0);
-        world.store.evacuate("bern", false);
+        world.store.set_evacuated("bern", false);
         until(|| !world.vm.context.evacuations.borrow().holds("bern")).await;
         assert_eq!(world.ask(&book("c")).await.status, 200);
     });
@@ -82,8 +82,8 @@
 fn a_vm_serves_nobody_before_it_knows_which_zones_are_evacuated() {
     play(async {
         let world = two_zones().await;
-        world.store.evacuate("thun", true);
-        let store = TestStore::of(&world.store);
+        world.store.set_evacuated("thun", true);
+        let store = TestStore::client_of(&world.store);
         let second = run::start(settings("second"), WORDS, store).await.unwrap();
         while !second.context.is_ready() {
             assert!(!second.context.evacuations.borrow().holds("thun"));
--- a/crates/kingcuploft-entry/tests/entry/following.rs
+++ b/crates/kingcuploft-entry/tests/entry/following.rs
@@ -49,12 +49,12 @@
 fn the_vms_of_a_zone_hear_of_changes_from_one_that_watches() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let vms = zone_of(3, &store).await;
         until(|| followers(&vms) == 2).await;
         let watches = store.0.watch_calls.get();
         let server = TestServer::start(Act::Answer).await;
-        store.0.configure(configuration(2));
+        store.0.write_configuration(configuration(2));
         store.0.write_backend_server(entry(0, &server));
         let version = |vm: &Running| vm.context.configuration().map(|c| c.version);
         until(|| vms.iter().all(|vm| version(vm) == Some(2))).await;
@@ -70,7 +70,7 @@
 fn vms_whose_reader_is_gone_read_by_themselves() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let server = TestServer::start(Act::Answer).await;
         store.0.write_backend_server(entry(0, &server));
         let vms = zone_of(3, &store).await;
@@ -123,7 +123,7 @@
 fn new_vms_that_start_together_never_take_themselves_for_few() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let start = |at: usize| {
             let settings = EntrySettings {
                 peers: Some(([127, 0, 0, 1], 0).into()),
@@ -153,7 +153,7 @@
 fn a_vm_that_knows_nothing_does_not_wait_for_a_reader_that_says_nothing() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let mute = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let large = VmEntry {
             name: "vm-large".into(),
@@ -179,7 +179,7 @@
 fn a_vm_that_knows_nothing_does_not_wait_for_the_list_of_zones() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         store.0.zone_list_hangs.set(true);
         let vm = start_in_zone("vm", &store).await;
         assert_eq!(vm.context.readers.borrow().records(), vec![]);
@@ -203,7 +203,7 @@
 fn one_vm_watches_for_all_zones_and_tells_few() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let mut vms = Vec::new();
         for at in 0..15 {
             vms.push(start_of("thun", &format!("thun-{at}"), &store).await);
@@ -215,7 +215,7 @@
         let most = vms.iter().map(|vm| vm.context.followers.len()).max();
         assert!(most <= Some(13), "{most:?}");
         let watches = store.0.watch_calls.get();
-        store.0.configure(configuration(2));
+        store.0.write_configuration(configuration(2));
         let version = |vm: &Running| vm.context.configuration().map(|c| c.version);
         until(|| vms.iter().all(|vm| version(vm) == Some(2))).await;
         tokio::time::sleep(Duration::from_millis(900)).await;
@@ -229,7 +229,7 @@
 fn a_vm_that_the_store_answers_reads_in_place_of_one_that_it_turns_away() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let turned_away = TestStore::separate_client(&store);
         let reader = start_of("thun", "reader", &turned_away).await;
         let second = start_of("thun", "second", &store).await;
@@ -245,7 +245,7 @@
         until(|| named() == 2).await;
         turned_away.1.set(true);
         until(|| second.context.followers.len() == 1).await;
-        store.0.configure(configuration(2));
+        store.0.write_configuration(configuration(2));
         let version = |vm: &Running| vm.context.configuration().map(|c| c.version);
         until(|| version(&reader) == Some(2) && version(&second) == Some(2)).await;
     });
@@ -256,7 +256,7 @@
 fn a_vm_that_starts_while_the_store_is_silent_learns_all_from_those_its_settings_name() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let seed = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let control = seed.local_addr().unwrap();
         drop(seed);
@@ -284,7 +284,7 @@
 fn a_vm_that_read_a_moment_later_than_the_reader_follows_it() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let reader = start_in_zone("reader", &store).await;
         until(|| !store.0.zones.borrow().is_empty()).await;
         let second = start_in_zone("second", &store).await;
--- a/crates/kingcuploft-entry/tests/entry/limits.rs
+++ b/crates/kingcuploft-entry/tests/entry/limits.rs
@@ -32,7 +32,7 @@
 
 async fn fleet(vms: usize, acts: &[Act]) -> (Rc<Vec<Running>>, Vec<TestServer>, TestStore) {
     let store = TestStore::default();
-    store.0.configure(configuration(1));
+    store.0.write_configuration(configuration(1));
     let mut servers = Vec::new();
     for (at, act) in acts.iter().enumerate() {
         let server = TestServer::start(*act).await;
--- a/crates/kingcuploft-entry/tests/entry/quarantine.rs
+++ b/crates/kingcuploft-entry/tests/entry/quarantine.rs
@@ -40,7 +40,7 @@
 /// VMs of a zone with a reader, in front of servers that crash under some requests.
 async fn fleet(vms: usize, servers: usize) -> (Vec<Running>, Vec<TestServer>, TestStore) {
     let store = TestStore::default();
-    store.0.configure(configuration(1));
+    store.0.write_configuration(configuration(1));
     let mut all = Vec::new();
     for at in 0..servers {
         let server = TestServer::start(Act::CrashUnder).await;
@@ -225,7 +225,7 @@
             of: "s0".into(),
             in_a_row: 1,
         };
-        let store = TestStore::of(&world.store);
+        let store = TestStore::client_of(&world.store);
         store.tell(&Notice::Crash(report)).await.unwrap();
         tokio::time::sleep(Duration::from_millis(3500)).await;
         let woken = world.store.watch_calls.get() - before;
--- a/crates/kingcuploft-entry/tests/entry/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/entry/rewinds.rs
@@ -8,8 +8,8 @@
 fn callers_are_served_by_what_was_accepted_before_the_store_came_back() {
     play(async {
         let mut world = World::with(&[Act::Answer]).await;
-        let copy = world.store.copy();
-        world.store.configure(with_route(2, "/added/"));
+        let copy = world.store.snapshot();
+        world.store.write_configuration(with_route(2, "/added/"));
         let young = TestServer::start(Act::Answer).await;
         world.store.write_backend_server(entry(1, &young));
         world.servers.push(young);
--- a/crates/kingcuploft-entry/tests/entry/store_faults.rs
+++ b/crates/kingcuploft-entry/tests/entry/store_faults.rs
@@ -22,15 +22,15 @@
 fn a_configuration_after_a_silent_spell_is_in_force_within_two_seconds() {
     play_in_virtual_time(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let vm = start("vm", &store).await;
         store.0.silent.set(true);
         // Wakes the waiting watches, which then hang for good, as on a connection gone silent.
-        store.0.configure(configuration(2));
+        store.0.write_configuration(configuration(2));
         tokio::time::sleep(Duration::from_secs(8)).await;
         assert_eq!(version(&vm), 1);
         store.0.silent.set(false);
-        store.0.configure(configuration(3));
+        store.0.write_configuration(configuration(3));
         tokio::time::sleep(Duration::from_secs(2)).await;
         assert_eq!(version(&vm), 3);
     });
@@ -54,9 +54,9 @@
 fn a_configuration_never_goes_back() {
     play_in_virtual_time(async {
         let store = TestStore::default();
-        store.0.configure(configuration(5));
+        store.0.write_configuration(configuration(5));
         let vm = start("vm", &store).await;
-        store.0.configure(configuration(4));
+        store.0.write_configuration(configuration(4));
         tokio::time::sleep(Duration::from_secs(3)).await;
         assert_eq!(version(&vm), 5);
     });
@@ -140,7 +140,7 @@
         assert_eq!(answer.status, 503);
         assert!(answer.has("retry-after"));
         assert_eq!(world.ask(&look("r3")).await.status, 200);
-        world.store.configure(configuration(2));
+        world.store.write_configuration(configuration(2));
         until(|| version(&world.vm) == 2).await;
         assert_eq!(world.ask(&unknown("r4")).await.status, 404);
     });
@@ -155,7 +155,7 @@
         let mut caller = world.caller().await;
         caller.send(&unknown("r1")).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
-        world.store.configure(with_route(2, "/new/"));
+        world.store.write_configuration(with_route(2, "/new/"));
         assert_eq!(caller.answer().await.unwrap().status, 200);
     });
 }
--- a/crates/kingcuploft-entry/tests/entry/world.rs
+++ b/crates/kingcuploft-entry/tests/entry/world.rs
@@ -43,7 +43,7 @@
     /// Starts servers that act like this, and a VM in front of them.
     pub(crate) async fn with(acts: &[Act]) -> Self {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let mut servers = Vec::new();
         for (at, act) in acts.iter().enumerate() {
             let server = TestServer::start(*act).await;
--- a/crates/kingcuploft-entry/tests/links/evacuations.rs
+++ b/crates/kingcuploft-entry/tests/links/evacuations.rs
@@ -48,13 +48,13 @@
     play(async {
         let fleet = Fleet::start(zones, LINKS, 100, 1).await;
         for _ in 0..2 {
-            fleet.store.0.evacuate("zone-0", true);
+            fleet.store.0.set_evacuated("zone-0", true);
             known_to_all(&fleet, "zone-0", true).await;
-            fleet.store.0.evacuate("zone-2", true);
+            fleet.store.0.set_evacuated("zone-2", true);
             known_to_all(&fleet, "zone-2", true).await;
-            fleet.store.0.evacuate("zone-0", false);
+            fleet.store.0.set_evacuated("zone-0", false);
             known_to_all(&fleet, "zone-0", false).await;
-            fleet.store.0.evacuate("zone-2", false);
+            fleet.store.0.set_evacuated("zone-2", false);
             known_to_all(&fleet, "zone-2", false).await;
         }
     });
@@ -79,7 +79,7 @@
             fleet.cut(at, true);
         }
         fleet.power_off(5);
-        fleet.store.0.evacuate("zone-1", true);
+        fleet.store.0.set_evacuated("zone-1", true);
         tokio::time::sleep(Duration::from_secs(3)).await;
         for at in [0, 11, 25] {
             fleet.cut(at, false);
--- a/crates/kingcuploft-entry/tests/links/fleet.rs
+++ b/crates/kingcuploft-entry/tests/links/fleet.rs
@@ -190,14 +190,14 @@
     /// Writes the latest configuration again.
     pub(crate) fn configure_again(&self) {
         let configuration = configuration(self.version, &self.routes);
-        self.store.0.configure(configuration);
+        self.store.0.write_configuration(configuration);
     }
 
     fn configure(&mut self) {
         self.version += 1;
         let configuration = configuration(self.version, &self.routes);
         self.configuration_bytes.set(230 * self.routes.len());
-        self.store.0.configure(configuration);
+        self.store.0.write_configuration(configuration);
     }
 
     /// Returns the version that a VM has in force.
--- a/crates/kingcuploft-entry/tests/links/interleavings.rs
+++ b/crates/kingcuploft-entry/tests/links/interleavings.rs
@@ -81,9 +81,9 @@
             Act::Configure => self.fleet.change_one(),
             Act::Evacuate => {
                 self.is_evacuated = !self.is_evacuated;
-                store.evacuate("zone-0", self.is_evacuated);
+                store.set_evacuated("zone-0", self.is_evacuated);
             }
-            Act::Copy => self.copy = Some(store.copy()),
+            Act::Copy => self.copy = Some(store.snapshot()),
             Act::Rewind => {
                 if let Some(copy) = self.copy.take() {
                     store.rewind(copy);
@@ -105,7 +105,7 @@
             _ => {}
         }
         if has_evacuation != self.is_evacuated {
-            store.evacuate("zone-0", self.is_evacuated);
+            store.set_evacuated("zone-0", self.is_evacuated);
         }
         if !has_configuration {
             self.fleet.configure_again();
--- a/crates/kingcuploft-entry/tests/links/joining.rs
+++ b/crates/kingcuploft-entry/tests/links/joining.rs
@@ -46,7 +46,7 @@
     /// Joins a VM.
     fn join(host: &Rc<Host>) -> Self {
         let nic = Rc::new(Nic::of(200));
-        let (own, other) = pipe::link(&nic, &host.nic, Duration::ZERO);
+        let (own, other) = pipe::connect(&nic, &host.nic, Duration::ZERO);
         let host = host.clone();
         tokio::task::spawn_local(async move {
             let _ = reader::answer(&host.context, &host.pulse, other).await;
@@ -220,7 +220,7 @@
 /// Follows a script as a VM that knows what `host` does; returns the script and the VM's task.
 fn follow(host: &Rc<Host>) -> (Script, tokio::task::JoinHandle<String>) {
     let nic = Rc::new(Nic::of(200));
-    let (own, other) = pipe::link(&nic, &nic, Duration::ZERO);
+    let (own, other) = pipe::connect(&nic, &nic, Duration::ZERO);
     let network = Scripted(vec![own].into());
     let host = host.clone();
     let following = tokio::task::spawn_local(async move {
--- a/crates/kingcuploft-entry/tests/links/network.rs
+++ b/crates/kingcuploft-entry/tests/links/network.rs
@@ -111,7 +111,7 @@
         while to.nic.is_cut.get() || from.nic.is_cut.get() {
             tokio::time::sleep(10 * DELAY).await;
         }
-        let (own, other) = pipe::link(&from.nic, &to.nic, DELAY);
+        let (own, other) = pipe::connect(&from.nic, &to.nic, DELAY);
         let (context, pulse) = (to.context.clone(), to.pulse.clone());
         let answering = tokio::task::spawn_local(async move {
             let _ = reader::answer(&context, &pulse, other).await;
--- a/crates/kingcuploft-entry/tests/links/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/links/rewinds.rs
@@ -49,10 +49,10 @@
     store.0.write_backend_server(server("old"));
     store.0.write_backend_server(server("leaves"));
     tokio::time::sleep(KNOWN).await;
-    let copy = store.0.copy();
+    let copy = store.0.snapshot();
     store.0.write_backend_server(server("young"));
     store.0.remove_backend_server("leaves");
-    store.0.evacuate("zone-1", true);
+    store.0.set_evacuated("zone-1", true);
     store.tell(&report(7, "young")).await.unwrap();
     fleet.change_one();
     tokio::time::sleep(KNOWN).await;
@@ -74,8 +74,8 @@
     };
     assert_eq!(but(&fleet, evacuated), 0);
     store.0.write_backend_server(server("young"));
-    store.0.evacuate("zone-1", true);
-    store.0.configure(newest);
+    store.0.set_evacuated("zone-1", true);
+    store.0.write_configuration(newest);
     tokio::time::sleep(SETTLED).await;
     store.0.remove_backend_server("leaves");
     tokio::time::sleep(KNOWN).await;
@@ -123,7 +123,7 @@
 fn a_vm_that_starts_before_the_operator_writes_again_learns_the_configuration_of_the_others() {
     play(async {
         let mut fleet = Fleet::start(&[4, 4], LINKS, 100, 4).await;
-        let copy = fleet.store.0.copy();
+        let copy = fleet.store.0.snapshot();
         fleet.change_one();
         tokio::time::sleep(KNOWN).await;
         fleet.store.0.rewind(copy);
--- a/crates/kingcuploft-simulation/src/balancer.rs
+++ b/crates/kingcuploft-simulation/src/balancer.rs
@@ -7,7 +7,7 @@
 use crate::vm::Vm;
 
 /// How often a VM is asked, and after how many misses it gets no callers.
-const ASK_EVERY: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 const UNHEALTHY_AFTER_MISSES: u32 = 2;
 
 /// The balancer.
@@ -34,7 +34,7 @@
                     false => misses[vm.index] + 1,
                 };
             }
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(PROBE_INTERVAL).await;
         }
     }
 
@@ -44,10 +44,10 @@
         let open: Vec<_> = of_zone
             .iter()
             .copied()
-            .filter(|vm| self.is_open(vm))
+            .filter(|vm| self.is_healthy(vm))
             .collect();
         let chosen = match (open.is_empty(), 2 * open.len() < of_zone.len()) {
-            (true, _) => self.vms.iter().filter(|vm| self.is_open(vm)).collect(),
+            (true, _) => self.vms.iter().filter(|vm| self.is_healthy(vm)).collect(),
             (false, true) => of_zone,
             (false, false) => open,
         };
@@ -60,7 +60,7 @@
         (count > 0).then(|| all[(at % count) as usize].clone())
     }
 
-    fn is_open(&self, vm: &Vm) -> bool {
+    fn is_healthy(&self, vm: &Vm) -> bool {
         self.misses.borrow()[vm.index] < UNHEALTHY_AFTER_MISSES
     }
 }
--- a/crates/kingcuploft-simulation/src/caller.rs
+++ b/crates/kingcuploft-simulation/src/caller.rs
@@ -14,13 +14,13 @@
 use crate::vm::Vm;
 
 /// The most bytes of an answer.
-const MOST_BYTES: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// How long after its time a caller still notes an answer.
-const LATE: Duration = Duration::from_millis(20);
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(20);
 
 /// How often a caller asks.
-const TRIES: u32 = 2;
+const MAX_ATTEMPTS: u32 = 2;
 
 /// What became of one attempt.
 struct AttemptResult {
@@ -47,16 +47,16 @@
 
 impl Caller {
     /// Asks, and comes back once where that is allowed; `entry` tells which VM each attempt reaches.
-    pub async fn ask(self, entry: impl Fn(u32) -> Option<Rc<Vm>>) {
+    pub async fn send(self, entry: impl Fn(u32) -> Option<Rc<Vm>>) {
         let until = Instant::now() + Duration::from_millis(self.request_kind.deadline_ms);
-        for attempt in 0..TRIES {
+        for attempt in 0..MAX_ATTEMPTS {
             let Some(vm) = entry(attempt) else {
                 return;
             };
             let ended = self.attempt(&vm, until, attempt == 0).await;
             let repeats = is_idempotent(self.request_kind.contract);
             let again = match ended.answer {
-                Outcome::Whole | Outcome::Wrong => false,
+                Outcome::Complete | Outcome::Wrong => false,
                 Outcome::NotRun => true,
                 Outcome::Failed | Outcome::None => repeats || !ended.was_sent,
             };
@@ -79,7 +79,8 @@
             is_first,
             is_deadly: self.is_deadly,
         });
-        let ended = tokio::time::timeout_at(until + LATE, self.exchange(vm, id, until)).await;
+        let ended =
+            tokio::time::timeout_at(until + LATE_ANSWER_GRACE, self.exchange(vm, id, until)).await;
         let ended = ended.unwrap_or(AttemptResult {
             answer: Outcome::None,
             come_back: None,
@@ -116,18 +117,18 @@
         if connection.send(text.as_bytes()).await.is_err() {
             return none(true);
         }
-        match connection.receive(method, MOST_BYTES).await {
-            Ok(response) => ended(&response, &id),
+        match connection.receive(method, MAX_ANSWER_BYTES).await {
+            Ok(response) => classify(&response, &id),
             Err(_) => none(true),
         }
     }
 }
 
-fn ended(response: &Response, id: &str) -> AttemptResult {
+fn classify(response: &Response, id: &str) -> AttemptResult {
     let headers = &response.head.headers;
     let is_own = headers.get("x-id").is_none_or(|answered| answered == id);
     let answer = match response.head.status {
-        200..300 if is_own && response.body == answer_body(id).as_bytes() => Outcome::Whole,
+        200..300 if is_own && response.body == answer_body(id).as_bytes() => Outcome::Complete,
         200..300 => Outcome::Wrong,
         429 | 503 | 408 | 421 => Outcome::NotRun,
         _ => Outcome::Failed,
--- a/crates/kingcuploft-simulation/src/day.rs
+++ b/crates/kingcuploft-simulation/src/day.rs
@@ -66,10 +66,10 @@
     /// What.
     pub kind: DisruptionKind,
     /// Which part of the things that it may strike.
-    #[serde(default = "all")]
+    #[serde(default = "full")]
     pub share: f64,
     /// How strong it is, where it has a strength.
-    #[serde(default = "all")]
+    #[serde(default = "full")]
     pub strength: f64,
     /// How long it lasts, where it lasts.
     #[serde(default)]
@@ -79,7 +79,7 @@
     pub service: Option<String>,
 }
 
-fn all() -> f64 {
+fn full() -> f64 {
     1.0
 }
 
--- a/crates/kingcuploft-simulation/src/disruptions.rs
+++ b/crates/kingcuploft-simulation/src/disruptions.rs
@@ -4,65 +4,65 @@
 use std::time::Duration;
 
 use crate::day::{Disruption, DisruptionKind};
-use crate::history::Cause;
+use crate::history::DisturbanceCause;
 use crate::server::Server;
 use crate::simulation::Simulation;
 use crate::vm::Vm;
 
 /// How long a VM that was killed is away, and the pause between two planned stops.
-const RESTART: Duration = Duration::from_millis(500);
-const BETWEEN_STOPS: Duration = Duration::from_millis(700);
+const RESTART_DELAY: Duration = Duration::from_millis(500);
+const STOP_INTERVAL: Duration = Duration::from_millis(700);
 
 /// How often it is looked whether a VM has stopped.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// When the entry of a server that has ended lapses, and when another starts in its place.
-const LAPSES_AFTER: Duration = Duration::from_millis(4500);
-const REPLACED_AFTER: Duration = Duration::from_millis(3000);
+const ENTRY_EXPIRES_AFTER: Duration = Duration::from_millis(4500);
+const REPLACED_SERVER_AFTER: Duration = Duration::from_millis(3000);
 
 /// When the operator and the servers write again what a store that came back from a copy lacks.
-const WRITES_AGAIN: Duration = Duration::from_millis(600);
+const REWRITE_DELAY: Duration = Duration::from_millis(600);
 
 /// How long a leaving server serves on after the time that VMs have.
-const SERVES_ON: Duration = Duration::from_millis(1500);
+const SERVES_AFTER_DRAIN: Duration = Duration::from_millis(1500);
 
 /// Strikes, and returns when it is over.
 pub async fn apply(world: &Rc<Simulation>, disruption: &Disruption) {
     match disruption.kind {
         DisruptionKind::VmsKilled => {
-            let vms = some_vms(world, disruption.share);
+            let vms = choose_vms(world, disruption.share);
             vms.iter().for_each(|vm| vm.kill());
-            come_back(
+            restart_after(
                 world,
                 &vms,
-                disruption.duration().max(RESTART),
-                Cause::Fault,
+                disruption.duration().max(RESTART_DELAY),
+                DisturbanceCause::Fault,
             )
             .await;
         }
         DisruptionKind::VmsLosePower => {
-            let vms = some_vms(world, disruption.share);
+            let vms = choose_vms(world, disruption.share);
             vms.iter().for_each(|vm| vm.lose_power());
-            come_back(
+            restart_after(
                 world,
                 &vms,
-                disruption.duration().max(RESTART),
-                Cause::Fault,
+                disruption.duration().max(RESTART_DELAY),
+                DisturbanceCause::Fault,
             )
             .await;
         }
         DisruptionKind::VmsFrozen => {
-            let vms = some_vms(world, disruption.share);
-            during(world, &vms, disruption.duration(), Vm::freeze).await;
+            let vms = choose_vms(world, disruption.share);
+            apply_to_vms(world, &vms, disruption.duration(), Vm::freeze).await;
         }
         DisruptionKind::VmsCutOff => {
-            let vms = some_vms(world, disruption.share);
-            during(world, &vms, disruption.duration(), Vm::cut_off).await;
+            let vms = choose_vms(world, disruption.share);
+            apply_to_vms(world, &vms, disruption.duration(), Vm::cut_off).await;
         }
-        DisruptionKind::VmsStopped => stop_in_turn(world, disruption).await,
+        DisruptionKind::VmsStopped => stop_one_by_one(world, disruption).await,
         DisruptionKind::ServersRefuse => {
             let strength = disruption.strength;
-            fail(world, disruption, |server, is_on| {
+            apply_to_servers(world, disruption, |server, is_on| {
                 server
                     .faults
                     .refused_share
@@ -72,7 +72,7 @@
         }
         DisruptionKind::ServersLoseAnswers => {
             let strength = disruption.strength;
-            fail(world, disruption, |server, is_on| {
+            apply_to_servers(world, disruption, |server, is_on| {
                 server
                     .faults
                     .lost_answer_share
@@ -82,7 +82,7 @@
         }
         DisruptionKind::ServersSlow => {
             let strength = disruption.strength;
-            fail(world, disruption, |server, is_on| {
+            apply_to_servers(world, disruption, |server, is_on| {
                 server
                     .faults
                     .slow_factor
@@ -90,35 +90,37 @@
             })
             .await;
         }
-        DisruptionKind::ServersCrash => crash(world, &servers_of(world, disruption)).await,
+        DisruptionKind::ServersCrash => {
+            crash_servers(world, &choose_servers(world, disruption)).await
+        }
         DisruptionKind::ServersNameLimits => name_limits(world, disruption).await,
         DisruptionKind::DeadlyRequests => {
             world.deadly_share.set(disruption.strength);
             tokio::time::sleep(disruption.duration()).await;
             world.deadly_share.set(0.0);
         }
-        DisruptionKind::StoreRewinds => rewind(world, disruption.duration()).await,
-        DisruptionKind::ServersLeave => leave(world, disruption).await,
-        DisruptionKind::ServersStart => start(world, disruption),
-        DisruptionKind::StoreSilent => silence(world, disruption.duration()).await,
+        DisruptionKind::StoreRewinds => rewind_store(world, disruption.duration()).await,
+        DisruptionKind::ServersLeave => drain_servers(world, disruption).await,
+        DisruptionKind::ServersStart => start_servers(world, disruption),
+        DisruptionKind::StoreSilent => silence_store(world, disruption.duration()).await,
         DisruptionKind::Crowd => {
             let usual = world.load_factor.replace(disruption.strength);
             tokio::time::sleep(disruption.duration()).await;
             world.load_factor.set(usual.min(1.0));
         }
         DisruptionKind::ConfigurationChange => {
-            world.operator.configure();
+            world.operator.write_next_configuration();
         }
         DisruptionKind::ZoneEvacuated => {
             let zone = fastrand::usize(0..world.deployment.zones.len());
-            world.operator.evacuate(zone, true);
+            world.operator.set_evacuated(zone, true);
             tokio::time::sleep(disruption.duration()).await;
-            world.operator.evacuate(zone, false);
+            world.operator.set_evacuated(zone, false);
         }
     }
 }
 
-fn some_vms(world: &Simulation, share: f64) -> Vec<Rc<Vm>> {
+fn choose_vms(world: &Simulation, share: f64) -> Vec<Rc<Vm>> {
     let running: Vec<_> = world.vms.iter().filter(|vm| vm.is_running()).collect();
     let count = (share * world.vms.len() as f64).round() as usize;
     let mut rng = fastrand::Rng::with_seed(fastrand::u64(..));
@@ -126,7 +128,12 @@
     chosen.into_iter().cloned().collect()
 }
 
-async fn come_back(world: &Simulation, vms: &[Rc<Vm>], after: Duration, cause: Cause) {
+async fn restart_after(
+    world: &Simulation,
+    vms: &[Rc<Vm>],
+    after: Duration,
+    cause: DisturbanceCause,
+) {
     vms.iter()
         .for_each(|vm| world.history.record_disturbance(vm.index, cause));
     tokio::time::sleep(after).await;
@@ -136,26 +143,31 @@
     }
 }
 
-async fn during(world: &Simulation, vms: &[Rc<Vm>], lasts: Duration, act: fn(&Vm, bool)) {
+async fn apply_to_vms(world: &Simulation, vms: &[Rc<Vm>], lasts: Duration, act: fn(&Vm, bool)) {
     for vm in vms {
         act(vm, true);
     }
     let step = Duration::from_millis(500);
     let mut left = lasts;
     while !left.is_zero() {
-        vms.iter()
-            .for_each(|vm| world.history.record_disturbance(vm.index, Cause::Fault));
+        vms.iter().for_each(|vm| {
+            world
+                .history
+                .record_disturbance(vm.index, DisturbanceCause::Fault)
+        });
         tokio::time::sleep(step.min(left)).await;
         left = left.saturating_sub(step);
     }
     for vm in vms {
-        world.history.record_disturbance(vm.index, Cause::Fault);
+        world
+            .history
+            .record_disturbance(vm.index, DisturbanceCause::Fault);
         act(vm, false);
     }
 }
 
-async fn stop_in_turn(world: &Rc<Simulation>, disruption: &Disruption) {
-    for vm in some_vms(world, disruption.share) {
+async fn stop_one_by_one(world: &Rc<Simulation>, disruption: &Disruption) {
+    for vm in choose_vms(world, disruption.share) {
         let world = world.clone();
         tokio::task::spawn_local(async move {
             let now = world.history.now();
@@ -164,19 +176,21 @@
                 .planned_stops
                 .borrow_mut()
                 .push((vm.index, now));
-            world.history.record_disturbance(vm.index, Cause::Planned);
+            world
+                .history
+                .record_disturbance(vm.index, DisturbanceCause::PlannedStop);
             vm.stop();
             while vm.is_running() {
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(STOP_POLL_INTERVAL).await;
             }
             vm.kill();
-            come_back(&world, &[vm], RESTART, Cause::Planned).await;
+            restart_after(&world, &[vm], RESTART_DELAY, DisturbanceCause::PlannedStop).await;
         });
-        tokio::time::sleep(BETWEEN_STOPS).await;
+        tokio::time::sleep(STOP_INTERVAL).await;
     }
 }
 
-fn servers_of(world: &Simulation, disruption: &Disruption) -> Vec<Rc<Server>> {
+fn choose_servers(world: &Simulation, disruption: &Disruption) -> Vec<Rc<Server>> {
     let servers = world.servers.borrow();
     let of_service = |server: &&Rc<Server>| {
         let service = disruption.service.as_deref();
@@ -190,50 +204,54 @@
     chosen.into_iter().cloned().collect()
 }
 
-async fn fail(world: &Simulation, disruption: &Disruption, act: impl Fn(&Server, bool)) {
-    let servers = servers_of(world, disruption);
+async fn apply_to_servers(
+    world: &Simulation,
+    disruption: &Disruption,
+    act: impl Fn(&Server, bool),
+) {
+    let servers = choose_servers(world, disruption);
     servers.iter().for_each(|server| act(server, true));
     tokio::time::sleep(disruption.duration()).await;
     servers.iter().for_each(|server| act(server, false));
 }
 
 /// Ends servers without a word, and starts others in their place.
-pub async fn crash(world: &Rc<Simulation>, servers: &[Rc<Server>]) {
+pub async fn crash_servers(world: &Rc<Simulation>, servers: &[Rc<Server>]) {
     for server in servers {
-        world.end_server(server);
+        world.stop_server(server);
     }
-    tokio::time::sleep(REPLACED_AFTER).await;
+    tokio::time::sleep(REPLACED_SERVER_AFTER).await;
     for server in servers {
         world.start_server(&server.service.name, server.zone, true);
     }
-    tokio::time::sleep(LAPSES_AFTER.saturating_sub(REPLACED_AFTER)).await;
+    tokio::time::sleep(ENTRY_EXPIRES_AFTER.saturating_sub(REPLACED_SERVER_AFTER)).await;
     for server in servers {
         world.store.0.remove_backend_server(&server.name);
     }
 }
 
-async fn leave(world: &Rc<Simulation>, disruption: &Disruption) {
-    let servers = servers_of(world, disruption);
+async fn drain_servers(world: &Rc<Simulation>, disruption: &Disruption) {
+    let servers = choose_servers(world, disruption);
     for server in &servers {
         server.is_draining.set(true);
-        world.operator.register(server);
+        world.operator.write_server(server);
     }
     let drain = Duration::from_millis(world.deployment.bounds.drain_ms);
-    tokio::time::sleep(drain + SERVES_ON).await;
+    tokio::time::sleep(drain + SERVES_AFTER_DRAIN).await;
     for server in &servers {
-        world.end_server(server);
+        world.stop_server(server);
         world.store.0.remove_backend_server(&server.name);
         world.start_server(&server.service.name, server.zone, true);
     }
 }
 
-fn start(world: &Simulation, disruption: &Disruption) {
-    for server in servers_of(world, disruption) {
+fn start_servers(world: &Simulation, disruption: &Disruption) {
+    for server in choose_servers(world, disruption) {
         world.start_server(&server.service.name, server.zone, true);
     }
 }
 
-async fn silence(world: &Simulation, lasts: Duration) {
+async fn silence_store(world: &Simulation, lasts: Duration) {
     let from = world.history.now();
     world.store.0.silent.set(true);
     let at = {
@@ -247,7 +265,7 @@
 }
 
 async fn name_limits(world: &Simulation, disruption: &Disruption) {
-    let servers = servers_of(world, disruption);
+    let servers = choose_servers(world, disruption);
     let per_s = disruption.strength;
     for server in &servers {
         server.faults.limit.set(Some(per_s));
@@ -264,18 +282,18 @@
 }
 
 /// Brings the store back from a copy; the operator and the servers write again what it lacks.
-async fn rewind(world: &Simulation, age: Duration) {
-    let copy = world.store.0.copy();
+async fn rewind_store(world: &Simulation, age: Duration) {
+    let copy = world.store.0.snapshot();
     tokio::time::sleep(age).await;
     let from = world.history.now();
     world.store.0.rewind(copy);
-    tokio::time::sleep(WRITES_AGAIN).await;
+    tokio::time::sleep(REWRITE_DELAY).await;
     world.operator.rewrite();
     let servers = world.servers.borrow().clone();
     for server in &servers {
         match server.has_stopped.get() {
             true => world.store.0.remove_backend_server(&server.name),
-            false => world.operator.register(server),
+            false => world.operator.write_server(server),
         }
     }
     let mut disturbed = world.history.store_disturbances.borrow_mut();
--- a/crates/kingcuploft-simulation/src/generator.rs
+++ b/crates/kingcuploft-simulation/src/generator.rs
@@ -6,21 +6,21 @@
 
 /// How long a drawn day is, and within which part of it disruptions strike.
 const LENGTH_MS: u64 = 24_000;
-const STRIKES_FROM_MS: u64 = 1_000;
-const STRIKES_UNTIL_MS: u64 = 18_000;
+const DISRUPTIONS_FROM_MS: u64 = 1_000;
+const DISRUPTIONS_UNTIL_MS: u64 = 18_000;
 
 /// The most disruptions of a drawn day.
-const MOST_DRAWN: usize = 4;
+const MAX_GENERATED_DISRUPTIONS: usize = 4;
 
 /// The most that a day grows to.
-const MOST: usize = 8;
+const MAX_DISRUPTIONS: usize = 8;
 
 /// How far a moment is moved at a time: within a window of any bound.
-const MOVE_MS: i64 = 3_000;
+const MAX_SHIFT_MS: i64 = 3_000;
 
 /// Draws a day of a deployment.
-pub fn draw(rng: &mut Rng, deployment: &str) -> Day {
-    let count = rng.usize(1..=MOST_DRAWN);
+pub fn generate(rng: &mut Rng, deployment: &str) -> Day {
+    let count = rng.usize(1..=MAX_GENERATED_DISRUPTIONS);
     let disruptions = (0..count).map(|_| disruption(rng)).collect();
     ordered(Day {
         deployment: deployment.into(),
@@ -33,7 +33,7 @@
 fn disruption(rng: &mut Rng) -> Disruption {
     let kind = DisruptionKind::ALL[rng.usize(0..DisruptionKind::ALL.len())];
     Disruption {
-        at_ms: rng.u64(STRIKES_FROM_MS..STRIKES_UNTIL_MS),
+        at_ms: rng.u64(DISRUPTIONS_FROM_MS..DISRUPTIONS_UNTIL_MS),
         kind,
         share: share(rng),
         strength: strength(rng, kind),
@@ -63,7 +63,7 @@
 pub fn mutate(rng: &mut Rng, day: &Day) -> Day {
     let mut day = day.clone();
     for _ in 0..rng.usize(1..=2) {
-        change_one(rng, &mut day);
+        mutate_once(rng, &mut day);
     }
     ordered(day)
 }
@@ -73,11 +73,11 @@
     let mut joined = day.clone();
     joined.disruptions.extend(other.disruptions.iter().cloned());
     rng.shuffle(&mut joined.disruptions);
-    joined.disruptions.truncate(MOST);
+    joined.disruptions.truncate(MAX_DISRUPTIONS);
     ordered(joined)
 }
 
-fn change_one(rng: &mut Rng, day: &mut Day) {
+fn mutate_once(rng: &mut Rng, day: &mut Day) {
     let count = day.disruptions.len();
     if count == 0 {
         return day.disruptions.push(disruption(rng));
@@ -87,23 +87,23 @@
     match rng.u32(0..8) {
         0 => day.seed = rng.u64(1..1_000_000),
         1 => {
-            let moved = chosen.at_ms as i64 + rng.i64(-MOVE_MS..=MOVE_MS);
-            let (least, most) = (STRIKES_FROM_MS as i64, STRIKES_UNTIL_MS as i64);
+            let moved = chosen.at_ms as i64 + rng.i64(-MAX_SHIFT_MS..=MAX_SHIFT_MS);
+            let (least, most) = (DISRUPTIONS_FROM_MS as i64, DISRUPTIONS_UNTIL_MS as i64);
             chosen.at_ms = moved.clamp(least, most) as u64;
         }
         2 => chosen.share = share(rng),
         3 => chosen.strength = strength(rng, chosen.kind),
         4 => chosen.for_ms = rng.u64(500..12_000),
-        5 | 6 if count < MOST => {
+        5 | 6 if count < MAX_DISRUPTIONS => {
             // What strikes once strikes again soon.
             let mut again = chosen.clone();
-            again.at_ms = (again.at_ms + rng.u64(500..5_000)).min(STRIKES_UNTIL_MS);
+            again.at_ms = (again.at_ms + rng.u64(500..5_000)).min(DISRUPTIONS_UNTIL_MS);
             day.disruptions.push(again);
         }
         5 | 6 => {
             day.disruptions.remove(at);
         }
-        _ if count < MOST => day.disruptions.push(disruption(rng)),
+        _ if count < MAX_DISRUPTIONS => day.disruptions.push(disruption(rng)),
         _ => day.disruptions[at] = disruption(rng),
     }
 }
--- a/crates/kingcuploft-simulation/src/history.rs
+++ b/crates/kingcuploft-simulation/src/history.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// The server's whole answer to this request.
-    Whole,
+    Complete,
     /// Something else that claims success.
     Wrong,
     /// Refused: it has not run.
@@ -116,9 +116,9 @@
 
 /// What disturbs a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Cause {
+pub enum DisturbanceCause {
     /// A planned stop, and the start after it.
-    Planned,
+    PlannedStop,
     /// Anything else.
     Fault,
 }
@@ -131,13 +131,13 @@
     /// When.
     pub at: Duration,
     /// By what.
-    pub cause: Cause,
+    pub cause: DisturbanceCause,
 }
 
 /// All that was seen.
 #[derive(Debug)]
 pub struct History {
-    begun: Cell<Instant>,
+    started_at: Cell<Instant>,
     /// The requests.
     pub requests: RefCell<Vec<Request>>,
     /// Their ends.
@@ -145,11 +145,11 @@
     /// What reached servers.
     pub arrivals: RefCell<Vec<Arrival>>,
     /// What the store has taken, and when.
-    pub accepted: RefCell<Vec<(Duration, AcceptedWrite)>>,
+    pub accepted_writes: RefCell<Vec<(Duration, AcceptedWrite)>>,
     /// The servers.
     pub servers: RefCell<Vec<ServerHistory>>,
     /// When VMs were disturbed.
-    pub disturbed: RefCell<Vec<Disturbance>>,
+    pub vm_disturbances: RefCell<Vec<Disturbance>>,
     /// From when until when the store was.
     pub store_disturbances: RefCell<Vec<(Duration, Duration)>>,
     /// When VMs were stopped as planned.
@@ -167,13 +167,13 @@
 impl Default for History {
     fn default() -> Self {
         Self {
-            begun: Cell::new(Instant::now()),
+            started_at: Cell::new(Instant::now()),
             requests: RefCell::default(),
             answers: RefCell::default(),
             arrivals: RefCell::default(),
-            accepted: RefCell::default(),
+            accepted_writes: RefCell::default(),
             servers: RefCell::default(),
-            disturbed: RefCell::default(),
+            vm_disturbances: RefCell::default(),
             store_disturbances: RefCell::default(),
             planned_stops: RefCell::default(),
             version_checks: RefCell::default(),
@@ -186,18 +186,18 @@
 
 impl History {
     /// Counts time from now on.
-    pub fn begin(&self) {
-        self.begun.set(Instant::now());
+    pub fn start_clock(&self) {
+        self.started_at.set(Instant::now());
     }
 
     /// Returns the time since the begin; zero before it.
     pub fn now(&self) -> Duration {
-        Instant::now().saturating_duration_since(self.begun.get())
+        Instant::now().saturating_duration_since(self.started_at.get())
     }
 
     /// Takes note that the store has taken something.
-    pub fn accepted(&self, what: AcceptedWrite) {
-        self.accepted.borrow_mut().push((self.now(), what));
+    pub fn record_write(&self, what: AcceptedWrite) {
+        self.accepted_writes.borrow_mut().push((self.now(), what));
     }
 
     /// Takes note of the limit that a server names from now on.
@@ -213,7 +213,7 @@
 
     /// Returns when the store has last taken a configuration of the day, if it has.
     pub fn last_configuration_change(&self) -> Option<Duration> {
-        let accepted = self.accepted.borrow();
+        let accepted = self.accepted_writes.borrow();
         let of_day = accepted.iter().filter(|(_, what)| match what {
             AcceptedWrite::Configuration { version } => *version > 1,
             _ => false,
@@ -222,16 +222,16 @@
     }
 
     /// Takes note that a VM is disturbed now.
-    pub fn record_disturbance(&self, vm: VmIndex, cause: Cause) {
+    pub fn record_disturbance(&self, vm: VmIndex, cause: DisturbanceCause) {
         let at = self.now();
-        let mut disturbed = self.disturbed.borrow_mut();
+        let mut disturbed = self.vm_disturbances.borrow_mut();
         disturbed.push(Disturbance { vm, at, cause });
     }
 
     /// Returns whether neither a VM nor the store was disturbed for so long before a moment.
     pub fn was_undisturbed(&self, vm: VmIndex, at: Duration, contact: Duration) -> bool {
         let since = at.saturating_sub(contact);
-        let of_vm = self.disturbed.borrow();
+        let of_vm = self.vm_disturbances.borrow();
         let vm_is_calm = !of_vm
             .iter()
             .any(|other| other.vm == vm && other.at >= since && other.at <= at);
--- a/crates/kingcuploft-simulation/src/link.rs
+++ b/crates/kingcuploft-simulation/src/link.rs
@@ -20,7 +20,7 @@
 const SEGMENT_BYTES: usize = 4 * 1024;
 
 /// How often a link that is cut is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A VM's own link: what it sends leaves one segment after the other, and so does what arrives.
 #[derive(Debug)]
@@ -49,20 +49,20 @@
         }
     }
 
-    fn takes(&self, bytes: usize) -> Duration {
+    fn transmission_time(&self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.bytes_per_s)
     }
 
     fn send(&self, bytes: usize) -> Instant {
         self.sent_bytes.set(self.sent_bytes.get() + bytes);
-        let left = self.sends_until.get().max(Instant::now()) + self.takes(bytes);
+        let left = self.sends_until.get().max(Instant::now()) + self.transmission_time(bytes);
         self.sends_until.set(left);
         left
     }
 
     /// Returns when bytes that reach this VM's link at a moment have passed it.
     pub fn receive(&self, bytes: usize, at: Instant) -> Instant {
-        let arrived = self.receives_until.get().max(at) + self.takes(bytes);
+        let arrived = self.receives_until.get().max(at) + self.transmission_time(bytes);
         self.receives_until.set(arrived);
         arrived
     }
@@ -75,8 +75,8 @@
     delay: Duration,
     segments: RefCell<VecDeque<(Instant, Vec<u8>)>>,
     unread_bytes: Cell<usize>,
-    ended: Cell<bool>,
-    abandoned: Cell<bool>,
+    write_closed: Cell<bool>,
+    read_closed: Cell<bool>,
     reader: RefCell<Option<Waker>>,
     writer: RefCell<Option<Waker>>,
 }
@@ -89,8 +89,8 @@
             delay,
             segments: RefCell::default(),
             unread_bytes: Cell::new(0),
-            ended: Cell::new(false),
-            abandoned: Cell::new(false),
+            write_closed: Cell::new(false),
+            read_closed: Cell::new(false),
             reader: RefCell::default(),
             writer: RefCell::default(),
         })
@@ -117,7 +117,7 @@
 }
 
 /// Opens a link between two VMs.
-pub fn link(a: &Rc<Nic>, b: &Rc<Nic>, delay: Duration) -> (LinkEnd, LinkEnd) {
+pub fn connect(a: &Rc<Nic>, b: &Rc<Nic>, delay: Duration) -> (LinkEnd, LinkEnd) {
     let (there, back) = (Pipe::new(a, b, delay), Pipe::new(b, a, delay));
     let end = |incoming: &Rc<Pipe>, outgoing: &Rc<Pipe>| LinkEnd {
         incoming: incoming.clone(),
@@ -128,7 +128,7 @@
 }
 
 impl LinkEnd {
-    fn wait_until(&mut self, moment: Instant, context: &mut Context<'_>) {
+    fn wake_at(&mut self, moment: Instant, context: &mut Context<'_>) {
         let mut timer = Box::pin(tokio::time::sleep_until(moment));
         if timer.as_mut().poll(context).is_ready() {
             context.waker().wake_by_ref();
@@ -146,18 +146,18 @@
         let pipe = self.incoming.clone();
         let now = Instant::now();
         if pipe.is_cut() {
-            self.wait_until(now + LOOK_AGAIN, context);
+            self.wake_at(now + CUT_POLL_INTERVAL, context);
             return Poll::Pending;
         }
         let mut segments = pipe.segments.borrow_mut();
         match segments.front_mut() {
-            None if pipe.ended.get() => Poll::Ready(Ok(())),
+            None if pipe.write_closed.get() => Poll::Ready(Ok(())),
             None => {
                 *pipe.reader.borrow_mut() = Some(context.waker().clone());
                 Poll::Pending
             }
             Some((arrives, _)) if *arrives > now => {
-                self.wait_until(*arrives, context);
+                self.wake_at(*arrives, context);
                 Poll::Pending
             }
             Some((_, bytes)) => {
@@ -182,7 +182,7 @@
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let pipe = &self.outgoing;
-        if pipe.abandoned.get() {
+        if pipe.read_closed.get() {
             return Poll::Ready(Err(Error::from(ErrorKind::BrokenPipe)));
         }
         let room = WINDOW_BYTES - pipe.unread_bytes.get();
@@ -205,7 +205,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        self.outgoing.ended.set(true);
+        self.outgoing.write_closed.set(true);
         Pipe::wake(&self.outgoing.reader);
         Poll::Ready(Ok(()))
     }
@@ -215,7 +215,7 @@
     fn try_read(&mut self, bytes: &mut [u8]) -> std::io::Result<usize> {
         let pipe = &self.incoming;
         let mut segments = pipe.segments.borrow_mut();
-        if segments.is_empty() && pipe.ended.get() {
+        if segments.is_empty() && pipe.write_closed.get() {
             return Ok(0);
         }
         let blocked = Err(Error::from(ErrorKind::WouldBlock));
@@ -242,8 +242,8 @@
         if self.outgoing.from.is_powered_off.get() {
             return;
         }
-        self.outgoing.ended.set(true);
-        self.incoming.abandoned.set(true);
+        self.outgoing.write_closed.set(true);
+        self.incoming.read_closed.set(true);
         Pipe::wake(&self.outgoing.reader);
         Pipe::wake(&self.incoming.writer);
     }
--- a/crates/kingcuploft-simulation/src/log.rs
+++ b/crates/kingcuploft-simulation/src/log.rs
@@ -11,7 +11,7 @@
 
 thread_local! {
     static VM: Cell<Option<VmIndex>> = const { Cell::new(None) };
-    static BEGUN: Cell<Option<Instant>> = const { Cell::new(None) };
+    static STARTED_AT: Cell<Option<Instant>> = const { Cell::new(None) };
     static LINES: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
 }
 
@@ -33,7 +33,7 @@
 
 impl FormatTime for VirtualTime {
     fn format_time(&self, writer: &mut Writer<'_>) -> std::fmt::Result {
-        let passed = BEGUN.get().map(|begun| Instant::now() - begun);
+        let passed = STARTED_AT.get().map(|begun| Instant::now() - begun);
         write!(writer, "{:.4}", passed.unwrap_or_default().as_secs_f64())
     }
 }
@@ -82,6 +82,6 @@
 }
 
 /// Counts the time of lines from now on.
-pub fn begin() {
-    BEGUN.set(Some(Instant::now()));
+pub fn start_clock() {
+    STARTED_AT.set(Some(Instant::now()));
 }
--- a/crates/kingcuploft-simulation/src/main.rs
+++ b/crates/kingcuploft-simulation/src/main.rs
@@ -31,7 +31,7 @@
 
 /// What was asked for.
 #[derive(Debug, Default)]
-struct Asked {
+struct Options {
     verb: String,
     days: Vec<PathBuf>,
     seed: Option<u64>,
@@ -50,7 +50,7 @@
 
 /// Why nothing was played.
 #[derive(Debug, thiserror::Error)]
-enum Fault {
+enum CliError {
     #[error("{0}\n\n{HELP}")]
     Usage(#[from] lexopt::Error),
     #[error("{0}")]
@@ -62,7 +62,10 @@
 }
 
 fn main() -> ExitCode {
-    match parse().map_err(Fault::from).and_then(|asked| act(&asked)) {
+    match parse()
+        .map_err(CliError::from)
+        .and_then(|asked| dispatch(&asked))
+    {
         Ok(false) => ExitCode::SUCCESS,
         Ok(true) => ExitCode::from(1),
         Err(fault) => {
@@ -72,8 +75,8 @@
     }
 }
 
-fn parse() -> Result<Asked, lexopt::Error> {
-    let mut asked = Asked::default();
+fn parse() -> Result<Options, lexopt::Error> {
+    let mut asked = Options::default();
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
@@ -113,11 +116,11 @@
 }
 
 /// Does what was asked for; returns whether a rule is broken.
-fn act(asked: &Asked) -> Result<bool, Fault> {
+fn dispatch(asked: &Options) -> Result<bool, CliError> {
     match asked.verb.as_str() {
         "run" => run(asked),
         "search" => search(asked),
-        "shrink" => shrunk(asked),
+        "shrink" => shrink_days(asked),
         "help" => {
             print!("{HELP}");
             Ok(false)
@@ -126,30 +129,30 @@
     }
 }
 
-fn read(asked: &Asked, path: &Path) -> Result<Day, Fault> {
-    let text = std::fs::read_to_string(path).map_err(|error| Fault::File(path.into(), error))?;
+fn read_day(asked: &Options, path: &Path) -> Result<Day, CliError> {
+    let text = std::fs::read_to_string(path).map_err(|error| CliError::File(path.into(), error))?;
     let mut day = Day::read(&path.display().to_string(), &text)?;
     day.seed = asked.seed.unwrap_or(day.seed);
     Ok(day)
 }
 
-fn run(asked: &Asked) -> Result<bool, Fault> {
+fn run(asked: &Options) -> Result<bool, CliError> {
     let mut any_broken = false;
     for path in &asked.days {
-        let day = read(asked, path)?;
-        let played = planted_fault::with(asked.planted, || simulation::play(&day))?;
+        let day = read_day(asked, path)?;
+        let played = planted_fault::run_with(asked.planted, || simulation::run(&day))?;
         let distances = rules::check(&played);
         any_broken |= distances.iter().any(BoundUsage::is_broken);
         if let Some(log) = &asked.log {
             let written = std::fs::write(log, &played.lines);
-            written.map_err(|error| Fault::File(log.clone(), error))?;
+            written.map_err(|error| CliError::File(log.clone(), error))?;
         }
-        tell(asked, path, rules::answered_share(&played), &distances);
+        print_result(asked, path, rules::answered_share(&played), &distances);
     }
     Ok(any_broken)
 }
 
-fn tell(asked: &Asked, path: &Path, served: f64, distances: &[BoundUsage]) {
+fn print_result(asked: &Options, path: &Path, served: f64, distances: &[BoundUsage]) {
     let name = path.display();
     if asked.json {
         let told =
@@ -158,11 +161,11 @@
     }
     println!("{name}: served {served:.3}");
     for distance in distances {
-        tell_distance(distance);
+        print_bound_usage(distance);
     }
 }
 
-fn tell_distance(distance: &BoundUsage) {
+fn print_bound_usage(distance: &BoundUsage) {
     let verdict = match distance.is_broken() {
         true => "BROKEN",
         false => "kept",
@@ -175,12 +178,12 @@
     );
 }
 
-fn search(asked: &Asked) -> Result<bool, Fault> {
+fn search(asked: &Options) -> Result<bool, CliError> {
     let search = Search {
         deployment: asked.deployment.clone().unwrap_or_else(|| "19-vms".into()),
         seed: asked.seed.unwrap_or(1),
         max_days: asked.most_days.unwrap_or(usize::MAX),
-        within: Duration::from_secs(asked.seconds.unwrap_or(60)),
+        time_limit: Duration::from_secs(asked.seconds.unwrap_or(60)),
         jobs: asked.jobs.unwrap_or(4),
         is_mutating: !asked.plain,
         stops_at_first: asked.first,
@@ -189,14 +192,14 @@
     let found = search.run(|days, distance| {
         eprintln!("day {days}: {:?} {}", distance.rule, distance.what);
     });
-    report(asked, &found);
+    print_search_result(asked, &found);
     if let Some(out) = &asked.out {
         write_out(asked, &found, out)?;
     }
     Ok(!found.broken().is_empty())
 }
 
-fn report(asked: &Asked, found: &SearchResult) {
+fn print_search_result(asked: &Options, found: &SearchResult) {
     if asked.json {
         let nearest = Rule::ALL
             .iter()
@@ -213,19 +216,19 @@
     let nearest = Rule::ALL
         .iter()
         .filter_map(|rule| found.nearest.get(rule)?.first());
-    nearest.for_each(|near| tell_distance(&near.usage));
+    nearest.for_each(|near| print_bound_usage(&near.usage));
 }
 
 /// Writes the nearest day of each rule, those that break it shrunk, and the course.
-fn write_out(asked: &Asked, found: &SearchResult, out: &Path) -> Result<(), Fault> {
-    let fault = |error| Fault::File(out.into(), error);
+fn write_out(asked: &Options, found: &SearchResult, out: &Path) -> Result<(), CliError> {
+    let fault = |error| CliError::File(out.into(), error);
     std::fs::create_dir_all(out).map_err(fault)?;
     for rule in Rule::ALL {
         let Some(near) = found.nearest.get(&rule).and_then(|all| all.first()) else {
             continue;
         };
         let day = match near.usage.is_broken() {
-            true => planted_fault::with(asked.planted, || shrink::shrink(&near.day, rule)),
+            true => planted_fault::run_with(asked.planted, || shrink::shrink(&near.day, rule)),
             false => near.day.clone(),
         };
         let file = out.join(format!("{rule:?}-{}.yaml", day.seed));
@@ -237,15 +240,15 @@
     Ok(())
 }
 
-fn shrunk(asked: &Asked) -> Result<bool, Fault> {
+fn shrink_days(asked: &Options) -> Result<bool, CliError> {
     let Some(rule) = asked.rule else {
         return Err(lexopt::Error::from("shrink needs --rule").into());
     };
     let mut any_broken = false;
     for path in &asked.days {
-        let day = read(asked, path)?;
-        let day = planted_fault::with(asked.planted, || shrink::shrink(&day, rule));
-        let judged = planted_fault::with(asked.planted, || check_day(&day))?;
+        let day = read_day(asked, path)?;
+        let day = planted_fault::run_with(asked.planted, || shrink::shrink(&day, rule));
+        let judged = planted_fault::run_with(asked.planted, || check_day(&day))?;
         any_broken |= judged.iter().any(|d| d.rule == rule && d.is_broken());
         print!("{}", day.to_text());
     }
--- a/crates/kingcuploft-simulation/src/network.rs
+++ b/crates/kingcuploft-simulation/src/network.rs
@@ -16,18 +16,18 @@
 use crate::link::{self, LinkEnd, Nic};
 
 /// How long bytes take within a zone, to another one, and between callers and VMs.
-const IN_ZONE: Duration = Duration::from_micros(100);
-const TO_OTHER_ZONE: Duration = Duration::from_micros(900);
-const TO_CALLER: Duration = Duration::from_millis(3);
+const DELAY_IN_ZONE: Duration = Duration::from_micros(100);
+const DELAY_BETWEEN_ZONES: Duration = Duration::from_micros(900);
+const DELAY_TO_CALLERS: Duration = Duration::from_millis(3);
 
 /// How often a connection that can't be opened is tried again: opening packets are lost.
-const TRY_AGAIN: Duration = Duration::from_millis(50);
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The speed of all links, which none of the days fills.
-const MBIT_PER_S: u32 = 1000;
+const LINK_MBIT_PER_S: u32 = 1000;
 
 /// A connection that was opened, and the VM that opened it.
-pub type Accepted = (LinkEnd, Option<VmIndex>);
+pub type AcceptedConnection = (LinkEnd, Option<VmIndex>);
 
 /// A datagram, and where it comes from.
 pub type Datagram = (Told, SocketAddr);
@@ -36,7 +36,7 @@
 struct Listener {
     nic: Rc<Nic>,
     zone: usize,
-    accepts: UnboundedSender<Accepted>,
+    accepts: UnboundedSender<AcceptedConnection>,
 }
 
 /// Where datagrams to an address go.
@@ -47,14 +47,14 @@
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct Endpoints {
     listeners: RefCell<HashMap<SocketAddr, Listener>>,
     mailboxes: RefCell<HashMap<SocketAddr, Mailbox>>,
 }
 
 /// The network.
 #[derive(Clone, Debug, Default)]
-pub struct Network(Rc<Inner>);
+pub struct Network(Rc<Endpoints>);
 
 /// Where a host is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug)]
 pub struct Host {
     network: Network,
-    place: Location,
+    location: Location,
     vm: Option<VmIndex>,
     /// Its way to callers and servers.
     pub nic: Rc<Nic>,
@@ -84,10 +84,10 @@
     pub fn host(&self, place: Location, vm: Option<VmIndex>) -> Host {
         Host {
             network: self.clone(),
-            place,
+            location: place,
             vm,
-            nic: Rc::new(Nic::of(MBIT_PER_S)),
-            peer_nic: Rc::new(Nic::of(MBIT_PER_S)),
+            nic: Rc::new(Nic::of(LINK_MBIT_PER_S)),
+            peer_nic: Rc::new(Nic::of(LINK_MBIT_PER_S)),
             peer_address: Cell::new(None),
         }
     }
@@ -101,7 +101,7 @@
 
 impl Host {
     /// Listens at an address, on its way to callers and servers.
-    pub fn listen(&self, address: SocketAddr, accepts: UnboundedSender<Accepted>) {
+    pub fn listen(&self, address: SocketAddr, accepts: UnboundedSender<AcceptedConnection>) {
         self.listen_on(&self.nic, address, accepts);
     }
 
@@ -109,7 +109,7 @@
     pub fn listen_to_peers(
         &self,
         address: SocketAddr,
-        accepts: UnboundedSender<Accepted>,
+        accepts: UnboundedSender<AcceptedConnection>,
         datagrams: UnboundedSender<Datagram>,
     ) {
         self.peer_address.set(Some(address));
@@ -122,8 +122,13 @@
         all.insert(address, mailbox);
     }
 
-    fn listen_on(&self, nic: &Rc<Nic>, address: SocketAddr, accepts: UnboundedSender<Accepted>) {
-        let zone = match self.place {
+    fn listen_on(
+        &self,
+        nic: &Rc<Nic>,
+        address: SocketAddr,
+        accepts: UnboundedSender<AcceptedConnection>,
+    ) {
+        let zone = match self.location {
             Location::Zone(zone) => zone,
             Location::External => usize::MAX,
         };
@@ -153,10 +158,10 @@
     }
 
     fn delay(&self, zone: usize) -> Duration {
-        match self.place {
-            Location::External => TO_CALLER,
-            Location::Zone(own) if own == zone => IN_ZONE,
-            Location::Zone(_) => TO_OTHER_ZONE,
+        match self.location {
+            Location::External => DELAY_TO_CALLERS,
+            Location::Zone(own) if own == zone => DELAY_IN_ZONE,
+            Location::Zone(_) => DELAY_BETWEEN_ZONES,
         }
     }
 
@@ -169,16 +174,16 @@
                 found.map(|to| (to.nic.clone(), to.accepts.clone(), self.delay(to.zone)))
             };
             let Some((nic, accepts, delay)) = found else {
-                tokio::time::sleep(2 * TO_OTHER_ZONE).await;
+                tokio::time::sleep(2 * DELAY_BETWEEN_ZONES).await;
                 return Err(refused());
             };
             let stops = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
             if stops(own) || stops(&nic) {
-                tokio::time::sleep(TRY_AGAIN).await;
+                tokio::time::sleep(CONNECT_RETRY_INTERVAL).await;
                 continue;
             }
             tokio::time::sleep(2 * delay).await;
-            let (here, there) = link::link(own, &nic, delay);
+            let (here, there) = link::connect(own, &nic, delay);
             accepts.send((there, self.vm)).map_err(|_| refused())?;
             return Ok(here);
         }
@@ -218,7 +223,7 @@
             }
             let told = told.clone();
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(TO_OTHER_ZONE).await;
+                tokio::time::sleep(DELAY_BETWEEN_ZONES).await;
                 let _ = receives.send((told, from));
             });
         }
--- a/crates/kingcuploft-simulation/src/operator.rs
+++ b/crates/kingcuploft-simulation/src/operator.rs
@@ -16,10 +16,10 @@
 use crate::store::TestStore;
 
 /// How many connections a server accepts.
-const MOST_CONNECTIONS: u32 = 260;
+const CONNECTIONS_PER_SERVER: u32 = 260;
 
 /// How many servers one request may reach.
-const MOST_ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Writes to the store.
 #[derive(Debug)]
@@ -42,12 +42,14 @@
     }
 
     /// Writes the next configuration, with a route more than the last; returns its version.
-    pub fn configure(&self) -> u64 {
+    pub fn write_next_configuration(&self) -> u64 {
         let version = self.version.get() + 1;
         self.version.set(version);
-        self.store.0.configure(self.configuration(version));
+        self.store
+            .0
+            .write_configuration(self.configuration(version));
         self.history
-            .accepted(AcceptedWrite::Configuration { version });
+            .record_write(AcceptedWrite::Configuration { version });
         version
     }
 
@@ -75,7 +77,7 @@
             });
             let known = Service {
                 health_path: "/health".into(),
-                most_connections: MOST_CONNECTIONS,
+                most_connections: CONNECTIONS_PER_SERVER,
                 cold_start,
             };
             (service.name.as_str().into(), known)
@@ -85,7 +87,7 @@
     }
 
     /// Writes the entry of a server.
-    pub fn register(&self, server: &Server) {
+    pub fn write_server(&self, server: &Server) {
         self.store.0.write_backend_server(BackendServer {
             name: server.name.as_str().into(),
             service: server.service.name.as_str().into(),
@@ -101,21 +103,23 @@
         };
         let is_known = self
             .history
-            .accepted
+            .accepted_writes
             .borrow()
             .iter()
             .any(|(_, what)| *what == leaving);
         if server.is_draining.get() && !is_known {
-            self.history.accepted(AcceptedWrite::ServerDraining {
+            self.history.record_write(AcceptedWrite::ServerDraining {
                 server: server.index,
             });
         }
     }
 
     /// Has a zone evacuated, or takes it back.
-    pub fn evacuate(&self, zone: usize, is_evacuated: bool) {
-        self.store.0.evacuate(&format!("zone-{zone}"), is_evacuated);
-        self.history.accepted(match is_evacuated {
+    pub fn set_evacuated(&self, zone: usize, is_evacuated: bool) {
+        self.store
+            .0
+            .set_evacuated(&format!("zone-{zone}"), is_evacuated);
+        self.history.record_write(match is_evacuated {
             true => AcceptedWrite::ZoneEvacuated { zone },
             false => AcceptedWrite::ZoneReinstated { zone },
         });
@@ -124,16 +128,24 @@
     /// Writes again what is in force, to a store that may lack it.
     pub fn rewrite(&self) {
         let configuration = self.configuration(self.version.get());
-        self.store.0.configure(configuration);
+        self.store.0.write_configuration(configuration);
         for zone in 0..self.deployment.zones.len() {
-            let mut accepted = self.history.accepted.borrow().clone().into_iter().rev();
+            let mut accepted = self
+                .history
+                .accepted_writes
+                .borrow()
+                .clone()
+                .into_iter()
+                .rev();
             let last = accepted.find(|(_, what)| {
                 *what == AcceptedWrite::ZoneEvacuated { zone }
                     || *what == AcceptedWrite::ZoneReinstated { zone }
             });
             let is_evacuated =
                 last.is_some_and(|(_, what)| what == AcceptedWrite::ZoneEvacuated { zone });
-            self.store.0.evacuate(&format!("zone-{zone}"), is_evacuated);
+            self.store
+                .0
+                .set_evacuated(&format!("zone-{zone}"), is_evacuated);
         }
     }
 
@@ -162,7 +174,7 @@
         contract,
         target,
         timeout,
-        most_attempts: MOST_ATTEMPTS,
+        most_attempts: MAX_ATTEMPTS,
         priority: 1,
         destinations: vec![Destination {
             service: service.into(),
--- a/crates/kingcuploft-simulation/src/plot.rs
+++ b/crates/kingcuploft-simulation/src/plot.rs
@@ -8,7 +8,7 @@
 use crate::search::SearchResult;
 
 /// What is drawn of a bound that is far exceeded.
-const MOST: f64 = 2.0;
+const MAX_PLOTTED_USAGE: f64 = 2.0;
 
 /// Why a plot could not be drawn.
 #[derive(Debug, thiserror::Error)]
@@ -33,7 +33,7 @@
             "the nearest distance of each rule; broken above 1",
             ("sans-serif", 14),
         )
-        .build_cartesian_2d(0.0..days, 0.0..MOST)
+        .build_cartesian_2d(0.0..days, 0.0..MAX_PLOTTED_USAGE)
         .map_err(|e| fault(&e))?;
     let mut mesh = chart.configure_mesh();
     let mesh = mesh.x_desc("days played").y_desc("used of what is allowed");
@@ -55,7 +55,7 @@
     let mut last = 0.0;
     let of_rule = found.course.iter().filter(|(_, other, _)| *other == rule);
     for (days, _, used) in of_rule {
-        let (days, used) = (*days as f64, used.min(MOST));
+        let (days, used) = (*days as f64, used.min(MAX_PLOTTED_USAGE));
         steps.extend([(days, last), (days, used)]);
         last = used;
     }
--- a/crates/kingcuploft-simulation/src/rules/fleet.rs
+++ b/crates/kingcuploft-simulation/src/rules/fleet.rs
@@ -2,28 +2,28 @@
 
 use std::time::Duration;
 
-use super::{BoundUsage, Case, Rule};
+use super::{BoundUsage, IndexedHistory, Rule};
 use crate::history::Arrival;
 
 /// The users' second.
 const SECOND: Duration = Duration::from_secs(1);
 
 /// How many times what it names a server may get in this window, and how many requests more; how soon all VMs know it.
-const LIMIT_OVER: f64 = 1.5;
+const LIMIT_FACTOR: f64 = 1.5;
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 const LIMIT_SLACK: f64 = 5.0;
-const TOLD_WITHIN: Duration = Duration::from_millis(2000);
+const LIMIT_KNOWN_AFTER: Duration = Duration::from_millis(2000);
 
-fn within(times: &[Duration], from: Duration, window: Duration) -> usize {
+fn count_in_window(times: &[Duration], from: Duration, window: Duration) -> usize {
     let first = times.partition_point(|at| *at < from);
     let last = times.partition_point(|at| *at < from + window);
     last - first
 }
 
 /// The most repeats of any service in any window, of those allowed.
-pub(super) fn budget(case: &Case<'_>) -> BoundUsage {
+pub(super) fn budget(case: &IndexedHistory<'_>) -> BoundUsage {
     let bounds = case.deployment.bounds.repeats();
-    let mut nearest = BoundUsage::nothing(Rule::RepeatBudget);
+    let mut nearest = BoundUsage::none(Rule::RepeatBudget);
     for service in &case.deployment.services {
         let of_service = |kind: usize| case.deployment.kinds[kind].service == service.name;
         let requests = case.requests.iter().filter(|r| of_service(r.kind));
@@ -32,17 +32,17 @@
             requests.extend(case.history.version_check_times.borrow().iter());
         }
         requests.sort();
-        let repeats = repeats_of(case, of_service);
+        let repeats = repeat_times(case, of_service);
         for from in &repeats {
-            let count = within(&repeats, *from, bounds.window);
+            let count = count_in_window(&repeats, *from, bounds.window);
             let before = [Duration::ZERO, bounds.window / 2, bounds.window];
             let asked = before.map(|earlier| {
                 let from = from.saturating_sub(earlier);
-                within(&requests, from, bounds.window)
+                count_in_window(&requests, from, bounds.window)
             });
             let asked = asked.into_iter().max().unwrap_or_default();
             let allowed = bounds.ratio * asked as f64 + bounds.allowance;
-            nearest = nearest.or_nearer(count as f64 / allowed, || {
+            nearest = nearest.or_greater(count as f64 / allowed, || {
                 let name = &service.name;
                 format!("{name}: {count} repeats from {from:?} for {asked} requests, {allowed:.0} allowed")
             });
@@ -52,7 +52,7 @@
 }
 
 /// Returns when arrivals beyond the first of their request came, in the order of time.
-fn repeats_of(case: &Case<'_>, of_service: impl Fn(usize) -> bool) -> Vec<Duration> {
+fn repeat_times(case: &IndexedHistory<'_>, of_service: impl Fn(usize) -> bool) -> Vec<Duration> {
     let by_request = case.arrivals_by_request();
     let of_service = by_request
         .values()
@@ -68,9 +68,9 @@
 }
 
 /// The most requests that any cold server got in any second, of those it may get.
-pub(super) fn cold_servers(case: &Case<'_>) -> BoundUsage {
+pub(super) fn cold_servers(case: &IndexedHistory<'_>) -> BoundUsage {
     let bounds = &case.deployment.bounds;
-    let mut nearest = BoundUsage::nothing(Rule::ColdServers);
+    let mut nearest = BoundUsage::none(Rule::ColdServers);
     for (index, server) in case.history.servers.borrow().iter().enumerate() {
         let Some((from, to)) = server.cold else {
             continue;
@@ -80,8 +80,8 @@
         times.sort();
         let allowed = server.cold_per_s * bounds.cold_over + bounds.cold_slack;
         for from in &times {
-            let count = within(&times, *from, SECOND);
-            nearest = nearest.or_nearer(count as f64 / allowed, || {
+            let count = count_in_window(&times, *from, SECOND);
+            nearest = nearest.or_greater(count as f64 / allowed, || {
                 format!("server {index}: {count} requests from {from:?}, {allowed:.1} allowed")
             });
         }
@@ -90,22 +90,22 @@
 }
 
 /// The most requests that a server got in any four seconds after it had named a limit, of those it may get.
-pub(super) fn named_limits(case: &Case<'_>) -> BoundUsage {
+pub(super) fn named_limits(case: &IndexedHistory<'_>) -> BoundUsage {
     let contact = case.deployment.bounds.undisturbed_time();
-    let mut nearest = BoundUsage::nothing(Rule::NamedLimits);
+    let mut nearest = BoundUsage::none(Rule::NamedLimits);
     for (index, server) in case.history.servers.borrow().iter().enumerate() {
         for (per_s, from, to) in &server.limits {
-            let told = *from + TOLD_WITHIN;
+            let told = *from + LIMIT_KNOWN_AFTER;
             let named = |a: &&Arrival| {
                 let in_touch = case.history.was_undisturbed(a.vm, a.at, contact);
                 a.server == index && a.at >= told && a.at < *to && in_touch
             };
             let mut times: Vec<_> = case.arrivals.iter().filter(named).map(|a| a.at).collect();
             times.sort();
-            let allowed = LIMIT_OVER * LIMIT_WINDOW.as_secs_f64() * per_s + LIMIT_SLACK;
+            let allowed = LIMIT_FACTOR * LIMIT_WINDOW.as_secs_f64() * per_s + LIMIT_SLACK;
             for from in &times {
-                let count = within(&times, *from, LIMIT_WINDOW);
-                nearest = nearest.or_nearer(count as f64 / allowed, || {
+                let count = count_in_window(&times, *from, LIMIT_WINDOW);
+                nearest = nearest.or_greater(count as f64 / allowed, || {
                     format!("server {index}: {count} requests from {from:?}, {allowed:.0} allowed")
                 });
             }
@@ -115,10 +115,10 @@
 }
 
 /// The probes of a server and second over the day, of those allowed.
-pub(super) fn probes(case: &Case<'_>) -> BoundUsage {
+pub(super) fn probes(case: &IndexedHistory<'_>) -> BoundUsage {
     let server_s = case.history.server_seconds.get().max(1.0);
     let per_s = case.history.probes.get() as f64 / server_s;
     let used = per_s / case.deployment.bounds.probes_per_s;
-    BoundUsage::nothing(Rule::Probes)
-        .or_nearer(used, || format!("{per_s:.1} probes of a server and second"))
+    BoundUsage::none(Rule::Probes)
+        .or_greater(used, || format!("{per_s:.1} probes of a server and second"))
 }
--- a/crates/kingcuploft-simulation/src/rules/mod.rs
+++ b/crates/kingcuploft-simulation/src/rules/mod.rs
@@ -81,7 +81,7 @@
         self.used > 1.0
     }
 
-    fn nothing(rule: Rule) -> Self {
+    fn none(rule: Rule) -> Self {
         Self {
             rule,
             used: 0.0,
@@ -90,7 +90,7 @@
     }
 
     /// Counts what must not happen at all: the first one breaks the rule.
-    fn of_count(rule: Rule, count: usize, what: String) -> Self {
+    fn of_violations(rule: Rule, count: usize, what: String) -> Self {
         let used = match count {
             0 => 0.0,
             count => 1.0 + count as f64,
@@ -98,7 +98,7 @@
         Self { rule, used, what }
     }
 
-    fn or_nearer(self, used: f64, what: impl FnOnce() -> String) -> Self {
+    fn or_greater(self, used: f64, what: impl FnOnce() -> String) -> Self {
         match used > self.used {
             true => Self {
                 used,
@@ -111,7 +111,7 @@
 }
 
 /// What was seen, found by request.
-struct Case<'a> {
+struct IndexedHistory<'a> {
     deployment: &'a Deployment,
     history: &'a History,
     requests: Vec<Request>,
@@ -119,7 +119,7 @@
     answers: HashMap<u64, Completion>,
 }
 
-impl<'a> Case<'a> {
+impl<'a> IndexedHistory<'a> {
     fn of(played: &'a DayResult) -> Self {
         let seen = &*played.history;
         let answers = seen.answers.borrow();
@@ -132,7 +132,7 @@
         }
     }
 
-    fn answer(&self, id: u64) -> Option<Outcome> {
+    fn outcome(&self, id: u64) -> Option<Outcome> {
         self.answers.get(&id).map(|answered| answered.answer)
     }
 
@@ -147,7 +147,7 @@
 
 /// Judges a day by all rules.
 pub fn check(played: &DayResult) -> Vec<BoundUsage> {
-    let case = Case::of(played);
+    let case = IndexedHistory::of(played);
     let judged = Rule::ALL.map(|rule| match rule {
         Rule::RepeatBudget => fleet::budget(&case),
         Rule::AtMostOnce => requests::at_most_once(&case),
@@ -168,11 +168,11 @@
 
 /// Returns the share of first requests that were answered whole in the end, by their callers' own count.
 pub fn answered_share(played: &DayResult) -> f64 {
-    let case = Case::of(played);
+    let case = IndexedHistory::of(played);
     let asked = case.requests.iter();
     let asked = asked.filter(|request| request.is_first && !request.is_deadly);
     let asked = asked.count();
     let whole = case.requests.iter();
-    let whole = whole.filter(|request| case.answer(request.id) == Some(Outcome::Whole));
+    let whole = whole.filter(|request| case.outcome(request.id) == Some(Outcome::Complete));
     whole.count() as f64 / asked.max(1) as f64
 }
--- a/crates/kingcuploft-simulation/src/rules/propagation.rs
+++ b/crates/kingcuploft-simulation/src/rules/propagation.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use super::{BoundUsage, Case, Rule};
+use super::{BoundUsage, IndexedHistory, Rule};
 use crate::history::{AcceptedWrite, Arrival};
 
 /// A request that a VM has just sent is on its way.
-const ON_ITS_WAY: Duration = Duration::from_millis(2);
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(2);
 
 /// Returns how late what came after an acceptance was, in parts of what is allowed.
 fn lateness<'a>(
-    case: &Case<'_>,
+    case: &IndexedHistory<'_>,
     accepted: Duration,
     until: Duration,
     arrivals: impl Iterator<Item = &'a Arrival>,
@@ -26,21 +26,21 @@
                 .was_undisturbed(arrival.vm, arrival.at, contact)
     });
     let last = in_touch.map(|arrival| arrival.at).max()?;
-    let late = last.saturating_sub(accepted + ON_ITS_WAY);
+    let late = last.saturating_sub(accepted + IN_FLIGHT_TIME);
     Some((late.as_secs_f64() / bound.as_secs_f64(), last))
 }
 
 /// How long a leaving server got requests, of the time that is allowed.
-pub(super) fn draining(case: &Case<'_>) -> BoundUsage {
-    let mut nearest = BoundUsage::nothing(Rule::Draining);
-    for (at, accepted) in case.history.accepted.borrow().iter() {
+pub(super) fn draining(case: &IndexedHistory<'_>) -> BoundUsage {
+    let mut nearest = BoundUsage::none(Rule::Draining);
+    for (at, accepted) in case.history.accepted_writes.borrow().iter() {
         let AcceptedWrite::ServerDraining { server } = accepted else {
             continue;
         };
         let arrivals = case.arrivals.iter().filter(|a| a.server == *server);
         let bound_ms = case.deployment.bounds.drain_ms;
         if let Some((used, last)) = lateness(case, *at, Duration::MAX, arrivals, bound_ms) {
-            nearest = nearest.or_nearer(used, || {
+            nearest = nearest.or_greater(used, || {
                 format!("server {server} left at {at:?} and got a request at {last:?}")
             });
         }
@@ -49,9 +49,9 @@
 }
 
 /// How long an emptied zone got requests, of the time that is allowed.
-pub(super) fn evacuations(case: &Case<'_>) -> BoundUsage {
-    let mut nearest = BoundUsage::nothing(Rule::Evacuations);
-    let all = case.history.accepted.borrow();
+pub(super) fn evacuations(case: &IndexedHistory<'_>) -> BoundUsage {
+    let mut nearest = BoundUsage::none(Rule::Evacuations);
+    let all = case.history.accepted_writes.borrow();
     let servers = case.history.servers.borrow();
     for (at, accepted) in all.iter() {
         let AcceptedWrite::ZoneEvacuated { zone } = accepted else {
@@ -65,7 +65,7 @@
         let arrivals = case.arrivals.iter().filter(of_zone);
         let bound_ms = case.deployment.bounds.evacuation_ms;
         if let Some((used, last)) = lateness(case, *at, until, arrivals, bound_ms) {
-            nearest = nearest.or_nearer(used, || {
+            nearest = nearest.or_greater(used, || {
                 format!("zone {zone} was emptied at {at:?} and got a request at {last:?}")
             });
         }
@@ -74,11 +74,11 @@
 }
 
 /// How long VMs went on without a route that a configuration added, of the time that is allowed.
-pub(super) fn configuration(case: &Case<'_>) -> BoundUsage {
+pub(super) fn configuration(case: &IndexedHistory<'_>) -> BoundUsage {
     let bound = Duration::from_millis(case.deployment.bounds.configuration_ms);
     let contact = case.deployment.bounds.undisturbed_time();
-    let mut nearest = BoundUsage::nothing(Rule::ConfigurationInForce);
-    for (accepted_at, accepted) in case.history.accepted.borrow().iter() {
+    let mut nearest = BoundUsage::none(Rule::ConfigurationInForce);
+    for (accepted_at, accepted) in case.history.accepted_writes.borrow().iter() {
         let AcceptedWrite::Configuration { version } = accepted else {
             continue;
         };
@@ -88,7 +88,7 @@
                 continue;
             }
             let late = *at - *accepted_at;
-            nearest = nearest.or_nearer(late.as_secs_f64() / bound.as_secs_f64(), || {
+            nearest = nearest.or_greater(late.as_secs_f64() / bound.as_secs_f64(), || {
                 format!("version {version} of {accepted_at:?} is not in force on VM {vm} at {at:?}")
             });
         }
@@ -97,7 +97,7 @@
 }
 
 /// No VM that had a route lacks it later, unless it has started again meanwhile.
-pub(super) fn never_reverts(case: &Case<'_>) -> BoundUsage {
+pub(super) fn never_reverts(case: &IndexedHistory<'_>) -> BoundUsage {
     let served_by = case.history.version_checks.borrow();
     let contact = case.deployment.bounds.undisturbed_time();
     let mut reverts = 0;
@@ -116,5 +116,5 @@
             what = format!("VM {vm} lacks version {version} again at {when:?}");
         }
     }
-    BoundUsage::of_count(Rule::NeverReverts, reverts, what)
+    BoundUsage::of_violations(Rule::NeverReverts, reverts, what)
 }
--- a/crates/kingcuploft-simulation/src/rules/requests.rs
+++ b/crates/kingcuploft-simulation/src/rules/requests.rs
@@ -2,25 +2,25 @@
 
 use std::time::Duration;
 
-use super::{BoundUsage, Case, Rule};
-use crate::history::{Cause, Outcome, is_idempotent};
+use super::{BoundUsage, IndexedHistory, Rule};
+use crate::history::{DisturbanceCause, Outcome, is_idempotent};
 
 /// How long after a planned stop began requests must not be cut.
-const STOPS: Duration = Duration::from_secs(7);
+const STOP_WINDOW: Duration = Duration::from_secs(7);
 
 /// How long a request may have been on its way when its VM stopped, to count as cut by the stop.
-const ON_ITS_WAY: Duration = Duration::from_secs(1);
+const MAX_SENT_BEFORE_STOP: Duration = Duration::from_secs(1);
 
 /// From so many ends of servers on a request is kept from the others; it may be tried again now and then.
-const ENDS: usize = 3;
-const MOST_SENT_ON: usize = 3;
+const CRASHES_TO_QUARANTINE: usize = 3;
+const MAX_FORWARDED: usize = 3;
 
 /// A request that is sent so long after the stop began at most, and is still worked on in the last sixth of the time that
 /// the stop may take, may be cut.
-const SENT_IN_TIME: Duration = Duration::from_secs(3);
+const MAX_SENT_AFTER_STOP: Duration = Duration::from_secs(3);
 
 /// No request that may run once ran twice.
-pub(super) fn at_most_once(case: &Case<'_>) -> BoundUsage {
+pub(super) fn at_most_once(case: &IndexedHistory<'_>) -> BoundUsage {
     let by_request = case.arrivals_by_request();
     let twice = by_request.iter().filter(|(_, arrivals)| {
         let kind = &case.deployment.kinds[arrivals[0].kind];
@@ -31,31 +31,33 @@
     let what = twice
         .first()
         .map_or_else(String::new, |id| format!("request {id:016x}"));
-    BoundUsage::of_count(Rule::AtMostOnce, twice.len(), what)
+    BoundUsage::of_violations(Rule::AtMostOnce, twice.len(), what)
 }
 
 /// No request that was refused as not run ran.
-pub(super) fn truthful_refusals(case: &Case<'_>) -> BoundUsage {
+pub(super) fn truthful_refusals(case: &IndexedHistory<'_>) -> BoundUsage {
     let by_request = case.arrivals_by_request();
     let ran = by_request.iter().filter(|(id, arrivals)| {
         let kind = &case.deployment.kinds[arrivals[0].kind];
         let ran = arrivals.iter().any(|arrival| arrival.ran.get());
-        !is_idempotent(kind.contract) && ran && case.answer(**id) == Some(Outcome::NotRun)
+        !is_idempotent(kind.contract) && ran && case.outcome(**id) == Some(Outcome::NotRun)
     });
     let ran: Vec<_> = ran.map(|(id, _)| *id).collect();
     let what = ran
         .first()
         .map_or_else(String::new, |id| format!("request {id:016x}"));
-    BoundUsage::of_count(Rule::TruthfulRefusals, ran.len(), what)
+    BoundUsage::of_violations(Rule::TruthfulRefusals, ran.len(), what)
 }
 
 /// How often a request was sent on after servers had ended under it and all VMs had had time to know, of what is allowed.
-pub(super) fn quarantine(case: &Case<'_>) -> BoundUsage {
+pub(super) fn quarantine(case: &IndexedHistory<'_>) -> BoundUsage {
     let deadly = case.arrivals.iter().filter(|arrival| arrival.is_deadly);
     let mut deadly: Vec<_> = deadly.collect();
     deadly.sort_by_key(|arrival| arrival.at);
     let contact = case.deployment.bounds.undisturbed_time();
-    let known_at = deadly.get(ENDS - 1).map(|last| last.at + contact);
+    let known_at = deadly
+        .get(CRASHES_TO_QUARANTINE - 1)
+        .map(|last| last.at + contact);
     let sent_on = deadly.iter().filter(|arrival| {
         let in_touch = case
             .history
@@ -63,13 +65,14 @@
         in_touch && known_at.is_some_and(|known| arrival.at > known)
     });
     let sent_on = sent_on.count();
-    let what = || format!("sent on {sent_on} times after {ENDS} servers had ended");
-    let used = sent_on as f64 / MOST_SENT_ON as f64;
-    BoundUsage::nothing(Rule::Quarantine).or_nearer(used, what)
+    let what =
+        || format!("sent on {sent_on} times after {CRASHES_TO_QUARANTINE} servers had ended");
+    let used = sent_on as f64 / MAX_FORWARDED as f64;
+    BoundUsage::none(Rule::Quarantine).or_greater(used, what)
 }
 
 /// No caller got another answer than its own, whole.
-pub(super) fn whole_answers(case: &Case<'_>) -> BoundUsage {
+pub(super) fn whole_answers(case: &IndexedHistory<'_>) -> BoundUsage {
     let wrong = case.answers.values();
     let wrong: Vec<_> = wrong
         .filter(|answered| answered.answer == Outcome::Wrong)
@@ -77,18 +80,20 @@
     let what = wrong
         .first()
         .map_or_else(String::new, |a| format!("request {:016x}", a.id));
-    BoundUsage::of_count(Rule::WholeAnswers, wrong.len(), what)
+    BoundUsage::of_violations(Rule::WholeAnswers, wrong.len(), what)
 }
 
 /// No request that a stopping VM had in hand ended without an answer, unless its server lost it.
-pub(super) fn planned_stops(case: &Case<'_>) -> BoundUsage {
+pub(super) fn planned_stops(case: &IndexedHistory<'_>) -> BoundUsage {
     let bounds = &case.deployment.bounds;
     let stops = case.history.planned_stops.borrow();
     let by_request = case.arrivals_by_request();
-    let disturbed = case.history.disturbed.borrow();
+    let disturbed = case.history.vm_disturbances.borrow();
     let cut = case.requests.iter().filter(|request| {
         let of_vm = stops.iter().filter(|(vm, _)| *vm == request.vm);
-        let near = |at: &Duration| request.at + ON_ITS_WAY >= *at && request.at <= *at + STOPS;
+        let near = |at: &Duration| {
+            request.at + MAX_SENT_BEFORE_STOP >= *at && request.at <= *at + STOP_WINDOW
+        };
         let stopping: Vec<_> = of_vm.map(|(_, at)| *at).filter(near).collect();
         if stopping.is_empty() {
             return false;
@@ -97,22 +102,22 @@
         let ended_at = answered.map_or(request.at, |answered| answered.at);
         let was_struck = disturbed.iter().any(|other| {
             let near = other.at + bounds.undisturbed_time() >= request.at && other.at <= ended_at;
-            other.vm == request.vm && other.cause == Cause::Fault && near
+            other.vm == request.vm && other.cause == DisturbanceCause::Fault && near
         });
         let had_to_end = stopping.iter().any(|stopped_at| {
             let last_sixth = *stopped_at + Duration::from_millis(bounds.stop_ms) * 5 / 6;
-            ended_at >= last_sixth && request.at <= *stopped_at + SENT_IN_TIME
+            ended_at >= last_sixth && request.at <= *stopped_at + MAX_SENT_AFTER_STOP
         });
         let was_passed_on = by_request.contains_key(&request.id);
         let kind = &case.deployment.kinds[request.kind];
         let deadline = request.at + Duration::from_millis(kind.deadline_ms);
         let had_time = answered.is_some_and(|answered| answered.at < deadline);
-        let is_cut = case.answer(request.id) == Some(Outcome::None);
+        let is_cut = case.outcome(request.id) == Some(Outcome::None);
         was_passed_on && is_cut && had_time && !was_struck && !had_to_end
     });
     let cut: Vec<_> = cut.map(|request| request.id).collect();
     let what = cut
         .first()
         .map_or_else(String::new, |id| format!("request {id:016x}"));
-    BoundUsage::of_count(Rule::PlannedStops, cut.len(), what)
+    BoundUsage::of_violations(Rule::PlannedStops, cut.len(), what)
 }
--- a/crates/kingcuploft-simulation/src/search.rs
+++ b/crates/kingcuploft-simulation/src/search.rs
@@ -16,13 +16,13 @@
 use crate::simulation;
 
 /// How many days are kept for each rule.
-const KEPT: usize = 6;
+const KEPT_DAYS_PER_RULE: usize = 6;
 
 /// How often a day is drawn anew all the same.
-const DRAWN_SHARE: f64 = 0.2;
+const GENERATED_SHARE: f64 = 0.2;
 
 /// How often two near days are joined, rather than one changed.
-const JOINED_SHARE: f64 = 0.2;
+const SPLICED_SHARE: f64 = 0.2;
 
 /// What is searched.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     /// The most days that are played.
     pub max_days: usize,
     /// How long it may take.
-    pub within: Duration,
+    pub time_limit: Duration,
     /// How many threads play.
     pub jobs: usize,
     /// Whether days are changed, or only drawn.
@@ -89,12 +89,12 @@
                 usage: distance,
             });
             of_rule.sort_by(|a, b| b.usage.used.total_cmp(&a.usage.used));
-            of_rule.truncate(KEPT);
+            of_rule.truncate(KEPT_DAYS_PER_RULE);
         }
     }
 
     /// Returns the days that came near to one bound; which one goes by turns.
-    fn near(&self, turn: usize) -> Vec<Day> {
+    fn days_near_next_bound(&self, turn: usize) -> Vec<Day> {
         let of_rule = |rule: &Rule| {
             let near = self.nearest.get(rule)?;
             let near = near.iter().filter(|near| near.usage.used > 0.0);
@@ -125,7 +125,7 @@
         thread::scope(|scope| {
             for _ in 0..self.jobs.max(1) {
                 scope.spawn(|| {
-                    while !ends.load(Ordering::Relaxed) && begun.elapsed() < self.within {
+                    while !ends.load(Ordering::Relaxed) && begun.elapsed() < self.time_limit {
                         let number = next.fetch_add(1, Ordering::Relaxed);
                         if number >= self.max_days {
                             return;
@@ -133,7 +133,8 @@
                         let mut rng =
                             Rng::with_seed(self.seed.wrapping_mul(1_000_003) + number as u64);
                         let day = self.next_day(&mut rng, number, &found);
-                        let Ok(distances) = planted_fault::with(self.planted, || check_day(&day))
+                        let Ok(distances) =
+                            planted_fault::run_with(self.planted, || check_day(&day))
                         else {
                             return;
                         };
@@ -159,18 +160,18 @@
     /// Returns a day that is drawn, or one that came near to a bound and is changed or joined with another such; the bounds
     /// that days come near to take turns.
     fn next_day(&self, rng: &mut Rng, number: usize, found: &Mutex<SearchResult>) -> Day {
-        if !self.is_mutating || rng.f64() < DRAWN_SHARE {
-            return generator::draw(rng, &self.deployment);
+        if !self.is_mutating || rng.f64() < GENERATED_SHARE {
+            return generator::generate(rng, &self.deployment);
         }
-        let near = found.lock().map(|found| found.near(number));
+        let near = found.lock().map(|found| found.days_near_next_bound(number));
         let near = near.unwrap_or_default();
         match rng.choice(&near) {
-            Some(day) if rng.f64() < JOINED_SHARE => {
+            Some(day) if rng.f64() < SPLICED_SHARE => {
                 let other = rng.choice(&near).unwrap_or(day);
                 generator::splice(rng, day, other)
             }
             Some(day) => generator::mutate(rng, day),
-            None => generator::draw(rng, &self.deployment),
+            None => generator::generate(rng, &self.deployment),
         }
     }
 }
--- a/crates/kingcuploft-simulation/src/server.rs
+++ b/crates/kingcuploft-simulation/src/server.rs
@@ -17,18 +17,18 @@
 use crate::deployment::{RequestKind, Service};
 use crate::history::{Arrival, History};
 use crate::link::LinkEnd;
-use crate::network::{Accepted, Host};
+use crate::network::{AcceptedConnection, Host};
 
 /// How often a server's speed is drawn anew, how often it is slow, and how slow.
-const REDRAW: Duration = Duration::from_millis(150);
+const SPEED_INTERVAL: Duration = Duration::from_millis(150);
 const SLOW_SHARE: f64 = 0.25;
-const SLOW_TIMES: f64 = 5.0;
+const SLOW_FACTOR: f64 = 5.0;
 
 /// What the path of a request ends with under which servers end.
 pub const DEADLY_PATH: &str = "deadly";
 
 /// The most bytes of a request's body.
-const MOST_BODY_BYTES: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// How a server fails.
 #[derive(Debug, Default)]
@@ -70,11 +70,11 @@
     running: Cell<u32>,
     waiting: Cell<u32>,
     tasks: RefCell<Vec<AbortHandle>>,
-    ends_under: UnboundedSender<usize>,
+    crash_sender: UnboundedSender<usize>,
 }
 
 /// What becomes of a connection after a request.
-enum Next {
+enum AfterRequest {
     Keep,
     Close,
 }
@@ -88,7 +88,7 @@
         zone: usize,
         kinds: Rc<Vec<RequestKind>>,
         history: Rc<History>,
-        ends_under: UnboundedSender<usize>,
+        crash_sender: UnboundedSender<usize>,
     ) -> Rc<Self> {
         let address: SocketAddr = ([127, 0, 2, 1], 1000 + index as u16).into();
         let server = Rc::new(Self {
@@ -107,9 +107,9 @@
             running: Cell::new(0),
             waiting: Cell::new(0),
             tasks: RefCell::default(),
-            ends_under,
+            crash_sender,
         });
-        let (accepts, mut accepted) = mpsc::unbounded_channel::<Accepted>();
+        let (accepts, mut accepted) = mpsc::unbounded_channel::<AcceptedConnection>();
         host.listen(address, accepts);
         let own = server.clone();
         let accepting = tokio::task::spawn_local(async move {
@@ -128,7 +128,7 @@
     }
 
     /// Ends the server: its connections close.
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.has_stopped.set(true);
         for task in self.tasks.take() {
             task.abort();
@@ -145,12 +145,12 @@
 
     /// Returns how many times as long work takes now.
     fn slowness(&self) -> f64 {
-        let draw = self.history.now().as_millis() / REDRAW.as_millis();
+        let draw = self.history.now().as_millis() / SPEED_INTERVAL.as_millis();
         let mut rng = fastrand::Rng::with_seed(draw as u64 * 7919 + self.index as u64);
         // The first draws of near seeds are alike.
         rng.u64(..);
         let noise = match rng.f64() < SLOW_SHARE {
-            true => SLOW_TIMES,
+            true => SLOW_FACTOR,
             false => 1.0,
         };
         noise * self.faults.slow_factor.get().max(1.0)
@@ -166,16 +166,16 @@
         let mut buffer = BytesMut::new();
         while let Some(head) = read_request(&mut end, &mut buffer).await {
             let next = match head.target.starts_with("/health") {
-                true => self.tell_health(&mut end).await,
+                true => self.answer_probe(&mut end).await,
                 false => self.answer(&mut end, &head, vm).await,
             };
-            if let Next::Close = next {
+            if let AfterRequest::Close = next {
                 return;
             }
         }
     }
 
-    async fn tell_health(&self, end: &mut LinkEnd) -> Next {
+    async fn answer_probe(&self, end: &mut LinkEnd) -> AfterRequest {
         self.history.probes.set(self.history.probes.get() + 1);
         let cold = match self.cold_for().as_millis() {
             0 => String::new(),
@@ -191,14 +191,14 @@
         write(end, &answer).await
     }
 
-    async fn answer(&self, end: &mut LinkEnd, head: &RequestHead, vm: usize) -> Next {
+    async fn answer(&self, end: &mut LinkEnd, head: &RequestHead, vm: usize) -> AfterRequest {
         let id = head.headers.get("x-id").unwrap_or_default().to_owned();
         let meant_for = head.headers.get("x-meant-for");
         if meant_for.is_some_and(|name| name != self.name) {
             return write(end, "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n").await;
         }
-        let Some(kind) = self.kind(&head.target) else {
-            return write(end, &self.whole(&id)).await;
+        let Some(kind) = self.kind_of(&head.target) else {
+            return write(end, &self.complete_answer(&id)).await;
         };
         let is_deadly = head.target.ends_with(DEADLY_PATH);
         let arrival = Arrival {
@@ -226,18 +226,18 @@
         }
         if is_deadly {
             self.history.arrivals.borrow()[at].ran.set(true);
-            let _ = self.ends_under.send(self.index);
-            return Next::Close;
+            let _ = self.crash_sender.send(self.index);
+            return AfterRequest::Close;
         }
         if !self.work(end, kind, at).await || fastrand::f64() < self.faults.lost_answer_share.get()
         {
-            return Next::Close;
+            return AfterRequest::Close;
         }
-        write(end, &self.whole(&id)).await
+        write(end, &self.complete_answer(&id)).await
     }
 
     /// Returns the whole answer to a request; its body is what its caller checks.
-    fn whole(&self, id: &str) -> String {
+    fn complete_answer(&self, id: &str) -> String {
         let (name, load, body) = (&self.name, self.load(), answer_body(id));
         let limit = self.faults.limit.get();
         let limit = limit.map_or_else(String::new, |per_s| format!("x-limit: {per_s}\r\n"));
@@ -249,7 +249,7 @@
 
     /// Waits for a slot and works; returns whether the connection is still open then.
     async fn work(&self, end: &mut LinkEnd, kind: usize, arrival: usize) -> bool {
-        let waiting = Counted::one(&self.waiting);
+        let waiting = CountGuard::increment(&self.waiting);
         let mut byte = [0; 1];
         let slot = tokio::select! {
             biased;
@@ -260,7 +260,7 @@
         if slot.is_err() {
             return false;
         }
-        let _running = Counted::one(&self.running);
+        let _running = CountGuard::increment(&self.running);
         if let Some(arrival) = self.history.arrivals.borrow().get(arrival) {
             arrival.ran.set(true);
         }
@@ -273,7 +273,7 @@
         }
     }
 
-    fn kind(&self, target: &str) -> Option<usize> {
+    fn kind_of(&self, target: &str) -> Option<usize> {
         let mut kinds = self.kinds.iter();
         kinds.position(|kind| {
             let rest = target.strip_prefix('/');
@@ -284,16 +284,16 @@
 }
 
 /// Counts one until it is dropped.
-struct Counted<'a>(&'a Cell<u32>);
+struct CountGuard<'a>(&'a Cell<u32>);
 
-impl<'a> Counted<'a> {
-    fn one(count: &'a Cell<u32>) -> Self {
+impl<'a> CountGuard<'a> {
+    fn increment(count: &'a Cell<u32>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -304,10 +304,10 @@
     format!("answer to {id}")
 }
 
-async fn write(end: &mut LinkEnd, answer: &str) -> Next {
+async fn write(end: &mut LinkEnd, answer: &str) -> AfterRequest {
     match end.write_all(answer.as_bytes()).await {
-        Ok(()) => Next::Keep,
-        Err(_) => Next::Close,
+        Ok(()) => AfterRequest::Keep,
+        Err(_) => AfterRequest::Close,
     }
 }
 
@@ -315,7 +315,7 @@
     loop {
         if let Some((head, length)) = head::request(buffer).ok()? {
             let _ = buffer.split_to(length);
-            let mut body = BodyReader::new(head.framing, MOST_BODY_BYTES).ok()?;
+            let mut body = BodyReader::new(head.framing, MAX_BODY_BYTES).ok()?;
             while !body.read(buffer).ok()? {
                 if end.read_buf(buffer).await.ok()? == 0 {
                     return None;
--- a/crates/kingcuploft-simulation/src/shrink.rs
+++ b/crates/kingcuploft-simulation/src/shrink.rs
@@ -5,7 +5,7 @@
 use crate::search::check_day;
 
 /// Shares and times are halved so often at most.
-const MOST_HALVED: usize = 3;
+const MAX_HALVINGS: usize = 3;
 
 fn breaks(day: &Day, rule: Rule) -> bool {
     let judged = check_day(day).unwrap_or_default();
@@ -14,9 +14,9 @@
 
 /// Returns the day with nothing in it that the rule's break can do without.
 pub fn shrink(day: &Day, rule: Rule) -> Day {
-    let mut least = without_needless(day, rule);
+    let mut least = without_unneeded_disruptions(day, rule);
     for at in 0..least.disruptions.len() {
-        for _ in 0..MOST_HALVED {
+        for _ in 0..MAX_HALVINGS {
             let mut shorter = least.clone();
             shorter.disruptions[at].for_ms /= 2;
             least = if breaks(&shorter, rule) {
@@ -35,7 +35,7 @@
     }
 }
 
-fn without_needless(day: &Day, rule: Rule) -> Day {
+fn without_unneeded_disruptions(day: &Day, rule: Rule) -> Day {
     let mut least = day.clone();
     let mut at = 0;
     while at < least.disruptions.len() {
--- a/crates/kingcuploft-simulation/src/simulation.rs
+++ b/crates/kingcuploft-simulation/src/simulation.rs
@@ -22,18 +22,18 @@
 use crate::vm::Vm;
 
 /// How long VMs run before the first request.
-const LEAD: Duration = Duration::from_secs(6);
+const WARM_UP: Duration = Duration::from_secs(6);
 
 /// How long after the last request the day ends.
-const TAIL: Duration = Duration::from_secs(5);
+const WIND_DOWN: Duration = Duration::from_secs(5);
 
 /// How many callers a zone has.
-const CALLERS: u64 = 48;
+const CALLERS_PER_ZONE: u64 = 48;
 
 /// For how long after a change it is looked by which version each VM serves, how often, and how long one look may take.
-const LOOK_FOR: Duration = Duration::from_secs(6);
-const LOOK_EVERY: Duration = Duration::from_millis(250);
-const LOOK_PATIENCE: Duration = Duration::from_millis(400);
+const VERSION_CHECKS_FOR: Duration = Duration::from_secs(6);
+const VERSION_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+const VERSION_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Why a day can't be played.
 #[derive(Debug, thiserror::Error)]
@@ -77,8 +77,8 @@
     pub load_factor: Cell<f64>,
     /// The part of the requests of the first kind under which servers end.
     pub deadly_share: Cell<f64>,
-    ends_under: UnboundedSender<usize>,
-    ending: RefCell<UnboundedReceiver<usize>>,
+    crash_sender: UnboundedSender<usize>,
+    crash_receiver: RefCell<UnboundedReceiver<usize>>,
     network: Network,
     balancer: Balancer,
     callers: Rc<Host>,
@@ -89,7 +89,7 @@
 /// # Errors
 ///
 /// Returns an error if it can't be played.
-pub fn play(day: &Day) -> Result<DayResult, RunError> {
+pub fn run(day: &Day) -> Result<DayResult, RunError> {
     let (played, lines) = log::capture(|| run_unlogged(day));
     Ok(DayResult { lines, ..played? })
 }
@@ -108,7 +108,7 @@
     let tasks = tokio::task::LocalSet::new();
     let (seen, counted) = tasks.block_on(&runtime, async {
         let world = Rc::new(Simulation::new(deployment.clone()));
-        world.play(day).await;
+        world.run(day).await;
         let counted = world.vms.iter().map(|vm| vm.known_vms());
         (world.history.clone(), counted.collect())
     });
@@ -138,8 +138,8 @@
             servers: RefCell::default(),
             load_factor: Cell::new(1.0),
             deadly_share: Cell::new(0.0),
-            ends_under,
-            ending: RefCell::new(ending),
+            crash_sender: ends_under,
+            crash_receiver: RefCell::new(ending),
             deployment,
             history: seen,
             store,
@@ -148,23 +148,23 @@
         }
     }
 
-    async fn play(self: &Rc<Self>, day: &Day) {
-        log::begin();
+    async fn run(self: &Rc<Self>, day: &Day) {
+        log::start_clock();
         let services = self.deployment.services.clone();
         for service in &services {
             for at in 0..service.servers {
                 self.start_server(&service.name, at % self.deployment.zones.len(), false);
             }
         }
-        self.operator.configure();
+        self.operator.write_next_configuration();
         for vm in &self.vms {
             vm.start(true);
         }
         let world = self.clone();
         tokio::task::spawn_local(async move { world.balancer.run().await });
-        tokio::time::sleep(LEAD).await;
-        log::begin();
-        self.history.begin();
+        tokio::time::sleep(WARM_UP).await;
+        log::start_clock();
+        self.history.start_clock();
         for disruption in &day.disruptions {
             let (world, disruption) = (self.clone(), disruption.clone());
             tokio::task::spawn_local(async move {
@@ -173,29 +173,30 @@
             });
         }
         let world = self.clone();
-        let ending = tokio::task::spawn_local(async move { world.end_servers().await });
+        let ending = tokio::task::spawn_local(async move { world.crash_reported_servers().await });
         let world = self.clone();
-        let looking = tokio::task::spawn_local(async move { world.look_at_versions().await });
-        self.have_callers_ask(Duration::from_millis(day.length_ms))
+        let looking = tokio::task::spawn_local(async move { world.check_versions().await });
+        self.generate_load(Duration::from_millis(day.length_ms))
             .await;
-        tokio::time::sleep(TAIL).await;
+        tokio::time::sleep(WIND_DOWN).await;
         looking.abort();
         ending.abort();
     }
 
     /// Ends the servers that deadly requests reach.
-    async fn end_servers(self: &Rc<Self>) {
+    async fn crash_reported_servers(self: &Rc<Self>) {
         loop {
-            let next = std::future::poll_fn(|polling| self.ending.borrow_mut().poll_recv(polling));
+            let next =
+                std::future::poll_fn(|polling| self.crash_receiver.borrow_mut().poll_recv(polling));
             let Some(index) = next.await else {
                 return;
             };
             let server = self.servers.borrow()[index].clone();
             if !server.has_stopped.get() {
                 let world = self.clone();
-                tokio::task::spawn_local(
-                    async move { disruptions::crash(&world, &[server]).await },
-                );
+                tokio::task::spawn_local(async move {
+                    disruptions::crash_servers(&world, &[server]).await
+                });
             }
         }
     }
@@ -213,7 +214,7 @@
             zone,
             kinds,
             self.history.clone(),
-            self.ends_under.clone(),
+            self.crash_sender.clone(),
         );
         let lasts = Duration::from_millis(service.cold_ms);
         let cold = (is_cold && service.cold_per_s > 0.0).then(|| {
@@ -228,17 +229,17 @@
             limits: Vec::new(),
         });
         self.servers.borrow_mut().push(server.clone());
-        self.operator.register(&server);
+        self.operator.write_server(&server);
         Some(server)
     }
 
     /// Ends a server; nobody listens at its address any more.
-    pub fn end_server(&self, server: &Server) {
-        server.end();
+    pub fn stop_server(&self, server: &Server) {
+        server.stop();
         self.network.stop_listening(server.address);
     }
 
-    async fn have_callers_ask(self: &Rc<Self>, lasts: Duration) {
+    async fn generate_load(self: &Rc<Self>, lasts: Duration) {
         let kinds = self.deployment.kinds.clone();
         let per_s: f64 = kinds.iter().map(|kind| kind.per_s).sum();
         while self.history.now() < lasts {
@@ -258,10 +259,10 @@
                 is_deadly: kind == 0 && fastrand::f64() < self.deadly_share.get(),
             };
             let zone = fastrand::usize(0..self.deployment.zones.len());
-            let (world, of_zone) = (self.clone(), fastrand::u64(0..CALLERS));
+            let (world, of_zone) = (self.clone(), fastrand::u64(0..CALLERS_PER_ZONE));
             tokio::task::spawn_local(async move {
                 let entry = |attempt| world.balancer.vm_for(zone, of_zone * 7 + 3, attempt);
-                caller.ask(entry).await;
+                caller.send(entry).await;
             });
             let running = self.servers.borrow();
             let running = running
@@ -274,19 +275,22 @@
     }
 
     /// Looks by which version each VM serves.
-    async fn look_at_versions(self: &Rc<Self>) {
+    async fn check_versions(self: &Rc<Self>) {
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(VERSION_CHECK_INTERVAL).await;
             let version = self.operator.version();
             let accepted = self.history.last_configuration_change();
-            if accepted.is_none_or(|at| self.history.now() > at + LOOK_FOR) {
+            if accepted.is_none_or(|at| self.history.now() > at + VERSION_CHECKS_FOR) {
                 continue;
             }
             for vm in self.vms.iter().filter(|vm| vm.is_running()) {
                 let (world, vm) = (self.clone(), vm.clone());
                 tokio::task::spawn_local(async move {
                     let at = world.history.now();
-                    let looked = tokio::time::timeout(LOOK_PATIENCE, world.look(&vm, version));
+                    let looked = tokio::time::timeout(
+                        VERSION_CHECK_TIMEOUT,
+                        world.has_version(&vm, version),
+                    );
                     if let Ok(Some(has_route)) = looked.await {
                         let mut served_by = world.history.version_checks.borrow_mut();
                         served_by.push((vm.index, version, at, has_route));
@@ -297,7 +301,7 @@
     }
 
     /// Returns whether a VM has the route that a version adds, if it says so.
-    async fn look(&self, vm: &Vm, version: u64) -> Option<bool> {
+    async fn has_version(&self, vm: &Vm, version: u64) -> Option<bool> {
         let opening = Connection::open(&*self.callers, vm.callers);
         let mut connection = opening.await.ok()?;
         let path = version_route_name(version);
--- a/crates/kingcuploft-simulation/src/store.rs
+++ b/crates/kingcuploft-simulation/src/store.rs
@@ -66,10 +66,10 @@
 
 impl StoreState {
     /// Writes the configuration.
-    pub fn configure(&self, configuration: Configuration) {
+    pub fn write_configuration(&self, configuration: Configuration) {
         *self.configuration.borrow_mut() = Some(configuration.clone());
         let record = Record::Configuration(Box::new(configuration));
-        self.change(Collection::Configuration, StoreChange::Written(record));
+        self.record_change(Collection::Configuration, StoreChange::Written(record));
     }
 
     /// Writes the entry of a backend server.
@@ -79,7 +79,7 @@
         servers.push(server.clone());
         drop(servers);
         let record = Record::BackendServer(server);
-        self.change(Collection::BackendServers, StoreChange::Written(record));
+        self.record_change(Collection::BackendServers, StoreChange::Written(record));
     }
 
     /// Removes the entry of a backend server.
@@ -87,11 +87,11 @@
         let mut servers = self.servers.borrow_mut();
         servers.retain(|known| &*known.name != name);
         drop(servers);
-        self.change(Collection::BackendServers, StoreChange::Gone(name.into()));
+        self.record_change(Collection::BackendServers, StoreChange::Gone(name.into()));
     }
 
     /// Returns a copy.
-    pub fn copy(&self) -> Snapshot {
+    pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             configuration: self.configuration.borrow().clone(),
             servers: self.servers.borrow().clone(),
@@ -127,7 +127,7 @@
     }
 
     /// Returns the moment that the store has reached.
-    fn moment(&self) -> Revision {
+    fn current_revision(&self) -> Revision {
         match self.ignores_eras.get() {
             true => self.revision.get(),
             false => era::moment(self.era.get(), self.revision.get()),
@@ -135,7 +135,7 @@
     }
 
     /// Has a zone evacuated, or takes it back.
-    pub fn evacuate(&self, zone: &str, is_evacuated: bool) {
+    pub fn set_evacuated(&self, zone: &str, is_evacuated: bool) {
         self.evacuations
             .borrow_mut()
             .retain(|known| **known != *zone);
@@ -146,7 +146,7 @@
             }
             false => StoreChange::Gone(zone.into()),
         };
-        self.change(Collection::Evacuations, change);
+        self.record_change(Collection::Evacuations, change);
     }
 
     /// Moves on to a later moment without a change that anybody watches for.
@@ -154,7 +154,7 @@
         self.revision.set(self.revision.get() + by);
     }
 
-    fn change(&self, collection: Collection, change: StoreChange) {
+    fn record_change(&self, collection: Collection, change: StoreChange) {
         let revision = self.revision.get() + 1;
         self.revision.set(revision);
         self.changes
@@ -163,7 +163,7 @@
         self.changed.notify_waiters();
     }
 
-    fn since(&self, collection: Collection, from: u64) -> Vec<StoreChange> {
+    fn changes_since(&self, collection: Collection, from: u64) -> Vec<StoreChange> {
         let changes = self.changes.borrow();
         let newer = changes
             .iter()
@@ -189,7 +189,7 @@
 
 impl TestStore {
     /// Returns another client of a store.
-    pub fn of(held: &Rc<StoreState>) -> Self {
+    pub fn client_of(held: &Rc<StoreState>) -> Self {
         Self(held.clone(), Rc::default())
     }
 
@@ -198,7 +198,7 @@
         Self(other.0.clone(), Rc::default())
     }
 
-    fn admitted(&self) -> Result<(), StoreError> {
+    fn check_admitted(&self) -> Result<(), StoreError> {
         match self.1.get() {
             true => Err(StoreError::Refused(503)),
             false => Ok(()),
@@ -214,7 +214,7 @@
         _stale: bool,
     ) -> Result<Page, StoreError> {
         let held = &self.0;
-        self.admitted()?;
+        self.check_admitted()?;
         held.hang_if_silent().await;
         held.list_calls.set(held.list_calls.get() + 1);
         let records = match collection {
@@ -252,14 +252,14 @@
         Ok(Page {
             records,
             next: None,
-            revision: held.moment(),
+            revision: held.current_revision(),
         })
     }
 
     async fn sign_of_life(&self) -> Result<Revision, StoreError> {
-        self.admitted()?;
+        self.check_admitted()?;
         self.0.hang_if_silent().await;
-        Ok(self.0.moment())
+        Ok(self.0.current_revision())
     }
 
     fn heard(&self, _: Collection) -> Option<std::time::Instant> {
@@ -271,7 +271,7 @@
         record: &ZoneRecord,
         how: Recording,
     ) -> Result<Recorded, StoreError> {
-        self.admitted()?;
+        self.check_admitted()?;
         self.0.hang_if_silent().await;
         self.0
             .zone_write_calls
@@ -296,7 +296,7 @@
     }
 
     async fn tell(&self, notice: &Notice) -> Result<Recorded, StoreError> {
-        self.admitted()?;
+        self.check_admitted()?;
         self.0.hang_if_silent().await;
         let mut notices = self.0.notices.borrow_mut();
         if notices.iter().any(|known| known.id() == notice.id()) {
@@ -306,16 +306,16 @@
         drop(notices);
         let record = Record::Notice(notice.clone());
         self.0
-            .change(Collection::Notices, StoreChange::Written(record));
+            .record_change(Collection::Notices, StoreChange::Written(record));
         Ok(Recorded::Done)
     }
 
     async fn withdraw(&self, id: &str) -> Result<(), StoreError> {
-        self.admitted()?;
+        self.check_admitted()?;
         self.0.hang_if_silent().await;
         self.0.notices.borrow_mut().retain(|known| known.id() != id);
         self.0
-            .change(Collection::Notices, StoreChange::Gone(id.into()));
+            .record_change(Collection::Notices, StoreChange::Gone(id.into()));
         Ok(())
     }
 
@@ -326,7 +326,7 @@
         wait: Duration,
     ) -> Result<Changes, StoreError> {
         let held = &self.0;
-        self.admitted()?;
+        self.check_admitted()?;
         held.hang_if_silent().await;
         held.watch_calls.set(held.watch_calls.get() + 1);
         let began = held.era.get();
@@ -339,17 +339,17 @@
             let changed = held.changed.notified();
             // A watch that waited through silence hears nothing any more.
             held.hang_if_silent().await;
-            self.admitted()?;
+            self.check_admitted()?;
             // A store that comes back cuts the watches that wait, and one that asks from another era is told so.
             let is_other = held.era.get() != began || era_of(from) != held.era.get();
             if is_other && !held.ignores_eras.get() {
                 return Err(StoreError::HistoryGone);
             }
-            let changes = held.since(collection, revision_of(from));
+            let changes = held.changes_since(collection, revision_of(from));
             if !changes.is_empty() || tokio::time::Instant::now() >= until {
                 return Ok(Changes {
                     changes,
-                    revision: held.moment(),
+                    revision: held.current_revision(),
                 });
             }
             let _ = tokio::time::timeout_at(until, changed).await;
--- a/crates/kingcuploft-simulation/src/store_client.rs
+++ b/crates/kingcuploft-simulation/src/store_client.rs
@@ -13,13 +13,13 @@
 use crate::store::TestStore;
 
 /// How long an answer takes.
-const DELAY: Duration = Duration::from_millis(4);
+const ROUND_TRIP: Duration = Duration::from_millis(4);
 
 /// How long an answer is waited for beyond what was asked for.
-const PATIENCE: Duration = Duration::from_secs(2);
+const EXTRA_WAIT: Duration = Duration::from_secs(2);
 
 /// How often a VM that is cut off tries again.
-const TRY_AGAIN: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The store, over a host's link.
 #[derive(Debug)]
@@ -40,20 +40,20 @@
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         let calling = async {
-            self.reached().await;
-            tokio::time::sleep(DELAY / 2).await;
+            self.wait_until_connected().await;
+            tokio::time::sleep(ROUND_TRIP / 2).await;
             let answer = call.await;
-            tokio::time::sleep(DELAY / 2).await;
-            self.reached().await;
+            tokio::time::sleep(ROUND_TRIP / 2).await;
+            self.wait_until_connected().await;
             answer
         };
-        let called = tokio::time::timeout(wait + PATIENCE, calling).await;
+        let called = tokio::time::timeout(wait + EXTRA_WAIT, calling).await;
         called.map_err(|_| StoreError::NoAnswer("timeout".into()))?
     }
 
-    async fn reached(&self) {
+    async fn wait_until_connected(&self) {
         while self.host.is_cut_off() {
-            tokio::time::sleep(TRY_AGAIN).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 }
--- a/crates/kingcuploft-simulation/src/vm.rs
+++ b/crates/kingcuploft-simulation/src/vm.rs
@@ -48,13 +48,13 @@
 }
 
 /// A VM's process: nothing of it runs while it is frozen, and its lines bear its name.
-struct Process {
+struct FreezableProcess {
     vm: VmIndex,
     freeze: Rc<Freeze>,
     running: Pin<Box<dyn Future<Output = ()>>>,
 }
 
-impl Future for Process {
+impl Future for FreezableProcess {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, polling: &mut Polling<'_>) -> Poll<()> {
@@ -69,7 +69,7 @@
 
 /// What there is of a VM while it runs.
 #[derive(Debug)]
-struct Life {
+struct RunningVm {
     host: Host,
     freeze: Rc<Freeze>,
     context: Rc<Context>,
@@ -91,7 +91,7 @@
     store: TestStore,
     bounds: Bounds,
     cpu_milli: u32,
-    life: RefCell<Option<Life>>,
+    life: RefCell<Option<RunningVm>>,
 }
 
 impl Vm {
@@ -175,13 +175,13 @@
             }
         };
         let tasks = LocalSet::new();
-        let process = Process {
+        let process = FreezableProcess {
             vm: self.index,
             freeze: freeze.clone(),
             running: Box::pin(async move { tasks.run_until(main).await }),
         };
         let process = tokio::task::spawn_local(process).abort_handle();
-        *self.life.borrow_mut() = Some(Life {
+        *self.life.borrow_mut() = Some(RunningVm {
             host,
             freeze,
             context,
@@ -263,7 +263,7 @@
     /// Returns whether it answers that it is ready.
     pub fn is_ready(&self) -> bool {
         let life = self.life.borrow();
-        let ready = |life: &Life| !life.freeze.is_frozen.get() && life.context.is_ready();
+        let ready = |life: &RunningVm| !life.freeze.is_frozen.get() && life.context.is_ready();
         life.as_ref()
             .is_some_and(|life| !life.process.is_finished() && ready(life))
     }
--- a/crates/kingcuploft-simulation/tests/corpus.rs
+++ b/crates/kingcuploft-simulation/tests/corpus.rs
@@ -27,7 +27,7 @@
     let text = std::fs::read_to_string(file).expect("a day");
     let mut day = Day::read(&file.display().to_string(), &text).expect("a day");
     day.seed += more;
-    let judged = planted_fault::with(planted, || check_day(&day)).expect("it can be played");
+    let judged = planted_fault::run_with(planted, || check_day(&day)).expect("it can be played");
     judged.into_iter().filter(BoundUsage::is_broken).collect()
 }
 
--- a/crates/kingcuploft-simulation/tests/world.rs
+++ b/crates/kingcuploft-simulation/tests/world.rs
@@ -2,14 +2,14 @@
 
 use kingcuploft_simulation::day::Day;
 use kingcuploft_simulation::rules;
-use kingcuploft_simulation::simulation::{DayResult, play};
+use kingcuploft_simulation::simulation::{DayResult, run};
 
 fn day(text: &str) -> Day {
     Day::read("test", text).unwrap_or_else(|error| panic!("{error}"))
 }
 
 fn played(text: &str) -> DayResult {
-    play(&day(text)).unwrap_or_else(|error| panic!("{error}"))
+    run(&day(text)).unwrap_or_else(|error| panic!("{error}"))
 }
 
 fn broken(played: &DayResult) -> Vec<rules::BoundUsage> {
