--- a/crates/kingcuploft-simulation/src/server.rs
+++ b/crates/kingcuploft-simulation/src/server.rs
@@ -102,7 +102,7 @@
             has_stopped: Cell::new(false),
             is_draining: Cell::new(false),
             kinds,
-            history: history,
+            history,
             slots: Semaphore::new(service.slots as usize),
             running: Cell::new(0),
             waiting: Cell::new(0),
