--- a/crates/kingcuploft-entry/src/edge/readiness.rs
+++ b/crates/kingcuploft-entry/src/edge/readiness.rs
@@ -47,12 +47,12 @@
 ) -> std::io::Result<()> {
     let mut bytes = Vec::with_capacity(512);
     loop {
-        match head::request(&bytes) {
+        match head::parse_request(&bytes) {
             Ok(Some((request, _))) => {
                 let path = request.target.split('?').next().unwrap_or_default();
                 let (status, body) = match path {
                     METRICS_PATH => ("200 OK", context.metrics_text()),
-                    path if path != context.vocabulary.ready_path => {
+                    path if path != context.wire_names.ready_path => {
                         ("404 Not Found", String::new())
                     }
                     _ if context.is_ready() => ("200 OK", String::new()),
--- a/crates/kingcuploft-entry/src/roster/leading.rs
+++ b/crates/kingcuploft-entry/src/roster/leading.rs
@@ -6,10 +6,10 @@
 
 use super::{CATCH_UP, LOOK_EVERY, PAUSE, Roster};
 use crate::clock;
-use crate::keeper;
 use crate::peers::dial::Dial;
 use crate::peers::seeds;
-use crate::store::{Recorded, Recording, Store, StoreError};
+use crate::store::{Store, StoreError, WriteOutcome, ZoneWrite};
+use crate::store_watcher;
 use crate::zone_list::Staleness;
 
 impl<S: Store, D: Dial + Clone + 'static> Roster<'_, S, D> {
@@ -18,7 +18,7 @@
         let mut led_since: Option<Instant> = None;
         loop {
             let leads = self.leads() && !self.context.is_stopping();
-            let has_store = !self.pulse.is_reading() || self.pulse.is_there();
+            let has_store = !self.pulse.is_reading() || self.pulse.is_available();
             match leads {
                 true if has_store => {
                     if led_since.is_none() {
@@ -45,7 +45,7 @@
         };
         if let Some(record) = handed_over(&old, &seen) {
             tracing::info!(event = "reader_hands_over", version = record.version);
-            keeper::zones(self.context, vec![record]);
+            store_watcher::apply_zone_records(self.context, vec![record]);
             // What the followers are told last must be on its way before their links end.
             tokio::time::sleep(CATCH_UP).await;
             return followers.let_go();
@@ -59,7 +59,7 @@
             return;
         }
         if let Some(record) = renewed(&old, &seen, holds, settled) {
-            keeper::zones(self.context, vec![record]);
+            store_watcher::apply_zone_records(self.context, vec![record]);
         }
         let alone = seen.followers.is_empty() && holds > 1;
         self.doubt_stored();
@@ -67,7 +67,7 @@
             .record()
             .filter(|r| r.version > self.stored.get() && !alone)
         {
-            self.write(record, Recording::Replace).await;
+            self.write(record, ZoneWrite::Replace).await;
         }
     }
 
@@ -81,14 +81,18 @@
     /// Makes this VM the reader of a zone that has no record.
     async fn claim(&self) {
         let record = ZoneRecord::first(self.own);
-        match self.store.record_zone(&record, Recording::Create).await {
-            Ok(Recorded::IsThere) => {
+        match self
+            .store
+            .write_zone_record(&record, ZoneWrite::Create)
+            .await
+        {
+            Ok(WriteOutcome::AlreadyExists) => {
                 self.list(Staleness::Refused).await;
             }
-            Ok(Recorded::Done | Recorded::IsNotThere) => {
+            Ok(WriteOutcome::Done | WriteOutcome::NotFound) => {
                 tracing::info!(event = "zone_recorded", version = record.version);
                 self.stored.set(record.version);
-                keeper::zones(self.context, vec![record.clone()]);
+                store_watcher::apply_zone_records(self.context, vec![record.clone()]);
                 seeds::tell(self.network, self.context.settings.seeds.clone(), record);
             }
             Err(error) => self.not_recorded(&error).await,
@@ -100,22 +104,22 @@
         let old = self.record();
         let record = old.and_then(|old| zone_record::appended(&old, self.own));
         if let Some(record) = record {
-            self.write(record, Recording::Replace).await;
+            self.write(record, ZoneWrite::Replace).await;
         }
     }
 
-    async fn write(&self, record: ZoneRecord, how: Recording) {
-        match self.store.record_zone(&record, how).await {
-            Ok(Recorded::IsNotThere) => {
+    async fn write(&self, record: ZoneRecord, how: ZoneWrite) {
+        match self.store.write_zone_record(&record, how).await {
+            Ok(WriteOutcome::NotFound) => {
                 self.stored.set(0);
-                Box::pin(self.write(record, Recording::Create)).await;
+                Box::pin(self.write(record, ZoneWrite::Create)).await;
             }
-            Ok(Recorded::Done | Recorded::IsThere) => {
+            Ok(WriteOutcome::Done | WriteOutcome::AlreadyExists) => {
                 let (version, count) = (record.version, record.count);
                 tracing::info!(event = "zone_recorded", version, count);
                 self.stored.set(version);
                 self.stored_after.set(self.context.rewinds.count());
-                keeper::zones(self.context, vec![record]);
+                store_watcher::apply_zone_records(self.context, vec![record]);
             }
             Err(error) => self.not_recorded(&error).await,
         }
--- a/crates/kingcuploft-entry/tests/links/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/links/rewinds.rs
@@ -53,7 +53,7 @@
     store.0.write_backend_server(server("young"));
     store.0.remove_backend_server("leaves");
     store.0.set_evacuated("zone-1", true);
-    store.tell(&report(7, "young")).await.unwrap();
+    store.create_notice(&report(7, "young")).await.unwrap();
     fleet.change_one();
     tokio::time::sleep(KNOWN).await;
     assert!(fleet.behind().is_empty());
--- a/crates/kingcuploft-simulation/src/server.rs
+++ b/crates/kingcuploft-simulation/src/server.rs
@@ -313,7 +313,7 @@
 
 async fn read_request(end: &mut LinkEnd, buffer: &mut BytesMut) -> Option<RequestHead> {
     loop {
-        if let Some((head, length)) = head::request(buffer).ok()? {
+        if let Some((head, length)) = head::parse_request(buffer).ok()? {
             let _ = buffer.split_to(length);
             let mut body = BodyReader::new(head.framing, MAX_BODY_BYTES).ok()?;
             while !body.read(buffer).ok()? {
