--- a/crates/kingcuploft-entry/tests/entry/limits.rs
+++ b/crates/kingcuploft-entry/tests/entry/limits.rs
@@ -32,11 +32,11 @@
 
 async fn fleet(vms: usize, acts: &[Act]) -> (Rc<Vec<Running>>, Vec<TestServer>, TestStore) {
     let store = TestStore::default();
-    store.0.configure(configuration(1));
+    store.0.write_configuration(configuration(1));
     let mut servers = Vec::new();
     for (at, act) in acts.iter().enumerate() {
         let server = TestServer::start(*act).await;
-        store.0.serve(entry(at, &server));
+        store.0.write_backend_server(entry(at, &server));
         servers.push(server);
     }
     let vms = zone_of(vms, &store).await;
