--- a/crates/kingcuploft-entry/tests/entry/quarantine.rs
+++ b/crates/kingcuploft-entry/tests/entry/quarantine.rs
@@ -40,11 +40,11 @@
 /// VMs of a zone with a reader, in front of servers that crash under some requests.
 async fn fleet(vms: usize, servers: usize) -> (Vec<Running>, Vec<TestServer>, TestStore) {
     let store = TestStore::default();
-    store.0.configure(configuration(1));
+    store.0.write_configuration(configuration(1));
     let mut all = Vec::new();
     for at in 0..servers {
         let server = TestServer::start(Act::CrashUnder).await;
-        store.0.serve(entry(at, &server));
+        store.0.write_backend_server(entry(at, &server));
         all.push(server);
     }
     let vms = zone_of(vms, &store).await;
@@ -218,17 +218,17 @@
 fn a_notice_wakes_one_watch() {
     play(async {
         let world = World::with(&[Act::Answer]).await;
-        until(|| world.store.watches.get() >= 3).await;
-        let before = world.store.watches.get();
+        until(|| world.store.watch_calls.get() >= 3).await;
+        let before = world.store.watch_calls.get();
         let report = CrashReport {
             fingerprint: 7,
             of: "s0".into(),
             in_a_row: 1,
         };
-        let store = TestStore::of(&world.store);
+        let store = TestStore::client_of(&world.store);
         store.create_notice(&Notice::Crash(report)).await.unwrap();
         tokio::time::sleep(Duration::from_millis(3500)).await;
-        let woken = world.store.watches.get() - before;
+        let woken = world.store.watch_calls.get() - before;
         assert!(woken <= 1, "{woken} watches");
     });
 }
--- a/crates/kingcuploft-entry/tests/links/network.rs
+++ b/crates/kingcuploft-entry/tests/links/network.rs
@@ -19,7 +19,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::pipe::{self, End, Nic};
+use crate::pipe::{self, LinkEnd, Nic};
 use crate::store::TestStore;
 
 /// How long bytes take from one VM to another.
@@ -100,9 +100,9 @@
 }
 
 impl Dial for Dialer {
-    type Link = End;
+    type Link = LinkEnd;
 
-    async fn dial(&self, address: SocketAddr) -> std::io::Result<End> {
+    async fn dial(&self, address: SocketAddr) -> std::io::Result<LinkEnd> {
         tokio::time::sleep(2 * DELAY).await;
         let to = self.network.host(usize::from(address.port()) - 1);
         let (Some(to), Some(from)) = (to, self.network.host(self.from)) else {
@@ -111,7 +111,7 @@
         while to.nic.is_cut.get() || from.nic.is_cut.get() {
             tokio::time::sleep(10 * DELAY).await;
         }
-        let (own, other) = pipe::link(&from.nic, &to.nic, DELAY);
+        let (own, other) = pipe::connect(&from.nic, &to.nic, DELAY);
         let (context, pulse) = (to.context.clone(), to.pulse.clone());
         let answering = tokio::task::spawn_local(async move {
             let _ = reader::answer(&context, &pulse, other).await;
--- a/crates/kingcuploft-simulation/src/rules/times.rs
+++ b/crates/kingcuploft-simulation/src/rules/propagation.rs
@@ -2,43 +2,45 @@
 
 use std::time::Duration;
 
-use super::{Case, Distance, Rule};
-use crate::seen::{Accepted, Arrival};
+use super::{BoundUsage, IndexedHistory, Rule};
+use crate::history::{AcceptedWrite, Arrival};
 
 /// A request that a VM has just sent is on its way.
-const ON_ITS_WAY: Duration = Duration::from_millis(2);
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(2);
 
 /// Returns how late what came after an acceptance was, in parts of what is allowed.
 fn lateness<'a>(
-    case: &Case<'_>,
+    case: &IndexedHistory<'_>,
     accepted: Duration,
     until: Duration,
     arrivals: impl Iterator<Item = &'a Arrival>,
     bound_ms: u64,
 ) -> Option<(f64, Duration)> {
     let bound = Duration::from_millis(bound_ms);
-    let contact = case.deployment.bounds.contact();
+    let contact = case.deployment.bounds.undisturbed_time();
     let in_touch = arrivals.filter(|arrival| {
         arrival.at >= accepted
             && arrival.at < until
-            && case.seen.is_in_touch(arrival.vm, arrival.at, contact)
+            && case
+                .history
+                .was_undisturbed(arrival.vm, arrival.at, contact)
     });
     let last = in_touch.map(|arrival| arrival.at).max()?;
-    let late = last.saturating_sub(accepted + ON_ITS_WAY);
+    let late = last.saturating_sub(accepted + IN_FLIGHT_TIME);
     Some((late.as_secs_f64() / bound.as_secs_f64(), last))
 }
 
 /// How long a leaving server got requests, of the time that is allowed.
-pub(super) fn draining(case: &Case<'_>) -> Distance {
-    let mut nearest = Distance::nothing(Rule::Draining);
-    for (at, accepted) in case.seen.accepted.borrow().iter() {
-        let Accepted::Leaving { server } = accepted else {
+pub(super) fn draining(case: &IndexedHistory<'_>) -> BoundUsage {
+    let mut nearest = BoundUsage::none(Rule::Draining);
+    for (at, accepted) in case.history.accepted_writes.borrow().iter() {
+        let AcceptedWrite::ServerDraining { server } = accepted else {
             continue;
         };
         let arrivals = case.arrivals.iter().filter(|a| a.server == *server);
         let bound_ms = case.deployment.bounds.drain_ms;
         if let Some((used, last)) = lateness(case, *at, Duration::MAX, arrivals, bound_ms) {
-            nearest = nearest.or_nearer(used, || {
+            nearest = nearest.or_greater(used, || {
                 format!("server {server} left at {at:?} and got a request at {last:?}")
             });
         }
@@ -47,23 +49,23 @@
 }
 
 /// How long an emptied zone got requests, of the time that is allowed.
-pub(super) fn evacuations(case: &Case<'_>) -> Distance {
-    let mut nearest = Distance::nothing(Rule::Evacuations);
-    let all = case.seen.accepted.borrow();
-    let servers = case.seen.servers.borrow();
+pub(super) fn evacuations(case: &IndexedHistory<'_>) -> BoundUsage {
+    let mut nearest = BoundUsage::none(Rule::Evacuations);
+    let all = case.history.accepted_writes.borrow();
+    let servers = case.history.servers.borrow();
     for (at, accepted) in all.iter() {
-        let Accepted::Evacuated { zone } = accepted else {
+        let AcceptedWrite::ZoneEvacuated { zone } = accepted else {
             continue;
         };
-        let back = all
-            .iter()
-            .find(|(back_at, back)| back_at > at && *back == Accepted::TakenBack { zone: *zone });
+        let back = all.iter().find(|(back_at, back)| {
+            back_at > at && *back == AcceptedWrite::ZoneReinstated { zone: *zone }
+        });
         let until = back.map_or(Duration::MAX, |(back_at, _)| *back_at);
         let of_zone = |a: &&Arrival| servers.get(a.server).is_some_and(|s| s.zone == *zone);
         let arrivals = case.arrivals.iter().filter(of_zone);
         let bound_ms = case.deployment.bounds.evacuation_ms;
         if let Some((used, last)) = lateness(case, *at, until, arrivals, bound_ms) {
-            nearest = nearest.or_nearer(used, || {
+            nearest = nearest.or_greater(used, || {
                 format!("zone {zone} was emptied at {at:?} and got a request at {last:?}")
             });
         }
@@ -72,21 +74,21 @@
 }
 
 /// How long VMs went on without a route that a configuration added, of the time that is allowed.
-pub(super) fn configuration(case: &Case<'_>) -> Distance {
+pub(super) fn configuration(case: &IndexedHistory<'_>) -> BoundUsage {
     let bound = Duration::from_millis(case.deployment.bounds.configuration_ms);
-    let contact = case.deployment.bounds.contact();
-    let mut nearest = Distance::nothing(Rule::ConfigurationInForce);
-    for (accepted_at, accepted) in case.seen.accepted.borrow().iter() {
-        let Accepted::Configuration { version } = accepted else {
+    let contact = case.deployment.bounds.undisturbed_time();
+    let mut nearest = BoundUsage::none(Rule::ConfigurationInForce);
+    for (accepted_at, accepted) in case.history.accepted_writes.borrow().iter() {
+        let AcceptedWrite::Configuration { version } = accepted else {
             continue;
         };
-        for (vm, looked, at, has_route) in case.seen.served_by.borrow().iter() {
-            let in_touch = case.seen.is_in_touch(*vm, *at, contact);
+        for (vm, looked, at, has_route) in case.history.version_checks.borrow().iter() {
+            let in_touch = case.history.was_undisturbed(*vm, *at, contact);
             if looked != version || *has_route || !in_touch || at < accepted_at {
                 continue;
             }
             let late = *at - *accepted_at;
-            nearest = nearest.or_nearer(late.as_secs_f64() / bound.as_secs_f64(), || {
+            nearest = nearest.or_greater(late.as_secs_f64() / bound.as_secs_f64(), || {
                 format!("version {version} of {accepted_at:?} is not in force on VM {vm} at {at:?}")
             });
         }
@@ -95,13 +97,13 @@
 }
 
 /// No VM that had a route lacks it later, unless it has started again meanwhile.
-pub(super) fn never_reverts(case: &Case<'_>) -> Distance {
-    let served_by = case.seen.served_by.borrow();
-    let contact = case.deployment.bounds.contact();
+pub(super) fn never_reverts(case: &IndexedHistory<'_>) -> BoundUsage {
+    let served_by = case.history.version_checks.borrow();
+    let contact = case.deployment.bounds.undisturbed_time();
     let mut reverts = 0;
     let mut what = String::new();
     for (at, (vm, version, when, has_route)) in served_by.iter().enumerate() {
-        if *has_route || !case.seen.is_in_touch(*vm, *when, contact) {
+        if *has_route || !case.history.was_undisturbed(*vm, *when, contact) {
             continue;
         }
         let since = when.saturating_sub(contact);
@@ -114,5 +116,5 @@
             what = format!("VM {vm} lacks version {version} again at {when:?}");
         }
     }
-    Distance::of_count(Rule::NeverReverts, reverts, what)
+    BoundUsage::of_violations(Rule::NeverReverts, reverts, what)
 }
