--- a/crates/kingcuploft-entry/src/budgets.rs
+++ b/crates/kingcuploft-entry/src/budgets.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns how old a reading may be to choose by it.
-    pub fn max_reading_age(&self) -> Duration {
+    pub fn max_load_report_age(&self) -> Duration {
         self.probe_budget.borrow().reading_life()
     }
 
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -55,7 +55,7 @@
     /// The way to backend servers.
     pub network: Rc<dyn Network>,
     /// Wakes whoever waits for readings.
-    pub readings_changed: Notify,
+    pub load_report_received: Notify,
     /// Wakes whoever waits for the stop.
     pub stop_requested: Notify,
     /// What happened so far.
@@ -150,7 +150,7 @@
             settings,
             wire_names: vocabulary,
             network,
-            readings_changed: Notify::new(),
+            load_report_received: Notify::new(),
             stop_requested: Notify::new(),
             metrics: Metrics::default(),
             readers: RefCell::default(),
--- a/crates/kingcuploft-entry/src/edge/active_request.rs
+++ b/crates/kingcuploft-entry/src/edge/active_request.rs
@@ -1,4 +1,4 @@
-//! One request under way, and how it begins: route, destination, deadline.
+//! The state of one request from its arrival to its answer, and how it starts: route, destination, deadline.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,20 +14,20 @@
 use crate::http::client::Response;
 use crate::upstream::Upstream;
 
-/// When a refused caller is told to come back, where nothing better is known: several draws of the
-/// servers' speeds later.
+/// The `Retry-After` of a refused request where no better estimate exists: the speed of a server has changed several
+/// times by then.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// When a caller is told to come back to a VM that knows no configuration yet, or not the newest.
+/// The `Retry-After` of a VM that knows no configuration yet, or not the newest one.
 const UNREADY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a request begins with.
+/// The result of routing a request.
 pub(super) enum Routed<'a> {
     Refused(Answer),
     Active(ActiveRequest<'a>),
 }
 
-/// One request under way.
+/// A request that has been routed and is not answered yet.
 pub(super) struct ActiveRequest<'a> {
     pub(super) context: &'a Rc<Context>,
     pub(super) request: &'a Request,
@@ -36,21 +36,22 @@
     pub(super) service: ServiceName,
     pub(super) deadline: Instant,
     pub(super) target: Instant,
-    /// Whether the caller comes back after an earlier attempt.
+    /// Whether the caller made an earlier attempt at the same request.
     pub(super) is_returning: bool,
-    /// Whether this VM may try the request though servers ended under it.
+    /// Whether this VM holds the one trial of a quarantined request.
     pub(super) is_trial: bool,
-    /// The server that names a limit at which it is this request's turn.
+    /// The rate-limited server at which the request holds a turn (a reserved send slot).
     pub(super) turn_at: Option<Rc<Upstream>>,
     pub(super) attempts: Attempts,
     pub(super) tried_upstreams: Vec<Rc<Upstream>>,
     pub(super) last_failure: Option<Response>,
-    /// When the caller may come back, should the request be refused.
+    /// The `Retry-After` that the caller gets if the request is refused.
     pub(super) retry_after: Duration,
 }
 
 impl<'a> ActiveRequest<'a> {
-    /// Returns whether it is known what becomes of a request: whether its host and path have a route, or will have none.
+    /// Returns whether a request can be routed or refused for good: its host and path have a route, or this VM has the
+    /// newest configuration and there is none.
     pub(super) fn can_begin(context: &Context, request: &Request) -> bool {
         let Some(configuration) = context.configuration() else {
             return false;
@@ -65,8 +66,10 @@
         let refuse = |status, reason: &'static str, after| {
             context.metrics.count_failure(reason);
             tracing::info!(event = "refused", request = request.id, status, reason);
-            let words = &context.wire_names;
-            Routed::Refused(Answer::generated(request, words, status, reason, after))
+            let wire_names = &context.wire_names;
+            Routed::Refused(Answer::generated(
+                request, wire_names, status, reason, after,
+            ))
         };
         let Some(configuration) = context.configuration() else {
             return refuse(503, "no configuration yet", Some(UNREADY_RETRY_AFTER));
@@ -86,7 +89,7 @@
             );
         };
         let patience = request.patience(&context.wire_names);
-        let before = patience.map_or(Duration::ZERO, |patience| {
+        let waited_before = patience.map_or(Duration::ZERO, |patience| {
             context.waited_before(&route, patience)
         });
         let allowed = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
@@ -94,9 +97,9 @@
         Routed::Active(Self {
             deadline: request.arrived + allowed,
             target: (request.arrived + route.target)
-                .checked_sub(before)
+                .checked_sub(waited_before)
                 .unwrap_or(request.arrived),
-            is_returning: before > Duration::ZERO,
+            is_returning: waited_before > Duration::ZERO,
             is_trial: false,
             turn_at: None,
             attempts: Attempts::new(route.contract, route.most_attempts),
--- a/crates/kingcuploft-entry/src/edge/answer.rs
+++ b/crates/kingcuploft-entry/src/edge/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: a server's own, or one of this VM.
+//! Answers to callers: responses of backend servers that are passed on, and responses that this VM generates itself.
 
 use std::time::Duration;
 
@@ -7,27 +7,26 @@
 use crate::http::headers::write_header;
 use crate::settings::WireNames;
 
-/// When a caller comes back whose body found no memory, in seconds: those held are answered by then, as
-/// a rule.
+/// The `Retry-After`, in seconds, of a request whose body exceeds the memory for bodies: the requests that hold it are
+/// normally answered by then.
 const BODY_MEMORY_RETRY_AFTER_S: &str = "0.5";
 
-/// An answer, without the headers of its connection.
+/// An answer, without the headers that concern its connection only.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Its status.
+    /// Its status code.
     pub status: u16,
-    /// Its header lines.
+    /// Its header lines, as they are written.
     head: Vec<u8>,
-    /// Its body.
     body: Vec<u8>,
-    /// Whether the caller asked for the head only.
+    /// Whether the request was a `HEAD`, so that the body is left out.
     head_only: bool,
-    /// Whether the connection must close behind it.
+    /// Whether the connection must be closed after the answer.
     pub close: bool,
 }
 
 impl Answer {
-    /// Passes a server's answer on.
+    /// Builds the answer that passes a server's response on.
     pub fn from_server(request: &Request, response: Response) -> Self {
         let mut head = Vec::with_capacity(256);
         for (name, value) in response.head.headers.end_to_end() {
@@ -42,17 +41,17 @@
         }
     }
 
-    /// Builds an own answer to a request.
+    /// Builds an answer of this VM itself to a request that was read.
     pub fn generated(
         request: &Request,
-        vocabulary: &WireNames,
+        wire_names: &WireNames,
         status: u16,
         reason: &str,
         retry_after: Option<Duration>,
     ) -> Self {
         let mut answer = Self::unreadable(status, reason);
         if let Some(id) = &request.id {
-            write_header(&mut answer.head, vocabulary.request_id, id.as_bytes());
+            write_header(&mut answer.head, wire_names.request_id, id.as_bytes());
         }
         if let Some(after) = retry_after {
             let seconds = format!("{:.3}", after.as_secs_f64());
@@ -63,7 +62,7 @@
         answer
     }
 
-    /// Builds an own answer to what could not be read; the connection closes behind it.
+    /// Builds an answer of this VM itself to bytes that are no valid request; the connection is closed after it.
     pub fn unreadable(status: u16, reason: &str) -> Self {
         let mut head = Vec::with_capacity(128);
         write_header(&mut head, "Content-Type", b"text/plain");
@@ -83,7 +82,7 @@
         }
     }
 
-    /// Builds the interim answer that lets the caller send its body.
+    /// Builds the interim response `100 Continue`, after which the caller sends its body.
     pub fn interim() -> Self {
         Self {
             status: 100,
@@ -94,12 +93,12 @@
         }
     }
 
-    /// Returns whether another answer follows to the same request.
+    /// Returns whether a final answer to the same request follows.
     pub fn is_interim(&self) -> bool {
         self.status < 200
     }
 
-    /// Writes the answer as it goes onto the connection.
+    /// Returns the bytes of the answer as they are written to the connection.
     pub fn to_bytes(&self, close: bool) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.head.len() + self.body.len() + 96);
         let line = format!(
--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request, told in a log line when it ends, also where it is cancelled.
+//! One attempt at a request, logged when it ends, also when it is cancelled.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,12 +13,11 @@
 use crate::upstream::Upstream;
 use crate::upstream::exchange::{self, AttemptOutcome};
 
-/// How old a reading may be to tell what a server did when a request was sent there: older than any that
-/// servers are chosen by.
-const MAX_LOGGED_READING_AGE: Duration = Duration::from_millis(60);
+/// How old a load report may be to appear in the log line of an attempt: older than any by which a server is selected.
+const MAX_LOGGED_LOAD_REPORT_AGE: Duration = Duration::from_millis(60);
 
 impl ActiveRequest<'_> {
-    /// Sends the request to a server and waits for the end of it.
+    /// Sends the request to a server and waits until the attempt ends.
     pub(super) async fn attempt(&self, upstream: &Rc<Upstream>) -> AttemptOutcome {
         let sent = AttemptRecord::start(self, upstream);
         let left = sent.left;
@@ -35,17 +34,17 @@
     }
 }
 
-/// An attempt under way, with what was known of the server when it was sent.
+/// An attempt in flight, with what was known of the server when the request was sent.
 ///
-/// Failure: a caller leaves, or another server answers first, and the attempt is cancelled. Without a line
-/// of its own nobody could tell later at which server a request stood until its caller left. Dropping this
-/// writes it.
+/// Failure: the caller disconnects, or another server answers first, and the attempt is cancelled. Without a log line
+/// for cancelled attempts nobody could tell later at which server a request was when its caller left. Dropping this
+/// value writes that line.
 struct AttemptRecord<'a> {
     active: &'a ActiveRequest<'a>,
     upstream: Rc<Upstream>,
     at: Instant,
     left: Duration,
-    reading: Option<(Duration, Reading)>,
+    load_report: Option<(Duration, Reading)>,
     candidate: Candidate,
     open: bool,
 }
@@ -57,15 +56,16 @@
             active,
             at,
             left: active.deadline.saturating_duration_since(at),
-            reading: upstream.reading(at),
-            candidate: upstream.candidate(at, MAX_LOGGED_READING_AGE, false),
+            load_report: upstream.load_report(at),
+            candidate: upstream.candidate(at, MAX_LOGGED_LOAD_REPORT_AGE, false),
             upstream: upstream.clone(),
             open: true,
         }
     }
 
     fn slowness(&self) -> f64 {
-        self.reading.map_or(1.0, |(_, reading)| reading.slowness)
+        self.load_report
+            .map_or(1.0, |(_, load_report)| load_report.slowness)
     }
 
     fn ended(mut self, ended: &AttemptOutcome) {
@@ -90,9 +90,9 @@
             route = %self.active.route.name,
             server = %self.upstream.server.name,
             near = self.upstream.near,
-            age_ms = self.reading.map(|(age, _)| age.as_millis() as u64),
-            running = self.reading.map(|(_, r)| r.running),
-            waiting = self.reading.map(|(_, r)| r.waiting),
+            age_ms = self.load_report.map(|(age, _)| age.as_millis() as u64),
+            running = self.load_report.map(|(_, r)| r.running),
+            waiting = self.load_report.map(|(_, r)| r.waiting),
             slowness = self.slowness(),
             waited_ms = (self.at - request.arrived).as_millis() as u64,
             took_ms = took.as_millis() as u64,
--- a/crates/kingcuploft-entry/src/edge/body_memory.rs
+++ b/crates/kingcuploft-entry/src/edge/body_memory.rs
@@ -1,17 +1,17 @@
-//! The memory that bodies of requests may take, over all connections.
+//! The bound on the memory of request bodies, over all connections.
 //!
-//! Failure: many callers send long bodies at once, or slowly; the VM keeps all of them, exceeds its memory
-//! and is killed with every request that it has. The guard: bodies have a bounded part of the memory; one
-//! that does not fit is refused as not run before it is read on.
+//! Failure: many callers send long bodies at once, or slowly; the VM keeps all of them, exceeds its memory and is
+//! killed with every request that it has. Guard: bodies may take a bounded share of the memory; a body that does not
+//! fit is refused as not run before more of it is read.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The part of the VM's memory that bodies may take together. The rest is for answers, which are a few
-/// times as many bytes, and for what the VM knows.
+/// The share of the VM's memory that request bodies may take together. The rest is for responses, which are a few times
+/// as large, and for the VM's own state.
 const VM_MEMORY_SHARE: f64 = 0.25;
 
-/// The bytes that bodies take now.
+/// The memory that is reserved for request bodies, and its bound.
 #[derive(Clone, Debug)]
 pub struct BodyMemory {
     max_bytes: usize,
@@ -19,7 +19,7 @@
 }
 
 impl BodyMemory {
-    /// Begins with an empty room for a VM with so much memory.
+    /// Creates an empty account for a VM with this much memory.
     pub fn new(memory_bytes: usize) -> Self {
         Self {
             max_bytes: (memory_bytes as f64 * VM_MEMORY_SHARE) as usize,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Begins to hold a body, of no bytes yet.
+    /// Starts a reservation of zero bytes for one body.
     pub fn reserve(&self) -> BodyReservation {
         BodyReservation {
             memory: self.clone(),
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Returns how many bytes are held.
+    /// Returns how many bytes are reserved for all bodies.
     pub fn reserved_bytes(&self) -> usize {
         self.reserved_bytes.get()
     }
 }
 
-/// The bytes of one body, until it is dropped.
+/// The bytes reserved for one body; released when this value is dropped.
 #[derive(Debug)]
 pub struct BodyReservation {
     memory: BodyMemory,
@@ -49,7 +49,7 @@
 }
 
 impl BodyReservation {
-    /// Grows to so many bytes; returns whether there is room for them.
+    /// Grows the reservation to `bytes`; returns `false` if the bound does not allow it.
     pub fn grow_to(&mut self, bytes: usize) -> bool {
         let more = bytes.saturating_sub(self.bytes);
         let reserved_bytes = self.memory.reserved_bytes.get() + more;
--- a/crates/kingcuploft-entry/src/edge/caller_disconnect.rs
+++ b/crates/kingcuploft-entry/src/edge/caller_disconnect.rs
@@ -1,10 +1,10 @@
-//! Tells the tasks that serve a request that its caller has left.
+//! Signals to the tasks that serve a request that its caller has closed the connection.
 
 use std::cell::Cell;
 
 use tokio::sync::Notify;
 
-/// Whether the caller has left.
+/// A flag that is set once, when the caller has disconnected.
 #[derive(Debug, Default)]
 pub struct CallerDisconnect {
     left: Cell<bool>,
@@ -12,18 +12,18 @@
 }
 
 impl CallerDisconnect {
-    /// Returns whether the caller has left.
+    /// Returns whether the caller has disconnected.
     pub fn is_set(&self) -> bool {
         self.left.get()
     }
 
-    /// Takes note that the caller has left.
+    /// Records that the caller has disconnected, and wakes all waiting tasks.
     pub fn set(&self) {
         self.left.set(true);
         self.wake.notify_waiters();
     }
 
-    /// Returns when the caller has left.
+    /// Waits until the caller has disconnected.
     pub async fn wait(&self) {
         let woken = self.wake.notified();
         if !self.left.get() {
--- a/crates/kingcuploft-entry/src/edge/connection.rs
+++ b/crates/kingcuploft-entry/src/edge/connection.rs
@@ -1,9 +1,9 @@
-//! One caller's connection.
+//! One caller's connection: HTTP/1.1 with pipelining.
 //!
-//! Requests are read and served as they come, also while earlier ones are unanswered, and answered
-//! in their order. A caller that closes is noticed at once, and what only it waits for is cancelled.
-//! At a planned stop, requests that were read are answered; the last answer says that the connection
-//! closes, and what comes behind it is not read.
+//! Requests are read and served as they arrive, also while earlier ones are unanswered, and answered in the order of
+//! their arrival. A caller that closes the connection is noticed at once, and work for it alone is cancelled. During a
+//! graceful shutdown, requests that were read are answered; the last answer announces that the connection closes, and
+//! nothing after it is read.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,26 +22,26 @@
 use crate::http::head::{self, RequestHead};
 use kingcuploft::entry::configuration::Limits;
 
-/// The most requests of one connection that are served at once; later ones stay unread.
+/// The most requests of one connection that are served at the same time; later ones stay unread.
 const MAX_PIPELINED_REQUESTS: usize = 32;
 
-/// The bytes read at once.
+/// How many bytes are read at once.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// How much longer than allowed a connection may be idle, so that a request that leaves its caller
-/// within the time is not met by a close.
+/// How much longer than allowed a connection may be idle, so that a request that the caller sends within the
+/// announced time does not meet a closed connection.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
-/// How long a closing connection is drained: what the caller sent meanwhile must not reset the
-/// connection before the last answer has reached it.
+/// How long a closing connection is read on after its last answer: closing with unread bytes would reset the connection
+/// before the caller has received that answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// The standing of a connection, shared by its reader and its writer.
+/// The state of a connection, shared by its reader and its writer.
 #[derive(Debug, Default)]
 struct ConnectionState {
-    /// No further request is taken.
+    /// Whether no further request is accepted.
     closing: Cell<bool>,
-    /// Requests that are not answered.
+    /// How many requests were read and are not answered.
     unanswered: Cell<usize>,
     /// Wakes the reader when the connection closes.
     wake: Notify,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Serves one connection until it ends.
+/// Serves one connection until it is closed.
 pub async fn serve<S>(context: Rc<Context>, stream: S)
 where
     S: AsyncRead + AsyncWrite + 'static,
@@ -148,14 +148,14 @@
         configuration.map(|c| c.limits).unwrap_or_default()
     }
 
-    /// Reads more of a head, or waits for one.
+    /// Reads more bytes of a request head, or waits for the first.
     async fn read_head_bytes(&mut self, limits: &Limits) -> Option<ReadEnd> {
         let is_between_requests = self.buffer.is_empty();
-        let patience = match is_between_requests {
+        let timeout = match is_between_requests {
             true => limits.idle_timeout + IDLE_TIMEOUT_MARGIN,
             false => limits.header_timeout,
         };
-        match self.read(patience, is_between_requests).await {
+        match self.read(timeout, is_between_requests).await {
             ReadOutcome::Some => None,
             ReadOutcome::CallerLeft => Some(ReadEnd::CallerLeft),
             ReadOutcome::Stopping => Some(ReadEnd::Closing),
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Reads more bytes; between requests, a stop of the VM ends the wait.
-    async fn read(&mut self, patience: Duration, is_between_requests: bool) -> ReadOutcome {
+    /// Reads more bytes. Between requests, a graceful shutdown of the VM ends the wait.
+    async fn read(&mut self, timeout: Duration, is_between_requests: bool) -> ReadOutcome {
         if is_between_requests && self.must_stop_reading() {
             return ReadOutcome::Stopping;
         }
@@ -182,12 +182,12 @@
             },
             () = stop, if is_between_requests => ReadOutcome::Some,
             () = wake, if is_between_requests => ReadOutcome::Some,
-            () = tokio::time::sleep(patience) => ReadOutcome::Idle,
+            () = tokio::time::sleep(timeout) => ReadOutcome::Idle,
         }
     }
 
-    /// Returns whether no further request is to be read: the last answer said so, or the VM's stop
-    /// has come to its idle connections.
+    /// Returns whether no further request may be read: the last answer announced the close, or the VM's shutdown closes
+    /// idle connections.
     fn must_stop_reading(&self) -> bool {
         let idle = self.state.unanswered.get() == 0;
         self.state.closing.get() || (idle && self.context.is_closing_idle())
@@ -205,10 +205,10 @@
         if expects && self.buffer.is_empty() {
             self.send_continue().await;
         }
-        let mut held = self.context.body_memory.reserve();
+        let mut reservation = self.context.body_memory.reserve();
         loop {
             let whole = reader.read(&mut self.buffer);
-            if !held.grow_to(reader.bytes_read()) {
+            if !reservation.grow_to(reader.bytes_read()) {
                 return Some(self.refuse(503, "no memory for the body").await);
             }
             match whole {
@@ -225,27 +225,32 @@
                 ReadOutcome::Some | ReadOutcome::Stopping => {}
             }
         }
-        let request = Request::new(head, reader.into_body(), held, &self.context.wire_names);
+        let request = Request::new(
+            head,
+            reader.into_body(),
+            reservation,
+            &self.context.wire_names,
+        );
         self.serve_request(request).await
     }
 
     async fn serve_request(&mut self, request: Request) -> Option<ReadEnd> {
         let (answer, pending) = oneshot::channel();
-        let last = !request.head.keep_alive;
+        let is_last = !request.head.keep_alive;
         self.state.request_started();
         let (context, disconnect) = (self.context.clone(), self.disconnect.clone());
         tokio::task::spawn_local(dispatch::serve(context, request, disconnect, answer));
         if self.answers.send(pending).await.is_err() {
             return Some(ReadEnd::CallerLeft);
         }
-        if last {
+        if is_last {
             self.state.closing.set(true);
         }
         None
     }
 
-    /// Tells the caller to go on with its body. The writer is idle then, as callers that expect this
-    /// wait for it; where it is not, the body comes without.
+    /// Sends `100 Continue`. The writer is idle then, as callers that expect it wait for it; where the writer is busy,
+    /// the caller sends the body without it.
     async fn send_continue(&mut self) {
         let (answer, pending) = oneshot::channel();
         self.state.request_started();
@@ -264,20 +269,20 @@
         ReadEnd::Closing
     }
 
-    /// Reads on until the caller has closed, without taking any request.
+    /// Discards bytes until the caller has closed the connection.
     async fn drain(&mut self) {
         self.state.closing.set(true);
         let (sender, _) = mpsc::channel(1);
         drop(std::mem::replace(&mut self.answers, sender));
         loop {
             self.buffer.clear();
-            let patience = match self.state.unanswered.get() {
+            let timeout = match self.state.unanswered.get() {
                 0 => LINGER_TIMEOUT,
                 _ => Duration::from_secs(30),
             };
             self.buffer.reserve(READ_BUFFER_BYTES);
             let reading = self.reader.read_buf(&mut self.buffer);
-            match tokio::time::timeout(patience, reading).await {
+            match tokio::time::timeout(timeout, reading).await {
                 Ok(Ok(read)) if read > 0 => {}
                 Ok(_) if self.state.unanswered.get() > 0 => {
                     self.disconnect.set();
@@ -307,16 +312,21 @@
             }
             continue;
         }
-        let last = state.unanswered.get() == 1;
-        let closes = answer.close || (last && (state.closing.get() || context.is_stopping()));
-        if closes {
+        let is_last = state.unanswered.get() == 1;
+        let must_close =
+            answer.close || (is_last && (state.closing.get() || context.is_stopping()));
+        if must_close {
             state.closing.set(true);
         }
-        if writer.write_all(&answer.to_bytes(closes)).await.is_err() {
+        if writer
+            .write_all(&answer.to_bytes(must_close))
+            .await
+            .is_err()
+        {
             return;
         }
         state.request_finished();
-        if closes {
+        if must_close {
             break;
         }
     }
--- a/crates/kingcuploft-entry/src/edge/dispatch.rs
+++ b/crates/kingcuploft-entry/src/edge/dispatch.rs
@@ -1,4 +1,4 @@
-//! A request's way: choice, attempts, answer.
+//! Serves a request from routing to its answer: selects servers, makes attempts, retries, or refuses.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 use crate::context::Context;
 use crate::upstream::exchange::AttemptOutcome;
 
-/// How long a request waits for a configuration that has it in it, at a VM that has just started or knows that a newer
-/// one exists: that takes some tens of milliseconds, or as long as the store is away.
+/// How long a request for an unknown route waits for a configuration, at a VM that has just started or knows that a
+/// newer version exists. It arrives within some tens of milliseconds, or not before the store answers again.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(150);
 
-/// Serves one request and hands its answer over.
+/// Serves one request and delivers its answer through `answer`.
 pub async fn serve(
     context: Rc<Context>,
     request: Request,
@@ -42,8 +42,7 @@
                     answer = active.run(&disconnect) => answer,
                     () = disconnect.wait() => return active.log_caller_left(),
                 },
-                // A protected request that was sent runs on: cancelling it would leave open whether
-                // it ran.
+                // A protected request that was sent is not cancelled: it would stay unknown whether it ran.
                 Contract::AtMostOnce => active.run(&disconnect).await,
             };
             (Some(active.route.name.clone()), answered)
@@ -59,16 +58,16 @@
         loop {
             let upstream = match self.select_upstream(disconnect).await {
                 Selection::Upstream(upstream) => upstream,
-                Selection::Refuse(come_back) => {
-                    self.retry_after = come_back;
+                Selection::Refuse(retry_after) => {
+                    self.retry_after = retry_after;
                     return self.give_up("no server can answer in time");
                 }
-                Selection::Quarantined(come_back) => {
-                    self.retry_after = come_back;
+                Selection::Quarantined(retry_after) => {
+                    self.retry_after = retry_after;
                     return self.give_up("servers end under it");
                 }
-                Selection::Evacuated(come_back) => {
-                    self.retry_after = come_back;
+                Selection::Evacuated(retry_after) => {
+                    self.retry_after = retry_after;
                     return self.give_up("all servers are in evacuated zones");
                 }
                 Selection::CallerLeft => return self.give_up("the caller left"),
@@ -78,8 +77,7 @@
                 Contract::RetryFreely => {
                     let (ended, other) = self.attempt_with_hedge(&upstream).await;
                     if let Some(other) = other {
-                        // The send that lost may have run; it counts among those that the route
-                        // allows.
+                        // The cancelled send may have run; it counts towards the attempts that the route allows.
                         self.attempts.sending();
                         self.attempts.ended(AttemptEnd::TimedOut);
                         self.tried_upstreams.push(other);
--- a/crates/kingcuploft-entry/src/edge/hedge.rs
+++ b/crates/kingcuploft-entry/src/edge/hedge.rs
@@ -1,4 +1,4 @@
-//! A second look at a lookup that takes long.
+//! Hedged requests: a second send of an idempotent lookup whose first send takes too long.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 use kingcuploft::entry::verdict::AttemptEnd;
 
 use super::active_request::ActiveRequest;
-use super::selection::READING_POLL_INTERVAL;
+use super::selection::LOAD_REPORT_POLL_INTERVAL;
 use crate::clock;
 use crate::upstream::exchange::AttemptOutcome;
 use crate::upstream::{Upstream, probe};
 
-/// How long a reading is waited for in a second look: a round trip to another zone, and some.
-const HEDGE_READING_WAIT: Duration = Duration::from_millis(5);
+/// How long the load reports that a hedge needs are waited for: a round trip to another zone, with a margin.
+const HEDGE_LOAD_REPORT_WAIT: Duration = Duration::from_millis(5);
 
 /// The send that has not ended.
 enum Pending {
@@ -22,13 +22,13 @@
     Second,
 }
 
-/// Any reading is younger.
-const ANY_READING_AGE: Duration = Duration::from_secs(3600);
+/// An age that no load report reaches: the last one is used, however old it is.
+const ANY_LOAD_REPORT_AGE: Duration = Duration::from_secs(3600);
 
 impl ActiveRequest<'_> {
-    /// Sends a lookup, and looks at it again when it takes long: a server that has fallen silent, or is
-    /// late while others are free, is not waited for alone. The first whole answer counts; the other
-    /// send is cancelled.
+    /// Sends a lookup, and sends it to a second server when it takes too long. So the caller does not depend on a
+    /// server that has stopped answering, or that is late while others are free. The first complete answer counts; the
+    /// other send is cancelled.
     pub(super) async fn attempt_with_hedge(
         &self,
         upstream: &Rc<Upstream>,
@@ -62,7 +62,7 @@
         (ended, Some(other.clone()))
     }
 
-    /// Returns the server for a second send of a lookup that takes long, if there should be one.
+    /// Returns the server for the hedge of a lookup that takes too long, or `None` if there should be no hedge.
     async fn hedge_upstream(&self, upstream: &Rc<Upstream>) -> Option<Rc<Upstream>> {
         if self.is_suspect() {
             return None;
@@ -70,12 +70,13 @@
         let service = self.configuration.services.get(&self.service)?;
         let asked_at = clock::now();
         probe::start(self.context, upstream, &service.health_path);
-        tokio::time::sleep(HEDGE_READING_WAIT).await;
+        tokio::time::sleep(HEDGE_LOAD_REPORT_WAIT).await;
         let now = clock::now();
-        let age = upstream.reading(now).map(|(age, _)| age);
+        let age = upstream.load_report(now).map(|(age, _)| age);
         let need = self.need(now, now, Reach::Far);
         let look = Look {
-            answers: age.is_some_and(|age| age <= now - asked_at + self.context.max_reading_age()),
+            answers: age
+                .is_some_and(|age| age <= now - asked_at + self.context.max_load_report_age()),
             probes_left: self.context.probe_budget_left(),
             left_ms: need.deadline_left_ms,
             work_ms: need.work_ms,
@@ -83,16 +84,17 @@
         if !second_look::wants_second(&look) || !self.attempts.may_send(1) {
             return None;
         }
-        let others: Vec<_> = self.candidate_upstreams(now, Reach::Far);
-        let others: Vec<_> = others
+        let other_upstreams: Vec<_> = self.candidate_upstreams(now, Reach::Far);
+        let other_upstreams: Vec<_> = other_upstreams
             .into_iter()
             .filter(|u| !Rc::ptr_eq(u, upstream))
             .collect();
-        self.probe_upstreams(&others, 1.0);
-        tokio::time::sleep(HEDGE_READING_WAIT).await;
+        self.probe_upstreams(&other_upstreams, 1.0);
+        tokio::time::sleep(HEDGE_LOAD_REPORT_WAIT).await;
         let now = clock::now();
-        let max_age = self.context.max_reading_age() + HEDGE_READING_WAIT + READING_POLL_INTERVAL;
-        let seen = others
+        let max_age =
+            self.context.max_load_report_age() + HEDGE_LOAD_REPORT_WAIT + LOAD_REPORT_POLL_INTERVAL;
+        let seen = other_upstreams
             .iter()
             .map(|u| u.candidate(now, max_age, self.is_excluded(u, now)));
         let candidates: Vec<Candidate> = seen.collect();
@@ -104,15 +106,15 @@
             true => "late",
             false => "silent",
         };
-        let room = self.context.request_repeat(&self.wanted_repeat(after));
-        others.get(at).filter(|_| room).cloned()
+        let has_budget = self.context.request_repeat(&self.wanted_repeat(after));
+        other_upstreams.get(at).filter(|_| has_budget).cloned()
     }
 
     fn expected_ms(&self, upstream: &Upstream) -> f64 {
         let now = clock::now();
         let work_ms = self.context.work_ms(&self.route, &self.service);
         upstream
-            .candidate(now, ANY_READING_AGE, false)
+            .candidate(now, ANY_LOAD_REPORT_AGE, false)
             .expected_ms(work_ms, self.context.last_slot_factor(&self.service))
     }
 }
--- a/crates/kingcuploft-entry/src/edge/limited_servers.rs
+++ b/crates/kingcuploft-entry/src/edge/limited_servers.rs
@@ -1,4 +1,5 @@
-//! A request for which only servers are left that name limits.
+//! Serves a request for which only servers that announce a rate limit are left: it takes a turn (a reserved send slot)
+//! at one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,13 +17,16 @@
 /// At how many servers a request asks for a turn.
 const MAX_SERVERS_ASKED: usize = 3;
 
-/// When a refused caller may come back.
+/// The earliest and the latest time after which a refused caller is told to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl ActiveRequest<'_> {
-    /// Returns a server that names a limit, when the request's turn there has come within `patience`, or when the caller may
-    /// come back.
+    /// Waits for a turn at a rate-limited server and returns that server.
+    ///
+    /// # Errors
+    ///
+    /// Returns the `Retry-After` for the caller if no turn comes within `patience`.
     pub(super) async fn take_turn(
         &mut self,
         disconnect: &CallerDisconnect,
@@ -63,8 +67,9 @@
         Err(earliest.max(MIN_RETRY_AFTER))
     }
 
-    /// Returns how long the request can wait for a server and be answered in time. Where callers ask for more than the limits
-    /// allow, whoever waits longer is late, and so are all behind it.
+    /// Returns how long the request can wait for a server and still be answered within the target latency. Where
+    /// callers ask for more than the limits allow, a request that waits longer is late and makes all requests behind it
+    /// late.
     pub(super) fn remaining_wait(&self) -> Duration {
         let work_ms = self.context.work_ms(&self.route, &self.service);
         let left = self.target.saturating_duration_since(clock::now());
--- a/crates/kingcuploft-entry/src/edge/mod.rs
+++ b/crates/kingcuploft-entry/src/edge/mod.rs
@@ -1,4 +1,4 @@
-//! Where callers come in: connections, requests as they come, answers in their order.
+//! The side of the VM that faces callers: connections, pipelined requests, selection of servers, attempts and answers.
 
 mod active_request;
 pub mod answer;
--- a/crates/kingcuploft-entry/src/edge/readiness.rs
+++ b/crates/kingcuploft-entry/src/edge/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's question whether this VM takes new connections, and the counters.
+//! The HTTP endpoint of the platform's readiness check and of the metrics.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use crate::context::Context;
 use crate::http::head;
 
-/// How long one question may take to arrive.
+/// How long a request to this endpoint may take to arrive and be answered.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where counters are read.
+/// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// The most bytes of a question.
+/// The most bytes of a request head.
 const MAX_REQUEST_BYTES: usize = 8 * 1024;
 
-/// Answers questions until the process ends.
+/// Answers requests until the process ends.
 pub async fn serve(context: Rc<Context>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -36,11 +36,11 @@
     }
 }
 
-/// Answers one question.
+/// Answers one request.
 ///
 /// # Errors
 ///
-/// Returns an error if the link fails.
+/// Returns an error if the connection fails.
 pub async fn answer(
     context: &Context,
     mut stream: impl AsyncRead + AsyncWrite + Unpin,
--- a/crates/kingcuploft-entry/src/edge/request.rs
+++ b/crates/kingcuploft-entry/src/edge/request.rs
@@ -1,4 +1,4 @@
-//! A request as it was read.
+//! A request of a caller, read completely.
 
 use std::cell::OnceCell;
 use std::time::{Duration, Instant};
@@ -10,44 +10,42 @@
 use crate::http::head::RequestHead;
 use crate::settings::WireNames;
 
-/// The headers that name a request's caller.
-const CALLER: [&str; 2] = ["authorization", "cookie"];
+/// The headers that identify the caller of a request.
+const CALLER_HEADERS: [&str; 2] = ["authorization", "cookie"];
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request {
-    /// The caller's id of this attempt.
+    /// The request id that the caller gave this attempt.
     pub id: Option<String>,
-    /// Its head.
     pub head: RequestHead,
-    /// Its body.
     pub body: Vec<u8>,
-    /// The memory that its body takes.
-    _held: BodyReservation,
+    /// The memory that is reserved for its body.
+    _reservation: BodyReservation,
     /// When its last byte was read.
     pub arrived: Instant,
     fingerprint: OnceCell<Fingerprint>,
 }
 
 impl Request {
-    /// Builds a request that has just been read.
+    /// Builds a request whose last byte has just been read.
     pub fn new(
         head: RequestHead,
         body: Vec<u8>,
-        held: BodyReservation,
-        vocabulary: &WireNames,
+        reservation: BodyReservation,
+        wire_names: &WireNames,
     ) -> Self {
         Self {
-            id: head.headers.get(vocabulary.request_id).map(str::to_owned),
+            id: head.headers.get(wire_names.request_id).map(str::to_owned),
             head,
             body,
-            _held: held,
+            _reservation: reservation,
             arrived: clock::now(),
             fingerprint: OnceCell::new(),
         }
     }
 
-    /// Returns what tells the request when it comes again.
+    /// Returns the fingerprint by which the same request is recognized when it is sent again.
     pub fn fingerprint(&self) -> Fingerprint {
         let headers = &self.head.headers;
         *self.fingerprint.get_or_init(|| {
@@ -55,16 +53,16 @@
                 method: &self.head.method,
                 host: headers.get("host").unwrap_or_default(),
                 target: &self.head.target,
-                caller: CALLER.map(|name| headers.get(name)),
+                caller: CALLER_HEADERS.map(|name| headers.get(name)),
                 body: &self.body,
             };
             recurring.fingerprint()
         })
     }
 
-    /// Returns how long the caller waits from the arrival on, if it says so.
-    pub fn patience(&self, vocabulary: &WireNames) -> Option<Duration> {
-        let value = self.head.headers.get(vocabulary.deadline_ms)?;
+    /// Returns how long the caller waits after the request's arrival, if a header says so.
+    pub fn patience(&self, wire_names: &WireNames) -> Option<Duration> {
+        let value = self.head.headers.get(wire_names.deadline_ms)?;
         let millis: f64 = value.parse().ok()?;
         let valid = millis.is_finite() && millis >= 0.0;
         valid.then(|| Duration::from_secs_f64(millis / 1000.0))
--- a/crates/kingcuploft-entry/src/edge/selection.rs
+++ b/crates/kingcuploft-entry/src/edge/selection.rs
@@ -1,4 +1,5 @@
-//! The server of a request's next attempt: readings asked for, waited for, and weighed.
+//! Selects the server for a request's next attempt: probes servers for load reports, waits for them and compares the
+//! servers.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,29 +15,29 @@
 use crate::limits;
 use crate::upstream::{Upstream, probe};
 
-/// How long readings are waited for before looking again whether they suffice.
-pub(super) const READING_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// How long the VM waits for load reports before it checks again whether they suffice.
+pub(super) const LOAD_REPORT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How often it is looked whether another run of a suspect request has ended.
+/// How often a request checks whether another run of the same suspect request has ended.
 const SUSPECT_RUN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long a turn at a server that names a limit is waited for by a request for which another server may become good.
+/// How long a request waits for a turn at a rate-limited server while servers without a limit may still become free.
 const OPTIONAL_TURN_WAIT: Duration = Duration::from_millis(20);
 
-/// What choosing came to.
+/// The result of selecting a server.
 pub(super) enum Selection {
     Upstream(Rc<Upstream>),
-    /// No server can answer in time; the caller may come back after this time.
+    /// No server can answer in time; the caller may retry after this time.
     Refuse(Duration),
-    /// Servers end under the request; the caller may come back after this time.
+    /// Servers crash when they run the request; the caller may retry after this time.
     Quarantined(Duration),
-    /// All servers are in evacuated zones; the caller may come back after this time.
+    /// All servers of the service are in evacuated zones; the caller may retry after this time.
     Evacuated(Duration),
     CallerLeft,
 }
 
 impl ActiveRequest<'_> {
-    /// Finds the server for the next attempt.
+    /// Selects the server for the next attempt.
     pub(super) async fn select_upstream(&mut self, disconnect: &CallerDisconnect) -> Selection {
         let mut search_began = clock::now();
         let mut reach = Reach::Near;
@@ -47,7 +48,7 @@
                 return Selection::CallerLeft;
             }
             match self.check_quarantine().await {
-                QuarantineDecision::Go => {}
+                QuarantineDecision::Send => {}
                 QuarantineDecision::Wait => {
                     tokio::time::sleep(SUSPECT_RUN_POLL_INTERVAL).await;
                     search_began = clock::now();
@@ -64,12 +65,12 @@
             if upstreams.is_empty() && has_limited {
                 return match self.take_turn(disconnect, self.remaining_wait()).await {
                     Ok(upstream) => Selection::Upstream(upstream),
-                    Err(come_back) => Selection::Refuse(come_back),
+                    Err(retry_after) => Selection::Refuse(retry_after),
                 };
             }
             self.probe_upstreams(&upstreams, self.context.probe_share(rounds));
-            let max_age =
-                self.context.max_reading_age().max(now - search_began) + READING_POLL_INTERVAL;
+            let max_age = self.context.max_load_report_age().max(now - search_began)
+                + LOAD_REPORT_POLL_INTERVAL;
             let candidates: Vec<Candidate> = upstreams
                 .iter()
                 .map(|u| u.candidate(now, max_age, self.is_excluded(u, now)))
@@ -77,9 +78,9 @@
             let need = self.need(now, search_began, reach);
             match place(&need, &candidates, fastrand::f64) {
                 Step::Send(at) => return Selection::Upstream(upstreams[at].clone()),
-                Step::Refuse(come_back) => {
+                Step::Refuse(retry_after) => {
                     let turn = self.take_turn(disconnect, self.remaining_wait()).await;
-                    return turn.map_or(Selection::Refuse(come_back), Selection::Upstream);
+                    return turn.map_or(Selection::Refuse(retry_after), Selection::Upstream);
                 }
                 Step::LookAgain(_) if has_limited && !asked_for_turn => {
                     asked_for_turn = true;
@@ -89,8 +90,8 @@
                 }
                 Step::Ask(further) => reach = further,
                 Step::Await => {
-                    let notified = self.context.readings_changed.notified();
-                    let _ = tokio::time::timeout(READING_POLL_INTERVAL, notified).await;
+                    let notified = self.context.load_report_received.notified();
+                    let _ = tokio::time::timeout(LOAD_REPORT_POLL_INTERVAL, notified).await;
                 }
                 Step::LookAgain(after) => {
                     tokio::time::sleep(after).await;
@@ -101,7 +102,8 @@
         }
     }
 
-    /// Returns whether the request can't be sent to a server now: it was, or the server may be cold and has not said.
+    /// Returns whether the request must not be sent to a server now: an attempt there was made already, or the server
+    /// may be cold and has not reported whether it is.
     pub(super) fn is_excluded(&self, upstream: &Rc<Upstream>, now: Instant) -> bool {
         self.was_tried(upstream) || upstream.awaits_cold_report(now)
     }
@@ -112,8 +114,8 @@
             .any(|tried| Rc::ptr_eq(tried, upstream))
     }
 
-    /// Returns the servers to choose among: the first of those that answer probes, or of all if none
-    /// does; of the other zones those that take the least trouble to ask.
+    /// Returns the servers to select from. Of the own zone these are the first in this VM's order that answer probes,
+    /// or of all servers if none does; of the other zones those that are cheapest to probe.
     pub(super) fn candidate_upstreams(&self, now: Instant, reach: Reach) -> Vec<Rc<Upstream>> {
         let mut all = self.context.upstreams(&self.service);
         let share = self.context.connection_share(&self.service);
@@ -134,7 +136,7 @@
         }
         let (mut near, mut others): (Vec<_>, Vec<_>) = all.into_iter().partition(|u| u.near);
         let asked = asked(near.len(), others.len(), reach);
-        let max_age = self.context.max_reading_age();
+        let max_age = self.context.max_load_report_age();
         others.sort_by_cached_key(|u| u.probe_cost(now, max_age));
         near.truncate(asked.near);
         others.truncate(asked.far);
@@ -142,7 +144,7 @@
         near
     }
 
-    /// Asks this share of these servers, drawn by chance.
+    /// Probes a random sample of these servers; each is in it with probability `share`.
     pub(super) fn probe_upstreams(&self, upstreams: &[Rc<Upstream>], share: f64) {
         let Some(service) = self.configuration.services.get(&self.service) else {
             return;
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -1,4 +1,5 @@
-//! A request under which servers ended: whether it is sent on, and what its runs tell.
+//! Quarantine of suspect requests, during which servers have crashed: whether a request may be sent, and what its runs
+//! show.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,21 +18,21 @@
 use crate::upstream::crash_check::{self, CrashCheck};
 use crate::upstream::{SuspectGuard, Upstream};
 
-/// Whether a request may be sent on.
+/// Whether a request may be sent.
 pub(super) enum QuarantineDecision {
-    Go,
-    /// Another run of it is under way here.
+    Send,
+    /// Another run of the same request is in flight at this VM.
     Wait,
-    /// Servers end under it; the caller may come back after this time.
+    /// Servers crash when they run it; the caller may retry after this time.
     Refuse(Duration),
 }
 
 impl ActiveRequest<'_> {
-    /// Returns whether the request may be sent on.
+    /// Returns whether the request may be sent.
     pub(super) async fn check_quarantine(&mut self) -> QuarantineDecision {
-        let knows_none = self.context.quarantine.borrow().is_empty();
-        if self.is_trial || knows_none || planted::is_on(Planted::SendsSuspects) {
-            return QuarantineDecision::Go;
+        let is_quarantine_empty = self.context.quarantine.borrow().is_empty();
+        if self.is_trial || is_quarantine_empty || planted::is_on(Planted::SendsSuspects) {
+            return QuarantineDecision::Send;
         }
         let fingerprint = self.request.fingerprint();
         let admission = self
@@ -40,9 +41,9 @@
             .borrow()
             .admit(clock::now(), fingerprint);
         match admission {
-            // A run that hangs must not hold the others back until they are late.
+            // A run that hangs must not delay the others beyond the target latency.
             Admission::Wait if clock::now() < self.target => QuarantineDecision::Wait,
-            Admission::Free | Admission::Alone | Admission::Wait => QuarantineDecision::Go,
+            Admission::Free | Admission::Alone | Admission::Wait => QuarantineDecision::Send,
             Admission::Refuse(after) => QuarantineDecision::Refuse(after),
             Admission::Trial(report) => {
                 match self
@@ -53,7 +54,7 @@
                 {
                     true => {
                         self.is_trial = true;
-                        QuarantineDecision::Go
+                        QuarantineDecision::Send
                     }
                     false => QuarantineDecision::Refuse(Quarantine::tried_elsewhere()),
                 }
@@ -61,13 +62,13 @@
         }
     }
 
-    /// Returns whether servers have ended under the request.
+    /// Returns whether servers have crashed while they ran the request.
     pub(super) fn is_suspect(&self) -> bool {
         let quarantine = self.context.quarantine.borrow();
         !quarantine.is_empty() && quarantine.is_suspect(self.request.fingerprint())
     }
 
-    /// Takes in how a run ended that began when so many ends in a row were known.
+    /// Records how a run ended. `known` is the number of consecutive crashes that were known when the run started.
     pub(super) async fn record_run_end(
         &self,
         upstream: &Rc<Upstream>,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Looks whether a server has ended that lost an answer, and tells the others if so.
+    /// Checks whether the server that lost an answer has crashed, and reports the crash to the other VMs if so.
     async fn check_server_after_loss(&self, upstream: &Rc<Upstream>, known: u32) {
         let found = crash_check::check(&*self.context.network, upstream).await;
         let fingerprint = self.request.fingerprint();
@@ -127,8 +128,8 @@
 pub(super) struct SuspectRun<'a> {
     context: &'a Context,
     fingerprint: Option<Fingerprint>,
-    _held: Option<SuspectGuard>,
-    /// How many servers were known to have ended in a row under it.
+    _guard: Option<SuspectGuard>,
+    /// How many consecutive crashes under the request were known when the run started.
     pub(super) known_ends: u32,
 }
 
@@ -140,7 +141,7 @@
         Self {
             context: active.context,
             known_ends: fingerprint.map_or(0, begins),
-            _held: suspect.then(|| upstream.track_suspect()),
+            _guard: suspect.then(|| upstream.track_suspect()),
             fingerprint,
         }
     }
--- a/crates/kingcuploft-entry/src/peers/readings.rs
+++ b/crates/kingcuploft-entry/src/peers/readings.rs
@@ -101,8 +101,8 @@
                     let asked_at = now.checked_sub(TOLD_WITHIN).unwrap_or(now);
                     cold_servers::apply_probe_answer(context, &upstream, cold_for, asked_at);
                 }
-                upstream.record_reading(now, reading);
-                context.readings_changed.notify_waiters();
+                upstream.record_load_report(now, reading);
+                context.load_report_received.notify_waiters();
             }
         }
         Told::Sent { ref server } => {
--- a/crates/kingcuploft-entry/src/settings.rs
+++ b/crates/kingcuploft-entry/src/settings.rs
@@ -74,5 +74,5 @@
     /// The path at which the platform asks for readiness.
     pub ready_path: &'static str,
     /// Reads a load header's value.
-    pub read_load: fn(&str) -> Option<kingcuploft::entry::placement::Reading>,
+    pub parse_load: fn(&str) -> Option<kingcuploft::entry::placement::Reading>,
 }
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -111,8 +111,8 @@
         Err((end, detail)) => return AttemptOutcome::without_answer(end, detail, started_at),
     };
     let load = response.head.headers.get(context.wire_names.load);
-    if let Some(reading) = load.and_then(context.wire_names.read_load) {
-        upstream.record_reading(clock::now(), reading);
+    if let Some(reading) = load.and_then(context.wire_names.parse_load) {
+        upstream.record_load_report(clock::now(), reading);
         readings::tell(context, &upstream.server.name, reading, None);
     }
     upstream.release(connection);
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -135,7 +135,7 @@
     }
 
     /// Takes in what the server said of its load.
-    pub fn record_reading(&self, now: Instant, reading: Reading) {
+    pub fn record_load_report(&self, now: Instant, reading: Reading) {
         self.reading.set(Some((now, reading)));
         if self.probe_backoff.take().is_some() {
             tracing::info!(event = "server_heard", server = %self.server.name);
@@ -143,20 +143,20 @@
     }
 
     /// Returns the last reading and its age.
-    pub fn reading(&self, now: Instant) -> Option<(Duration, Reading)> {
+    pub fn load_report(&self, now: Instant) -> Option<(Duration, Reading)> {
         let (at, reading) = self.reading.get()?;
         Some((now.saturating_duration_since(at), reading))
     }
 
     /// Returns whether the last reading is young enough to choose by.
-    pub fn has_fresh_reading(&self, now: Instant, max_age: Duration) -> bool {
-        self.reading(now).is_some_and(|(age, _)| age < max_age)
+    pub fn has_fresh_load_report(&self, now: Instant, max_age: Duration) -> bool {
+        self.load_report(now).is_some_and(|(age, _)| age < max_age)
     }
 
     /// Returns what it takes to hear of its load.
     pub fn probe_cost(&self, now: Instant, max_age: Duration) -> ProbeCost {
         match (
-            self.has_fresh_reading(now, max_age),
+            self.has_fresh_load_report(now, max_age),
             self.idle_connections.borrow().is_empty(),
         ) {
             (true, _) => ProbeCost::None,
--- a/crates/kingcuploft-entry/src/upstream/probe.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe.rs
@@ -28,7 +28,7 @@
 /// not answer lately.
 pub fn start(context: &Rc<Context>, upstream: &Rc<Upstream>, health_path: &str) {
     let now = clock::now();
-    let fresh = upstream.has_fresh_reading(now, context.max_reading_age());
+    let fresh = upstream.has_fresh_load_report(now, context.max_load_report_age());
     if upstream.is_probe_in_flight() || fresh || upstream.is_unresponsive(now) {
         return;
     }
@@ -89,14 +89,14 @@
             limits::AnswerKind::Other,
         );
         let load = response.head.headers.get(context.wire_names.load);
-        let reading = load.and_then(context.wire_names.read_load)?;
+        let reading = load.and_then(context.wire_names.parse_load)?;
         Some((reading, cold_servers::parse_header(context, headers)))
     });
     match reading {
         Some((reading, cold_for)) => {
             context.metrics.count_probe("answered");
             cold_servers::apply_probe_answer(context, upstream, cold_for, started_at);
-            upstream.record_reading(now, reading);
+            upstream.record_load_report(now, reading);
             readings::tell(context, &upstream.server.name, reading, Some(cold_for));
         }
         None => {
@@ -105,7 +105,7 @@
             tracing::debug!(event = "probe_failed", server = %upstream.server.name);
         }
     }
-    context.readings_changed.notify_waiters();
+    context.load_report_received.notify_waiters();
 }
 
 async fn exchange(
--- a/crates/kingcuploft-simulation/src/header_names.rs
+++ b/crates/kingcuploft-simulation/src/header_names.rs
@@ -14,7 +14,7 @@
     cold_ms: "x-cold-ms",
     not_run: "x-not-run",
     ready_path: "/ready",
-    read_load,
+    parse_load: read_load,
 };
 
 fn read_load(value: &str) -> Option<Reading> {
