--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -33,9 +33,9 @@
 use crate::metrics::Metrics;
 use crate::network::{Network, Tcp};
 use crate::notice_writes::NoticeWrites;
-use crate::peers::asked_turns::AskedTurns;
 use crate::peers::followers::Followers;
-use crate::peers::zone_socket::Telling;
+use crate::peers::peer_socket::PeerSender;
+use crate::peers::pending_turns::PendingTurns;
 use crate::rewinds::Rewinds;
 use crate::settings::{Bounds, EntrySettings, Vocabulary};
 use crate::store::{Collection, Revision};
@@ -67,7 +67,7 @@
     /// The other VMs.
     pub readers: RefCell<Readers>,
     /// The socket to the other VMs.
-    pub peer_readings: OnceCell<Rc<dyn Telling>>,
+    pub peer_readings: OnceCell<Rc<dyn PeerSender>>,
     /// What other VMs have used of the budget of repeats.
     pub repeat_copies: RefCell<RepeatCopies>,
     /// Wakes whoever has others keep what this VM has used of it.
@@ -89,7 +89,7 @@
     /// The limits that servers name.
     pub limits: RefCell<ServerLimits>,
     /// The turns at such servers that have been asked for.
-    pub asked_turns: AskedTurns,
+    pub asked_turns: PendingTurns,
     /// The way to whoever writes notices to the store.
     pub notice_writes: NoticeWrites,
     /// Open connections of callers.
@@ -167,7 +167,7 @@
             rewinds: Rewinds::default(),
             evacuations: RefCell::default(),
             limits: RefCell::new(ServerLimits::begun_at(clock::now())),
-            asked_turns: AskedTurns::default(),
+            asked_turns: PendingTurns::default(),
             notice_writes: NoticeWrites::default(),
             callers: Cell::new(0),
             begun: clock::now(),
--- a/crates/kingcuploft-entry/src/edge/connection.rs
+++ b/crates/kingcuploft-entry/src/edge/connection.rs
@@ -38,7 +38,7 @@
 
 /// The standing of a connection, shared by its reader and its writer.
 #[derive(Debug, Default)]
-struct Standing {
+struct SyncStatus {
     /// No further request is taken.
     closing: Cell<bool>,
     /// Requests that are not answered.
@@ -47,7 +47,7 @@
     wake: Notify,
 }
 
-impl Standing {
+impl SyncStatus {
     fn opened(&self) {
         self.open.set(self.open.get() + 1);
     }
@@ -70,7 +70,7 @@
     context.callers.set(context.callers.get() + 1);
     let (reader, writer) = tokio::io::split(stream);
     let (answers, queue) = mpsc::channel(MOST_PIPELINED);
-    let standing = Rc::new(Standing::default());
+    let standing = Rc::new(SyncStatus::default());
     let writing = write_answers(context.clone(), writer, queue, standing.clone());
     let writing = tokio::task::spawn_local(writing);
     let mut reading = Reading {
@@ -103,7 +103,7 @@
     context: Rc<Context>,
     reader: ReadHalf<S>,
     buffer: BytesMut,
-    standing: Rc<Standing>,
+    standing: Rc<SyncStatus>,
     answers: mpsc::Sender<oneshot::Receiver<Answer>>,
     gone: Rc<Gone>,
 }
@@ -294,7 +294,7 @@
     context: Rc<Context>,
     mut writer: WriteHalf<S>,
     mut queue: mpsc::Receiver<oneshot::Receiver<Answer>>,
-    standing: Rc<Standing>,
+    standing: Rc<SyncStatus>,
 ) {
     while let Some(pending) = queue.recv().await {
         let Ok(answer) = pending.await else {
--- a/crates/kingcuploft-entry/src/edge/limited.rs
+++ b/crates/kingcuploft-entry/src/edge/limited.rs
@@ -41,7 +41,7 @@
         fastrand::shuffle(&mut limited);
         let mut soonest = COME_BACK_LATEST;
         for upstream in limited.into_iter().take(MOST_ASKED) {
-            match turns::ask(self.context, &upstream.server.name, patience).await {
+            match turns::request(self.context, &upstream.server.name, patience).await {
                 Turn::After(after) => {
                     tokio::select! {
                         biased;
--- a/crates/kingcuploft-entry/src/evacuation.rs
+++ b/crates/kingcuploft-entry/src/evacuation.rs
@@ -52,7 +52,7 @@
     if changes.is_empty() {
         return;
     }
-    context.followers.tell_evacuations(&frame(context));
+    context.followers.send_evacuations(&frame(context));
     for change in changes {
         match change {
             Change::Begun(zone) => tracing::info!(event = "zone_evacuated", %zone),
--- a/crates/kingcuploft-entry/src/gauges.rs
+++ b/crates/kingcuploft-entry/src/gauges.rs
@@ -28,7 +28,7 @@
         let age = self.in_force.age().as_secs();
         self.metrics.configuration_age.set(age as i64);
         self.metrics.followers.set(self.followers.len() as i64);
-        let waiting = self.followers.most_waiting_bytes();
+        let waiting = self.followers.max_queued_bytes();
         self.metrics.most_waiting_bytes.set(waiting as i64);
         self.metrics
             .log_lines_left_out
--- a/crates/kingcuploft-entry/src/keeper.rs
+++ b/crates/kingcuploft-entry/src/keeper.rs
@@ -22,7 +22,7 @@
 use crate::limits;
 use crate::notices;
 use crate::peers::frame::Frame;
-use crate::peers::standing::standing;
+use crate::peers::sync_status::sync_status;
 use crate::pulse::Pulse;
 use crate::rewinds::Heard;
 use crate::server_news;
@@ -90,8 +90,8 @@
                 forgotten = false;
                 wait = WATCH_WAIT;
                 context.set_position(collection, revision);
-                let standing = standing(&context, &pulse);
-                context.followers.tell(&Frame::Standing(standing));
+                let standing = sync_status(&context, &pulse);
+                context.followers.send(&Frame::Status(standing));
             }
             Err(StoreError::HistoryGone) => {
                 tracing::info!(event = "history_gone", collection = collection.label());
@@ -273,7 +273,7 @@
     if context.in_force.adopt(configuration) {
         let behind_ms = behind_for.as_millis() as u64;
         tracing::info!(event = "configuration_adopted", version, routes, behind_ms);
-        context.followers.tell_configuration();
+        context.followers.send_configuration();
         cold::configured(context);
     }
 }
@@ -281,7 +281,7 @@
 /// Takes in that a version of the configuration exists, and passes it on if it is news.
 pub fn configuration_exists(context: &Context, version: ConfigurationVersion) {
     if context.in_force.exists(version) {
-        context.followers.tell_newer(version);
+        context.followers.send_newer_version(version);
     }
 }
 
@@ -291,7 +291,7 @@
     let news = context.servers(|servers| servers.store_returned(clock::now()));
     if news {
         tracing::info!(event = "store_back");
-        context.followers.tell(&Frame::StoreReturned);
+        context.followers.send(&Frame::StoreReturned);
     }
 }
 
@@ -305,7 +305,7 @@
         return;
     }
     tracing::warn!(event = "store_rewound", era);
-    context.followers.tell_era(&Frame::Era(era));
+    context.followers.send_era(&Frame::Era(era));
     let lapse_after = context.bounds.get().heartbeat * LAPSES_AFTER + GATHER;
     context.servers(|servers| servers.store_rewound(now, lapse_after));
     context.evacuations.borrow_mut().store_rewound(now);
@@ -329,7 +329,7 @@
     *context.zone_peers.borrow_mut() = zone_peers(context, readers.record(&context.settings.zone));
     drop(readers);
     limits::divide(context);
-    context.followers.tell(&Frame::Zones(news));
+    context.followers.send(&Frame::Zones(news));
 }
 
 /// Returns the other VMs of the zone, if the record names them all.
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -14,7 +14,7 @@
 use crate::context::Context;
 use crate::http::headers::Headers;
 use crate::notice_writes::Write;
-use crate::peers::zone_socket::Told;
+use crate::peers::peer_socket::PeerMessage;
 use crate::upstream::Upstream;
 
 /// What named a limit, or did not.
@@ -95,7 +95,7 @@
         .filter(|vm| vm.name != context.settings.vm);
     let others: Vec<_> = others.map(|vm| vm.address).collect();
     let server = server.clone();
-    socket.tell(&Told::Limit { server, per_s }, &others);
+    socket.send(&PeerMessage::LimitChanged { server, per_s }, &others);
 }
 
 /// Takes in that a server names another limit than before, as another VM has heard.
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -16,7 +16,7 @@
 use crate::limits;
 use crate::notice_writes::Write;
 use crate::peers::frame::Frame;
-use crate::peers::standing::standing;
+use crate::peers::sync_status::sync_status;
 use crate::pulse::Pulse;
 use crate::store::{Recorded, Store, StoreError};
 
@@ -33,7 +33,7 @@
     pulse: Rc<Pulse>,
     mut writes: mpsc::Receiver<Write>,
 ) {
-    let is_there = || standing(&context, &pulse).store_there;
+    let is_there = || sync_status(&context, &pulse).store_reachable;
     while let Some(write) = writes.recv().await {
         match write {
             Write::Tell(notice) => {
@@ -114,7 +114,7 @@
         Notice::Limit(notice) => limits::told(context, notice),
     });
     if !notices.is_empty() {
-        context.followers.tell_notices(&Frame::Notices(notices));
+        context.followers.send_notices(&Frame::Notices(notices));
     }
 }
 
@@ -146,7 +146,7 @@
             None => limits::withdrawn(context, id),
         }
     }
-    context.followers.tell_notices(&Frame::NoticesGone(ids));
+    context.followers.send_notices(&Frame::NoticesGone(ids));
 }
 
 /// Takes in which notices the store has at all, and passes them on. What a store lacks that came back from a copy is written
@@ -164,7 +164,7 @@
         }
         return context
             .followers
-            .tell_notices(&Frame::AllNotices(stored(context)));
+            .send_notices(&Frame::AllNotices(stored(context)));
     }
     take_all(context, &ids);
 }
@@ -178,7 +178,7 @@
     context.quarantine.borrow_mut().all_told(ids);
     context.limits.borrow_mut().all_told(ids);
     let all = Frame::AllNotices(stored(context));
-    context.followers.tell_notices(&all);
+    context.followers.send_notices(&all);
 }
 
 /// Has a notice withdrawn that holds no longer.
--- a/crates/kingcuploft-entry/src/peers/reader.rs
+++ b/crates/kingcuploft-entry/src/peers/feeder.rs
@@ -6,16 +6,16 @@
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncWrite, BufReader};
 use tokio::net::TcpListener;
 
-use super::feed::{Feed, HEARTBEAT};
+use super::feed::{Feed, HEARTBEAT_INTERVAL};
 use super::followers::Admitted;
-use super::frame::{Frame, Hello, Standing};
-use super::standing::standing;
-use super::writing::{WRITE_PATIENCE, timed_out, write};
+use super::frame::{Frame, Hello, SyncStatus};
+use super::line_writer::{WRITE_STALL_TIMEOUT, timed_out, write_line};
+use super::sync_status::sync_status;
 use crate::context::Context;
 use crate::pulse::Pulse;
 
 /// The bytes read at once of what a follower says.
-const HELLO_BYTES: usize = 256;
+const READ_BUFFER_BYTES: usize = 256;
 
 /// Takes followers until the process ends.
 pub async fn serve(context: Rc<Context>, pulse: Rc<Pulse>, listener: TcpListener) {
@@ -25,7 +25,7 @@
                 let (context, pulse) = (context.clone(), pulse.clone());
                 tokio::task::spawn_local(async move {
                     let _ = stream.set_nodelay(true);
-                    let _ = answer(&context, &pulse, stream).await;
+                    let _ = handle_connection(&context, &pulse, stream).await;
                 });
             }
             Err(error) => {
@@ -37,21 +37,21 @@
 }
 
 /// Beats until the process ends.
-pub async fn beat(context: Rc<Context>, pulse: Rc<Pulse>) {
-    let mut told = None;
+pub async fn send_heartbeats(context: Rc<Context>, pulse: Rc<Pulse>) {
+    let mut last_sent = None;
     loop {
-        tokio::time::sleep(HEARTBEAT).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         if context.followers.is_empty() {
             continue;
         }
-        let standing = standing(&context, &pulse);
-        let is_news = told.as_ref() != Some(&standing);
-        let line = Frame::Standing(standing.clone());
+        let standing = sync_status(&context, &pulse);
+        let is_news = last_sent.as_ref() != Some(&standing);
+        let line = Frame::Status(standing.clone());
         match is_news {
-            true => context.followers.tell(&line),
-            false => context.followers.tell_alive(&line),
+            true => context.followers.send(&line),
+            false => context.followers.send_alive(&line),
         }
-        told = Some(standing);
+        last_sent = Some(standing);
     }
 }
 
@@ -60,66 +60,68 @@
 /// # Errors
 ///
 /// Returns an error if the link fails.
-pub async fn answer(
+pub async fn handle_connection(
     context: &Rc<Context>,
     pulse: &Pulse,
     stream: impl AsyncRead + AsyncWrite,
 ) -> std::io::Result<()> {
     let (read, mut write) = tokio::io::split(stream);
-    let mut lines = BufReader::with_capacity(HELLO_BYTES, read);
+    let mut lines = BufReader::with_capacity(READ_BUFFER_BYTES, read);
     let mut line = Vec::new();
-    let reading = tokio::time::timeout(WRITE_PATIENCE, lines.read_until(b'\n', &mut line));
+    let reading = tokio::time::timeout(WRITE_STALL_TIMEOUT, lines.read_until(b'\n', &mut line));
     reading.await.map_err(|_| timed_out())??;
     match serde_json::from_slice(&line) {
-        Ok(Frame::WhoReads) => tell(&mut write, &zones(context)).await,
+        Ok(Frame::ZonesRequest) => send(&mut write, &zones_frame(context)).await,
         Ok(Frame::Zones(records)) => {
             crate::keeper::zones(context, records);
             Ok(())
         }
-        Ok(Frame::Hello(hello)) => lead(context, pulse, hello, lines, write).await,
+        Ok(Frame::Hello(hello)) => feed(context, pulse, hello, lines, write).await,
         Ok(_) | Err(_) => Ok(()),
     }
 }
 
-async fn lead(
+async fn feed(
     context: &Rc<Context>,
     pulse: &Pulse,
     hello: Hello,
     lines: BufReader<impl AsyncRead + Unpin>,
     mut stream: impl AsyncWrite + Unpin,
 ) -> std::io::Result<()> {
-    let own = standing(context, pulse);
+    let own = sync_status(context, pulse);
     let (vm, zone) = (hello.vm.clone(), &context.settings.zone);
-    let admitted = context.followers.admit(vm, hello.below, zone, &own.path);
+    let admitted = context
+        .followers
+        .admit(vm, hello.descendants, zone, &own.path);
     let (id, queue) = match admitted {
-        Admitted::Fed(id, queue) => (id, queue),
-        Admitted::Elsewhere(vm) => return tell(&mut stream, &Frame::Elsewhere(vm)).await,
-        Admitted::TurnedAway => return tell(&mut stream, &Frame::Standing(own)).await,
+        Admitted::Accepted(id, queue) => (id, queue),
+        Admitted::Redirected(vm) => return send(&mut stream, &Frame::Redirect(vm)).await,
+        Admitted::Rejected => return send(&mut stream, &Frame::Status(own)).await,
     };
-    if is_ahead(&hello, &own) {
-        catch_up(context, pulse);
+    if is_follower_ahead(&hello, &own) {
+        refresh(context, pulse);
     }
     let ended = tokio::select! {
         biased;
         ended = Feed::new(context, pulse, &hello, stream).run(&hello, queue) => ended,
-        () = hear(context, pulse, id, lines) => Ok(()),
+        () = receive(context, pulse, id, lines) => Ok(()),
     };
-    context.followers.left(id);
+    context.followers.remove(id);
     ended
 }
 
 /// Returns whether a VM that wants to be fed knows the store up to a later moment.
-fn is_ahead(hello: &Hello, own: &Standing) -> bool {
+fn is_follower_ahead(hello: &Hello, own: &SyncStatus) -> bool {
     let knows_more = hello.configuration > own.configuration
         || hello.servers > own.servers
         || hello.evacuations > own.evacuations;
-    own.is_whole() && knows_more
+    own.is_complete() && knows_more
 }
 
 /// Learns up to which moment this VM knows the store.
 ///
 /// A watch that brings no change tells none: whoever read the store a moment later would take this VM for one that is behind.
-fn catch_up(context: &Context, pulse: &Pulse) {
+fn refresh(context: &Context, pulse: &Pulse) {
     match pulse.is_reading() {
         true => pulse.ask_again(),
         false => context.ahead.notify_waiters(),
@@ -127,7 +129,7 @@
 }
 
 /// Hears how many VMs are fed through a follower, until the link ends.
-async fn hear(
+async fn receive(
     context: &Context,
     pulse: &Pulse,
     id: u64,
@@ -141,18 +143,18 @@
             Ok(_) => {}
         }
         match serde_json::from_slice(&line) {
-            Ok(Frame::Below(below)) => context.followers.has_below(id, below),
+            Ok(Frame::Descendants(below)) => context.followers.set_descendants(id, below),
             Ok(Frame::Configuration(newer)) => crate::keeper::configuration(context, *newer),
-            Ok(Frame::Ahead) => catch_up(context, pulse),
+            Ok(Frame::FollowerAhead) => refresh(context, pulse),
             Ok(_) | Err(_) => {}
         }
     }
 }
 
-async fn tell(stream: &mut (impl AsyncWrite + Unpin), frame: &Frame) -> std::io::Result<()> {
-    write(stream, &frame.to_line()).await
+async fn send(stream: &mut (impl AsyncWrite + Unpin), frame: &Frame) -> std::io::Result<()> {
+    write_line(stream, &frame.to_line()).await
 }
 
-fn zones(context: &Context) -> Frame {
+fn zones_frame(context: &Context) -> Frame {
     Frame::Zones(context.readers.borrow().records())
 }
--- a/crates/kingcuploft-entry/src/peers/follower.rs
+++ b/crates/kingcuploft-entry/src/peers/follower.rs
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt};
 
 use super::dial::Dial;
-use super::frame::{Frame, Hello, SPEAKS, Standing};
+use super::frame::{Frame, Hello, PROTOCOL_VERSION, SyncStatus};
 use super::lines::{LineError, Lines};
 use super::link_error::LinkError;
 use crate::clock;
@@ -28,22 +28,22 @@
 use crate::store::Collection;
 
 /// How long a link may take to be opened by a VM that knows what the store held a moment ago.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The same for a VM that knows nothing, and refuses callers meanwhile: a VM of the zone that runs answers
 /// within some milliseconds, and one that has no power does not even refuse.
-const CONNECT_PATIENCE_UNREADY: Duration = Duration::from_millis(20);
+const CONNECT_TIMEOUT_NOT_READY: Duration = Duration::from_millis(20);
 
 /// How long a feeder may be silent: two heartbeats and a bit. A change that it missed is then read
 /// from the store within some tenths of a second, well within the 2 s of a leaving server.
-const SILENCE: Duration = Duration::from_millis(650);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(650);
 
 /// From which length on a line is logged with the time that it took.
 const LONG_LINE_BYTES: usize = 16 * 1024;
 
 /// Whether a link came to feed this VM before it ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Link {
+pub enum LinkOutcome {
     /// It did.
     Fed,
     /// It did not.
@@ -52,11 +52,11 @@
 
 /// How a link ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct LinkEnd {
     /// Why.
     pub why: LinkError,
     /// Whether it fed this VM.
-    pub link: Link,
+    pub outcome: LinkOutcome,
 }
 
 /// Follows a VM until the link ends. While all that it knows has been told and it goes on telling, this VM does not
@@ -67,23 +67,23 @@
     own: &VmEntry,
     feeder: &VmEntry,
     network: &impl Dial,
-) -> Ended {
-    let _following = Following(context);
-    let ended = run(context, pulse, own, feeder, network).await;
-    let link = match context.followed.borrow().is_some() {
-        true => Link::Fed,
-        false => Link::NotFed,
+) -> LinkEnd {
+    let _guard = FollowingGuard(context);
+    let ended = run_link(context, pulse, own, feeder, network).await;
+    let outcome = match context.followed.borrow().is_some() {
+        true => LinkOutcome::Fed,
+        false => LinkOutcome::NotFed,
     };
-    Ended {
+    LinkEnd {
         why: ended.err().unwrap_or(LinkError::Closed),
-        link,
+        outcome,
     }
 }
 
 /// What holds while a VM is followed, and no longer, also where following is broken off.
-struct Following<'a>(&'a Context);
+struct FollowingGuard<'a>(&'a Context);
 
-impl Drop for Following<'_> {
+impl Drop for FollowingGuard<'_> {
     fn drop(&mut self) {
         self.0.followed.borrow_mut().take();
         self.0.path.borrow_mut().clear();
@@ -92,18 +92,18 @@
     }
 }
 
-async fn run(
+async fn run_link(
     context: &Rc<Context>,
     pulse: &Pulse,
     own: &VmEntry,
     feeder: &VmEntry,
     network: &impl Dial,
 ) -> Result<(), LinkError> {
-    let patience = match context.is_ready() {
-        true => CONNECT_PATIENCE,
-        false => CONNECT_PATIENCE_UNREADY,
+    let timeout = match context.is_ready() {
+        true => CONNECT_TIMEOUT,
+        false => CONNECT_TIMEOUT_NOT_READY,
     };
-    let connecting = tokio::time::timeout(patience, network.dial(feeder.address));
+    let connecting = tokio::time::timeout(timeout, network.dial(feeder.address));
     let stream = connecting.await.map_err(|_| LinkError::Unreachable)??;
     let (read, mut write) = tokio::io::split(stream);
     let hello = Frame::Hello(Hello {
@@ -111,45 +111,47 @@
         configuration: context.position(Collection::Configuration),
         servers: context.position(Collection::BackendServers),
         evacuations: context.position(Collection::Evacuations),
-        below: context.followers.below(&context.settings.zone),
+        descendants: context.followers.descendants(&context.settings.zone),
         version: context.in_force.leads_on(),
         arrived: context.in_force.arrived(),
         servers_digest: Some(context.servers(|servers| servers.digest())),
-        speaks: SPEAKS,
+        protocol_version: PROTOCOL_VERSION,
     });
     write.write_all(&hello.to_line()).await?;
-    let lines = Lines::of(read);
+    let lines = Lines::new(read);
     tokio::select! {
         biased;
-        ended = hear(context, pulse, feeder, lines) => ended,
-        ended = tell_below(context, write) => ended,
+        ended = receive(context, pulse, feeder, lines) => ended,
+        ended = report_descendants(context, write) => ended,
     }
 }
 
 /// Tells the feeder how many VMs are fed through this one, each time that changes, and that one is ahead.
-async fn tell_below(
+async fn report_descendants(
     context: &Context,
     mut stream: impl AsyncWrite + Unpin,
 ) -> Result<(), LinkError> {
-    let mut told = context.followers.below(&context.settings.zone);
+    let mut reported = context.followers.descendants(&context.settings.zone);
     loop {
         let changed = context.followers.changed.notified();
-        let below = context.followers.below(&context.settings.zone);
-        if below != told {
-            told = below;
-            stream.write_all(&Frame::Below(below).to_line()).await?;
+        let descendants = context.followers.descendants(&context.settings.zone);
+        if descendants != reported {
+            reported = descendants;
+            stream
+                .write_all(&Frame::Descendants(descendants).to_line())
+                .await?;
         }
         tokio::select! {
             biased;
             () = changed => {}
-            () = context.feeder_lacks.notified() => tell_configuration(context, &mut stream).await?,
-            () = context.ahead.notified() => stream.write_all(&Frame::Ahead.to_line()).await?,
+            () = context.feeder_lacks.notified() => send_configuration(context, &mut stream).await?,
+            () = context.ahead.notified() => stream.write_all(&Frame::FollowerAhead.to_line()).await?,
         }
     }
 }
 
 /// Tells the feeder the configuration in force, of which it knows an older one.
-async fn tell_configuration(
+async fn send_configuration(
     context: &Context,
     stream: &mut (impl AsyncWrite + Unpin),
 ) -> std::io::Result<()> {
@@ -160,38 +162,38 @@
     stream.write_all(&whole.to_line()).await
 }
 
-async fn hear(
+async fn receive(
     context: &Rc<Context>,
     pulse: &Pulse,
     feeder: &VmEntry,
     mut lines: Lines<impl AsyncRead + Unpin>,
 ) -> Result<(), LinkError> {
-    let mut led = false;
+    let mut has_snapshot = false;
     let mut transfer = Transfer::default();
-    let mut pending: Option<Standing> = None;
+    let mut pending_status: Option<SyncStatus> = None;
     loop {
-        let Some(frame) = next(&mut lines).await? else {
+        let Some(frame) = next_frame(&mut lines).await? else {
             return Ok(());
         };
         match frame {
             Frame::Wait if context.is_ready() => return Err(LinkError::Behind),
             Frame::Wait => context.promised.set(true),
-            Frame::Standing(standing) => {
-                if let Some(era) = standing.era() {
+            Frame::Status(status) => {
+                if let Some(era) = status.era() {
                     keeper::era(context, era);
                 }
-                check(context, pulse, &standing)?;
-                match led {
-                    true => take_standing(context, standing),
-                    false => pending = Some(standing),
+                check_feeder(context, pulse, &status)?;
+                match has_snapshot {
+                    true => apply_status(context, status),
+                    false => pending_status = Some(status),
                 }
             }
-            Frame::Elsewhere(vm) => return Err(LinkError::Elsewhere(vm)),
-            Frame::Told => {
-                if let Some(standing) = pending.take() {
-                    take_standing(context, standing);
+            Frame::Redirect(vm) => return Err(LinkError::Redirected(vm)),
+            Frame::SnapshotEnd => {
+                if let Some(status) = pending_status.take() {
+                    apply_status(context, status);
                 }
-                led = true;
+                has_snapshot = true;
                 pulse.leave();
                 context.readers.borrow_mut().answered(&feeder.name);
                 *context.followed.borrow_mut() = Some(feeder.clone());
@@ -203,9 +205,9 @@
             }
             Frame::Part(part) => {
                 transfer.add(&lines);
-                take_part(context, *part, &mut transfer)?;
+                apply_part(context, *part, &mut transfer)?;
             }
-            frame => take(context, frame)?,
+            frame => apply(context, frame)?,
         }
     }
 }
@@ -221,7 +223,7 @@
 impl Transfer {
     /// Counts the line that was read last.
     fn add<R: AsyncRead + Unpin>(&mut self, lines: &Lines<R>) {
-        let (bytes, took) = lines.last();
+        let (bytes, took) = lines.last_line();
         let began = clock::now().checked_sub(took);
         self.began = self.began.or(began);
         self.parts += 1;
@@ -248,19 +250,19 @@
 }
 
 /// Returns what a feeder tells next, or `None` at the end of the link.
-async fn next(lines: &mut Lines<impl AsyncRead + Unpin>) -> Result<Option<Frame>, LinkError> {
-    let frame = match lines.next(SILENCE).await {
+async fn next_frame(lines: &mut Lines<impl AsyncRead + Unpin>) -> Result<Option<Frame>, LinkError> {
+    let frame = match lines.next(SILENCE_TIMEOUT).await {
         Ok(Some(line)) => serde_json::from_slice(line)?,
         Ok(None) => return Ok(None),
-        Err(LineError::Failed(error)) => return Err(error.into()),
-        Err(LineError::Silent) => {
+        Err(LineError::Io(error)) => return Err(error.into()),
+        Err(LineError::TimedOut) => {
             return Err(LinkError::Silent {
                 silent_for: lines.silent_for(),
                 partial_bytes: lines.partial_bytes(),
             });
         }
     };
-    let (bytes, took) = lines.last();
+    let (bytes, took) = lines.last_line();
     if bytes >= LONG_LINE_BYTES {
         let took_ms = took.as_millis() as u64;
         tracing::info!(event = "long_line", bytes, took_ms);
@@ -269,50 +271,50 @@
 }
 
 /// Checks whether the feeder may still be followed.
-fn check(context: &Context, pulse: &Pulse, standing: &Standing) -> Result<(), LinkError> {
-    if feeding::is_circle(&context.settings.vm, &standing.path) {
-        return Err(LinkError::Circle);
+fn check_feeder(context: &Context, pulse: &Pulse, status: &SyncStatus) -> Result<(), LinkError> {
+    if feeding::is_circle(&context.settings.vm, &status.path) {
+        return Err(LinkError::Cycle);
     }
-    let own = Standing {
+    let own = SyncStatus {
         configuration: context.position(Collection::Configuration),
         servers: context.position(Collection::BackendServers),
         evacuations: context.position(Collection::Evacuations),
-        store_there: true,
+        store_reachable: true,
         path: Vec::new(),
     };
-    if standing.is_behind(&own) {
+    if status.is_behind(&own) {
         return Err(LinkError::Behind);
     }
     let has_store = pulse.is_reading() && pulse.is_there();
-    if !standing.store_there && has_store && context.is_ready() {
-        return Err(LinkError::StoreAway);
+    if !status.store_reachable && has_store && context.is_ready() {
+        return Err(LinkError::StoreUnreachable);
     }
     Ok(())
 }
 
-fn take_standing(context: &Context, standing: Standing) {
-    if let Some(revision) = standing.configuration {
+fn apply_status(context: &Context, status: SyncStatus) {
+    if let Some(revision) = status.configuration {
         context.set_position(Collection::Configuration, revision);
     }
-    if let Some(revision) = standing.servers {
+    if let Some(revision) = status.servers {
         context.set_position(Collection::BackendServers, revision);
     }
-    if let Some(revision) = standing.evacuations {
+    if let Some(revision) = status.evacuations {
         context.set_position(Collection::Evacuations, revision);
     }
-    context.reader_has_store.set(standing.store_there);
-    *context.path.borrow_mut() = standing.path;
+    context.reader_has_store.set(status.store_reachable);
+    *context.path.borrow_mut() = status.path;
 }
 
-fn take(context: &Context, frame: Frame) -> Result<(), LinkError> {
+fn apply(context: &Context, frame: Frame) -> Result<(), LinkError> {
     let now = clock::now();
     match frame {
         Frame::Configuration(configuration) => keeper::configuration(context, *configuration),
-        Frame::Newer(version) => keeper::configuration_exists(context, version),
+        Frame::NewerVersion(version) => keeper::configuration_exists(context, version),
         Frame::Server(server) => server_news::told(context, now, vec![server]),
         Frame::Servers(table) => server_news::told(context, now, table.servers()?),
         Frame::ServerGone(name) => server_news::gone(context, now, &name),
-        Frame::AllServers(table) => all_servers(context, now, table)?,
+        Frame::AllServers(table) => replace_servers(context, now, table)?,
         Frame::Zones(records) => keeper::zones(context, records),
         Frame::Notices(notices) => notices::told(context, notices),
         Frame::NoticesGone(ids) => notices::withdrawn(context, ids),
@@ -323,23 +325,23 @@
         }
         Frame::Evacuations(zones) => evacuation::followed(context, zones),
         Frame::Era(era) => keeper::era(context, era),
-        Frame::Lacks => context.feeder_lacks.notify_one(),
+        Frame::ConfigurationRequest => context.feeder_lacks.notify_one(),
         Frame::StoreReturned => keeper::store_returned(context),
         Frame::Hello(_)
-        | Frame::WhoReads
-        | Frame::Below(_)
-        | Frame::Ahead
-        | Frame::Standing(_)
+        | Frame::ZonesRequest
+        | Frame::Descendants(_)
+        | Frame::FollowerAhead
+        | Frame::Status(_)
         | Frame::Wait
         | Frame::Alive
         | Frame::Part(_)
-        | Frame::Elsewhere(_)
-        | Frame::Told => {}
+        | Frame::Redirect(_)
+        | Frame::SnapshotEnd => {}
     }
     Ok(())
 }
 
-fn take_part(
+fn apply_part(
     context: &Context,
     part: ChangePart,
     transfer: &mut Transfer,
@@ -351,11 +353,11 @@
             keeper::configuration(context, *configuration);
             Ok(())
         }
-        Taken::OutOfStep => Err(LinkError::OutOfStep),
+        Taken::OutOfStep => Err(LinkError::VersionMismatch),
     }
 }
 
-fn all_servers(context: &Context, now: Instant, table: ServerTable) -> Result<(), LinkError> {
+fn replace_servers(context: &Context, now: Instant, table: ServerTable) -> Result<(), LinkError> {
     let servers: Vec<BackendServer> = table.servers()?;
     let names: Vec<String> = servers.iter().map(|s| s.name.to_string()).collect();
     server_news::all_told(context, now, servers, &names);
--- a/crates/kingcuploft-entry/src/peers/followers.rs
+++ b/crates/kingcuploft-entry/src/peers/followers.rs
@@ -11,16 +11,18 @@
 use kingcuploft::world::ids::{AvailabilityZone, VmName};
 use tokio::sync::{Notify, Semaphore, mpsc};
 
-use super::frame::{Frame, Release, TAKES_EVACUATIONS, TAKES_NOTICES};
+use super::frame::{
+    FIRST_VERSION_WITH_EVACUATIONS, FIRST_VERSION_WITH_NOTICES, Frame, ProtocolVersion,
+};
 
 /// How many frames may wait for one follower; one that is so far behind is better off alone.
-const MOST_WAITING: usize = 256;
+const MAX_QUEUED_FRAMES: usize = 256;
 
 /// How many bytes may.
-const MOST_WAITING_BYTES: usize = 512 * 1024;
+const MAX_QUEUED_BYTES: usize = 512 * 1024;
 
 /// How many followers are written long lines at once: the first of them tell others while the last still wait.
-const MOST_TURNS: usize = 3;
+const MAX_LONG_WRITES: usize = 3;
 
 /// What is written to several followers.
 pub type Line = Rc<Vec<u8>>;
@@ -33,11 +35,11 @@
     /// That this VM is alive; the line says so to one that does not understand the short word for it.
     Alive(Line),
     /// That a version of the configuration exists.
-    Newer(ConfigurationVersion),
+    NewerVersion(ConfigurationVersion),
     /// What leads from its configuration to the one in force.
     Configuration,
     /// A line that VMs understand from this release on.
-    Since(Release, Line),
+    SinceVersion(ProtocolVersion, Line),
 }
 
 /// What waits to be told to one follower.
@@ -51,20 +53,21 @@
     /// Returns what is told next, or `None` once the follower is let go.
     pub async fn next(&mut self) -> Option<Outgoing> {
         let next = self.waiting.recv().await;
-        self.taken(next.as_ref());
+        self.subtract_bytes(next.as_ref());
         next
     }
 
     /// Forgets all that waits.
     pub fn clear(&mut self) {
         while let Ok(outgoing) = self.waiting.try_recv() {
-            self.taken(Some(&outgoing));
+            self.subtract_bytes(Some(&outgoing));
         }
     }
 
-    fn taken(&self, outgoing: Option<&Outgoing>) {
-        if let Some(Outgoing::Line(line) | Outgoing::Alive(line) | Outgoing::Since(_, line)) =
-            outgoing
+    fn subtract_bytes(&self, outgoing: Option<&Outgoing>) {
+        if let Some(
+            Outgoing::Line(line) | Outgoing::Alive(line) | Outgoing::SinceVersion(_, line),
+        ) = outgoing
         {
             self.bytes.set(self.bytes.get() - line.len());
         }
@@ -84,13 +87,15 @@
 
 impl Follower {
     /// Has something told; returns whether there was room.
-    fn tell(&self, outgoing: &Outgoing) -> bool {
+    fn enqueue(&self, outgoing: &Outgoing) -> bool {
         let bytes = match outgoing {
-            Outgoing::Line(line) | Outgoing::Alive(line) | Outgoing::Since(_, line) => line.len(),
-            Outgoing::Newer(_) | Outgoing::Configuration => 0,
+            Outgoing::Line(line) | Outgoing::Alive(line) | Outgoing::SinceVersion(_, line) => {
+                line.len()
+            }
+            Outgoing::NewerVersion(_) | Outgoing::Configuration => 0,
         };
         let waiting = self.waiting_bytes.get();
-        let has_room = waiting == 0 || waiting + bytes <= MOST_WAITING_BYTES;
+        let has_room = waiting == 0 || waiting + bytes <= MAX_QUEUED_BYTES;
         if !has_room || self.queue.try_send(outgoing.clone()).is_err() {
             let vm = &self.fed.vm.name;
             tracing::info!(event = "follower_dropped", %vm, waiting_bytes = waiting);
@@ -109,10 +114,10 @@
 pub struct Followers {
     all: RefCell<Vec<Follower>>,
     next_id: Cell<FollowerId>,
-    account: RefCell<Weak<Vec<u8>>>,
+    server_snapshot: RefCell<Weak<Vec<u8>>>,
     parts: RefCell<HashMap<ChangeKey, Weak<Vec<Line>>>>,
     /// Those that may be written long lines.
-    pub turns: Semaphore,
+    pub long_writes: Semaphore,
     /// Wakes whoever tells how many there are.
     pub changed: Notify,
 }
@@ -120,11 +125,11 @@
 /// What becomes of a VM that wants to be fed.
 pub enum Admitted {
     /// It is fed: this link's place among the followers, and what is told to it from now on.
-    Fed(FollowerId, Queue),
+    Accepted(FollowerId, Queue),
     /// Another VM may feed it.
-    Elsewhere(VmEntry),
+    Redirected(VmEntry),
     /// It is turned away.
-    TurnedAway,
+    Rejected,
 }
 
 impl Default for Followers {
@@ -132,9 +137,9 @@
         Self {
             all: RefCell::default(),
             next_id: Cell::new(0),
-            account: RefCell::default(),
+            server_snapshot: RefCell::default(),
             parts: RefCell::default(),
-            turns: Semaphore::new(MOST_TURNS),
+            long_writes: Semaphore::new(MAX_LONG_WRITES),
             changed: Notify::new(),
         }
     }
@@ -142,62 +147,62 @@
 
 impl Followers {
     /// Tells all followers; one that does not keep up is dropped.
-    pub fn tell(&self, frame: &Frame) {
+    pub fn send(&self, frame: &Frame) {
         match frame {
             Frame::Server(_) | Frame::Servers(_) | Frame::ServerGone(_) | Frame::AllServers(_) => {
-                self.forget_account()
+                self.invalidate_server_snapshot()
             }
             _ => {}
         }
         if self.is_empty() {
             return;
         }
-        self.tell_all(&Outgoing::Line(Rc::new(frame.to_line())));
+        self.enqueue_all(&Outgoing::Line(Rc::new(frame.to_line())));
     }
 
     /// Tells all followers what leads to the configuration in force, first those that tell most others.
-    pub fn tell_configuration(&self) {
+    pub fn send_configuration(&self) {
         let mut all = self.all.borrow_mut();
         all.sort_by_key(|follower| std::cmp::Reverse(follower.fed.below));
         drop(all);
-        self.tell_all(&Outgoing::Configuration);
+        self.enqueue_all(&Outgoing::Configuration);
     }
 
     /// Tells all followers that this VM is alive and stands where it did.
-    pub fn tell_alive(&self, standing: &Frame) {
-        self.tell_all(&Outgoing::Alive(Rc::new(standing.to_line())));
+    pub fn send_alive(&self, standing: &Frame) {
+        self.enqueue_all(&Outgoing::Alive(Rc::new(standing.to_line())));
     }
 
     /// Tells all followers that understand it of notices.
-    pub fn tell_notices(&self, notices: &Frame) {
-        self.tell_since(TAKES_NOTICES, notices);
+    pub fn send_notices(&self, notices: &Frame) {
+        self.send_since(FIRST_VERSION_WITH_NOTICES, notices);
     }
 
     /// Tells all followers that understand it which zones are evacuated.
-    pub fn tell_evacuations(&self, evacuations: &Frame) {
-        self.tell_since(TAKES_EVACUATIONS, evacuations);
+    pub fn send_evacuations(&self, evacuations: &Frame) {
+        self.send_since(FIRST_VERSION_WITH_EVACUATIONS, evacuations);
     }
 
     /// Tells all followers that understand it of the store's era.
-    pub fn tell_era(&self, era: &Frame) {
-        self.tell_since(TAKES_EVACUATIONS, era);
+    pub fn send_era(&self, era: &Frame) {
+        self.send_since(FIRST_VERSION_WITH_EVACUATIONS, era);
     }
 
-    fn tell_since(&self, release: Release, frame: &Frame) {
+    fn send_since(&self, release: ProtocolVersion, frame: &Frame) {
         if !self.is_empty() {
-            self.tell_all(&Outgoing::Since(release, Rc::new(frame.to_line())));
+            self.enqueue_all(&Outgoing::SinceVersion(release, Rc::new(frame.to_line())));
         }
     }
 
     /// Tells all followers that a version of the configuration exists.
-    pub fn tell_newer(&self, version: ConfigurationVersion) {
-        self.tell_all(&Outgoing::Newer(version));
+    pub fn send_newer_version(&self, version: ConfigurationVersion) {
+        self.enqueue_all(&Outgoing::NewerVersion(version));
     }
 
-    fn tell_all(&self, outgoing: &Outgoing) {
+    fn enqueue_all(&self, outgoing: &Outgoing) {
         let mut all = self.all.borrow_mut();
         let before = all.len();
-        all.retain(|follower| follower.tell(outgoing));
+        all.retain(|follower| follower.enqueue(outgoing));
         if all.len() < before {
             self.changed.notify_waiters();
         }
@@ -205,18 +210,18 @@
 
     /// Returns the account of all backend servers, shared by the followers that join before the next
     /// change: when all VMs of a zone start together, a copy for each is more than a small VM has.
-    pub fn account(&self, write: impl FnOnce() -> Vec<u8>) -> Line {
-        let mut shared = self.account.borrow_mut();
-        if let Some(account) = shared.upgrade() {
-            return account;
+    pub fn server_snapshot(&self, write: impl FnOnce() -> Vec<u8>) -> Line {
+        let mut shared = self.server_snapshot.borrow_mut();
+        if let Some(server_snapshot) = shared.upgrade() {
+            return server_snapshot;
         }
-        let account = Rc::new(write());
-        *shared = Rc::downgrade(&account);
-        account
+        let server_snapshot = Rc::new(write());
+        *shared = Rc::downgrade(&server_snapshot);
+        server_snapshot
     }
 
     /// Returns the lines that tell a change, shared by the followers that are told it together.
-    pub fn parts(&self, change: &ConfigurationChange) -> Rc<Vec<Line>> {
+    pub fn change_lines(&self, change: &ConfigurationChange) -> Rc<Vec<Line>> {
         let mut shared = self.parts.borrow_mut();
         let key = (change.from, change.to);
         if let Some(parts) = shared.get(&key).and_then(Weak::upgrade) {
@@ -231,15 +236,15 @@
     }
 
     /// Returns the most bytes that wait for one follower.
-    pub fn most_waiting_bytes(&self) -> usize {
+    pub fn max_queued_bytes(&self) -> usize {
         let all = self.all.borrow();
         let waiting = all.iter().map(|follower| follower.waiting_bytes.get());
         waiting.max().unwrap_or(0)
     }
 
     /// Takes note that the account is no longer true.
-    pub fn forget_account(&self) {
-        self.account.take();
+    pub fn invalidate_server_snapshot(&self) {
+        self.server_snapshot.take();
     }
 
     /// Returns whether nobody follows.
@@ -253,7 +258,7 @@
     }
 
     /// Returns how many VMs of a zone are fed at first or second hand.
-    pub fn below(&self, zone: &AvailabilityZone) -> u32 {
+    pub fn descendants(&self, zone: &AvailabilityZone) -> u32 {
         feeding::below(zone, &self.fed())
     }
 
@@ -265,12 +270,12 @@
     }
 
     /// Forgets the followers without closing their links, as a VM that froze does.
-    pub fn fall_silent(&self) {
+    pub fn forget_without_closing(&self) {
         std::mem::forget(self.all.take());
     }
 
     /// Ends the links to all followers: another VM reads from now on.
-    pub fn let_go(&self) {
+    pub fn disconnect_all(&self) {
         self.all.take();
         self.changed.notify_waiters();
     }
@@ -290,13 +295,13 @@
             .retain(|follower| follower.fed.vm.name != vm.name);
         match feeding::admit(&vm, zone, path, &self.fed()) {
             Admission::Feed => self.add(vm, below),
-            Admission::Elsewhere(at) => self.elsewhere(at),
-            Admission::TurnAway => Admitted::TurnedAway,
+            Admission::Elsewhere(at) => self.redirect(at),
+            Admission::TurnAway => Admitted::Rejected,
         }
     }
 
     fn add(&self, vm: VmEntry, below: u32) -> Admitted {
-        let (sender, receiver) = mpsc::channel(MOST_WAITING);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         let waiting_bytes = Rc::new(Cell::new(0));
         let id = self.next_id.replace(self.next_id.get() + 1);
         let follower = Follower {
@@ -315,20 +320,20 @@
             waiting: receiver,
             bytes: waiting_bytes,
         };
-        Admitted::Fed(id, queue)
+        Admitted::Accepted(id, queue)
     }
 
-    fn elsewhere(&self, at: usize) -> Admitted {
+    fn redirect(&self, at: usize) -> Admitted {
         let mut all = self.all.borrow_mut();
         let Some(follower) = all.get_mut(at) else {
-            return Admitted::TurnedAway;
+            return Admitted::Rejected;
         };
         follower.fed.sent_there += 1;
-        Admitted::Elsewhere(follower.fed.vm.clone())
+        Admitted::Redirected(follower.fed.vm.clone())
     }
 
     /// Takes in how many VMs are fed through a follower.
-    pub fn has_below(&self, id: FollowerId, below: u32) {
+    pub fn set_descendants(&self, id: FollowerId, below: u32) {
         let mut all = self.all.borrow_mut();
         if let Some(follower) = all.iter_mut().find(|follower| follower.id == id) {
             follower.fed.below = below;
@@ -339,7 +344,7 @@
     }
 
     /// Takes in that the link to a follower has ended.
-    pub fn left(&self, id: FollowerId) {
+    pub fn remove(&self, id: FollowerId) {
         self.all.borrow_mut().retain(|follower| follower.id != id);
         self.changed.notify_waiters();
     }
--- a/crates/kingcuploft-entry/src/peers/frame.rs
+++ b/crates/kingcuploft-entry/src/peers/frame.rs
@@ -21,21 +21,27 @@
     /// Sent first by a VM that wants to be fed.
     Hello(Hello),
     /// Sent first by a VM that asks which VMs there are, and by nothing else.
-    WhoReads,
+    #[serde(rename = "WhoReads")]
+    ZonesRequest,
     /// How far the sender knows the store; sent by the feeder after each change and as a heartbeat.
-    Standing(Standing),
+    #[serde(rename = "Standing")]
+    Status(SyncStatus),
     /// The sender knows nothing yet, is alive, and will tell all.
     Wait,
     /// The sender feeds as many as it can; this VM may feed one more.
-    Elsewhere(VmEntry),
+    #[serde(rename = "Elsewhere")]
+    Redirect(VmEntry),
     /// How many VMs are fed through the sender, which is fed itself.
-    Below(u32),
+    #[serde(rename = "Below")]
+    Descendants(u32),
     /// A VM that would be fed through the sender knows the store up to a later moment.
-    Ahead,
+    #[serde(rename = "Ahead")]
+    FollowerAhead,
     /// The configuration in force, whole, for VMs of earlier releases.
     Configuration(Box<Configuration>),
     /// This version of the configuration exists; what leads to it follows.
-    Newer(ConfigurationVersion),
+    #[serde(rename = "Newer")]
+    NewerVersion(ConfigurationVersion),
     /// A part of what leads to a newer configuration.
     Part(Box<ChangePart>),
     /// The sender is alive, and will go on.
@@ -61,11 +67,13 @@
     /// The store came back from a copy, and is in this era.
     Era(Era),
     /// The sender knows an older configuration than the follower, and asks for that one's.
-    Lacks,
+    #[serde(rename = "Lacks")]
+    ConfigurationRequest,
     /// The store answers the sender again after it did not.
     StoreReturned,
     /// All that the sender knew when the link began has been told.
-    Told,
+    #[serde(rename = "Told")]
+    SnapshotEnd,
 }
 
 /// Who wants to be fed, and what it knows.
@@ -81,7 +89,8 @@
     #[serde(default)]
     pub evacuations: Option<Revision>,
     /// How many VMs are fed through it.
-    pub below: u32,
+    #[serde(rename = "below")]
+    pub descendants: u32,
     /// The version of the configuration that it may be led on from.
     #[serde(default)]
     pub version: Option<ConfigurationVersion>,
@@ -93,28 +102,28 @@
     pub servers_digest: Option<u64>,
     /// The frames that it understands: 3 for all of this release, 2 for all but evacuations, 1 for no notices either, 0
     /// for those before.
-    #[serde(default)]
-    pub speaks: Release,
+    #[serde(default, rename = "speaks")]
+    pub protocol_version: ProtocolVersion,
 }
 
 /// Which frames a VM understands; a greater one understands more.
-pub type Release = u32;
+pub type ProtocolVersion = u32;
 
 /// What a VM of this release understands.
-pub const SPEAKS: Release = 3;
+pub const PROTOCOL_VERSION: ProtocolVersion = 3;
 
 /// The first release whose VMs take a configuration in parts.
-pub const TAKES_PARTS: Release = 1;
+pub const FIRST_VERSION_WITH_PARTS: ProtocolVersion = 1;
 
 /// The first release whose VMs take notices.
-pub const TAKES_NOTICES: Release = 2;
+pub const FIRST_VERSION_WITH_NOTICES: ProtocolVersion = 2;
 
 /// The first release whose VMs take evacuations and eras, and tell a feeder what it lacks.
-pub const TAKES_EVACUATIONS: Release = 3;
+pub const FIRST_VERSION_WITH_EVACUATIONS: ProtocolVersion = 3;
 
 /// How far a VM knows the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Standing {
+pub struct SyncStatus {
     /// Up to which moment it knows the configuration.
     pub configuration: Option<Revision>,
     /// Up to which moment it knows the backend servers.
@@ -123,12 +132,13 @@
     #[serde(default)]
     pub evacuations: Option<Revision>,
     /// Whether the store answers the one that reads.
-    pub store_there: bool,
+    #[serde(rename = "store_there")]
+    pub store_reachable: bool,
     /// Through which VMs it hears, the one that reads first, itself last.
     pub path: Vec<VmName>,
 }
 
-impl Standing {
+impl SyncStatus {
     /// Returns the store's era as the sender knows it, if it does.
     pub fn era(&self) -> Option<Era> {
         let known = [self.configuration, self.servers, self.evacuations];
@@ -136,7 +146,7 @@
     }
 
     /// Returns whether it knows all that a request is sent by: the configuration, the servers, which zones are evacuated.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.configuration.is_some() && self.servers.is_some() && self.evacuations.is_some()
     }
 
@@ -146,7 +156,7 @@
         let knows_less = self.configuration < own.configuration
             || self.servers < own.servers
             || self.evacuations < own.evacuations;
-        !self.is_whole() || knows_less
+        !self.is_complete() || knows_less
     }
 }
 
--- a/crates/kingcuploft-entry/src/peers/lines.rs
+++ b/crates/kingcuploft-entry/src/peers/lines.rs
@@ -14,10 +14,10 @@
 pub enum LineError {
     /// The link failed.
     #[error(transparent)]
-    Failed(#[from] std::io::Error),
+    Io(#[from] std::io::Error),
     /// Nothing arrived for as long as was waited.
     #[error("nothing arrived")]
-    Silent,
+    TimedOut,
 }
 
 /// The lines that come over a link.
@@ -25,20 +25,20 @@
 pub struct Lines<R> {
     reader: BufReader<R>,
     line: Vec<u8>,
-    whole: bool,
-    began: Instant,
-    heard: Instant,
+    is_complete: bool,
+    line_started: Instant,
+    last_received: Instant,
 }
 
 impl<R: AsyncRead + Unpin> Lines<R> {
     /// Reads from a link that has just been opened.
-    pub fn of(link: R) -> Self {
+    pub fn new(link: R) -> Self {
         Self {
             reader: BufReader::with_capacity(BUFFER_BYTES, link),
             line: Vec::new(),
-            whole: true,
-            began: clock::now(),
-            heard: clock::now(),
+            is_complete: true,
+            line_started: clock::now(),
+            last_received: clock::now(),
         }
     }
 
@@ -48,14 +48,14 @@
     /// # Errors
     ///
     /// Returns an error if the link fails, or if nothing arrives for so long.
-    pub async fn next(&mut self, silence: Duration) -> Result<Option<&[u8]>, LineError> {
+    pub async fn next(&mut self, timeout: Duration) -> Result<Option<&[u8]>, LineError> {
         loop {
-            let reading = tokio::time::timeout(silence, self.read());
-            let some = reading.await.map_err(|_| LineError::Silent)??;
-            if !some {
+            let reading = tokio::time::timeout(timeout, self.read());
+            let has_bytes = reading.await.map_err(|_| LineError::TimedOut)??;
+            if !has_bytes {
                 return Ok(None);
             }
-            if self.whole {
+            if self.is_complete {
                 return Ok(Some(&self.line));
             }
         }
@@ -64,22 +64,22 @@
     /// Reads some bytes of a line; returns whether there were any.
     async fn read(&mut self) -> std::io::Result<bool> {
         let bytes = self.reader.fill_buf().await?;
-        if std::mem::take(&mut self.whole) {
+        if std::mem::take(&mut self.is_complete) {
             self.line.clear();
-            self.began = clock::now();
+            self.line_started = clock::now();
         }
-        self.heard = clock::now();
+        self.last_received = clock::now();
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let count = end.map_or(bytes.len(), |end| end + 1);
         self.line.extend_from_slice(&bytes[..count]);
-        self.whole = end.is_some();
+        self.is_complete = end.is_some();
         self.reader.consume(count);
         Ok(count > 0)
     }
 
     /// Returns the bytes of a line that is not whole yet.
     pub fn partial_bytes(&self) -> usize {
-        match self.whole {
+        match self.is_complete {
             true => 0,
             false => self.line.len(),
         }
@@ -87,12 +87,14 @@
 
     /// Returns how long nothing has arrived.
     pub fn silent_for(&self) -> Duration {
-        clock::now().saturating_duration_since(self.heard)
+        clock::now().saturating_duration_since(self.last_received)
     }
 
     /// Returns the length of the line that was read last, and how long it took to arrive.
-    pub fn last(&self) -> (usize, Duration) {
-        let took = self.heard.saturating_duration_since(self.began);
+    pub fn last_line(&self) -> (usize, Duration) {
+        let took = self
+            .last_received
+            .saturating_duration_since(self.line_started);
         (self.line.len(), took)
     }
 }
--- a/crates/kingcuploft-entry/src/peers/link_error.rs
+++ b/crates/kingcuploft-entry/src/peers/link_error.rs
@@ -28,19 +28,19 @@
     },
     /// The VM feeds as many as it can, and names another.
     #[error("the VM names {}", .0.name)]
-    Elsewhere(VmEntry),
+    Redirected(VmEntry),
     /// The feeder has not heard yet what this VM knows.
     #[error("the feeder is behind")]
     Behind,
     /// The store answers this VM, and not the one that reads for the feeder.
     #[error("the reader has lost the store")]
-    StoreAway,
+    StoreUnreachable,
     /// The feeder hears through this VM.
     #[error("the feeder hears through this VM")]
-    Circle,
+    Cycle,
     /// What came can't be read.
     #[error("a line can't be read: {0}")]
-    Unreadable(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
     /// A table of servers can't be read.
     #[error(transparent)]
     Table(#[from] TableError),
@@ -49,7 +49,7 @@
     Part(#[from] PartError),
     /// What is told of a configuration does not lead on from this VM's own.
     #[error("the feeder does not lead on from the configuration in force")]
-    OutOfStep,
+    VersionMismatch,
 }
 
 impl LinkError {
@@ -60,12 +60,12 @@
             Self::Closed => "closed",
             Self::Unreachable => "unreachable",
             Self::Silent { .. } => "silent",
-            Self::Elsewhere(_) => "elsewhere",
+            Self::Redirected(_) => "elsewhere",
             Self::Behind => "behind",
-            Self::StoreAway => "store_away",
-            Self::Circle => "circle",
-            Self::Unreadable(_) | Self::Table(_) | Self::Part(_) => "unreadable",
-            Self::OutOfStep => "out_of_step",
+            Self::StoreUnreachable => "store_away",
+            Self::Cycle => "circle",
+            Self::Malformed(_) | Self::Table(_) | Self::Part(_) => "unreadable",
+            Self::VersionMismatch => "out_of_step",
         }
     }
 }
--- a/crates/kingcuploft-entry/src/peers/readings.rs
+++ b/crates/kingcuploft-entry/src/peers/load_reports.rs
@@ -11,9 +11,9 @@
 use kingcuploft::entry::placement::Reading;
 use kingcuploft::world::ids::BackendServerName;
 
-use super::repeat_copies;
+use super::peer_socket::{PeerMessage, PeerSocket};
+use super::repeat_replication;
 use super::turns;
-use super::zone_socket::{Told, ZoneSocket};
 use crate::clock;
 use crate::cold;
 use crate::context::Context;
@@ -21,25 +21,25 @@
 
 /// The most VMs that tell each other all readings. In a larger zone each VM asks servers of its own,
 /// and telling all would cost more than it saves.
-const MOST_VMS: usize = 8;
+const MAX_VMS: usize = 8;
 
 /// The most bytes of a datagram.
-const MOST_BYTES: usize = 4096;
+const MAX_DATAGRAM_BYTES: usize = 4096;
 
 /// How long before it is heard another VM may have asked the server.
-const TOLD_WITHIN: Duration = Duration::from_millis(60);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(60);
 
 /// The pause after a failed receive.
-const PAUSE: Duration = Duration::from_millis(20);
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Tells the other VMs of the zone a reading, and how long the server is cold, if it said whether it is.
-pub fn tell(
+pub fn share_report(
     context: &Context,
     server: &BackendServerName,
     reading: Reading,
     cold_for: Option<Duration>,
 ) {
-    let told = Told::Reading {
+    let message = PeerMessage::LoadReport {
         server: server.clone(),
         running: reading.running,
         waiting: reading.waiting,
@@ -47,42 +47,42 @@
         slowness: reading.slowness,
         cold_ms: cold_for.map(|cold_for| cold_for.as_millis() as u64),
     };
-    tell_others(context, &told);
+    broadcast(context, &message);
 }
 
 /// Tells the other VMs of the zone that a request is on its way to a server.
-pub fn tell_sent(context: &Context, server: &BackendServerName) {
+pub fn share_sent(context: &Context, server: &BackendServerName) {
     let server = server.clone();
-    tell_others(context, &Told::Sent { server });
+    broadcast(context, &PeerMessage::RequestSent { server });
 }
 
-fn tell_others(context: &Context, told: &Told) {
-    let Some(readings) = context.peer_readings.get() else {
+fn broadcast(context: &Context, message: &PeerMessage) {
+    let Some(socket) = context.peer_readings.get() else {
         return;
     };
     let others = context.zone_peers.borrow();
-    if !others.is_empty() && others.len() < MOST_VMS {
-        readings.tell(told, &others);
+    if !others.is_empty() && others.len() < MAX_VMS {
+        socket.send(message, &others);
     }
 }
 
 /// Takes readings in until the process ends.
-pub async fn receive(context: Rc<Context>, socket: Rc<ZoneSocket>) {
-    let mut buffer = vec![0; MOST_BYTES];
+pub async fn receive(context: Rc<Context>, socket: Rc<PeerSocket>) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        match socket.hear(&mut buffer).await {
-            Ok(Some((told, from))) => take(&context, &told, from),
+        match socket.receive(&mut buffer).await {
+            Ok(Some((message, from))) => handle_message(&context, &message, from),
             Ok(None) => {}
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(RECEIVE_RETRY_DELAY).await,
         }
     }
 }
 
 /// Takes in what another VM tells.
-pub fn take(context: &Context, told: &Told, from: SocketAddr) {
+pub fn handle_message(context: &Context, message: &PeerMessage, from: SocketAddr) {
     let now = clock::now();
-    match *told {
-        Told::Reading {
+    match *message {
+        PeerMessage::LoadReport {
             ref server,
             running,
             waiting,
@@ -98,37 +98,48 @@
             };
             if let Some(upstream) = context.upstream(server) {
                 if let Some(cold_for) = cold_ms.map(Duration::from_millis) {
-                    let asked_at = now.checked_sub(TOLD_WITHIN).unwrap_or(now);
+                    let asked_at = now.checked_sub(MAX_REPORT_AGE).unwrap_or(now);
                     cold::heard(context, &upstream, cold_for, asked_at);
                 }
                 upstream.told(now, reading);
                 context.readings.notify_waiters();
             }
         }
-        Told::Sent { ref server } => {
+        PeerMessage::RequestSent { ref server } => {
             if let Some(upstream) = context.upstream(server) {
                 upstream.others_sent(now);
             }
         }
-        Told::AskTurn {
+        PeerMessage::TurnRequest {
             ref server,
-            patience_ms,
-            ask,
-        } => turns::asked(
+            max_wait_ms,
+            request_id,
+        } => turns::handle_request(
             context,
             server,
-            Duration::from_millis(patience_ms),
-            ask,
+            Duration::from_millis(max_wait_ms),
+            request_id,
             from,
         ),
-        Told::Turn {
-            ask,
+        PeerMessage::TurnReply {
+            request_id,
             after_ms,
-            given,
-        } => turns::answered(context, ask, Duration::from_millis(after_ms), given),
-        Told::Limit { ref server, per_s } => limits::changed(context, server, per_s),
-        Told::Repeats { ref vm, ref used } => repeat_copies::told(context, vm, used),
-        Told::AskRepeats { ref vm } => repeat_copies::asked(context, vm, from),
-        Told::KeptRepeats { ref used } => repeat_copies::answered(context, used, from),
+            granted,
+        } => turns::handle_reply(
+            context,
+            request_id,
+            Duration::from_millis(after_ms),
+            granted,
+        ),
+        PeerMessage::LimitChanged { ref server, per_s } => limits::changed(context, server, per_s),
+        PeerMessage::RepeatsUsed { ref vm, ref used } => {
+            repeat_replication::store_copy(context, vm, used)
+        }
+        PeerMessage::RepeatsRequest { ref vm } => {
+            repeat_replication::send_copies(context, vm, from)
+        }
+        PeerMessage::RepeatsReply { ref used } => {
+            repeat_replication::restore_used(context, used, from)
+        }
     }
 }
--- a/crates/kingcuploft-entry/src/peers/zone_socket.rs
+++ b/crates/kingcuploft-entry/src/peers/peer_socket.rs
@@ -10,9 +10,10 @@
 
 /// What one VM tells others.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub enum Told {
+pub enum PeerMessage {
     /// Its load, as it has just said.
-    Reading {
+    #[serde(rename = "Reading")]
+    LoadReport {
         /// The server.
         server: BackendServerName,
         /// Requests it works on.
@@ -29,67 +30,78 @@
     },
     /// A request is on its way there, which its last reading does not count: without this, all VMs
     /// that know the same reading send to the same server.
-    Sent {
+    #[serde(rename = "Sent")]
+    RequestSent {
         /// The server.
         server: BackendServerName,
     },
     /// A turn is asked for at a server whose limit the other keeps.
-    AskTurn {
+    #[serde(rename = "AskTurn")]
+    TurnRequest {
         /// The server.
         server: BackendServerName,
         /// How long the request waits for it at most, in milliseconds.
-        patience_ms: u64,
+        #[serde(rename = "patience_ms")]
+        max_wait_ms: u64,
         /// Tells the answer from others.
-        ask: u64,
+        #[serde(rename = "ask")]
+        request_id: u64,
     },
     /// The answer to that.
-    Turn {
+    #[serde(rename = "Turn")]
+    TurnReply {
         /// What was asked.
-        ask: u64,
+        #[serde(rename = "ask")]
+        request_id: u64,
         /// When the turn is, or would be.
         after_ms: u64,
         /// Whether it is given.
-        given: bool,
+        #[serde(rename = "given")]
+        granted: bool,
     },
     /// A server names another limit than before; told to those that keep it.
-    Limit {
+    #[serde(rename = "Limit")]
+    LimitChanged {
         /// The server.
         server: BackendServerName,
         /// How many requests a second it takes now.
         per_s: f64,
     },
     /// What a VM has used of the budget of repeats, for others to keep.
-    Repeats {
+    #[serde(rename = "Repeats")]
+    RepeatsUsed {
         /// The VM.
         vm: VmName,
         /// What it has used.
         used: Used,
     },
     /// A VM that has just started asks what is kept for it.
-    AskRepeats {
+    #[serde(rename = "AskRepeats")]
+    RepeatsRequest {
         /// The VM.
         vm: VmName,
     },
     /// The answer to that, if anything is kept.
-    KeptRepeats {
+    #[serde(rename = "KeptRepeats")]
+    RepeatsReply {
         /// What it had used.
         used: Used,
     },
 }
 
 /// Carries what one VM tells others. What is lost is not sent again.
-pub trait Telling: std::fmt::Debug {
+pub trait PeerSender: std::fmt::Debug {
     /// Tells others.
-    fn tell(&self, told: &Told, others: &[SocketAddr]);
+    fn send(&self, message: &PeerMessage, others: &[SocketAddr]);
 }
 
 /// The socket to other VMs.
 #[derive(Debug)]
-pub struct ZoneSocket {
+pub struct PeerSocket {
     socket: UdpSocket,
 }
 
-impl ZoneSocket {
+impl PeerSocket {
     /// Opens the socket.
     ///
     /// # Errors
@@ -105,16 +117,19 @@
     /// # Errors
     ///
     /// Returns the system's error.
-    pub async fn hear(&self, buffer: &mut [u8]) -> std::io::Result<Option<(Told, SocketAddr)>> {
+    pub async fn receive(
+        &self,
+        buffer: &mut [u8],
+    ) -> std::io::Result<Option<(PeerMessage, SocketAddr)>> {
         let (length, from) = self.socket.recv_from(buffer).await?;
-        let told = serde_json::from_slice(&buffer[..length]).ok();
-        Ok(told.map(|told| (told, from)))
+        let message = serde_json::from_slice(&buffer[..length]).ok();
+        Ok(message.map(|message| (message, from)))
     }
 }
 
-impl Telling for ZoneSocket {
-    fn tell(&self, told: &Told, others: &[SocketAddr]) {
-        let Ok(bytes) = serde_json::to_vec(told) else {
+impl PeerSender for PeerSocket {
+    fn send(&self, message: &PeerMessage, others: &[SocketAddr]) {
+        let Ok(bytes) = serde_json::to_vec(message) else {
             return;
         };
         for other in others {
--- a/crates/kingcuploft-entry/src/peers/away.rs
+++ b/crates/kingcuploft-entry/src/peers/reader_failover.rs
@@ -13,23 +13,23 @@
 use crate::pulse::Pulse;
 
 /// How often it is looked whether the reader has the store.
-const STEP: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The time between two questions by one VM.
-const ASK_AGAIN: Duration = Duration::from_millis(1500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// Returns once the reader has lost the store and it answers this VM.
-pub async fn find_store(context: &Context, pulse: &Pulse) {
+pub async fn wait_for_takeover(context: &Context, pulse: &Pulse) {
     loop {
         while context.reader_has_store.get() {
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let patience = {
+        let delay = {
             let readers = context.readers.borrow();
             let record = readers.record(&context.settings.zone);
             joining::ask_after(&context.settings.vm, record, fastrand::f64())
         };
-        tokio::time::sleep(patience).await;
+        tokio::time::sleep(delay).await;
         if context.reader_has_store.get() {
             continue;
         }
@@ -37,6 +37,6 @@
             return;
         }
         pulse.leave();
-        tokio::time::sleep(ASK_AGAIN).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
--- a/crates/kingcuploft-entry/src/peers/repeat_copies.rs
+++ b/crates/kingcuploft-entry/src/peers/repeat_replication.rs
@@ -9,102 +9,109 @@
 use kingcuploft::world::ids::VmName;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::zone_socket::Told;
+use super::peer_socket::PeerMessage;
 use crate::clock;
 use crate::context::Context;
 
 /// The time between two tells of a VM that goes on repeating: with all holders some 2 KB a second.
-const TELL_EVERY: Duration = Duration::from_millis(600);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(600);
 
 /// When it is told again, as datagrams are lost and holders restart: while there are repeats, and otherwise.
-const TELL_AGAIN: Duration = Duration::from_millis(1200);
-const TELL_PRESENCE: Duration = Duration::from_secs(2);
+const RESEND_INTERVAL: Duration = Duration::from_millis(1200);
+const IDLE_RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The time between the first two questions, and the longest between two.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(1600);
+const FIRST_REQUEST_PAUSE: Duration = Duration::from_millis(100);
+const MAX_REQUEST_PAUSE: Duration = Duration::from_millis(1600);
 
 /// When a VM that knows no other looks again whether there is one.
-const LOOK_AGAIN: Duration = Duration::from_millis(500);
+const NO_HOLDERS_PAUSE: Duration = Duration::from_millis(500);
 
 /// The most services of one datagram.
-const MOST_SERVICES: usize = 8;
+const MAX_SERVICES_PER_DATAGRAM: usize = 8;
 
 /// Keeps the holders informed, until the process ends.
-pub async fn keep(context: Rc<Context>) {
-    tokio::join!(ask(&context), tell(&context));
+pub async fn run(context: Rc<Context>) {
+    tokio::join!(request_copies(&context), send_updates(&context));
 }
 
 /// Asks the holders until one has answered, or it does not matter any more.
-async fn ask(context: &Context) {
+async fn request_copies(context: &Context) {
     let vm = context.settings.vm.clone();
-    let mut pause = ASK_AGAIN;
+    let mut pause = FIRST_REQUEST_PAUSE;
     while context.repeats_unknown_for() > Duration::ZERO {
-        let others = addresses(context);
+        let others = holder_addresses(context);
         if others.is_empty() {
-            sleep(ASK_AGAIN).await;
+            sleep(FIRST_REQUEST_PAUSE).await;
             continue;
         }
-        send(context, &Told::AskRepeats { vm: vm.clone() }, &others);
+        send(
+            context,
+            &PeerMessage::RepeatsRequest { vm: vm.clone() },
+            &others,
+        );
         sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_REQUEST_PAUSE);
     }
 }
 
-async fn tell(context: &Context) {
+async fn send_updates(context: &Context) {
     loop {
         let used = context.repeats_used();
         let next = match used.accounts.is_empty() {
-            true => TELL_PRESENCE,
-            false => TELL_AGAIN,
+            true => IDLE_RESEND_INTERVAL,
+            false => RESEND_INTERVAL,
         };
-        let told_at = Instant::now();
+        let sent_at = Instant::now();
         let vm = &context.settings.vm;
-        let others = addresses(context);
-        for used in used.parts(MOST_SERVICES) {
+        let others = holder_addresses(context);
+        for used in used.parts(MAX_SERVICES_PER_DATAGRAM) {
             let vm = vm.clone();
-            send(context, &Told::Repeats { vm, used }, &others);
+            send(context, &PeerMessage::RepeatsUsed { vm, used }, &others);
         }
         let again = match others.is_empty() {
-            true => LOOK_AGAIN,
+            true => NO_HOLDERS_PAUSE,
             false => next,
         };
         tokio::select! {
             biased;
-            () = context.repeated.notified() => sleep_until(told_at + TELL_EVERY).await,
+            () = context.repeated.notified() => sleep_until(sent_at + MIN_SEND_INTERVAL).await,
             () = sleep(again) => {}
         }
     }
 }
 
-fn addresses(context: &Context) -> Vec<SocketAddr> {
+fn holder_addresses(context: &Context) -> Vec<SocketAddr> {
     let records = context.readers.borrow().records();
     let holders = holders(&context.settings.vm, &records);
     holders.into_iter().map(|vm| vm.address).collect()
 }
 
-fn send(context: &Context, told: &Told, others: &[SocketAddr]) {
+fn send(context: &Context, message: &PeerMessage, others: &[SocketAddr]) {
     if let Some(socket) = context.peer_readings.get() {
-        socket.tell(told, others);
+        socket.send(message, others);
     }
 }
 
 /// Keeps what another VM has used.
-pub fn told(context: &Context, vm: &VmName, used: &Used) {
+pub fn store_copy(context: &Context, vm: &VmName, used: &Used) {
     let mut copies = context.repeat_copies.borrow_mut();
     copies.told(clock::now(), vm.clone(), used.clone());
 }
 
 /// Tells a VM that has just started what is kept for it.
-pub fn asked(context: &Context, vm: &VmName, from: SocketAddr) {
+pub fn send_copies(context: &Context, vm: &VmName, from: SocketAddr) {
     let kept = context.repeat_copies.borrow_mut().of(clock::now(), vm);
-    for used in kept.into_iter().flat_map(|used| used.parts(MOST_SERVICES)) {
-        send(context, &Told::KeptRepeats { used }, &[from]);
+    for used in kept
+        .into_iter()
+        .flat_map(|used| used.parts(MAX_SERVICES_PER_DATAGRAM))
+    {
+        send(context, &PeerMessage::RepeatsReply { used }, &[from]);
     }
 }
 
 /// Takes in what this VM had used before it started.
-pub fn answered(context: &Context, used: &Used, from: SocketAddr) {
+pub fn restore_used(context: &Context, used: &Used, from: SocketAddr) {
     if context.recover_repeats(used) {
         tracing::info!(
             event = "repeats_recovered",
--- a/crates/kingcuploft-entry/src/peers/standing.rs
+++ b/crates/kingcuploft-entry/src/peers/sync_status.rs
@@ -1,19 +1,19 @@
 //! How far this VM knows the store, as it tells its followers.
 
-use super::frame::Standing;
+use super::frame::SyncStatus;
 use crate::context::Context;
 use crate::pulse::Pulse;
 use crate::store::Collection;
 
 /// Returns how far this VM knows the store.
-pub fn standing(context: &Context, pulse: &Pulse) -> Standing {
+pub fn sync_status(context: &Context, pulse: &Pulse) -> SyncStatus {
     let mut path = context.path.borrow().clone();
     path.push(context.settings.vm.clone());
-    Standing {
+    SyncStatus {
         configuration: context.position(Collection::Configuration),
         servers: context.position(Collection::BackendServers),
         evacuations: context.position(Collection::Evacuations),
-        store_there: match pulse.is_reading() {
+        store_reachable: match pulse.is_reading() {
             true => pulse.is_there(),
             false => context.reader_has_store.get(),
         },
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -8,69 +8,69 @@
 use kingcuploft::entry::server_limit::{ASK_AGAIN, Turn};
 use kingcuploft::world::ids::BackendServerName;
 
-use super::zone_socket::Told;
+use super::peer_socket::PeerMessage;
 use crate::clock;
 use crate::context::Context;
 use crate::limits;
 
 /// How long an answer is waited for: many round trips of a region.
-const PATIENCE: Duration = Duration::from_millis(30);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Asks for a turn at a server for a request that waits so long at most.
-pub async fn ask(context: &Context, server: &BackendServerName, patience: Duration) -> Turn {
+pub async fn request(context: &Context, server: &BackendServerName, max_wait: Duration) -> Turn {
     if limits::is_kept_here(context, server) {
         let mut limits = context.limits.borrow_mut();
-        return limits.give_turn(clock::now(), server, patience);
+        return limits.give_turn(clock::now(), server, max_wait);
     }
     let keeper = limits::keeper(context, server);
     let (Some(keeper), Some(socket)) = (keeper, context.peer_readings.get()) else {
         return Turn::TooLate(ASK_AGAIN);
     };
-    let (ask, answer) = context.asked_turns.open();
-    let told = Told::AskTurn {
+    let (request_id, reply) = context.asked_turns.register();
+    let message = PeerMessage::TurnRequest {
         server: server.clone(),
-        patience_ms: patience.as_millis() as u64,
-        ask,
+        max_wait_ms: max_wait.as_millis() as u64,
+        request_id,
     };
-    socket.tell(&told, &[keeper.address]);
-    let answered = tokio::time::timeout(PATIENCE, answer).await;
-    context.asked_turns.close(ask);
-    match answered {
+    socket.send(&message, &[keeper.address]);
+    let outcome = tokio::time::timeout(REPLY_TIMEOUT, reply).await;
+    context.asked_turns.cancel(request_id);
+    match outcome {
         Ok(Ok(turn)) => turn,
         Ok(Err(_)) | Err(_) => Turn::TooLate(ASK_AGAIN),
     }
 }
 
 /// Answers a VM that asks for a turn.
-pub fn asked(
+pub fn handle_request(
     context: &Context,
     server: &BackendServerName,
-    patience: Duration,
-    ask: u64,
+    max_wait: Duration,
+    request_id: u64,
     from: SocketAddr,
 ) {
     let Some(socket) = context.peer_readings.get() else {
         return;
     };
     let mut limits = context.limits.borrow_mut();
-    let (after, given) = match limits.give_turn(clock::now(), server, patience) {
+    let (after, granted) = match limits.give_turn(clock::now(), server, max_wait) {
         Turn::After(after) => (after, true),
         Turn::TooLate(after) => (after, false),
     };
     let after_ms = after.as_millis() as u64;
-    let told = Told::Turn {
-        ask,
+    let message = PeerMessage::TurnReply {
+        request_id,
         after_ms,
-        given,
+        granted,
     };
-    socket.tell(&told, &[from]);
+    socket.send(&message, &[from]);
 }
 
 /// Takes an answer in.
-pub fn answered(context: &Context, ask: u64, after: Duration, given: bool) {
-    let turn = match given {
+pub fn handle_reply(context: &Context, request_id: u64, after: Duration, granted: bool) {
+    let turn = match granted {
         true => Turn::After(after),
         false => Turn::TooLate(after),
     };
-    context.asked_turns.answered(ask, turn);
+    context.asked_turns.complete(request_id, turn);
 }
--- a/crates/kingcuploft-entry/src/run.rs
+++ b/crates/kingcuploft-entry/src/run.rs
@@ -16,15 +16,15 @@
 use crate::keeper;
 use crate::notices;
 use crate::peers::dial::{self, Dial};
-use crate::peers::reader;
-use crate::peers::readings;
-use crate::peers::repeat_copies;
-use crate::peers::zone_socket::ZoneSocket;
+use crate::peers::feeder;
+use crate::peers::load_reports;
+use crate::peers::peer_socket::PeerSocket;
+use crate::peers::repeat_replication;
 use crate::pulse::Pulse;
-use crate::roster;
 use crate::settings::{EntrySettings, Vocabulary};
 use crate::sign_of_life;
 use crate::store::{Collection, Store};
+use crate::store_sync;
 
 /// New connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -207,9 +207,9 @@
         address,
         cpu_milli: context.settings.cpu_milli,
     };
-    tokio::task::spawn_local(reader::beat(context.clone(), pulse.clone()));
-    tokio::task::spawn_local(repeat_copies::keep(context.clone()));
-    let keeping = roster::keep(context.clone(), store.clone(), pulse.clone(), own, network);
+    tokio::task::spawn_local(feeder::send_heartbeats(context.clone(), pulse.clone()));
+    tokio::task::spawn_local(repeat_replication::run(context.clone()));
+    let keeping = store_sync::run(context.clone(), store.clone(), pulse.clone(), own, network);
     tokio::task::spawn_local(keeping);
 }
 
@@ -221,15 +221,15 @@
 ) -> Result<SocketAddr, StartError> {
     let listener = listen(address)?;
     let address = listener.local_addr().unwrap_or(address);
-    let opened = ZoneSocket::open(address).await;
+    let opened = PeerSocket::open(address).await;
     let opened = opened.map_err(|error| StartError::Listen(address, error))?;
     let socket = Rc::new(opened);
-    tokio::task::spawn_local(readings::receive(context.clone(), socket.clone()));
+    tokio::task::spawn_local(load_reports::receive(context.clone(), socket.clone()));
     let _ = context.peer_readings.set(socket);
-    tokio::task::spawn_local(reader::serve(context.clone(), pulse.clone(), listener));
+    tokio::task::spawn_local(feeder::serve(context.clone(), pulse.clone(), listener));
     if let Some(address) = context.settings.control {
         let listener = listen(address)?;
-        tokio::task::spawn_local(reader::serve(context.clone(), pulse.clone(), listener));
+        tokio::task::spawn_local(feeder::serve(context.clone(), pulse.clone(), listener));
     }
     Ok(address)
 }
--- a/crates/kingcuploft-entry/src/server_news.rs
+++ b/crates/kingcuploft-entry/src/server_news.rs
@@ -19,10 +19,10 @@
     context.servers(|known| servers.retain(|server| !known.is_known(server)));
     match &servers[..] {
         [] => return,
-        [server] => context.followers.tell(&Frame::Server(server.clone())),
+        [server] => context.followers.send(&Frame::Server(server.clone())),
         several => {
             let table = ServerTable::of(several.iter());
-            context.followers.tell(&Frame::Servers(table));
+            context.followers.send(&Frame::Servers(table));
         }
     }
     let cold = cold_servers(&servers);
@@ -43,7 +43,7 @@
 
 /// Takes in that a backend server's entry is gone, and passes it on.
 pub fn gone(context: &Context, now: Instant, name: &str) {
-    context.followers.tell(&Frame::ServerGone(name.to_owned()));
+    context.followers.send(&Frame::ServerGone(name.to_owned()));
     if let Some(change) = context.servers(|servers| servers.gone(now, name)) {
         apply(context, now, &change);
     }
@@ -73,15 +73,15 @@
 fn pass_on(context: &Context, news: &[BackendServer], changes: &[Change]) {
     if news.len() + changes.len() > MOST_TOLD_ALONE {
         let table = context.servers(|servers| ServerTable::of(servers.present()));
-        context.followers.tell(&Frame::AllServers(table));
+        context.followers.send(&Frame::AllServers(table));
         return;
     }
     for server in news {
-        context.followers.tell(&Frame::Server(server.clone()));
+        context.followers.send(&Frame::Server(server.clone()));
     }
     for change in changes {
         if let Change::Left(name) | Change::Lapsed(name) = change {
-            context.followers.tell(&Frame::ServerGone(name.to_string()));
+            context.followers.send(&Frame::ServerGone(name.to_string()));
         }
     }
 }
--- a/crates/kingcuploft-entry/src/sign_of_life.rs
+++ b/crates/kingcuploft-entry/src/sign_of_life.rs
@@ -13,7 +13,7 @@
 use crate::context::Context;
 use crate::keeper;
 use crate::peers::frame::Frame;
-use crate::peers::standing::standing;
+use crate::peers::sync_status::sync_status;
 use crate::pulse::Pulse;
 use crate::store::{Collection, Revision, Store};
 
@@ -60,8 +60,8 @@
                 false => tracing::warn!(event = "store_away"),
             }
             // Those that follow learn it at once, as one of them may still reach the store.
-            let standing = standing(&context, &pulse);
-            context.followers.tell(&Frame::Standing(standing));
+            let standing = sync_status(&context, &pulse);
+            context.followers.send(&Frame::Status(standing));
         }
         pulse.was_asked();
         if reached.is_some_and(|reached| lag.is_too_long(clock::now(), reached, &context)) {
--- a/crates/kingcuploft-entry/src/roster/mod.rs
+++ b/crates/kingcuploft-entry/src/store_sync/mod.rs
@@ -1,7 +1,7 @@
 //! How this VM learns what the store holds: it finds the VMs of its zone, follows one of them, or reads the store for
 //! them.
 
-mod leading;
+mod zone_leader;
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,10 +16,10 @@
 use crate::context::Context;
 use crate::impatience;
 use crate::keeper;
-use crate::peers::away;
 use crate::peers::dial::Dial;
-use crate::peers::follower::{self, Link};
+use crate::peers::follower::{self, LinkOutcome};
 use crate::peers::link_error::LinkError;
+use crate::peers::reader_failover;
 use crate::peers::seeds;
 use crate::pulse::Pulse;
 use crate::store::Store;
@@ -27,96 +27,96 @@
 
 /// The time between two lists of the zones by one that reads the store. Other zones grow meanwhile, and what all use
 /// together is divided by the VMs counted.
-const LIST_EVERY: Duration = Duration::from_secs(3);
+const LIST_INTERVAL: Duration = Duration::from_secs(3);
 
 /// How often a VM that reads the store looks whether it may follow another, and whether its zone's record misleads.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a feeder that is behind is given: two VMs that both read hear of a change within half a
 /// second of each other, and this VM goes on reading meanwhile.
-const CATCH_UP: Duration = Duration::from_millis(170);
+const CATCH_UP_TIME: Duration = Duration::from_millis(170);
 
 /// How many VMs are asked in a row, each of which names another.
-const MOST_HOPS: usize = 6;
+const MAX_REDIRECTS: usize = 6;
 
 /// How long a VM that has lost its feeder looks for another before it reads by itself meanwhile.
-const WITHOUT_FEEDER: Duration = Duration::from_millis(250);
+const MAX_TIME_WITHOUT_FEEDER: Duration = Duration::from_millis(250);
 
 /// How long a VM that has just started hears another before it goes by what the store holds.
-const HEAR_ONCE: Duration = Duration::from_millis(500);
+const INITIAL_SYNC_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How often it looks whether it has heard all.
-const HEARD_STEP: Duration = Duration::from_millis(5);
+const INITIAL_SYNC_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(500);
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// How long a VM can reach none of those that its zone's record names before it names itself beside them; chance adds as
 /// much again.
-const ALONE: Duration = Duration::from_secs(2);
+const UNREACHABLE_PEERS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The time between two questions to the seeds by a VM that knows no other.
-const ASK_AGAIN: Duration = Duration::from_millis(300);
+const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Keeps this VM informed, until the process ends.
-pub async fn keep<S: Store + 'static, D: Dial + Clone + 'static>(
+pub async fn run<S: Store + 'static, D: Dial + Clone + 'static>(
     context: Rc<Context>,
     store: Rc<S>,
     pulse: Rc<Pulse>,
     own: VmEntry,
     network: D,
 ) {
-    let roster = Roster {
+    let sync = StoreSync {
         context: &context,
         store: &store,
         pulse: &pulse,
         own: &own,
         network: &network,
-        stored: Cell::default(),
-        stored_after: Cell::default(),
-        count: Cell::default(),
+        stored_version: Cell::default(),
+        stored_at_rewind: Cell::default(),
+        vm_count: Cell::default(),
     };
     let impatience = impatience::without_knowledge(context.clone(), pulse.clone());
     let impatience = tokio::task::spawn_local(impatience);
     if context.settings.all_start {
         tokio::time::sleep(joining::claim_after(&own, fastrand::f64())).await;
     }
-    roster.learn().await;
-    tokio::join!(roster.go_on(), roster.lead());
+    sync.discover_vms().await;
+    tokio::join!(sync.sync(), sync.lead_zone());
     impatience.abort();
 }
 
-struct Roster<'a, S, D> {
+struct StoreSync<'a, S, D> {
     context: &'a Rc<Context>,
     store: &'a Rc<S>,
     pulse: &'a Pulse,
     own: &'a VmEntry,
     network: &'a D,
     /// The version of the own zone's record that the store holds, as far as is known.
-    stored: Cell<u64>,
+    stored_version: Cell<u64>,
     /// How often the store had come back from a copy then.
-    stored_after: Cell<u32>,
-    count: Cell<ZoneCount>,
+    stored_at_rewind: Cell<u32>,
+    vm_count: Cell<ZoneCount>,
 }
 
-impl<S: Store, D: Dial + Clone + 'static> Roster<'_, S, D> {
-    async fn go_on(&self) {
+impl<S: Store, D: Dial + Clone + 'static> StoreSync<'_, S, D> {
+    async fn sync(&self) {
         if !self.context.settings.all_start {
-            self.hear_once().await;
+            self.sync_from_peer_once().await;
         }
         let mut fed_at = clock::now();
         loop {
             match self.source() {
                 Source::Reader(feeder) => {
-                    if self.follow(feeder).await == Link::Fed {
+                    if self.follow(feeder).await == LinkOutcome::Fed {
                         fed_at = clock::now();
                     }
-                    if clock::since(fed_at) >= WITHOUT_FEEDER && self.context.is_ready() {
+                    if clock::since(fed_at) >= MAX_TIME_WITHOUT_FEEDER && self.context.is_ready() {
                         self.pulse.read();
                     }
                 }
                 source => {
-                    self.read(source).await;
+                    self.read_store(source).await;
                     fed_at = clock::now();
                 }
             }
@@ -127,24 +127,27 @@
     ///
     /// Failure: the store came back from a copy and holds an older configuration than the others have in force; they leave a
     /// VM alone for seconds that has just failed, and it would serve by the older one.
-    async fn hear_once(&self) {
-        let others = self.record().into_iter().flat_map(|record| record.vms);
+    async fn sync_from_peer_once(&self) {
+        let others = self
+            .own_zone_record()
+            .into_iter()
+            .flat_map(|record| record.vms);
         let other = others.into_iter().find(|vm| vm.name != self.own.name);
         let Some(other) = other.filter(|_| self.source() == Source::Store) else {
             return;
         };
         tokio::select! {
             biased;
-            () = self.heard() => {}
+            () = self.peer_answered() => {}
             _ = follower::follow(self.context, self.pulse, self.own, &other, self.network) => {}
-            () = tokio::time::sleep(HEAR_ONCE) => {}
+            () = tokio::time::sleep(INITIAL_SYNC_TIMEOUT) => {}
         }
     }
 
     /// Returns once the VM that is followed has told all, or knows nothing itself.
-    async fn heard(&self) {
+    async fn peer_answered(&self) {
         while self.context.followed.borrow().is_none() && !self.context.promised.get() {
-            tokio::time::sleep(HEARD_STEP).await;
+            tokio::time::sleep(INITIAL_SYNC_POLL_INTERVAL).await;
         }
     }
 
@@ -163,42 +166,43 @@
     }
 
     /// Returns whether this VM keeps its zone's record.
-    fn leads(&self) -> bool {
+    fn is_zone_leader(&self) -> bool {
         let readers = self.context.readers.borrow();
         let source = readers.source_in_zone(clock::now(), &self.own.name, &self.own.zone);
         source == Source::Store
     }
 
-    fn record(&self) -> Option<ZoneRecord> {
+    fn own_zone_record(&self) -> Option<ZoneRecord> {
         let readers = self.context.readers.borrow();
         readers.record(&self.own.zone).cloned()
     }
 
     /// Learns which VMs there are: of the seeds, and of the store if they don't know.
-    async fn learn(&self) {
+    async fn discover_vms(&self) {
         let settings = &self.context.settings;
         loop {
-            let told = seeds::ask(self.network, &settings.seeds, settings.control).await;
+            let told = seeds::query(self.network, &settings.seeds, settings.control).await;
             keeper::zones(self.context, told);
-            if self.record().is_some() {
+            if self.own_zone_record().is_some() {
                 return;
             }
             // While the store is away, one of the seeds may be told by a VM that it answers.
-            if self.pulse.is_there() && self.list(Staleness::Allowed).await {
+            if self.pulse.is_there() && self.list_zones(Staleness::Allowed).await {
                 return;
             }
-            tokio::time::sleep(ASK_AGAIN).await;
+            tokio::time::sleep(SEED_RETRY_INTERVAL).await;
         }
     }
 
     /// Learns of the store which VMs there are; returns whether it answered.
-    async fn list(&self, stale: Staleness) -> bool {
+    async fn list_zones(&self, stale: Staleness) -> bool {
         match list_all(&**self.store, stale).await {
             Ok(records) => {
                 let own = records.iter().find(|record| record.zone == self.own.zone);
-                let stored = own.map_or(0, |record| record.version);
-                if self.stored_after.get() == self.context.rewinds.count() {
-                    self.stored.set(self.stored.get().max(stored));
+                let stored_version = own.map_or(0, |record| record.version);
+                if self.stored_at_rewind.get() == self.context.rewinds.count() {
+                    self.stored_version
+                        .set(self.stored_version.get().max(stored_version));
                 }
                 keeper::zones(self.context, records);
                 true
@@ -211,21 +215,21 @@
     }
 
     /// Follows a VM, or one that it names, until the link ends; returns whether it was fed.
-    async fn follow(&self, first: VmEntry) -> Link {
+    async fn follow(&self, first: VmEntry) -> LinkOutcome {
         let mut feeder = first.clone();
-        for _ in 0..MOST_HOPS {
+        for _ in 0..MAX_REDIRECTS {
             let ended = tokio::select! {
                 biased;
                 ended = follower::follow(self.context, self.pulse, self.own, &feeder, self.network) => ended,
-                () = away::find_store(self.context, self.pulse) => {
-                    self.take_over(&feeder).await;
-                    return Link::Fed;
+                () = reader_failover::wait_for_takeover(self.context, self.pulse) => {
+                    self.take_over_reading(&feeder).await;
+                    return LinkOutcome::Fed;
                 }
-                () = self.other_source(&first) => return Link::Fed,
+                () = self.source_changed(&first) => return LinkOutcome::Fed,
             };
-            let link = ended.link;
+            let link = ended.outcome;
             match ended.why {
-                LinkError::Elsewhere(other) if other.name != self.own.name => {
+                LinkError::Redirected(other) if other.name != self.own.name => {
                     feeder = other;
                     continue;
                 }
@@ -234,11 +238,11 @@
                     if self.context.is_ready() {
                         self.pulse.read();
                     }
-                    tokio::time::sleep(CATCH_UP).await;
+                    tokio::time::sleep(CATCH_UP_TIME).await;
                     return link;
                 }
-                LinkError::Circle => {
-                    self.context.metrics.reader_lost(LinkError::Circle.label());
+                LinkError::Cycle => {
+                    self.context.metrics.reader_lost(LinkError::Cycle.label());
                     let mut readers = self.context.readers.borrow_mut();
                     readers.hears_through_own(clock::now(), &feeder.name);
                     return link;
@@ -254,28 +258,28 @@
             return link;
         }
         // Each named another: those below will have told how many they feed by then.
-        tokio::time::sleep(CATCH_UP).await;
-        Link::NotFed
+        tokio::time::sleep(CATCH_UP_TIME).await;
+        LinkOutcome::NotFed
     }
 
     /// Returns once this VM would follow another than `first`, and hears through it of no store, or has followed it for its
     /// zone, which another leads by now.
     ///
     /// Failure: the store turns away the VM that leads a zone, and serves another of that zone, which names itself first.
-    async fn other_source(&self, first: &VmEntry) {
+    async fn source_changed(&self, first: &VmEntry) {
         loop {
-            tokio::time::sleep(LOOK_EVERY / 5).await;
+            tokio::time::sleep(CHECK_INTERVAL / 5).await;
             let hears_of_store = self.context.reader_has_store.get() || self.pulse.is_reading();
             let has_other = self.source() != Source::Reader(first.clone());
             let follows_for_zone = first.zone != self.own.zone;
-            if has_other && (!hears_of_store || follows_for_zone && self.is_led()) {
+            if has_other && (!hears_of_store || follows_for_zone && self.has_other_leader()) {
                 return;
             }
         }
     }
 
     /// Returns whether another VM leads the zone.
-    fn is_led(&self) -> bool {
+    fn has_other_leader(&self) -> bool {
         let readers = self.context.readers.borrow();
         let source = readers.source_in_zone(clock::now(), &self.own.name, &self.own.zone);
         matches!(source, Source::Reader(_))
@@ -283,41 +287,41 @@
 
     /// Makes this VM its zone's reader, as the store answers it and not the one that reads; that one follows it. One that
     /// leads its zone already reads for that alone until it finds a reader that has the store.
-    async fn take_over(&self, feeder: &VmEntry) {
-        if self.leads() {
+    async fn take_over_reading(&self, feeder: &VmEntry) {
+        if self.is_zone_leader() {
             self.context
                 .readers
                 .borrow_mut()
                 .failed(clock::now(), &feeder.name);
             return;
         }
-        let Some(old) = self.record() else {
+        let Some(old) = self.own_zone_record() else {
             return;
         };
         let record = zone_record::taken_over(&old, self.own);
         tracing::info!(event = "reader_taken_over", version = record.version);
         keeper::zones(self.context, vec![record.clone()]);
         let first = old.vms.first().unwrap_or(feeder);
-        seeds::tell(self.network, vec![first.address, feeder.address], record);
+        seeds::publish(self.network, vec![first.address, feeder.address], record);
     }
 
     /// Reads the store until another VM reads.
-    async fn read(&self, source: Source) {
+    async fn read_store(&self, source: Source) {
         self.pulse.read();
         let begun = clock::now();
-        let append_after = ALONE.mul_f64(1.0 + fastrand::f64());
+        let append_after = UNREACHABLE_PEERS_TIMEOUT.mul_f64(1.0 + fastrand::f64());
         let mut listed: Option<Instant> = None;
         while self.source() == source {
-            let is_old = listed.is_none_or(|at| clock::since(at) >= LIST_EVERY);
-            if self.pulse.is_there() && is_old && self.record().is_some() {
-                self.list(Staleness::Allowed).await;
+            let is_old = listed.is_none_or(|at| clock::since(at) >= LIST_INTERVAL);
+            if self.pulse.is_there() && is_old && self.own_zone_record().is_some() {
+                self.list_zones(Staleness::Allowed).await;
                 listed = Some(clock::now());
                 continue;
             }
             if source == Source::StoreAlone && clock::since(begun) >= append_after {
-                self.append().await;
+                self.append_self().await;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 }
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -12,7 +12,7 @@
 use crate::http::client::{Connection, ReceiveError, Response, SendError};
 use crate::http::headers::write_header;
 use crate::limits;
-use crate::peers::readings;
+use crate::peers::load_reports;
 
 /// The most bytes of an answer that is passed on.
 const MOST_ANSWER_BYTES: usize = 16 * 1024 * 1024;
@@ -57,7 +57,7 @@
 ) -> Ended {
     let begun = clock::now();
     let _in_flight = upstream.sent(begun);
-    readings::tell_sent(context, &upstream.server.name);
+    load_reports::share_sent(context, &upstream.server.name);
     let ended = tokio::time::timeout(left, run(context, upstream, request, left, begun)).await;
     let timed_out = || Ended::without_answer(AttemptEnd::TimedOut, "deadline passed", begun);
     let ended = ended.unwrap_or_else(|_| timed_out());
@@ -100,7 +100,7 @@
     let load = response.head.headers.get(context.vocabulary.load);
     if let Some(reading) = load.and_then(context.vocabulary.read_load) {
         upstream.told(clock::now(), reading);
-        readings::tell(context, &upstream.server.name, reading, None);
+        load_reports::share_report(context, &upstream.server.name, reading, None);
     }
     upstream.keep(connection);
     let (end, detail) = judge(context, &response);
--- a/crates/kingcuploft-entry/src/upstream/probe.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe.rs
@@ -13,7 +13,7 @@
 use crate::http::headers::write_header;
 use crate::limits;
 use crate::network::Network;
-use crate::peers::readings;
+use crate::peers::load_reports;
 
 /// How long a probe may take: the longest round trip of a region, many times over.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
@@ -97,7 +97,7 @@
             context.metrics.probe("answered");
             cold::heard(context, upstream, cold_for, begun);
             upstream.told(now, reading);
-            readings::tell(context, &upstream.server.name, reading, Some(cold_for));
+            load_reports::share_report(context, &upstream.server.name, reading, Some(cold_for));
         }
         None => {
             context.metrics.probe("failed");
--- a/crates/kingcuploft-entry/tests/entry/following.rs
+++ b/crates/kingcuploft-entry/tests/entry/following.rs
@@ -77,7 +77,7 @@
         until(|| followers(&vms) == 2).await;
         let at = vms.iter().position(|vm| !vm.context.followers.is_empty());
         let reader = &vms[at.unwrap()];
-        reader.context.followers.fall_silent();
+        reader.context.followers.forget_without_closing();
         store.0.remove("s0");
         tokio::time::sleep(Duration::from_millis(1900)).await;
         for vm in vms
@@ -102,11 +102,11 @@
             written.set(written.get() + 1);
             b"all that there is\n".to_vec()
         };
-        followers.account(write)
+        followers.server_snapshot(write)
     };
     let (first, second) = (account(), account());
     assert!(Rc::ptr_eq(&first, &second));
-    followers.tell(&Frame::ServerGone("s0".into()));
+    followers.send(&Frame::ServerGone("s0".into()));
     let after_a_change = account();
     assert_eq!(written.get(), 2);
     drop((first, second, after_a_change));
@@ -293,7 +293,7 @@
         store.0.move_on(1000);
         second.context.set_position(Collection::Configuration, 900);
         second.context.set_position(Collection::BackendServers, 900);
-        reader.context.followers.let_go();
+        reader.context.followers.disconnect_all();
         until(|| reader.context.followers.is_empty()).await;
         until(|| reader.context.followers.len() == 1).await;
         until(|| second.context.followed.borrow().is_some()).await;
--- a/crates/kingcuploft-entry/tests/links/joining.rs
+++ b/crates/kingcuploft-entry/tests/links/joining.rs
@@ -8,10 +8,10 @@
 use kingcuploft::entry::configuration_change::ConfigurationChange;
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft_entry::peers::dial::Dial;
+use kingcuploft_entry::peers::feeder;
 use kingcuploft_entry::peers::follower;
-use kingcuploft_entry::peers::frame::{Frame, Hello, SPEAKS, Standing};
+use kingcuploft_entry::peers::frame::{Frame, Hello, PROTOCOL_VERSION, SyncStatus};
 use kingcuploft_entry::peers::lines::Lines;
-use kingcuploft_entry::peers::reader;
 use kingcuploft_entry::store::Collection;
 use tokio::io::{AsyncWriteExt, ReadHalf, WriteHalf};
 
@@ -38,7 +38,7 @@
     fn of(link: End) -> Self {
         let (read, write) = tokio::io::split(link);
         Self {
-            lines: Lines::of(read),
+            lines: Lines::new(read),
             write,
         }
     }
@@ -49,7 +49,7 @@
         let (own, other) = pipe::link(&nic, &host.nic, Duration::ZERO);
         let host = host.clone();
         tokio::task::spawn_local(async move {
-            let _ = reader::answer(&host.context, &host.pulse, other).await;
+            let _ = feeder::handle_connection(&host.context, &host.pulse, other).await;
         });
         Self::of(own)
     }
@@ -86,11 +86,11 @@
         configuration: host.context.position(Collection::Configuration),
         servers: host.context.position(Collection::BackendServers),
         evacuations: host.context.position(Collection::Evacuations),
-        below: 0,
+        descendants: 0,
         version: host.context.in_force.version(),
         arrived: None,
         servers_digest: Some(host.context.servers(|servers| servers.digest())),
-        speaks: SPEAKS,
+        protocol_version: PROTOCOL_VERSION,
     }
 }
 
@@ -198,7 +198,7 @@
         frames.extend(joins.frames().await);
         let versions = frames.iter().filter_map(|frame| match frame {
             Frame::Configuration(configuration) => Some(configuration.version),
-            Frame::Newer(_) | Frame::Part(_) | Frame::Alive => panic!("{frame:?}"),
+            Frame::NewerVersion(_) | Frame::Part(_) | Frame::Alive => panic!("{frame:?}"),
             _ => None,
         });
         assert_eq!(versions.collect::<Vec<_>>(), [1, 2]);
@@ -240,11 +240,11 @@
 }
 
 fn standing(host: &Host) -> Frame {
-    Frame::Standing(Standing {
+    Frame::Status(SyncStatus {
         configuration: host.context.position(Collection::Configuration),
         servers: host.context.position(Collection::BackendServers),
         evacuations: host.context.position(Collection::Evacuations),
-        store_there: true,
+        store_reachable: true,
         path: vec!["script".into()],
     })
 }
@@ -257,7 +257,7 @@
         let (mut feeder, _following) = follow(&host);
         hello_of(&mut feeder).await;
         feeder.tell(&standing(&host)).await;
-        feeder.tell(&Frame::Told).await;
+        feeder.tell(&Frame::SnapshotEnd).await;
         let whole = configuration(9, &fleet.routes);
         feeder.tell(&Frame::Configuration(Box::new(whole))).await;
         feeder.frames().await;
--- a/crates/kingcuploft-entry/tests/links/network.rs
+++ b/crates/kingcuploft-entry/tests/links/network.rs
@@ -10,8 +10,8 @@
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft_entry::context::Context;
 use kingcuploft_entry::peers::dial::Dial;
-use kingcuploft_entry::peers::zone_socket::{Telling, Told};
-use kingcuploft_entry::peers::{reader, readings};
+use kingcuploft_entry::peers::peer_socket::{PeerMessage, PeerSender};
+use kingcuploft_entry::peers::{feeder, load_reports};
 use kingcuploft_entry::pulse::Pulse;
 use kingcuploft_entry::store::{
     Changes, Collection, Page, Recorded, Recording, Revision, Store, StoreError,
@@ -73,8 +73,8 @@
     }
 }
 
-impl Telling for Datagrams {
-    fn tell(&self, told: &Told, others: &[SocketAddr]) {
+impl PeerSender for Datagrams {
+    fn send(&self, told: &PeerMessage, others: &[SocketAddr]) {
         for other in others {
             let (network, from, told) = (self.network.clone(), self.from, told.clone());
             let to = usize::from(other.port()) - 1;
@@ -87,7 +87,7 @@
                     return;
                 };
                 if !from_host.nic.is_cut.get() && !host.nic.is_cut.get() {
-                    readings::take(&host.context, &told, address(from));
+                    load_reports::handle_message(&host.context, &told, address(from));
                 }
             });
         }
@@ -114,7 +114,7 @@
         let (own, other) = pipe::link(&from.nic, &to.nic, DELAY);
         let (context, pulse) = (to.context.clone(), to.pulse.clone());
         let answering = tokio::task::spawn_local(async move {
-            let _ = reader::answer(&context, &pulse, other).await;
+            let _ = feeder::handle_connection(&context, &pulse, other).await;
         });
         to.tasks.borrow_mut().push(answering.abort_handle());
         Ok(own)
--- a/crates/kingcuploft-simulation/src/network.rs
+++ b/crates/kingcuploft-simulation/src/network.rs
@@ -9,7 +9,7 @@
 use kingcuploft::utils::HashMap;
 use kingcuploft_entry::network::{Connecting, Stream};
 use kingcuploft_entry::peers::dial::Dial;
-use kingcuploft_entry::peers::zone_socket::{Telling, Told};
+use kingcuploft_entry::peers::peer_socket::{PeerMessage, PeerSender};
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::link::{self, End, Nic};
@@ -30,7 +30,7 @@
 pub type Accepted = (End, Option<VmIndex>);
 
 /// A datagram, and where it comes from.
-pub type Datagram = (Told, SocketAddr);
+pub type Datagram = (PeerMessage, SocketAddr);
 
 #[derive(Debug)]
 struct Listener {
@@ -202,8 +202,8 @@
     }
 }
 
-impl Telling for Host {
-    fn tell(&self, told: &Told, others: &[SocketAddr]) {
+impl PeerSender for Host {
+    fn send(&self, told: &PeerMessage, others: &[SocketAddr]) {
         let Some(from) = self.peer_address.get() else {
             return;
         };
--- a/crates/kingcuploft-simulation/src/vm.rs
+++ b/crates/kingcuploft-simulation/src/vm.rs
@@ -10,7 +10,7 @@
 
 use kingcuploft_entry::context::Context;
 use kingcuploft_entry::edge::connection;
-use kingcuploft_entry::peers::{reader, readings};
+use kingcuploft_entry::peers::{feeder, load_reports};
 use kingcuploft_entry::pulse::Pulse;
 use kingcuploft_entry::run;
 use kingcuploft_entry::settings::{Bounds, EntrySettings};
@@ -158,10 +158,10 @@
                         Some((end, _)) = peers.recv() => {
                             let (context, pulse) = (context.clone(), pulse.clone());
                             tokio::task::spawn_local(async move {
-                                let _ = reader::answer(&context, &pulse, end).await;
+                                let _ = feeder::handle_connection(&context, &pulse, end).await;
                             });
                         }
-                        Some((told, from)) = datagrams.recv() => readings::take(&context, &told, from),
+                        Some((told, from)) = datagrams.recv() => load_reports::handle_message(&context, &told, from),
                         else => return,
                     }
                 }
