--- a/crates/kingcuploft-entry/src/peers/feed.rs
+++ b/crates/kingcuploft-entry/src/peers/feed.rs
@@ -19,9 +19,9 @@
 use super::sync_status::sync_status;
 use crate::context::Context;
 use crate::evacuation;
-use crate::keeper;
 use crate::notices;
-use crate::pulse::Pulse;
+use crate::store_access::StoreAccess;
+use crate::store_watcher;
 
 /// The time between two heartbeats. A follower that misses two and a bit leaves.
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
@@ -35,7 +35,7 @@
 /// A link to a follower.
 pub(super) struct Feed<'a, W> {
     context: &'a Rc<Context>,
-    pulse: &'a Pulse,
+    pulse: &'a StoreAccess,
     stream: W,
     protocol_version: ProtocolVersion,
     /// The version that the follower has.
@@ -46,7 +46,7 @@
 impl<'a, W: AsyncWrite + Unpin> Feed<'a, W> {
     pub(super) fn new(
         context: &'a Rc<Context>,
-        pulse: &'a Pulse,
+        pulse: &'a StoreAccess,
         hello: &Hello,
         stream: W,
     ) -> Self {
@@ -94,7 +94,7 @@
 
     async fn send_snapshot(&mut self, hello: &Hello) -> std::io::Result<()> {
         let own = sync_status(self.context, self.pulse);
-        let digest = self.context.servers(|servers| servers.digest());
+        let digest = self.context.with_servers(|servers| servers.digest());
         let knows_servers = hello.servers.is_some() && hello.servers_digest == Some(digest);
         let context = self.context;
         let servers =
@@ -105,7 +105,7 @@
         if self.protocol_version >= FIRST_VERSION_WITH_EVACUATIONS {
             let frame = match planted::is_on(Planted::JoinersLackEvacuations) {
                 true => Frame::Evacuations(Vec::new()),
-                false => evacuation::frame(self.context),
+                false => evacuation::to_frame(self.context),
             };
             greeting.extend(frame.to_line());
         }
@@ -128,11 +128,11 @@
     async fn request_newer_configuration(&mut self, hello: &Hello) -> std::io::Result<()> {
         let Some(newer) = hello
             .version
-            .filter(|v| Some(*v) > self.context.in_force.version())
+            .filter(|v| Some(*v) > self.context.active_configuration.version())
         else {
             return Ok(());
         };
-        keeper::configuration_exists(self.context, newer);
+        store_watcher::note_configuration_version(self.context, newer);
         match self.protocol_version >= FIRST_VERSION_WITH_EVACUATIONS {
             true => self.send(&Frame::ConfigurationRequest).await,
             false => Ok(()),
@@ -171,7 +171,11 @@
         }
         self.send(&Frame::NewerVersion(current.version)).await?;
         let arrived = self.arrived.take();
-        for change in self.context.in_force.since(self.version) {
+        for change in self
+            .context
+            .active_configuration
+            .changes_since(self.version)
+        {
             let has = arrived.filter(|has| (has.from, has.to) == (change.from, change.to));
             let parts = self.context.followers.change_lines(&change);
             let missing = has.map_or(0, |has| has.parts as usize).min(parts.len());
@@ -218,9 +222,9 @@
     }
 }
 
-async fn wait_until_complete(context: &Context, pulse: &Pulse) {
+async fn wait_until_complete(context: &Context, pulse: &StoreAccess) {
     loop {
-        let moved = context.moved.notified();
+        let moved = context.position_advanced.notified();
         if sync_status(context, pulse).is_complete() {
             return;
         }
@@ -230,6 +234,6 @@
 
 /// Writes all backend servers that have entries.
 fn servers(context: &Context) -> Vec<u8> {
-    let table = context.servers(|servers| ServerTable::of(servers.present()));
+    let table = context.with_servers(|servers| ServerTable::of(servers.present()));
     Frame::AllServers(table).to_line()
 }
--- a/crates/kingcuploft-entry/src/peers/feeder.rs
+++ b/crates/kingcuploft-entry/src/peers/feeder.rs
@@ -12,13 +12,13 @@
 use super::line_writer::{WRITE_STALL_TIMEOUT, timed_out, write_line};
 use super::sync_status::sync_status;
 use crate::context::Context;
-use crate::pulse::Pulse;
+use crate::store_access::StoreAccess;
 
 /// The bytes read at once of what a follower says.
 const READ_BUFFER_BYTES: usize = 256;
 
 /// Takes followers until the process ends.
-pub async fn serve(context: Rc<Context>, pulse: Rc<Pulse>, listener: TcpListener) {
+pub async fn serve(context: Rc<Context>, pulse: Rc<StoreAccess>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -37,7 +37,7 @@
 }
 
 /// Beats until the process ends.
-pub async fn send_heartbeats(context: Rc<Context>, pulse: Rc<Pulse>) {
+pub async fn send_heartbeats(context: Rc<Context>, pulse: Rc<StoreAccess>) {
     let mut last_sent = None;
     loop {
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
@@ -62,7 +62,7 @@
 /// Returns an error if the link fails.
 pub async fn handle_connection(
     context: &Rc<Context>,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     stream: impl AsyncRead + AsyncWrite,
 ) -> std::io::Result<()> {
     let (read, mut write) = tokio::io::split(stream);
@@ -73,7 +73,7 @@
     match serde_json::from_slice(&line) {
         Ok(Frame::ZonesRequest) => send(&mut write, &zones_frame(context)).await,
         Ok(Frame::Zones(records)) => {
-            crate::keeper::zones(context, records);
+            crate::store_watcher::apply_zone_records(context, records);
             Ok(())
         }
         Ok(Frame::Hello(hello)) => feed(context, pulse, hello, lines, write).await,
@@ -83,7 +83,7 @@
 
 async fn feed(
     context: &Rc<Context>,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     hello: Hello,
     lines: BufReader<impl AsyncRead + Unpin>,
     mut stream: impl AsyncWrite + Unpin,
@@ -121,17 +121,17 @@
 /// Learns up to which moment this VM knows the store.
 ///
 /// A watch that brings no change tells none: whoever read the store a moment later would take this VM for one that is behind.
-fn refresh(context: &Context, pulse: &Pulse) {
+fn refresh(context: &Context, pulse: &StoreAccess) {
     match pulse.is_reading() {
-        true => pulse.ask_again(),
-        false => context.ahead.notify_waiters(),
+        true => pulse.request_rewatch(),
+        false => context.follower_ahead.notify_waiters(),
     }
 }
 
 /// Hears how many VMs are fed through a follower, until the link ends.
 async fn receive(
     context: &Context,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     id: u64,
     mut lines: BufReader<impl AsyncRead + Unpin>,
 ) {
@@ -144,7 +144,9 @@
         }
         match serde_json::from_slice(&line) {
             Ok(Frame::Descendants(below)) => context.followers.set_descendants(id, below),
-            Ok(Frame::Configuration(newer)) => crate::keeper::configuration(context, *newer),
+            Ok(Frame::Configuration(newer)) => {
+                crate::store_watcher::adopt_configuration(context, *newer)
+            }
             Ok(Frame::FollowerAhead) => refresh(context, pulse),
             Ok(_) | Err(_) => {}
         }
--- a/crates/kingcuploft-entry/src/peers/follower.rs
+++ b/crates/kingcuploft-entry/src/peers/follower.rs
@@ -21,11 +21,11 @@
 use crate::clock;
 use crate::context::Context;
 use crate::evacuation;
-use crate::keeper;
 use crate::notices;
-use crate::pulse::Pulse;
-use crate::server_news;
+use crate::server_updates;
 use crate::store::Collection;
+use crate::store_access::StoreAccess;
+use crate::store_watcher;
 
 /// How long a link may take to be opened by a VM that knows what the store held a moment ago.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
@@ -63,14 +63,14 @@
 /// read the store.
 pub async fn follow(
     context: &Rc<Context>,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     own: &VmEntry,
     feeder: &VmEntry,
     network: &impl Dial,
 ) -> LinkEnd {
     let _guard = FollowingGuard(context);
     let ended = run_link(context, pulse, own, feeder, network).await;
-    let outcome = match context.followed.borrow().is_some() {
+    let outcome = match context.feeder.borrow().is_some() {
         true => LinkOutcome::Fed,
         false => LinkOutcome::NotFed,
     };
@@ -85,16 +85,16 @@
 
 impl Drop for FollowingGuard<'_> {
     fn drop(&mut self) {
-        self.0.followed.borrow_mut().take();
-        self.0.path.borrow_mut().clear();
-        self.0.promised.set(false);
+        self.0.feeder.borrow_mut().take();
+        self.0.feed_path.borrow_mut().clear();
+        self.0.feed_promised.set(false);
         self.0.reader_has_store.set(true);
     }
 }
 
 async fn run_link(
     context: &Rc<Context>,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     own: &VmEntry,
     feeder: &VmEntry,
     network: &impl Dial,
@@ -112,9 +112,9 @@
         servers: context.position(Collection::BackendServers),
         evacuations: context.position(Collection::Evacuations),
         descendants: context.followers.descendants(&context.settings.zone),
-        version: context.in_force.leads_on(),
-        arrived: context.in_force.arrived(),
-        servers_digest: Some(context.servers(|servers| servers.digest())),
+        version: context.active_configuration.delta_base(),
+        arrived: context.active_configuration.arrived(),
+        servers_digest: Some(context.with_servers(|servers| servers.digest())),
         protocol_version: PROTOCOL_VERSION,
     });
     write.write_all(&hello.to_line()).await?;
@@ -144,8 +144,8 @@
         tokio::select! {
             biased;
             () = changed => {}
-            () = context.feeder_lacks.notified() => send_configuration(context, &mut stream).await?,
-            () = context.ahead.notified() => stream.write_all(&Frame::FollowerAhead.to_line()).await?,
+            () = context.feeder_outdated.notified() => send_configuration(context, &mut stream).await?,
+            () = context.follower_ahead.notified() => stream.write_all(&Frame::FollowerAhead.to_line()).await?,
         }
     }
 }
@@ -164,7 +164,7 @@
 
 async fn receive(
     context: &Rc<Context>,
-    pulse: &Pulse,
+    pulse: &StoreAccess,
     feeder: &VmEntry,
     mut lines: Lines<impl AsyncRead + Unpin>,
 ) -> Result<(), LinkError> {
@@ -177,10 +177,10 @@
         };
         match frame {
             Frame::Wait if context.is_ready() => return Err(LinkError::Behind),
-            Frame::Wait => context.promised.set(true),
+            Frame::Wait => context.feed_promised.set(true),
             Frame::Status(status) => {
                 if let Some(era) = status.era() {
-                    keeper::era(context, era);
+                    store_watcher::note_era(context, era);
                 }
                 check_feeder(context, pulse, &status)?;
                 match has_snapshot {
@@ -194,13 +194,13 @@
                     apply_status(context, status);
                 }
                 has_snapshot = true;
-                pulse.leave();
+                pulse.stop_reading();
                 context.readers.borrow_mut().answered(&feeder.name);
-                *context.followed.borrow_mut() = Some(feeder.clone());
+                *context.feeder.borrow_mut() = Some(feeder.clone());
                 tracing::info!(
                     event = "following",
                     reader = %feeder.name,
-                    steps = context.path.borrow().len()
+                    steps = context.feed_path.borrow().len()
                 );
             }
             Frame::Part(part) => {
@@ -271,7 +271,11 @@
 }
 
 /// Checks whether the feeder may still be followed.
-fn check_feeder(context: &Context, pulse: &Pulse, status: &SyncStatus) -> Result<(), LinkError> {
+fn check_feeder(
+    context: &Context,
+    pulse: &StoreAccess,
+    status: &SyncStatus,
+) -> Result<(), LinkError> {
     if feeding::is_circle(&context.settings.vm, &status.path) {
         return Err(LinkError::Cycle);
     }
@@ -285,7 +289,7 @@
     if status.is_behind(&own) {
         return Err(LinkError::Behind);
     }
-    let has_store = pulse.is_reading() && pulse.is_there();
+    let has_store = pulse.is_reading() && pulse.is_available();
     if !status.store_reachable && has_store && context.is_ready() {
         return Err(LinkError::StoreUnreachable);
     }
@@ -303,30 +307,32 @@
         context.set_position(Collection::Evacuations, revision);
     }
     context.reader_has_store.set(status.store_reachable);
-    *context.path.borrow_mut() = status.path;
+    *context.feed_path.borrow_mut() = status.path;
 }
 
 fn apply(context: &Context, frame: Frame) -> Result<(), LinkError> {
     let now = clock::now();
     match frame {
-        Frame::Configuration(configuration) => keeper::configuration(context, *configuration),
-        Frame::NewerVersion(version) => keeper::configuration_exists(context, version),
-        Frame::Server(server) => server_news::told(context, now, vec![server]),
-        Frame::Servers(table) => server_news::told(context, now, table.servers()?),
-        Frame::ServerGone(name) => server_news::gone(context, now, &name),
+        Frame::Configuration(configuration) => {
+            store_watcher::adopt_configuration(context, *configuration)
+        }
+        Frame::NewerVersion(version) => store_watcher::note_configuration_version(context, version),
+        Frame::Server(server) => server_updates::apply_servers(context, now, vec![server]),
+        Frame::Servers(table) => server_updates::apply_servers(context, now, table.servers()?),
+        Frame::ServerGone(name) => server_updates::apply_removal(context, now, &name),
         Frame::AllServers(table) => replace_servers(context, now, table)?,
-        Frame::Zones(records) => keeper::zones(context, records),
-        Frame::Notices(notices) => notices::told(context, notices),
-        Frame::NoticesGone(ids) => notices::withdrawn(context, ids),
+        Frame::Zones(records) => store_watcher::apply_zone_records(context, records),
+        Frame::Notices(notices) => notices::apply_notices(context, notices),
+        Frame::NoticesGone(ids) => notices::apply_withdrawals(context, ids),
         Frame::AllNotices(notices) => {
             let ids: Vec<NoticeId> = notices.iter().map(Notice::id).collect();
-            notices::told(context, notices);
-            notices::followed(context, ids.into_iter());
+            notices::apply_notices(context, notices);
+            notices::apply_feeder_ids(context, ids.into_iter());
         }
-        Frame::Evacuations(zones) => evacuation::followed(context, zones),
-        Frame::Era(era) => keeper::era(context, era),
-        Frame::ConfigurationRequest => context.feeder_lacks.notify_one(),
-        Frame::StoreReturned => keeper::store_returned(context),
+        Frame::Evacuations(zones) => evacuation::apply_feeder_list(context, zones),
+        Frame::Era(era) => store_watcher::note_era(context, era),
+        Frame::ConfigurationRequest => context.feeder_outdated.notify_one(),
+        Frame::StoreReturned => store_watcher::note_store_return(context),
         Frame::Hello(_)
         | Frame::ZonesRequest
         | Frame::Descendants(_)
@@ -346,11 +352,11 @@
     part: ChangePart,
     transfer: &mut Transfer,
 ) -> Result<(), LinkError> {
-    match context.in_force.take(part)? {
+    match context.active_configuration.take(part)? {
         Taken::More | Taken::Known => Ok(()),
         Taken::Whole(configuration) => {
             transfer.end(configuration.version);
-            keeper::configuration(context, *configuration);
+            store_watcher::adopt_configuration(context, *configuration);
             Ok(())
         }
         Taken::OutOfStep => Err(LinkError::VersionMismatch),
@@ -360,6 +366,6 @@
 fn replace_servers(context: &Context, now: Instant, table: ServerTable) -> Result<(), LinkError> {
     let servers: Vec<BackendServer> = table.servers()?;
     let names: Vec<String> = servers.iter().map(|s| s.name.to_string()).collect();
-    server_news::all_told(context, now, servers, &names);
+    server_updates::apply_full_list(context, now, servers, &names);
     Ok(())
 }
--- a/crates/kingcuploft-entry/src/peers/load_reports.rs
+++ b/crates/kingcuploft-entry/src/peers/load_reports.rs
@@ -15,7 +15,7 @@
 use super::repeat_replication;
 use super::turns;
 use crate::clock;
-use crate::cold;
+use crate::cold_servers;
 use crate::context::Context;
 use crate::limits;
 
@@ -57,7 +57,7 @@
 }
 
 fn broadcast(context: &Context, message: &PeerMessage) {
-    let Some(socket) = context.peer_readings.get() else {
+    let Some(socket) = context.peer_socket.get() else {
         return;
     };
     let others = context.zone_peers.borrow();
@@ -99,15 +99,15 @@
             if let Some(upstream) = context.upstream(server) {
                 if let Some(cold_for) = cold_ms.map(Duration::from_millis) {
                     let asked_at = now.checked_sub(MAX_REPORT_AGE).unwrap_or(now);
-                    cold::heard(context, &upstream, cold_for, asked_at);
+                    cold_servers::apply_probe_answer(context, &upstream, cold_for, asked_at);
                 }
-                upstream.told(now, reading);
-                context.readings.notify_waiters();
+                upstream.record_reading(now, reading);
+                context.readings_changed.notify_waiters();
             }
         }
         PeerMessage::RequestSent { ref server } => {
             if let Some(upstream) = context.upstream(server) {
-                upstream.others_sent(now);
+                upstream.record_peer_send(now);
             }
         }
         PeerMessage::TurnRequest {
@@ -131,7 +131,9 @@
             Duration::from_millis(after_ms),
             granted,
         ),
-        PeerMessage::LimitChanged { ref server, per_s } => limits::changed(context, server, per_s),
+        PeerMessage::LimitChanged { ref server, per_s } => {
+            limits::apply_peer_change(context, server, per_s)
+        }
         PeerMessage::RepeatsUsed { ref vm, ref used } => {
             repeat_replication::store_copy(context, vm, used)
         }
--- a/crates/kingcuploft-entry/src/peers/repeat_replication.rs
+++ b/crates/kingcuploft-entry/src/peers/repeat_replication.rs
@@ -75,7 +75,7 @@
         };
         tokio::select! {
             biased;
-            () = context.repeated.notified() => sleep_until(sent_at + MIN_SEND_INTERVAL).await,
+            () = context.repeat_taken.notified() => sleep_until(sent_at + MIN_SEND_INTERVAL).await,
             () = sleep(again) => {}
         }
     }
@@ -88,7 +88,7 @@
 }
 
 fn send(context: &Context, message: &PeerMessage, others: &[SocketAddr]) {
-    if let Some(socket) = context.peer_readings.get() {
+    if let Some(socket) = context.peer_socket.get() {
         socket.send(message, others);
     }
 }
@@ -119,7 +119,7 @@
             services = used.accounts.len(),
             age_ms = used.accounts.iter().map(|of| of.age_ms).min(),
             unknown_ms = context.repeats_unknown_for().as_millis() as u64,
-            up_ms = clock::since(context.begun).as_millis() as u64,
+            up_ms = clock::since(context.started_at).as_millis() as u64,
         );
     }
 }
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -18,12 +18,12 @@
 
 /// Asks for a turn at a server for a request that waits so long at most.
 pub async fn request(context: &Context, server: &BackendServerName, max_wait: Duration) -> Turn {
-    if limits::is_kept_here(context, server) {
+    if limits::is_keeper(context, server) {
         let mut limits = context.limits.borrow_mut();
         return limits.give_turn(clock::now(), server, max_wait);
     }
-    let keeper = limits::keeper(context, server);
-    let (Some(keeper), Some(socket)) = (keeper, context.peer_readings.get()) else {
+    let keeper = limits::pick_keeper(context, server);
+    let (Some(keeper), Some(socket)) = (keeper, context.peer_socket.get()) else {
         return Turn::TooLate(ASK_AGAIN);
     };
     let (request_id, reply) = context.asked_turns.register();
@@ -49,7 +49,7 @@
     request_id: u64,
     from: SocketAddr,
 ) {
-    let Some(socket) = context.peer_readings.get() else {
+    let Some(socket) = context.peer_socket.get() else {
         return;
     };
     let mut limits = context.limits.borrow_mut();
--- a/crates/kingcuploft-entry/src/store_sync/zone_leader.rs
+++ b/crates/kingcuploft-entry/src/store_sync/zone_leader.rs
@@ -6,10 +6,10 @@
 
 use super::{CATCH_UP_TIME, CHECK_INTERVAL, STORE_RETRY_DELAY, StoreSync};
 use crate::clock;
-use crate::keeper;
 use crate::peers::dial::Dial;
 use crate::peers::seeds;
-use crate::store::{Recorded, Recording, Store, StoreError};
+use crate::store::{Store, StoreError, WriteOutcome, ZoneWrite};
+use crate::store_watcher;
 use crate::zone_list::Staleness;
 
 impl<S: Store, D: Dial + Clone + 'static> StoreSync<'_, S, D> {
@@ -18,7 +18,7 @@
         let mut led_since: Option<Instant> = None;
         loop {
             let leads = self.is_zone_leader() && !self.context.is_stopping();
-            let has_store = !self.pulse.is_reading() || self.pulse.is_there();
+            let has_store = !self.pulse.is_reading() || self.pulse.is_available();
             match leads {
                 true if has_store => {
                     if led_since.is_none() {
@@ -46,7 +46,7 @@
         };
         if let Some(record) = handed_over(&old, &seen) {
             tracing::info!(event = "reader_hands_over", version = record.version);
-            keeper::zones(self.context, vec![record]);
+            store_watcher::apply_zone_records(self.context, vec![record]);
             // What the followers are told last must be on its way before their links end.
             tokio::time::sleep(CATCH_UP_TIME).await;
             return followers.disconnect_all();
@@ -60,7 +60,7 @@
             return;
         }
         if let Some(record) = renewed(&old, &seen, holds, settled) {
-            keeper::zones(self.context, vec![record]);
+            store_watcher::apply_zone_records(self.context, vec![record]);
         }
         let alone = seen.followers.is_empty() && holds > 1;
         self.doubt_stored_version();
@@ -68,7 +68,7 @@
             .own_zone_record()
             .filter(|r| r.version > self.stored_version.get() && !alone)
         {
-            self.write(record, Recording::Replace).await;
+            self.write(record, ZoneWrite::Replace).await;
         }
     }
 
@@ -82,14 +82,18 @@
     /// Makes this VM the reader of a zone that has no record.
     async fn claim(&self) {
         let record = ZoneRecord::first(self.own);
-        match self.store.record_zone(&record, Recording::Create).await {
-            Ok(Recorded::IsThere) => {
+        match self
+            .store
+            .write_zone_record(&record, ZoneWrite::Create)
+            .await
+        {
+            Ok(WriteOutcome::AlreadyExists) => {
                 self.list_zones(Staleness::Refused).await;
             }
-            Ok(Recorded::Done | Recorded::IsNotThere) => {
+            Ok(WriteOutcome::Done | WriteOutcome::NotFound) => {
                 tracing::info!(event = "zone_recorded", version = record.version);
                 self.stored_version.set(record.version);
-                keeper::zones(self.context, vec![record.clone()]);
+                store_watcher::apply_zone_records(self.context, vec![record.clone()]);
                 seeds::publish(self.network, self.context.settings.seeds.clone(), record);
             }
             Err(error) => self.back_off(&error).await,
@@ -101,22 +105,22 @@
         let old = self.own_zone_record();
         let record = old.and_then(|old| zone_record::appended(&old, self.own));
         if let Some(record) = record {
-            self.write(record, Recording::Replace).await;
+            self.write(record, ZoneWrite::Replace).await;
         }
     }
 
-    async fn write(&self, record: ZoneRecord, how: Recording) {
-        match self.store.record_zone(&record, how).await {
-            Ok(Recorded::IsNotThere) => {
+    async fn write(&self, record: ZoneRecord, how: ZoneWrite) {
+        match self.store.write_zone_record(&record, how).await {
+            Ok(WriteOutcome::NotFound) => {
                 self.stored_version.set(0);
-                Box::pin(self.write(record, Recording::Create)).await;
+                Box::pin(self.write(record, ZoneWrite::Create)).await;
             }
-            Ok(Recorded::Done | Recorded::IsThere) => {
+            Ok(WriteOutcome::Done | WriteOutcome::AlreadyExists) => {
                 let (version, count) = (record.version, record.count);
                 tracing::info!(event = "zone_recorded", version, count);
                 self.stored_version.set(version);
                 self.stored_at_rewind.set(self.context.rewinds.count());
-                keeper::zones(self.context, vec![record]);
+                store_watcher::apply_zone_records(self.context, vec![record]);
             }
             Err(error) => self.back_off(&error).await,
         }
--- a/crates/kingcuploft-entry/tests/entry/following.rs
+++ b/crates/kingcuploft-entry/tests/entry/following.rs
@@ -49,18 +49,18 @@
 fn the_vms_of_a_zone_hear_of_changes_from_one_that_watches() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let vms = zone_of(3, &store).await;
         until(|| followers(&vms) == 2).await;
-        let watches = store.0.watches.get();
+        let watches = store.0.watch_calls.get();
         let server = TestServer::start(Act::Answer).await;
-        store.0.configure(configuration(2));
-        store.0.serve(entry(0, &server));
+        store.0.write_configuration(configuration(2));
+        store.0.write_backend_server(entry(0, &server));
         let version = |vm: &Running| vm.context.configuration().map(|c| c.version);
         until(|| vms.iter().all(|vm| version(vm) == Some(2))).await;
         until(|| vms.iter().all(|vm| vm.context.upstream("s0").is_some())).await;
         tokio::time::sleep(Duration::from_millis(900)).await;
-        let woken = store.0.watches.get() - watches;
+        let woken = store.0.watch_calls.get() - watches;
         assert!(woken <= 4, "{woken} watches for two changes");
     });
 }
@@ -70,15 +70,15 @@
 fn vms_whose_reader_is_gone_read_by_themselves() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let server = TestServer::start(Act::Answer).await;
-        store.0.serve(entry(0, &server));
+        store.0.write_backend_server(entry(0, &server));
         let vms = zone_of(3, &store).await;
         until(|| followers(&vms) == 2).await;
         let at = vms.iter().position(|vm| !vm.context.followers.is_empty());
         let reader = &vms[at.unwrap()];
         reader.context.followers.forget_without_closing();
-        store.0.remove("s0");
+        store.0.remove_backend_server("s0");
         tokio::time::sleep(Duration::from_millis(1900)).await;
         for vm in vms
             .iter()
@@ -123,7 +123,7 @@
 fn new_vms_that_start_together_never_take_themselves_for_few() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let start = |at: usize| {
             let settings = EntrySettings {
                 peers: Some(([127, 0, 0, 1], 0).into()),
@@ -140,11 +140,15 @@
         }
         for _ in 0..40 {
             for vm in &vms {
-                assert!(vm.context.vms.get() >= 12, "{}", vm.context.vms.get());
+                assert!(
+                    vm.context.vm_count.get() >= 12,
+                    "{}",
+                    vm.context.vm_count.get()
+                );
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        until(|| vms.iter().all(|vm| vm.context.vms.get() == 12)).await;
+        until(|| vms.iter().all(|vm| vm.context.vm_count.get() == 12)).await;
     });
 }
 
@@ -153,7 +157,7 @@
 fn a_vm_that_knows_nothing_does_not_wait_for_a_reader_that_says_nothing() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let mute = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let large = VmEntry {
             name: "vm-large".into(),
@@ -179,8 +183,8 @@
 fn a_vm_that_knows_nothing_does_not_wait_for_the_list_of_zones() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
-        store.0.hides_zones.set(true);
+        store.0.write_configuration(configuration(1));
+        store.0.zone_list_hangs.set(true);
         let vm = start_in_zone("vm", &store).await;
         assert_eq!(vm.context.readers.borrow().records(), vec![]);
     });
@@ -203,7 +207,7 @@
 fn one_vm_watches_for_all_zones_and_tells_few() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let mut vms = Vec::new();
         for at in 0..15 {
             vms.push(start_of("thun", &format!("thun-{at}"), &store).await);
@@ -214,12 +218,12 @@
         until(|| followers(&vms) == 19).await;
         let most = vms.iter().map(|vm| vm.context.followers.len()).max();
         assert!(most <= Some(13), "{most:?}");
-        let watches = store.0.watches.get();
-        store.0.configure(configuration(2));
+        let watches = store.0.watch_calls.get();
+        store.0.write_configuration(configuration(2));
         let version = |vm: &Running| vm.context.configuration().map(|c| c.version);
         until(|| vms.iter().all(|vm| version(vm) == Some(2))).await;
         tokio::time::sleep(Duration::from_millis(900)).await;
-        let woken = store.0.watches.get() - watches;
+        let woken = store.0.watch_calls.get() - watches;
         assert!(woken <= 2, "{woken} watches for a change");
     });
 }
@@ -229,8 +233,8 @@
 fn a_vm_that_the_store_answers_reads_in_place_of_one_that_it_turns_away() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
-        let turned_away = TestStore::turning_away(&store);
+        store.0.write_configuration(configuration(1));
+        let turned_away = TestStore::separate_client(&store);
         let reader = start_of("thun", "reader", &turned_away).await;
         let second = start_of("thun", "second", &store).await;
         until(|| reader.context.followers.len() == 1).await;
@@ -245,7 +249,7 @@
         until(|| named() == 2).await;
         turned_away.1.set(true);
         until(|| second.context.followers.len() == 1).await;
-        store.0.configure(configuration(2));
+        store.0.write_configuration(configuration(2));
         let version = |vm: &Running| vm.context.configuration().map(|c| c.version);
         until(|| version(&reader) == Some(2) && version(&second) == Some(2)).await;
     });
@@ -256,7 +260,7 @@
 fn a_vm_that_starts_while_the_store_is_silent_learns_all_from_those_its_settings_name() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let seed = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let control = seed.local_addr().unwrap();
         drop(seed);
@@ -284,18 +288,18 @@
 fn a_vm_that_read_a_moment_later_than_the_reader_follows_it() {
     play(async {
         let store = TestStore::default();
-        store.0.configure(configuration(1));
+        store.0.write_configuration(configuration(1));
         let reader = start_in_zone("reader", &store).await;
         until(|| !store.0.zones.borrow().is_empty()).await;
         let second = start_in_zone("second", &store).await;
         let counts_both = |record: &ZoneRecord| record.settled && record.count == 2;
         until(|| store.0.zones.borrow().first().is_some_and(counts_both)).await;
-        store.0.move_on(1000);
+        store.0.advance_revision(1000);
         second.context.set_position(Collection::Configuration, 900);
         second.context.set_position(Collection::BackendServers, 900);
         reader.context.followers.disconnect_all();
         until(|| reader.context.followers.is_empty()).await;
         until(|| reader.context.followers.len() == 1).await;
-        until(|| second.context.followed.borrow().is_some()).await;
+        until(|| second.context.feeder.borrow().is_some()).await;
     });
 }
--- a/crates/kingcuploft-entry/tests/links/joining.rs
+++ b/crates/kingcuploft-entry/tests/links/joining.rs
@@ -18,7 +18,7 @@
 use crate::configurations::configuration;
 use crate::fleet::{Fleet, Links, play};
 use crate::network::{Host, address};
-use crate::pipe::{self, End, Nic};
+use crate::pipe::{self, LinkEnd, Nic};
 
 const LINKS: Links = Links {
     large_mbit: 200,
@@ -30,12 +30,12 @@
 
 /// A VM whose frames the test writes and reads.
 struct Script {
-    lines: Lines<ReadHalf<End>>,
-    write: WriteHalf<End>,
+    lines: Lines<ReadHalf<LinkEnd>>,
+    write: WriteHalf<LinkEnd>,
 }
 
 impl Script {
-    fn of(link: End) -> Self {
+    fn of(link: LinkEnd) -> Self {
         let (read, write) = tokio::io::split(link);
         Self {
             lines: Lines::new(read),
@@ -46,7 +46,7 @@
     /// Joins a VM.
     fn join(host: &Rc<Host>) -> Self {
         let nic = Rc::new(Nic::of(200));
-        let (own, other) = pipe::link(&nic, &host.nic, Duration::ZERO);
+        let (own, other) = pipe::connect(&nic, &host.nic, Duration::ZERO);
         let host = host.clone();
         tokio::task::spawn_local(async move {
             let _ = feeder::handle_connection(&host.context, &host.pulse, other).await;
@@ -87,9 +87,9 @@
         servers: host.context.position(Collection::BackendServers),
         evacuations: host.context.position(Collection::Evacuations),
         descendants: 0,
-        version: host.context.in_force.version(),
+        version: host.context.active_configuration.version(),
         arrived: None,
-        servers_digest: Some(host.context.servers(|servers| servers.digest())),
+        servers_digest: Some(host.context.with_servers(|servers| servers.digest())),
         protocol_version: PROTOCOL_VERSION,
     }
 }
@@ -125,7 +125,7 @@
         let (fleet, host) = fleet_of_two().await;
         let hello = hello_like(&host);
         let newer = configuration(2, &fleet.routes[1..]);
-        host.context.in_force.adopt(newer);
+        host.context.active_configuration.adopt(newer);
         let position = host.context.position(Collection::Configuration);
         assert_eq!(hello.configuration, position);
         let mut joins = Script::join(&host);
@@ -206,12 +206,12 @@
 }
 
 /// A network in which every VM is the script of a test.
-struct Scripted(std::cell::RefCell<Vec<End>>);
+struct Scripted(std::cell::RefCell<Vec<LinkEnd>>);
 
 impl Dial for Scripted {
-    type Link = End;
+    type Link = LinkEnd;
 
-    async fn dial(&self, _: SocketAddr) -> std::io::Result<End> {
+    async fn dial(&self, _: SocketAddr) -> std::io::Result<LinkEnd> {
         let next = self.0.borrow_mut().pop();
         next.ok_or_else(|| std::io::ErrorKind::ConnectionRefused.into())
     }
@@ -220,7 +220,7 @@
 /// Follows a script as a VM that knows what `host` does; returns the script and the VM's task.
 fn follow(host: &Rc<Host>) -> (Script, tokio::task::JoinHandle<String>) {
     let nic = Rc::new(Nic::of(200));
-    let (own, other) = pipe::link(&nic, &nic, Duration::ZERO);
+    let (own, other) = pipe::connect(&nic, &nic, Duration::ZERO);
     let network = Scripted(vec![own].into());
     let host = host.clone();
     let following = tokio::task::spawn_local(async move {
@@ -261,7 +261,7 @@
         let whole = configuration(9, &fleet.routes);
         feeder.tell(&Frame::Configuration(Box::new(whole))).await;
         feeder.frames().await;
-        assert_eq!(host.context.in_force.version(), Some(9));
+        assert_eq!(host.context.active_configuration.version(), Some(9));
     });
 }
 
@@ -300,6 +300,6 @@
             feeder.tell(&Frame::Part(Box::new(part))).await;
         }
         feeder.frames().await;
-        assert_eq!(host.context.in_force.version(), Some(8));
+        assert_eq!(host.context.active_configuration.version(), Some(8));
     });
 }
