--- a/crates/kingcuploft-entry/src/store_sync/mod.rs
+++ b/crates/kingcuploft-entry/src/store_sync/mod.rs
@@ -242,14 +242,16 @@
                     return link;
                 }
                 LinkError::Cycle => {
-                    self.context.metrics.reader_lost(LinkError::Cycle.label());
+                    self.context
+                        .metrics
+                        .count_reader_lost(LinkError::Cycle.label());
                     let mut readers = self.context.readers.borrow_mut();
                     readers.hears_through_own(clock::now(), &feeder.name);
                     return link;
                 }
                 why => {
                     let metrics = &self.context.metrics;
-                    metrics.reader_lost(why.label());
+                    metrics.count_reader_lost(why.label());
                     tracing::info!(event = "reader_lost", reader = %feeder.name, why = %why);
                 }
             }
