--- a/crates/kingcuploft-entry/src/edge/limited_servers.rs
+++ b/crates/kingcuploft-entry/src/edge/limited_servers.rs
@@ -46,7 +46,7 @@
         fastrand::shuffle(&mut limited);
         let mut earliest = MAX_RETRY_AFTER;
         for upstream in limited.into_iter().take(MAX_SERVERS_ASKED) {
-            match turns::ask(self.context, &upstream.server.name, patience).await {
+            match turns::request(self.context, &upstream.server.name, patience).await {
                 Turn::After(after) => {
                     tokio::select! {
                         biased;
--- a/crates/kingcuploft-entry/src/edge/request.rs
+++ b/crates/kingcuploft-entry/src/edge/request.rs
@@ -18,7 +18,9 @@
 pub struct Request {
     /// The request id that the caller gave this attempt.
     pub id: Option<String>,
+    /// Its request line and headers.
     pub head: RequestHead,
+    /// The bytes of its body.
     pub body: Vec<u8>,
     /// The memory that is reserved for its body.
     _reservation: BodyReservation,
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -16,7 +16,7 @@
 use crate::limits;
 use crate::notice_writes::NoticeWrite;
 use crate::peers::frame::Frame;
-use crate::peers::standing::standing;
+use crate::peers::sync_status::sync_status;
 use crate::store::{Store, StoreError, WriteOutcome};
 use crate::store_access::StoreAccess;
 
@@ -33,7 +33,7 @@
     store_access: Rc<StoreAccess>,
     mut writes: mpsc::Receiver<NoticeWrite>,
 ) {
-    let is_store_available = || standing(&context, &store_access).store_there;
+    let is_store_available = || sync_status(&context, &store_access).store_reachable;
     while let Some(write) = writes.recv().await {
         match write {
             NoticeWrite::Create(notice) => {
@@ -116,7 +116,7 @@
         Notice::Limit(notice) => limits::apply_notice(context, notice),
     });
     if !notices.is_empty() {
-        context.followers.tell_notices(&Frame::Notices(notices));
+        context.followers.send_notices(&Frame::Notices(notices));
     }
 }
 
@@ -152,7 +152,7 @@
             None => limits::apply_withdrawal(context, id),
         }
     }
-    context.followers.tell_notices(&Frame::NoticesGone(ids));
+    context.followers.send_notices(&Frame::NoticesGone(ids));
 }
 
 /// Takes in which notices the store has at all, and passes them on. What a store lacks that came back from a copy is written
@@ -170,7 +170,7 @@
         }
         return context
             .followers
-            .tell_notices(&Frame::AllNotices(stored(context)));
+            .send_notices(&Frame::AllNotices(stored(context)));
     }
     apply_ids(context, &ids);
 }
@@ -184,7 +184,7 @@
     context.quarantine.borrow_mut().all_told(ids);
     context.limits.borrow_mut().all_told(ids);
     let all = Frame::AllNotices(stored(context));
-    context.followers.tell_notices(&all);
+    context.followers.send_notices(&all);
 }
 
 /// Has a notice withdrawn that holds no longer.
--- a/crates/kingcuploft-entry/src/run.rs
+++ b/crates/kingcuploft-entry/src/run.rs
@@ -15,15 +15,15 @@
 use crate::edge::{connection, readiness};
 use crate::notices;
 use crate::peers::dial::{self, Dial};
-use crate::peers::reader;
-use crate::peers::readings;
-use crate::peers::repeat_copies;
-use crate::peers::zone_socket::ZoneSocket;
-use crate::roster;
+use crate::peers::feeder;
+use crate::peers::load_reports;
+use crate::peers::peer_socket::PeerSocket;
+use crate::peers::repeat_replication;
 use crate::settings::{EntrySettings, WireNames};
 use crate::store::{Collection, Store};
 use crate::store_access::StoreAccess;
 use crate::store_liveness;
+use crate::store_sync;
 use crate::store_watcher;
 
 /// New connections that may wait to be accepted.
@@ -220,9 +220,12 @@
         address,
         cpu_milli: context.settings.cpu_milli,
     };
-    tokio::task::spawn_local(reader::beat(context.clone(), store_access.clone()));
-    tokio::task::spawn_local(repeat_copies::keep(context.clone()));
-    let keeping = roster::keep(
+    tokio::task::spawn_local(feeder::send_heartbeats(
+        context.clone(),
+        store_access.clone(),
+    ));
+    tokio::task::spawn_local(repeat_replication::run(context.clone()));
+    let keeping = store_sync::run(
         context.clone(),
         store.clone(),
         store_access.clone(),
@@ -240,19 +243,19 @@
 ) -> Result<SocketAddr, StartError> {
     let listener = listen(address)?;
     let address = listener.local_addr().unwrap_or(address);
-    let opened = ZoneSocket::open(address).await;
+    let opened = PeerSocket::open(address).await;
     let opened = opened.map_err(|error| StartError::Listen(address, error))?;
     let socket = Rc::new(opened);
-    tokio::task::spawn_local(readings::receive(context.clone(), socket.clone()));
+    tokio::task::spawn_local(load_reports::receive(context.clone(), socket.clone()));
     let _ = context.peer_socket.set(socket);
-    tokio::task::spawn_local(reader::serve(
+    tokio::task::spawn_local(feeder::serve(
         context.clone(),
         store_access.clone(),
         listener,
     ));
     if let Some(address) = context.settings.control {
         let listener = listen(address)?;
-        tokio::task::spawn_local(reader::serve(
+        tokio::task::spawn_local(feeder::serve(
             context.clone(),
             store_access.clone(),
             listener,
--- a/crates/kingcuploft-entry/src/server_updates.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -19,10 +19,10 @@
     context.with_servers(|known| servers.retain(|server| !known.is_known(server)));
     match &servers[..] {
         [] => return,
-        [server] => context.followers.tell(&Frame::Server(server.clone())),
+        [server] => context.followers.send(&Frame::Server(server.clone())),
         several => {
             let table = ServerTable::of(several.iter());
-            context.followers.tell(&Frame::Servers(table));
+            context.followers.send(&Frame::Servers(table));
         }
     }
     let cold = cold_servers(&servers);
@@ -43,7 +43,7 @@
 
 /// Takes in that a backend server's entry is gone, and passes it on.
 pub fn apply_removal(context: &Context, now: Instant, name: &str) {
-    context.followers.tell(&Frame::ServerGone(name.to_owned()));
+    context.followers.send(&Frame::ServerGone(name.to_owned()));
     if let Some(change) = context.with_servers(|servers| servers.gone(now, name)) {
         apply_change(context, now, &change);
     }
@@ -79,15 +79,15 @@
 fn forward_to_followers(context: &Context, news: &[BackendServer], changes: &[Change]) {
     if news.len() + changes.len() > MAX_CHANGES_SENT_SINGLY {
         let table = context.with_servers(|servers| ServerTable::of(servers.present()));
-        context.followers.tell(&Frame::AllServers(table));
+        context.followers.send(&Frame::AllServers(table));
         return;
     }
     for server in news {
-        context.followers.tell(&Frame::Server(server.clone()));
+        context.followers.send(&Frame::Server(server.clone()));
     }
     for change in changes {
         if let Change::Left(name) | Change::Lapsed(name) = change {
-            context.followers.tell(&Frame::ServerGone(name.to_string()));
+            context.followers.send(&Frame::ServerGone(name.to_string()));
         }
     }
 }
--- a/crates/kingcuploft-entry/src/store_liveness.rs
+++ b/crates/kingcuploft-entry/src/store_liveness.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use crate::context::Context;
 use crate::peers::frame::Frame;
-use crate::peers::standing::standing;
+use crate::peers::sync_status::sync_status;
 use crate::store::{Collection, Revision, Store};
 use crate::store_access::StoreAccess;
 use crate::store_watcher;
@@ -61,8 +61,8 @@
                 false => tracing::warn!(event = "store_away"),
             }
             // Those that follow learn it at once, as one of them may still reach the store.
-            let standing = standing(&context, &store_access);
-            context.followers.tell(&Frame::Standing(standing));
+            let standing = sync_status(&context, &store_access);
+            context.followers.send(&Frame::Status(standing));
         }
         store_access.probe_completed();
         if reached.is_some_and(|reached| lag.is_too_long(clock::now(), reached, &context)) {
--- a/crates/kingcuploft-entry/src/store_watcher.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -22,7 +22,7 @@
 use crate::limits;
 use crate::notices;
 use crate::peers::frame::Frame;
-use crate::peers::standing::standing;
+use crate::peers::sync_status::sync_status;
 use crate::rewinds::EraUpdate;
 use crate::server_updates;
 use crate::store::{Changes, Collection, Page, Record, Revision, Store, StoreChange, StoreError};
@@ -90,8 +90,8 @@
                 forgotten = false;
                 wait = WATCH_TIMEOUT;
                 context.set_position(collection, revision);
-                let standing = standing(&context, &store_access);
-                context.followers.tell(&Frame::Standing(standing));
+                let standing = sync_status(&context, &store_access);
+                context.followers.send(&Frame::Status(standing));
             }
             Err(StoreError::HistoryGone) => {
                 tracing::info!(event = "history_gone", collection = collection.label());
@@ -277,7 +277,7 @@
     if context.active_configuration.adopt(configuration) {
         let behind_ms = behind_for.as_millis() as u64;
         tracing::info!(event = "configuration_adopted", version, routes, behind_ms);
-        context.followers.tell_configuration();
+        context.followers.send_configuration();
         cold_servers::apply_configuration(context);
     }
 }
@@ -285,7 +285,7 @@
 /// Takes in that a version of the configuration exists, and passes it on if it is news.
 pub fn note_configuration_version(context: &Context, version: ConfigurationVersion) {
     if context.active_configuration.note_version(version) {
-        context.followers.tell_newer(version);
+        context.followers.send_newer_version(version);
     }
 }
 
@@ -295,7 +295,7 @@
     let news = context.with_servers(|servers| servers.store_returned(clock::now()));
     if news {
         tracing::info!(event = "store_back");
-        context.followers.tell(&Frame::StoreReturned);
+        context.followers.send(&Frame::StoreReturned);
     }
 }
 
@@ -309,7 +309,7 @@
         return;
     }
     tracing::warn!(event = "store_rewound", era);
-    context.followers.tell_era(&Frame::Era(era));
+    context.followers.send_era(&Frame::Era(era));
     let lapse_after = context.bounds.get().heartbeat * HEARTBEATS_UNTIL_LAPSE + BATCH_PAUSE;
     context.with_servers(|servers| servers.store_rewound(now, lapse_after));
     context.evacuations.borrow_mut().store_rewound(now);
@@ -333,7 +333,7 @@
     *context.zone_peers.borrow_mut() = zone_peers(context, readers.record(&context.settings.zone));
     drop(readers);
     limits::redistribute(context);
-    context.followers.tell(&Frame::Zones(news));
+    context.followers.send(&Frame::Zones(news));
 }
 
 /// Returns the other VMs of the zone, if the record names them all.
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -12,7 +12,7 @@
 use crate::http::client::{Connection, ReceiveError, Response, SendError};
 use crate::http::headers::write_header;
 use crate::limits;
-use crate::peers::readings;
+use crate::peers::load_reports;
 
 /// The most bytes of an answer that is passed on.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
@@ -57,7 +57,7 @@
 ) -> AttemptOutcome {
     let started_at = clock::now();
     let _in_flight = upstream.track_in_flight(started_at);
-    readings::tell_sent(context, &upstream.server.name);
+    load_reports::share_sent(context, &upstream.server.name);
     let ended = tokio::time::timeout(left, run(context, upstream, request, left, started_at)).await;
     let timed_out =
         || AttemptOutcome::without_answer(AttemptEnd::TimedOut, "deadline passed", started_at);
@@ -113,7 +113,7 @@
     let load = response.head.headers.get(context.wire_names.load);
     if let Some(reading) = load.and_then(context.wire_names.parse_load) {
         upstream.record_load_report(clock::now(), reading);
-        readings::tell(context, &upstream.server.name, reading, None);
+        load_reports::share_report(context, &upstream.server.name, reading, None);
     }
     upstream.release(connection);
     let (end, detail) = classify(context, &response);
