--- a/crates/kingcuploft-entry/src/active_configuration.rs
+++ b/crates/kingcuploft-entry/src/active_configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, what led to it, and what is known of the next one.
+//! The configuration in force, the changes that led to it, and the arrival of the next one.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 use crate::clock;
 
-/// The configuration in force and the next one.
+/// The configuration in force, its change log, and the parts of the next configuration that have arrived.
 #[derive(Debug, Default)]
 pub struct ActiveConfiguration {
     current: RefCell<Option<Arc<Configuration>>>,
@@ -22,7 +22,7 @@
     arriving: RefCell<Arriving>,
     needs_full_configuration: Cell<bool>,
     newest: Cell<Option<(ConfigurationVersion, Instant)>>,
-    /// Wakes whoever waits for a configuration.
+    /// Wakes tasks that wait for a configuration to come into force.
     pub adopted_notify: Notify,
 }
 
@@ -37,7 +37,7 @@
         self.current.borrow().as_ref().map(|c| c.version)
     }
 
-    /// Returns for how long it has been in force.
+    /// Returns how long the configuration has been in force; zero if none is.
     pub fn age(&self) -> Duration {
         let adopted = self.adopted.get();
         adopted.map_or(Duration::ZERO, |at| {
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Puts a configuration in force if it is newer than the one that is; returns whether it was.
+    /// Puts a configuration in force if it is newer than the current one; returns whether it was.
     pub fn adopt(&self, mut configuration: Configuration) -> bool {
         let mut current = self.current.borrow_mut();
         let (version, routes) = (configuration.version, configuration.route_count());
@@ -65,7 +65,8 @@
         true
     }
 
-    /// Returns what leads from a version to the configuration in force: the changes between them, or all.
+    /// Returns the changes from `version` to the configuration in force, or one change that holds the whole
+    /// configuration if the change log does not reach back to `version`.
     pub fn changes_since(
         &self,
         version: Option<ConfigurationVersion>,
@@ -80,11 +81,11 @@
         known.unwrap_or_else(|| vec![Arc::new(ConfigurationChange::whole(&current))])
     }
 
-    /// Takes in a part of the next configuration.
+    /// Adds a part of the next configuration.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't be read.
+    /// Returns an error if the part can't be read.
     pub fn add_part(&self, part: ChangePart) -> Result<Taken, PartError> {
         let current = self.current();
         let taken = self.arriving.borrow_mut().take(part, current.as_deref())?;
@@ -95,7 +96,7 @@
         Ok(taken)
     }
 
-    /// Returns the version that another VM may lead on from; none if it has to tell all.
+    /// Returns the version to which another VM may send a delta, or `None` if this VM needs the whole configuration.
     pub fn delta_base(&self) -> Option<ConfigurationVersion> {
         self.version()
             .filter(|_| !self.needs_full_configuration.get())
@@ -106,7 +107,7 @@
         self.arriving.borrow().arrived()
     }
 
-    /// Takes in that a version exists; returns whether that is news.
+    /// Records that a version exists; returns whether that was unknown.
     pub fn note_version(&self, version: ConfigurationVersion) -> bool {
         let newest = self.newest.get();
         let is_news = newest.is_none_or(|(newest, _)| newest < version);
@@ -121,7 +122,8 @@
         self.newest.get().map(|(newest, _)| newest)
     }
 
-    /// Returns for how long a version is known to exist that is newer than the one in force, if there is one.
+    /// Returns for how long a version newer than the one in force has been known to exist, or `None` if the one in
+    /// force is the newest.
     pub fn stale_for(&self) -> Option<Duration> {
         let (newest, since) = self.newest.get()?;
         let is_behind = self.version().is_none_or(|version| version < newest);
--- a/crates/kingcuploft-entry/src/budgets.rs
+++ b/crates/kingcuploft-entry/src/budgets.rs
@@ -1,4 +1,4 @@
-//! What a VM takes from budgets: probes, repeats, lines of log.
+//! Takes from the VM's budgets for probes, repeats and log lines.
 
 use std::time::{Duration, Instant};
 
@@ -12,26 +12,26 @@
 use crate::clock;
 use crate::context::Context;
 
-/// A second send that a request wants.
+/// A repeat that a request asks for: a retry or a hedge.
 #[derive(Debug)]
 pub struct WantedRepeat<'a> {
     /// The request's id.
     pub request: Option<&'a str>,
-    /// The service.
+    /// The service that it is sent to.
     pub service: &'a ServiceName,
-    /// What was wrong with the first send.
+    /// What was wrong with the earlier send, as logged and counted.
     pub after: &'static str,
-    /// Sends so far.
+    /// The number of sends so far.
     pub attempts: u32,
 }
 
 impl Context {
-    /// Counts a request for a service.
+    /// Counts a request for a service; the repeat budget is a share of the requests.
     pub fn count_request(&self, now: Instant, service: &ServiceName) {
         self.repeats.borrow_mut().arrived(now, service);
     }
 
-    /// Takes one probe from the budget, if it has room.
+    /// Takes one probe from the probe budget; returns whether the budget allowed it.
     pub fn take_probe(&self, now: Instant) -> bool {
         if planted::is_on(Planted::ProbesUnbounded) {
             return true;
@@ -43,8 +43,8 @@
             .take(now, bound, servers, self.vm_count.get())
     }
 
-    /// Returns whether a line that says that all went well is written; tells now and then how many
-    /// were not.
+    /// Returns whether the log budget allows a line about a request that succeeded. Logs from time to time how many
+    /// such lines were left out.
     pub fn writes_ordinary_line(&self, now: Instant) -> bool {
         let taken = self.log_budget.borrow_mut().take(now);
         match taken {
@@ -56,28 +56,28 @@
         false
     }
 
-    /// Returns which part of the probe budget is there to be used, from 0 to 1.
+    /// Returns the fill of the probe budget, from 0 (exhausted) to 1 (full).
     pub fn probe_budget_left(&self) -> f64 {
         self.probe_budget.borrow().fill()
     }
 
-    /// Returns which share of its servers a request asks that has looked so often in vain.
-    pub fn probe_share(&self, looks: u32) -> f64 {
-        probe_budget::ask_share(self.probe_budget_left(), looks)
+    /// Returns the share of its servers that a request probes after so many unsuccessful rounds of selection.
+    pub fn probe_share(&self, rounds: u32) -> f64 {
+        probe_budget::ask_share(self.probe_budget_left(), rounds)
     }
 
-    /// Returns how old a reading may be to choose by it.
+    /// Returns the greatest age of a load report by which a server may be selected.
     pub fn max_load_report_age(&self) -> Duration {
         self.probe_budget.borrow().reading_life()
     }
 
-    /// Takes one repeat from the budget, if it has room.
+    /// Takes one repeat from the repeat budget; returns whether the budget allowed it.
     pub fn take_repeat(&self, now: Instant, service: &ServiceName) -> bool {
         self.take_repeat_share(now, service).has_room()
     }
 
-    /// Takes one repeat from the budget, if it has room, counts it by what was wrong with the first send, and writes what
-    /// decided it.
+    /// Takes one repeat from the repeat budget, counts it by what was wrong with the earlier send, and logs the figures
+    /// behind the decision. Returns whether the budget allowed it.
     pub fn request_repeat(&self, wanted: &WantedRepeat<'_>) -> bool {
         let now = clock::now();
         let standing = self.take_repeat_share(now, wanted.service);
@@ -109,18 +109,18 @@
         standing
     }
 
-    /// Returns what others may keep of the budget of repeats for this VM.
+    /// Returns the usage of the repeat budget that other VMs store for this VM.
     pub fn repeats_used(&self) -> Used {
         let bounds = self.bounds.get().repeats;
         self.repeats.borrow_mut().used(clock::now(), &bounds)
     }
 
-    /// Returns for how much longer it matters what this VM used before it started, which nobody has told it.
+    /// Returns for how much longer the usage before this VM's start matters while no other VM has reported it.
     pub fn repeats_unknown_for(&self) -> Duration {
         self.repeats.borrow().unknown_for(clock::now())
     }
 
-    /// Goes on with what another VM has kept; returns whether that is news.
+    /// Adopts the usage that another VM has stored for this one; returns whether it was unknown.
     pub fn recover_repeats(&self, used: &Used) -> bool {
         self.repeats.borrow_mut().recover(clock::now(), used)
     }
--- a/crates/kingcuploft-entry/src/clock.rs
+++ b/crates/kingcuploft-entry/src/clock.rs
@@ -1,13 +1,13 @@
-//! The clock of this VM's tasks.
+//! The monotonic clock of this VM's tasks, which tests can control.
 
 use std::time::{Duration, Instant};
 
-/// Returns the present moment, by the clock that timers run by.
+/// Returns the current time, by the clock that drives the timers.
 pub fn now() -> Instant {
     tokio::time::Instant::now().into_std()
 }
 
-/// Returns how long ago a moment was, by the same clock.
+/// Returns the time that has passed since `moment`, by the same clock.
 pub fn since(moment: Instant) -> Duration {
     now().saturating_duration_since(moment)
 }
--- a/crates/kingcuploft-entry/src/cold_servers.rs
+++ b/crates/kingcuploft-entry/src/cold_servers.rs
@@ -1,4 +1,5 @@
-//! Backend servers that are cold, or may be: heard of, kept to what they bear, warm again.
+//! Cold backend servers, which bear less load until they are warm: detected by reports, limited in rate, released when
+//! warm.
 
 use std::time::{Duration, Instant};
 
@@ -12,13 +13,13 @@
 use crate::limits;
 use crate::upstream::Upstream;
 
-/// The most servers that are told one by one when they turn cold or warm together.
+/// The most servers that get a log line each when several turn cold or warm together.
 const MAX_SERVERS_LOGGED_SINGLY: usize = 4;
 
-/// A server that was not known to be cold, and for how long it is.
+/// A server that was not known to be cold, and for how much longer it is.
 type NewlyCold = (BackendServerName, Duration);
 
-/// Reads for how long a server stays cold, by its answer to a probe; zero if it says nothing of it.
+/// Returns for how much longer a server is cold, by its answer to a probe; zero if the answer says nothing of it.
 pub fn parse_header(context: &Context, headers: &Headers) -> Duration {
     let value = headers.get(context.wire_names.cold_ms);
     let value_ms = value.and_then(|value| value.parse::<f64>().ok());
@@ -26,7 +27,7 @@
     cold_for.unwrap_or_default()
 }
 
-/// Takes in for how long a server stays cold, as it says itself, asked at this moment.
+/// Applies a server's own report of how much longer it is cold. `asked_at` is when the server was asked.
 pub fn apply_probe_answer(
     context: &Context,
     upstream: &Upstream,
@@ -46,7 +47,7 @@
     }
 }
 
-/// Takes in for how long servers stay cold, as the platform's store says.
+/// Applies how much longer servers are cold by their entries in the platform's store.
 pub fn apply_store_report(context: &Context, cold: &[(BackendServerName, Duration)]) {
     let turned = cold.iter().filter_map(|(server, cold_for)| {
         let upstream = context.upstream(server)?;
@@ -56,7 +57,7 @@
     log_turned_cold(context, &turned);
 }
 
-/// Keeps the servers that are cold to what they bear by the configuration that has just come into force.
+/// Applies the cold-start limits of a configuration that has just come into force to the servers that are cold.
 pub fn apply_configuration(context: &Context) {
     let now = clock::now();
     let all = context.all_upstreams().into_iter();
@@ -65,7 +66,7 @@
     apply_store_report(context, &cold);
 }
 
-/// Keeps a server to what it bears; returns it if it was not known to be cold.
+/// Limits a cold server to the rate that it bears; returns it if it was not known to be cold.
 fn mark_cold(context: &Context, upstream: &Upstream, cold_for: Duration) -> Option<NewlyCold> {
     let now = clock::now();
     upstream.set_cold_until(now + cold_for);
@@ -108,9 +109,10 @@
     log_turned_warm(&warm);
 }
 
-/// Has the servers of a zone that is taken back say first whether they are cold.
+/// Keeps work from the servers of a zone whose evacuation has ended until each has reported whether it is cold.
 ///
-/// Failure: the zone's servers have turned cold while nobody looked, are near and idle, and get the zone's whole load at once.
+/// Failure: the zone's servers turned cold while they got no work. They are in the own zone and idle, so each VM would
+/// prefer them, and they would get the zone's whole load at once.
 pub fn require_cold_reports(context: &Context, zone: &AvailabilityZone) {
     let now = clock::now();
     let all = context.all_upstreams().into_iter();
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What all tasks of one entry VM share, built once and passed by reference.
+//! The state that all tasks of one entry VM share, built once and passed by reference.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::net::SocketAddr;
@@ -41,75 +41,76 @@
 use crate::store::{Collection, Revision};
 use crate::upstream::Upstream;
 
-/// How many VMs are assumed to share what all may use together, until they are counted: more than
-/// there are, so that a VM that cannot count them uses next to nothing of it.
+/// How many VMs are assumed to share the budgets of the fleet until they are counted: more than there are, so that a VM
+/// that cannot count them uses next to nothing of the budgets.
 const VMS_WHILE_UNCOUNTED: usize = 1000;
 
-/// What all tasks share.
+/// The shared state of one entry VM.
 #[derive(Debug)]
 pub struct Context {
-    /// The settings.
+    /// The VM's settings.
     pub settings: EntrySettings,
     /// The names of headers and paths.
     pub wire_names: WireNames,
-    /// The way to backend servers.
+    /// How connections to backend servers are opened.
     pub network: Rc<dyn Network>,
-    /// Wakes whoever waits for readings.
+    /// Wakes tasks that wait for load reports.
     pub load_report_received: Notify,
-    /// Wakes whoever waits for the stop.
+    /// Wakes tasks that wait for the graceful shutdown.
     pub stop_requested: Notify,
-    /// What happened so far.
+    /// The VM's metrics.
     pub metrics: Metrics,
-    /// What may change while the VM runs.
+    /// The settings that may change while the VM runs.
     pub bounds: Cell<Bounds>,
-    /// How many VMs share the allowance of repeats.
+    /// How many VMs share the budgets of probes and repeats.
     pub vm_count: Cell<usize>,
-    /// The other VMs.
+    /// The VMs of all zones, by the zone records.
     pub readers: RefCell<Readers>,
-    /// The socket to the other VMs.
+    /// The datagram socket to the other VMs.
     pub peer_socket: OnceCell<Rc<dyn PeerSender>>,
-    /// What other VMs have used of the budget of repeats.
+    /// What other VMs have used of the repeat budget, stored for them in case they restart.
     pub repeat_copies: RefCell<RepeatCopies>,
-    /// Wakes whoever has others keep what this VM has used of it.
+    /// Wakes the task that sends this VM's usage of the repeat budget to other VMs.
     pub repeat_taken: Notify,
-    /// Where the other VMs of the zone are.
+    /// The addresses of the other VMs of the zone.
     pub zone_peers: RefCell<Vec<SocketAddr>>,
     /// The configuration in force.
     pub active_configuration: ActiveConfiguration,
     /// The VMs that follow this one.
     pub followers: Followers,
-    /// The memory for bodies of requests.
+    /// The memory for request bodies.
     pub body_memory: BodyMemory,
-    /// The requests under which servers ended.
+    /// The requests during which servers have crashed.
     pub quarantine: RefCell<Quarantine>,
-    /// The store's era, and since when.
+    /// The store's era, and its latest rewind.
     pub rewinds: Rewinds,
-    /// The availability zones that get nothing.
+    /// The evacuated availability zones, whose servers get no work.
     pub evacuations: RefCell<Evacuations>,
-    /// The limits that servers name.
+    /// The rate limits that servers announce.
     pub limits: RefCell<ServerLimits>,
-    /// The turns at such servers that have been asked for.
+    /// The turns at rate-limited servers that this VM has requested from others.
     pub asked_turns: PendingTurns,
-    /// The way to whoever writes notices to the store.
+    /// The queue of notices that wait to be written to the store.
     pub notice_writes: NoticeWriteQueue,
-    /// Open connections of callers.
+    /// How many connections of callers are open.
     pub callers: Cell<usize>,
     positions: RefCell<HashMap<Collection, Revision>>,
-    /// Wakes whoever waits until more is known of the store.
+    /// Wakes tasks that wait until this VM knows a later revision of the store.
     pub position_advanced: Notify,
-    /// Wakes whoever tells the feeder the configuration, as that one knows an older one.
+    /// Wakes the task that sends the configuration to the feeder, which knows an older one.
     pub feeder_outdated: Notify,
-    /// Wakes whoever tells the feeder that a follower is ahead of it.
+    /// Wakes the task that tells the feeder that a follower knows a later revision of the store.
     pub follower_ahead: Notify,
-    /// Through which VMs this one hears of the store, the one that reads first; none if it reads itself.
+    /// The VMs through which this one learns of the store, beginning with the one that reads it; empty if this VM reads
+    /// it itself.
     pub feed_path: RefCell<Vec<VmName>>,
-    /// Whether the store answers the VM that reads for this one.
+    /// Whether the VM that reads the store for this one reaches it.
     pub reader_has_store: Cell<bool>,
-    /// Whether a VM has promised to tell this one all.
+    /// Whether a VM has promised to send this one a complete snapshot.
     pub feed_promised: Cell<bool>,
     /// The VM that this one follows.
     pub feeder: RefCell<Option<VmEntry>>,
-    /// When the VM began.
+    /// When the VM started.
     pub started_at: Instant,
     stopping: Cell<Option<Instant>>,
     closes_idle: Cell<bool>,
@@ -126,16 +127,16 @@
 }
 
 impl Context {
-    /// Builds the context of a VM that knows nothing yet.
-    pub fn new(settings: EntrySettings, vocabulary: WireNames) -> Self {
-        Self::with_network(Rc::new(Tcp), settings, vocabulary)
+    /// Creates the context of a VM that knows nothing yet, with TCP connections to backend servers.
+    pub fn new(settings: EntrySettings, wire_names: WireNames) -> Self {
+        Self::with_network(Rc::new(Tcp), settings, wire_names)
     }
 
-    /// Builds the context of a VM on a network.
+    /// Creates the context of a VM that reaches backend servers through `network`.
     pub fn with_network(
         network: Rc<dyn Network>,
         settings: EntrySettings,
-        vocabulary: WireNames,
+        wire_names: WireNames,
     ) -> Self {
         let is_first = settings.all_start || settings.peers.is_none();
         let is_first = is_first || planted::is_on(Planted::ForgetsRepeats);
@@ -148,7 +149,7 @@
             bounds: Cell::new(settings.bounds),
             body_memory: BodyMemory::new(settings.memory_bytes),
             settings,
-            wire_names: vocabulary,
+            wire_names,
             network,
             load_report_received: Notify::new(),
             stop_requested: Notify::new(),
@@ -196,7 +197,8 @@
         self.active_configuration.current()
     }
 
-    /// Returns whether the VM can serve: it knows a configuration and servers, and is not stopping.
+    /// Returns whether the VM can serve: it knows a configuration, the servers and the evacuated zones, and is not
+    /// stopping.
     pub fn is_ready(&self) -> bool {
         let knows_zones = self.position(Collection::Evacuations).is_some();
         let knows = self.active_configuration.version().is_some()
@@ -205,39 +207,39 @@
         knows && !self.is_stopping()
     }
 
-    /// Returns whether a planned stop has begun.
+    /// Returns whether the graceful shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.get().is_some()
     }
 
-    /// Begins a planned stop.
+    /// Begins the graceful shutdown.
     pub fn begin_stop(&self, now: Instant) {
         self.stopping.set(Some(now));
         self.stop_requested.notify_waiters();
     }
 
-    /// Returns whether idle connections of callers are closed.
+    /// Returns whether idle connections of callers are being closed.
     pub fn is_closing_idle(&self) -> bool {
         self.closes_idle.get()
     }
 
-    /// Closes the idle connections of callers, now and from now on.
+    /// Closes connections of callers as soon as they are idle, from now on.
     pub fn close_idle_connections(&self) {
         self.closes_idle.set(true);
         self.stop_requested.notify_waiters();
     }
 
-    /// Takes news of the servers in.
+    /// Calls `news` with the table of backend servers and returns its result.
     pub fn with_servers<T>(&self, news: impl FnOnce(&mut BackendServers) -> T) -> T {
         news(&mut self.servers.borrow_mut())
     }
 
-    /// Returns up to which moment a collection is known.
+    /// Returns the revision up to which a collection of the store is known.
     pub fn position(&self, collection: Collection) -> Option<Revision> {
         self.positions.borrow().get(&collection).copied()
     }
 
-    /// Takes note up to which moment a collection is known.
+    /// Records the revision up to which a collection of the store is known.
     pub fn set_position(&self, collection: Collection, revision: Revision) {
         let mut positions = self.positions.borrow_mut();
         positions.insert(collection, revision);
@@ -245,40 +247,41 @@
         self.position_advanced.notify_waiters();
     }
 
-    /// Takes note that all servers there are have been listed once.
+    /// Records that all servers in the store have been listed once.
     pub fn set_servers_listed(&self) {
         self.servers_listed.set(true);
     }
 
-    /// Follows changes of the servers: connections and readings come and go with them.
+    /// Applies changes of the backend servers: creates the upstreams of servers that joined and drops those of servers
+    /// that left, with their connections and load reports.
     pub fn apply_server_changes(&self, now: Instant, changes: &[Change]) {
-        let mut ended = HashSet::default();
-        let mut begun = HashSet::default();
+        let mut dropped_names = HashSet::default();
+        let mut added_names = HashSet::default();
         for change in changes {
             match change {
                 Change::Joined(name) => {
-                    ended.insert(name);
-                    begun.insert(name);
+                    dropped_names.insert(name);
+                    added_names.insert(name);
                 }
                 Change::Left(name) => {
-                    ended.insert(name);
-                    begun.remove(name);
+                    dropped_names.insert(name);
+                    added_names.remove(name);
                 }
                 Change::Updated(_) | Change::Lapsed(_) => {}
             }
         }
-        if ended.is_empty() {
+        if dropped_names.is_empty() {
             return;
         }
         let mut upstreams = self.upstreams.borrow_mut();
         for of_service in upstreams.values_mut() {
-            of_service.retain(|upstream| !ended.contains(&upstream.server.name));
+            of_service.retain(|upstream| !dropped_names.contains(&upstream.server.name));
         }
-        if begun.is_empty() {
+        if added_names.is_empty() {
             return;
         }
         let servers = self.servers.borrow();
-        for server in begun.into_iter().filter_map(|name| servers.get(name)) {
+        for server in added_names.into_iter().filter_map(|name| servers.get(name)) {
             let near = server.zone == self.settings.zone;
             let upstream = Upstream::new(server.clone(), &self.settings.vm, near, now);
             let of_service = upstreams.entry(server.service.clone()).or_default();
@@ -289,10 +292,10 @@
         }
     }
 
-    /// Returns the servers of a service that may be sent work, those of the own zone first.
+    /// Returns the servers of a service that may get work, those of the own zone first.
     ///
-    /// Each VM has its own order within a zone. It asks the first few, so that its connections stay in
-    /// use, and the VMs together ask all.
+    /// Each VM has its own order of the servers within a zone. It probes the first few, so that its connections stay in
+    /// use, and the VMs together probe all.
     pub fn upstreams(&self, service: &ServiceName) -> Vec<Rc<Upstream>> {
         let upstreams = self.upstreams.borrow();
         let evacuations = self.evacuations.borrow();
@@ -319,15 +322,14 @@
         of_service.is_some_and(|all| all.iter().all(|u| evacuations.holds(&u.server.zone)))
     }
 
-    /// Returns whether a request may still be sent to a server that was chosen for it.
+    /// Returns whether a request may still be sent to the server that was selected for it.
     pub fn takes_work(&self, upstream: &Upstream) -> bool {
         let server = &upstream.server;
         let is_open = !self.evacuations.borrow().holds(&server.zone);
         is_open && self.servers.borrow().takes_work(&server.name)
     }
 
-    /// Returns how many connections this VM may have to one server of a service; any number until the
-    /// VMs are counted.
+    /// Returns how many connections this VM may have to one server of a service; unlimited until the VMs are counted.
     pub fn connection_share(&self, service: &ServiceName) -> usize {
         let configuration = self.configuration();
         let services = configuration.as_ref().map(|c| &c.services);
@@ -340,14 +342,14 @@
         }
     }
 
-    /// Returns a server that may be sent work.
+    /// Returns the server of this name, if it may get work.
     pub fn upstream(&self, name: &str) -> Option<Rc<Upstream>> {
         let upstreams = self.upstreams.borrow();
         let mut all = upstreams.values().flatten();
         all.find(|upstream| *upstream.server.name == *name).cloned()
     }
 
-    /// Returns the destination of the next request of a route.
+    /// Returns the destination of the next request of a route, by the weights of its destinations.
     pub fn next_destination(&self, route: &Route) -> Option<Destination> {
         let mut dealers = self.dealers.borrow_mut();
         let dealer = dealers
@@ -356,14 +358,15 @@
         dealer.deal(&route.destinations).cloned()
     }
 
-    /// Returns the work of a route at a service on a server of usual speed, in milliseconds.
+    /// Returns the estimated service time of a route at a service, in milliseconds, on a server of normal speed.
     pub fn work_ms(&self, route: &Route, service: &ServiceName) -> f64 {
         let times = self.service_times.borrow();
         let time = times.get(&(route.name.clone(), service.clone()));
         time.copied().unwrap_or_default().work_ms(route.target)
     }
 
-    /// Returns how many times longer work takes on a server of a service whose last slot it takes.
+    /// Returns the factor by which work takes longer on a server of a service when it takes the server's last free
+    /// slot.
     pub fn last_slot_factor(&self, service: &ServiceName) -> f64 {
         let last_slots = self.last_slots.borrow();
         last_slots
@@ -373,8 +376,8 @@
             .factor()
     }
 
-    /// Takes in how long an answer took of a server that was so slow, and of which the request took this
-    /// slot.
+    /// Records the latency of an answer, with the slowness that the server had reported and the slot that the request
+    /// took.
     pub fn record_service_time(
         &self,
         route: &Route,
@@ -390,7 +393,7 @@
         time.or_default().measured(took, slowness, slot, last_slot);
     }
 
-    /// Takes in how long a caller of a route waits; returns how long it has waited before, at earlier attempts.
+    /// Records how long a caller of a route will wait; returns how long it has waited already, at earlier attempts.
     pub fn waited_before(&self, route: &Route, patience: Duration) -> Duration {
         let mut all = self.patience.borrow_mut();
         all.entry(route.name.clone()).or_default().told(patience)
--- a/crates/kingcuploft-entry/src/evacuation.rs
+++ b/crates/kingcuploft-entry/src/evacuation.rs
@@ -1,4 +1,5 @@
-//! Availability zones that are evacuated: taken in, passed on, kept from getting work.
+//! Evacuations of availability zones: applies what the store or the feeder says, forwards it to the followers, and
+//! refuses requests that only an evacuated zone could serve.
 
 use std::time::{Duration, Instant};
 
@@ -11,24 +12,24 @@
 use crate::context::Context;
 use crate::peers::frame::Frame;
 
-/// When a caller may come back to a service all of whose servers are in evacuated zones: nobody knows when one is taken back.
+/// The `Retry-After` for a service all of whose servers are in evacuated zones: nobody knows when an evacuation ends.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Takes in that a zone is to get nothing, and passes it on.
+/// Applies the start of a zone's evacuation, and forwards it if it is news.
 pub fn apply_begin(context: &Context, zone: AvailabilityZone) {
     apply(context, |evacuations| {
         evacuations.told(zone).into_iter().collect()
     });
 }
 
-/// Takes in that a zone is taken back, and passes it on.
+/// Applies the end of a zone's evacuation, and forwards it if it is news.
 pub fn apply_end(context: &Context, zone: &str) {
     apply(context, |evacuations| {
         evacuations.gone(zone).into_iter().collect()
     });
 }
 
-/// Takes in all entries that the store has, and passes on what is news.
+/// Applies the complete list of evacuations in the store, and forwards what is news.
 pub fn apply_full_list(context: &Context, zones: impl Iterator<Item = AvailabilityZone>) {
     let zones: HashSet<AvailabilityZone> = zones.collect();
     apply(context, |evacuations| {
@@ -36,13 +37,13 @@
     });
 }
 
-/// Takes in which zones are evacuated by the VM that this one follows, and passes on what is news.
+/// Applies the list of evacuations from the feeder, and forwards what is news.
 pub fn apply_feeder_list(context: &Context, zones: Vec<AvailabilityZone>) {
     let zones: HashSet<AvailabilityZone> = zones.into_iter().collect();
     apply(context, |evacuations| evacuations.followed(&zones));
 }
 
-/// Ends evacuations whose entries a store that came back from a copy does not have again in time.
+/// Ends evacuations whose entries are not rewritten in time after the store was restored from an older copy.
 pub fn expire(context: &Context, now: Instant) {
     apply(context, |evacuations| evacuations.expire(now));
 }
@@ -64,12 +65,12 @@
     }
 }
 
-/// Returns what followers are told.
+/// Returns the frame that tells followers all evacuated zones.
 pub fn to_frame(context: &Context) -> Frame {
     Frame::Evacuations(context.evacuations.borrow().zones())
 }
 
-/// Returns when a caller may come back to a service that has servers, all of them in evacuated zones.
+/// Returns the `Retry-After` for a service that has servers, if all of them are in evacuated zones.
 pub fn retry_after(context: &Context, service: &ServiceName) -> Option<Duration> {
     let is_empty = context.evacuations.borrow().zones().is_empty();
     (!is_empty && context.is_evacuated(service)).then_some(RETRY_AFTER)
--- a/crates/kingcuploft-entry/src/fields.rs
+++ b/crates/kingcuploft-entry/src/fields.rs
@@ -1,4 +1,4 @@
-//! Settings as lines of the form `a.b=value`, with errors that name file, line and field.
+//! Parses settings: lines of the form `a.b=value`, with errors that name file, line and field.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -16,23 +16,23 @@
     /// A field is missing.
     #[error("{}: field {} is missing", .0.display(), .1)]
     Missing(PathBuf, &'static str),
-    /// A field holds something else than it should.
+    /// A field holds a value of another kind than it should.
     #[error("{}:{line}: field {field}: '{value}' is not {wanted}", path.display())]
     Value {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The line.
+        /// The number of the line, from 1.
         line: usize,
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What it holds.
+        /// The value that it holds.
         value: String,
-        /// What it should hold.
+        /// What it should hold, in words.
         wanted: &'static str,
     },
 }
 
-/// The fields of a settings file.
+/// The fields of a settings file, by name.
 #[derive(Debug)]
 pub struct Fields<'a> {
     path: &'a Path,
@@ -40,11 +40,11 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Reads lines; `path` is for errors only.
+    /// Parses the lines of `text`; `path` is used in errors only.
     ///
     /// # Errors
     ///
-    /// Returns an error if a line is not of the form.
+    /// Returns an error if a line is not of the form `a.b=value`.
     pub fn parse(path: &'a Path, text: &'a str) -> Result<Self, SettingsError> {
         let mut by_name = BTreeMap::new();
         for (at, line) in text.lines().enumerate() {
@@ -59,11 +59,11 @@
         Ok(Self { path, by_name })
     }
 
-    /// Returns a field that must be there.
+    /// Returns the text of a mandatory field.
     ///
     /// # Errors
     ///
-    /// Returns an error if it is not, or is empty.
+    /// Returns an error if the field is missing or empty.
     pub fn required_text(&self, field: &'static str) -> Result<&'a str, SettingsError> {
         let found = self
             .by_name
@@ -73,11 +73,11 @@
         found.map(|(_, value)| *value).ok_or_else(missing)
     }
 
-    /// Returns a field, if it is there; `wanted` says in errors what it should hold.
+    /// Returns the value of an optional field; `wanted` says in errors what the field should hold.
     ///
     /// # Errors
     ///
-    /// Returns an error if it holds something else.
+    /// Returns an error if the value can't be parsed.
     pub fn optional<T: std::str::FromStr>(
         &self,
         field: &'static str,
@@ -100,11 +100,11 @@
         Ok(Some(parsed))
     }
 
-    /// Returns a field that must be there.
+    /// Returns the value of a mandatory field.
     ///
     /// # Errors
     ///
-    /// Returns an error if it is not, or holds something else.
+    /// Returns an error if the field is missing or its value can't be parsed.
     pub fn required<T: std::str::FromStr>(
         &self,
         field: &'static str,
@@ -114,11 +114,11 @@
         found.ok_or_else(|| SettingsError::Missing(self.path.into(), field))
     }
 
-    /// Returns what is joined by commas; nothing if the field is not there.
+    /// Returns the values of a comma-separated field; none if the field is missing.
     ///
     /// # Errors
     ///
-    /// Returns an error if a part holds something else.
+    /// Returns an error if one of the values can't be parsed.
     pub fn list<T: std::str::FromStr>(
         &self,
         field: &'static str,
@@ -140,7 +140,7 @@
         parsed.collect()
     }
 
-    /// Returns the fields whose names begin so: the rest of each name, and what it holds.
+    /// Returns the fields whose names begin with `prefix`: the rest of each name, and the value.
     pub fn with_prefix(&self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a str)> {
         let fields = self.by_name.iter();
         let under = fields.filter_map(move |(name, (_, value))| {
@@ -149,11 +149,11 @@
         under.collect::<Vec<_>>().into_iter()
     }
 
-    /// Returns a number that is not negative, or the usual one if the field is not there.
+    /// Returns a number that is not negative, or `default` if the field is missing.
     ///
     /// # Errors
     ///
-    /// Returns an error if it holds something else.
+    /// Returns an error if the field holds anything else.
     pub fn number(&self, field: &'static str, default: f64) -> Result<f64, SettingsError> {
         let wanted = "a number that is not negative";
         let number: f64 = self.optional(field, wanted)?.unwrap_or(default);
@@ -170,11 +170,11 @@
         })
     }
 
-    /// Returns a time, or the usual one, in seconds, if the field is not there.
+    /// Returns a duration given in seconds, or `default` seconds if the field is missing.
     ///
     /// # Errors
     ///
-    /// Returns an error if it holds something else.
+    /// Returns an error if the field holds anything but a number that is not negative.
     pub fn seconds(&self, field: &'static str, default: f64) -> Result<Duration, SettingsError> {
         Ok(Duration::from_secs_f64(self.number(field, default)?))
     }
--- a/crates/kingcuploft-entry/src/gauges.rs
+++ b/crates/kingcuploft-entry/src/gauges.rs
@@ -1,9 +1,9 @@
-//! What is counted at the moment when somebody asks.
+//! Gauges whose values are computed when the metrics are read.
 
 use crate::context::Context;
 
 impl Context {
-    /// Writes all counters as text.
+    /// Updates the gauges and returns all metrics in the text format of Prometheus.
     pub fn metrics_text(&self) -> String {
         let version = self.configuration().map_or(0, |c| c.version);
         self.metrics.configuration.set(version as i64);
--- a/crates/kingcuploft-entry/src/http/client.rs
+++ b/crates/kingcuploft-entry/src/http/client.rs
@@ -65,7 +65,7 @@
     #[error("the connection failed: {0}")]
     Failed(std::io::Error),
     /// What came is no response.
-    #[error("what came is no response")]
+    #[error("the bytes received are no HTTP response")]
     Malformed,
 }
 
--- a/crates/kingcuploft-entry/src/lib.rs
+++ b/crates/kingcuploft-entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The event-driven entry VM: one thread, sockets and timers around the decisions of `kingcuploft`.
+//! The event-driven entry VM: one thread, with sockets and timers around the decisions of `kingcuploft`.
 //!
-//! Callers come in at [`edge`], backend servers are dealt with in [`upstream`], and [`store_watcher`] holds
-//! what the platform's store says. Names of headers, paths and store entries come from outside, by
-//! [`settings::Vocabulary`] and [`store::Store`].
+//! [`edge`] serves the callers, [`upstream`] deals with the backend servers, and [`store_watcher`] applies what the
+//! platform's store holds. The platform's adapter supplies the names of headers and paths as [`settings::WireNames`]
+//! and the store's entries through [`store::Store`].
 
 mod budgets;
 pub mod clock;
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that backend servers name in their answers: heard, told to the other VMs, kept.
+//! Rate limits that backend servers announce in their answers: parsed, published to the other VMs, divided among them,
+//! enforced.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,16 +18,16 @@
 use crate::peers::peer_socket::PeerMessage;
 use crate::upstream::Upstream;
 
-/// What named a limit, or did not.
+/// The kind of answer that a limit header was or was not found in.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AnswerKind {
-    /// The answer to a request that ran.
+    /// The answer to a request that was executed; without the header the server has no limit any more.
     OfRequest,
-    /// Another answer, which may lack a limit that holds.
+    /// Any other answer, which may lack the header although the limit holds.
     Other,
 }
 
-/// Takes in what a server's answer says of its limit.
+/// Applies the limit header of a server's answer.
 pub fn apply_header(
     context: &Context,
     server: &BackendServerName,
@@ -82,7 +83,8 @@
     context.notice_writes.send(NoticeWrite::Create(notice));
 }
 
-/// Tells those that keep a limit, or kept it, that it has changed: they give turns, and may send nothing themselves.
+/// Tells the VMs that keep a limit, or kept it before, that it has changed: they grant its turns, and may send no
+/// request to the server themselves.
 fn notify_keepers(
     context: &Context,
     server: &BackendServerName,
@@ -103,7 +105,7 @@
     socket.send(&PeerMessage::LimitChanged { server, per_s }, &others);
 }
 
-/// Takes in that a server names another limit than before, as another VM has heard.
+/// Applies a changed limit that another VM has seen.
 pub fn apply_peer_change(context: &Context, server: &BackendServerName, per_s: PerSecond) {
     match update(context, server, Some(per_s)) {
         Some(News::Named(notice)) => publish(context, notice),
@@ -114,7 +116,7 @@
     }
 }
 
-/// Takes in a notice that the store has; returns whether it is news.
+/// Applies a limit notice from the store; returns whether it is news.
 pub fn apply_notice(context: &Context, notice: &LimitNotice) -> bool {
     let part = own_part(context, &notice.server, notice.per_s);
     let mut limits = context.limits.borrow_mut();
@@ -127,7 +129,7 @@
     is_news
 }
 
-/// Takes in that a notice is withdrawn.
+/// Applies the withdrawal of a limit notice.
 pub fn apply_withdrawal(context: &Context, id: &str) {
     let known = context.limits.borrow_mut().withdrawn(id);
     if let (true, Some(server)) = (known, LimitNotice::parse_id(id)) {
@@ -135,7 +137,7 @@
     }
 }
 
-/// Divides the limits anew, as other VMs are known.
+/// Divides the limits anew after the known VMs have changed.
 pub fn redistribute(context: &Context) {
     if context.limits.borrow().is_empty() {
         return;
@@ -144,7 +146,7 @@
     context.limits.borrow_mut().divide(clock::now(), part);
 }
 
-/// Returns when a request may be sent to a server: at once if that is zero.
+/// Returns how long a request must wait before it may be sent to a server; zero if it may be sent at once.
 pub fn wait_before_send(context: &Context, upstream: &Upstream, now: Instant) -> Duration {
     let mut limits = context.limits.borrow_mut();
     if limits.is_empty() || planted::is_on(Planted::ForgetsColdServers) {
@@ -153,13 +155,13 @@
     limits.wait(now, &upstream.server.name, fastrand::f64())
 }
 
-/// Takes note that a request is sent to a server.
+/// Counts a request that is sent to a server against the server's limit.
 pub fn count_sent(context: &Context, upstream: &Upstream, now: Instant) {
     let mut limits = context.limits.borrow_mut();
     limits.sent(now, &upstream.server.name, fastrand::f64());
 }
 
-/// Returns the servers of a service that name limits.
+/// Returns the servers of a service that announce limits.
 pub fn limited_upstreams(context: &Context, service: &ServiceName) -> Vec<Rc<Upstream>> {
     if context.limits.borrow().is_empty() {
         return Vec::new();
@@ -170,13 +172,13 @@
     upstreams
 }
 
-/// Returns whether this VM keeps a server's limit, or its part of it.
+/// Returns whether this VM keeps a server's limit, or a part of it, and so grants turns.
 pub fn is_keeper(context: &Context, server: &BackendServerName) -> bool {
     let per_s = context.limits.borrow().per_s(server);
     per_s.is_some_and(|per_s| matches!(own_part(context, server, per_s), Part::OneOf(_)))
 }
 
-/// Returns a VM that keeps a server's limit.
+/// Returns a random one of the VMs that keep a server's limit.
 pub fn pick_keeper(context: &Context, server: &BackendServerName) -> Option<VmEntry> {
     let per_s = context.limits.borrow().per_s(server)?;
     let records = context.readers.borrow().records();
@@ -189,7 +191,7 @@
     zone.unwrap_or_else(|| context.settings.zone.clone())
 }
 
-/// Returns which part of a server's limit this VM uses.
+/// Returns the part of a server's limit that this VM may use.
 pub fn own_part(context: &Context, server: &BackendServerName, per_s: PerSecond) -> Part {
     if context.settings.peers.is_none() {
         return Part::OneOf(1);
--- a/crates/kingcuploft-entry/src/logs.rs
+++ b/crates/kingcuploft-entry/src/logs.rs
@@ -1,24 +1,25 @@
 //! Structured logs on standard output: one JSON object a line.
 //!
-//! A reader that does not read must not stop requests: lines go over a bounded ring to a thread of
-//! their own, and lines that find it full are counted and left out.
+//! Failure: the process that reads the log stops reading, and writes to standard output block. The guard: lines go
+//! through a bounded queue to a thread of their own; lines that find the queue full are counted and dropped, so
+//! requests never wait for the log.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::{Duration, Instant};
 
-/// How many lines wait for the writer at most: some seconds of failures of one VM.
+/// The most lines that wait for the writer thread: some seconds of failures of one VM.
 const MAX_QUEUED_LINES: usize = 512;
 
-/// How often a process that ends looks whether its lines are written.
+/// How often [`drain`] checks whether all lines are written.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 static QUEUED: AtomicU64 = AtomicU64::new(0);
 static WRITTEN: AtomicU64 = AtomicU64::new(0);
 
-/// Starts writing logs from this level on.
+/// Starts logging at this level and above.
 pub fn start(level: tracing::Level) {
     let (queue, lines) = sync_channel(MAX_QUEUED_LINES);
     let writer = std::thread::Builder::new()
@@ -41,13 +42,13 @@
     let _ = subscriber.try_init();
 }
 
-/// Returns how many lines were left out.
+/// Returns how many lines were dropped.
 pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Waits until all lines are written, for so long at most: a process that just ends takes the last lines
-/// with it, among them the one that says that it stopped as planned.
+/// Waits until all lines are written, for at most `within`: a process that just exits loses its last lines, among them
+/// the one that reports the graceful shutdown.
 pub fn drain(within: Duration) {
     let until = Instant::now() + within;
     let is_behind = || WRITTEN.load(Ordering::Acquire) < QUEUED.load(Ordering::Acquire);
--- a/crates/kingcuploft-entry/src/metrics.rs
+++ b/crates/kingcuploft-entry/src/metrics.rs
@@ -1,4 +1,5 @@
-//! What the VM counts, by `prometheus-client`. Label sets are closed, whatever the number of servers.
+//! The VM's metrics, in the text format of Prometheus. The number of label sets does not grow with the number of
+//! servers.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -11,30 +12,30 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper bounds of the latency histogram, in seconds: from a refusal at once to the longest route.
+/// Upper bounds of the latency histogram, in seconds: from an immediate refusal to the longest route.
 const LATENCY_BOUNDS_S: [f64; 10] = [0.01, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0];
 
-/// How many routes have histograms of their own; the others share one, whatever the configuration's
-/// length.
+/// The most routes with histograms of their own; the others share one, so that the metrics stay bounded for any
+/// configuration.
 const MAX_LABELLED_ROUTES: usize = 64;
 
-/// The label of the routes without histograms of their own, and of requests without a route.
+/// The label of routes without a histogram of their own, and of requests without a route.
 const OTHER_ROUTES: &str = "other";
 
-/// Why something was counted.
+/// The label set of counters that are split by reason.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct Reason {
     reason: &'static str,
 }
 
-/// How a request was answered.
+/// The label set of the latency histogram.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct Answered {
     route: String,
     outcome: &'static str,
 }
 
-/// The VM's counters.
+/// All metrics of the VM.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -55,31 +56,32 @@
     pub configuration_newest: Gauge,
     /// The most bytes that wait to be written to one follower.
     pub most_waiting_bytes: Gauge,
-    /// Backend servers that may be sent work.
+    /// Backend servers that may get work.
     pub servers: Gauge,
     /// VMs that share the budgets of probes and repeats.
     pub vms: Gauge,
     /// Open connections of callers.
     pub callers: Gauge,
-    /// The part of the probe budget that is there, in thousandths.
+    /// The fill of the probe budget, in thousandths.
     pub probes_left: Gauge,
     /// Seconds since the configuration in force was adopted.
     pub configuration_age: Gauge,
     /// VMs that follow this one.
     pub followers: Gauge,
-    /// Servers that name a limit.
+    /// Servers that announce a rate limit.
     pub limited_servers: Gauge,
-    /// Servers that are cold and kept to what they bear.
+    /// Servers that are cold and limited to the rate that they bear.
     pub cold_servers: Gauge,
     /// Availability zones that are evacuated.
     pub evacuated_zones: Gauge,
-    /// Milliseconds for which the VM still leaves its part of the allowance of repeats.
+    /// Milliseconds for which the VM still leaves its share of the repeat allowance unused, as its earlier usage is
+    /// unknown.
     pub repeats_unknown_ms: Gauge,
-    /// Requests that are refused as servers ended under them.
+    /// Requests that are refused since servers crashed when they ran them.
     pub quarantined: Gauge,
-    /// Lines of requests that went well, left out.
+    /// Log lines about successful requests that were left out beyond the log budget.
     pub ordinary_lines_left_out: Counter,
-    /// Log lines left out.
+    /// Log lines that were dropped since the writer was behind.
     pub log_lines_left_out: Gauge,
 }
 
@@ -203,12 +205,12 @@
         self.attempts.get_or_create(&Reason { reason }).inc();
     }
 
-    /// Counts a repeat by what failed before it.
+    /// Counts a repeat by the failure before it.
     pub fn count_repeat(&self, reason: &'static str) {
         self.repeats.get_or_create(&Reason { reason }).inc();
     }
 
-    /// Counts an own failure or refusal.
+    /// Counts a failure or refusal by this VM itself.
     pub fn count_failure(&self, reason: &'static str) {
         self.failures.get_or_create(&Reason { reason }).inc();
     }
@@ -218,12 +220,12 @@
         self.probes.get_or_create(&Reason { reason }).inc();
     }
 
-    /// Counts a link to a reader by why it ended.
+    /// Counts a lost link to a feeder by why it ended.
     pub fn count_reader_lost(&self, reason: &'static str) {
         self.readers.get_or_create(&Reason { reason }).inc();
     }
 
-    /// Counts an answer with its time.
+    /// Records the latency of an answer by route and outcome.
     pub fn observe_answer(&self, route: Option<&str>, status: u16, took: Duration) {
         let outcome = match status {
             200..300 => "success",
@@ -248,7 +250,7 @@
         }
     }
 
-    /// Writes all counters as text.
+    /// Returns all metrics as text.
     pub fn to_text(&self) -> String {
         let mut out = String::new();
         match text::encode(&mut out, &self.registry) {
--- a/crates/kingcuploft-entry/src/network.rs
+++ b/crates/kingcuploft-entry/src/network.rs
@@ -1,4 +1,4 @@
-//! How a VM reaches backend servers and is reached: over TCP, or over links that a test rig plays.
+//! The network between a VM and its peers: TCP connections, or links simulated by a test.
 
 use std::fmt::Debug;
 use std::future::Future;
@@ -10,26 +10,26 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A link that is no TCP connection.
+/// A simulated connection.
 pub trait Link: AsyncRead + AsyncWrite + Unpin + Debug {
-    /// Reads what is there, without waiting.
+    /// Reads the bytes that have arrived, without waiting.
     ///
     /// # Errors
     ///
-    /// Returns [`io::ErrorKind::WouldBlock`] if nothing is there, or the link's error.
+    /// Returns [`io::ErrorKind::WouldBlock`] if none have, or the link's error.
     fn try_read(&mut self, bytes: &mut [u8]) -> io::Result<usize>;
 }
 
-/// A connection that is being opened.
+/// The future of a connection that is being opened.
 pub type Connecting<'a> = Pin<Box<dyn Future<Output = io::Result<Stream>> + 'a>>;
 
-/// A network that reaches backend servers.
+/// Opens connections to backend servers.
 pub trait Network: Debug {
-    /// Opens a connection.
+    /// Opens a connection to an address.
     fn connect(&self, address: SocketAddr) -> Connecting<'_>;
 }
 
-/// Connections over TCP.
+/// The network that opens TCP connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Tcp;
 
@@ -39,17 +39,17 @@
     }
 }
 
-/// A connection.
+/// An open connection.
 #[derive(Debug)]
 pub enum Stream {
-    /// Over TCP.
+    /// A TCP connection.
     Tcp(TcpStream),
-    /// Over another link.
+    /// A simulated connection.
     Other(Box<dyn Link>),
 }
 
 impl Stream {
-    /// Returns the TCP connection, if it is one.
+    /// Returns the TCP connection, or `None` for a simulated one.
     pub fn tcp(&self) -> Option<&TcpStream> {
         match self {
             Self::Tcp(stream) => Some(stream),
@@ -57,11 +57,11 @@
         }
     }
 
-    /// Reads what is there, without waiting.
+    /// Reads the bytes that have arrived, without waiting.
     ///
     /// # Errors
     ///
-    /// Returns [`io::ErrorKind::WouldBlock`] if nothing is there, or the connection's error.
+    /// Returns [`io::ErrorKind::WouldBlock`] if none have, or the connection's error.
     pub fn try_read(&mut self, bytes: &mut [u8]) -> io::Result<usize> {
         match self {
             Self::Tcp(stream) => stream.try_read(bytes),
--- a/crates/kingcuploft-entry/src/notice_writes.rs
+++ b/crates/kingcuploft-entry/src/notice_writes.rs
@@ -1,4 +1,4 @@
-//! What waits to be written to the platform's store, and the way to whoever writes it.
+//! The queue of notices that wait to be written to the platform's store.
 
 use std::cell::OnceCell;
 use std::time::Duration;
@@ -7,36 +7,36 @@
 use kingcuploft::entry::notice_id::NoticeId;
 use tokio::sync::{mpsc, oneshot};
 
-/// How many writes may wait; what is more is known to this VM alone.
+/// The most writes that may wait in the queue; what is beyond stays known to this VM alone.
 const MAX_QUEUED_WRITES: usize = 256;
 
-/// How long a request waits for leave to be tried.
+/// How long a quarantined request waits for the claim on its trial.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What is written to the store.
+/// A write to the store.
 #[derive(Debug)]
 pub enum NoticeWrite {
-    /// What was seen.
+    /// Creates a notice.
     Create(Notice),
-    /// Whoever writes it first is told so, and may act on it.
+    /// Creates a notice; the sender gets `true` if this VM created it first, and so may act on it.
     Claim(Notice, oneshot::Sender<bool>),
-    /// It holds no longer.
+    /// Deletes a notice that no longer holds.
     Withdraw(NoticeId),
 }
 
-/// The way to whoever writes notices to the store.
+/// The sending side of the queue, once it is open.
 #[derive(Debug, Default)]
 pub struct NoticeWriteQueue(OnceCell<mpsc::Sender<NoticeWrite>>);
 
 impl NoticeWriteQueue {
-    /// Opens the way; returns what the writer takes from it.
+    /// Opens the queue; returns the receiving side for the writer.
     pub fn open_queue(&self) -> mpsc::Receiver<NoticeWrite> {
         let (writes, waiting) = mpsc::channel(MAX_QUEUED_WRITES);
         let _ = self.0.set(writes);
         waiting
     }
 
-    /// Has something written.
+    /// Queues a write, or drops and logs it if the queue is full.
     pub fn send(&self, write: NoticeWrite) {
         let Some(writes) = self.0.get() else {
             return;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Asks for leave to try a request; returns whether this VM may.
+    /// Claims the trial of a request by creating its notice; returns whether this VM was the first.
     pub async fn claim(&self, notice: Notice) -> bool {
         let (claimed, answer) = oneshot::channel();
         self.send(NoticeWrite::Claim(notice, claimed));
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -1,4 +1,5 @@
-//! What the VMs tell each other through the platform's store: written there, taken in, passed on.
+//! Notices, by which VMs inform each other through the platform's store of crashes and rate limits: written to the
+//! store, applied, forwarded to followers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,13 +21,13 @@
 use crate::store::{Store, StoreError, WriteOutcome};
 use crate::store_access::StoreAccess;
 
-/// The pause between two tries, at least; chance adds as much again.
+/// The shortest pause between two tries of a write; random jitter up to the same is added.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// How often notices are looked for that are outdated.
+/// How often outdated notices are looked for.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Writes to the store until the process ends.
+/// Writes queued notices to the store until the process ends.
 pub async fn write_to_store<S: Store>(
     context: Rc<Context>,
     store: Rc<S>,
@@ -44,7 +45,7 @@
                     apply_notices(&context, vec![notice]);
                 }
             }
-            // Whoever asked waits no longer.
+            // The request that asked for the claim no longer waits.
             NoticeWrite::Claim(_, claimed) if claimed.is_closed() => {}
             NoticeWrite::Claim(notice, claimed) => {
                 let written = store.create_notice(&notice).await;
@@ -72,7 +73,8 @@
     }
 }
 
-/// Calls the store whenever it is there until the call is done, and returns whether it was: no longer than it is of use.
+/// Repeats a call to the store, whenever the store is available, until it succeeds or is no longer needed; returns
+/// whether it succeeded.
 async fn retry_until_done<T, F: Future<Output = Result<T, StoreError>>>(
     is_store_available: impl Fn() -> bool,
     is_needed: impl Fn() -> bool,
@@ -92,7 +94,7 @@
     false
 }
 
-/// Forgets what is outdated until the process ends, and has a VM that reads the store withdraw it.
+/// Forgets outdated notices until the process ends; a VM that reads the store also deletes them there.
 pub async fn expire_outdated(context: Rc<Context>, store_access: Rc<StoreAccess>) {
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
@@ -105,7 +107,7 @@
     }
 }
 
-/// Takes in notices that the store has, and passes on what is news.
+/// Applies notices from the store, and forwards those that are news.
 pub fn apply_notices(context: &Context, mut notices: Vec<Notice>) {
     let now = clock::now();
     notices.retain(|notice| match notice {
@@ -120,7 +122,7 @@
     }
 }
 
-/// Takes in news of a request, and writes down whether it is refused from now on, or no longer.
+/// Calls `apply` with news of a request, and logs whether that started or ended the request's quarantine.
 pub fn log_quarantine_change<T>(
     context: &Context,
     fingerprint: Fingerprint,
@@ -141,7 +143,7 @@
     taken
 }
 
-/// Takes in that notices are withdrawn, and passes it on: followers may know what this VM has forgotten already.
+/// Applies the withdrawal of notices, and forwards it always: followers may still know what this VM has forgotten.
 pub fn apply_withdrawals(context: &Context, ids: Vec<NoticeId>) {
     for id in &ids {
         context.rewinds.note_withdrawn(clock::now(), id);
@@ -155,8 +157,8 @@
     context.followers.send_notices(&Frame::NoticesGone(ids));
 }
 
-/// Takes in which notices the store has at all, and passes them on. What a store lacks that came back from a copy is written
-/// again by whoever reads it.
+/// Applies the complete list of notice ids in the store, and forwards it. After the store was restored from an older
+/// copy, notices that it lacks are written again by the VMs that read it.
 pub fn apply_stored_ids(context: &Context, ids: impl Iterator<Item = NoticeId>) {
     let ids: HashSet<NoticeId> = ids.collect();
     if context.rewinds.may_lack_writes(clock::now()) {
@@ -175,7 +177,7 @@
     apply_ids(context, &ids);
 }
 
-/// Takes in which notices there are by the VM that this one follows, and passes them on.
+/// Applies the complete list of notice ids from the feeder, and forwards it.
 pub fn apply_feeder_ids(context: &Context, ids: impl Iterator<Item = NoticeId>) {
     apply_ids(context, &ids.collect());
 }
@@ -187,7 +189,7 @@
     context.followers.send_notices(&all);
 }
 
-/// Has a notice withdrawn that holds no longer.
+/// Queues the deletion of a notice that no longer holds.
 pub fn withdraw(context: &Context, id: NoticeId) {
     context.rewinds.note_withdrawn(clock::now(), &id);
     context.notice_writes.send(NoticeWrite::Withdraw(id));
--- a/crates/kingcuploft-entry/src/rewinds.rs
+++ b/crates/kingcuploft-entry/src/rewinds.rs
@@ -1,4 +1,5 @@
-//! The store's era as this VM knows it, and what was withdrawn from the store lately.
+//! Rewinds of the store, that is restores from an older copy: its era as this VM knows it, and the notices withdrawn
+//! lately, which a copy may bring back.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -8,10 +9,10 @@
 use kingcuploft::entry::notice_id::NoticeId;
 use kingcuploft::utils::HashMap;
 
-/// How long it is remembered what was withdrawn: longer than a copy is old.
+/// How long withdrawn notices are remembered: longer than a copy is old.
 const WITHDRAWAL_RETENTION: Duration = Duration::from_secs(60);
 
-/// The store's era, and what a copy of it may lack or have too much.
+/// The store's era, and the notices that a copy of the store may still hold after their withdrawal.
 #[derive(Debug, Default)]
 pub struct Rewinds {
     era: Cell<Option<Era>>,
@@ -20,12 +21,12 @@
     withdrawn: RefCell<HashMap<NoticeId, Instant>>,
 }
 
-/// What hearing of an era came to.
+/// The result of learning the store's era.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EraUpdate {
-    /// The store has come back from a copy since this VM knew it.
+    /// The store has been restored from an older copy since this VM knew its era.
     Rewound,
-    /// It has not, or this VM knew nothing of it.
+    /// The era is not newer, or the first that this VM learns.
     Known,
 }
 
@@ -35,12 +36,12 @@
         self.era.get()
     }
 
-    /// Returns how often the store has come back from a copy since this VM started.
+    /// Returns how often the store has been restored from an older copy since this VM started.
     pub fn count(&self) -> u32 {
         self.count.get()
     }
 
-    /// Takes in an era that the store has reached.
+    /// Records an era that the store has reached.
     pub fn observe_era(&self, now: Instant, era: Era) -> EraUpdate {
         let before = self.era.get();
         if before.is_some_and(|before| before >= era) {
@@ -55,20 +56,20 @@
         EraUpdate::Rewound
     }
 
-    /// Returns whether what was written since the copy may still be missing in the store.
+    /// Returns whether the store may still lack what was written after its copy was made.
     pub fn may_lack_writes(&self, now: Instant) -> bool {
         let last_rewind = self.last_rewind.get();
         last_rewind.is_some_and(|at| now.saturating_duration_since(at) < REWRITTEN_WITHIN)
     }
 
-    /// Takes note that a notice holds no longer: a copy may still have it.
+    /// Records that a notice was withdrawn: a copy may still hold it.
     pub fn note_withdrawn(&self, now: Instant, id: &NoticeId) {
         let mut withdrawn = self.withdrawn.borrow_mut();
         withdrawn.retain(|_, at| now.saturating_duration_since(*at) < WITHDRAWAL_RETENTION);
         withdrawn.insert(id.clone(), now);
     }
 
-    /// Returns whether a notice that the store has was withdrawn, and is back from a copy.
+    /// Returns whether a notice in the store was withdrawn before and is back from a copy.
     pub fn is_restored_withdrawal(&self, now: Instant, id: &str) -> bool {
         self.may_lack_writes(now) && self.withdrawn.borrow().contains_key(id)
     }
--- a/crates/kingcuploft-entry/src/run.rs
+++ b/crates/kingcuploft-entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts one entry VM and stops it as planned.
+//! Starts one entry VM and shuts it down gracefully.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,29 +26,29 @@
 use crate::store_sync;
 use crate::store_watcher;
 
-/// New connections that may wait to be accepted.
+/// The most new connections that may wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// How long new connections are taken after the stop began: the platform asks every second, and
-/// takes the VM out after two misses.
+/// How long new connections are accepted after the shutdown began: the platform checks readiness every second, and
+/// takes the VM out of rotation after two failed checks.
 const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(2600);
 
-/// How long before the end of the allowed time the process ends by itself.
+/// How long before the end of the allowed time the process exits by itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
 /// How often the settings file is read again: it may change without a signal.
 const SETTINGS_RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How often a stopping VM looks whether all connections are closed.
+/// How often a stopping VM checks whether all connections are closed.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a VM could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// An address can't be bound.
     #[error("can't listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// Signals can't be received.
+    /// The handlers of signals can't be installed.
     #[error("can't receive signals: {0}")]
     Signals(std::io::Error),
 }
@@ -56,21 +56,21 @@
 /// A VM that runs.
 #[derive(Debug)]
 pub struct Running {
-    /// What its tasks share.
+    /// The state that its tasks share.
     pub context: Rc<Context>,
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub callers: SocketAddr,
-    /// Where the platform asks whether it is ready.
+    /// The address of the platform's readiness check.
     pub readiness: SocketAddr,
     accepting: JoinHandle<()>,
 }
 
-/// Runs a VM until a signal ends it, by a planned stop. Settings are read again by `reread` at a
-/// hangup signal and every few seconds; bounds that changed hold from then on.
+/// Runs a VM until a signal stops it gracefully. Settings are read again by `reread` at a hangup signal and every few
+/// seconds; changed bounds apply from then on.
 ///
 /// # Errors
 ///
-/// Returns an error if it can't start.
+/// Returns an error if the VM can't start.
 pub async fn run<S: Store + 'static>(
     settings: EntrySettings,
     vocabulary: WireNames,
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if an address can't be listened on.
+/// Returns an error if an address can't be bound.
 pub async fn start<S: Store + 'static>(
     settings: EntrySettings,
     vocabulary: WireNames,
@@ -135,7 +135,7 @@
 }
 
 impl Running {
-    /// Reads the settings again and takes over what may change while the VM runs.
+    /// Reads the settings again and applies those that may change while the VM runs.
     pub fn reload(&self, reread: &impl Fn() -> Result<EntrySettings, String>) {
         let old = self.context.bounds.get();
         match reread() {
@@ -148,14 +148,14 @@
         }
     }
 
-    /// Stops as planned.
+    /// Shuts the VM down gracefully.
     pub async fn stop(self) {
         stop(&self.context, || self.accepting.abort()).await;
     }
 }
 
-/// Stops as planned: not ready at once; new connections are taken while the platform may still send them; then idle
-/// connections close, and what was read is answered.
+/// Shuts the VM down gracefully. It reports not ready at once and accepts new connections while the platform may still
+/// send them; then it closes idle connections and answers the requests that were read.
 pub async fn stop(context: &Context, stop_accepting: impl FnOnce()) {
     let started_at = clock::now();
     let last = started_at + context.bounds.get().stop_within.saturating_sub(EXIT_MARGIN);
@@ -173,7 +173,7 @@
     tracing::info!(event = "stopped", callers_left = context.callers.get());
 }
 
-/// Reads the store, and writes what this VM tells it.
+/// Starts the tasks that read the store, and the task that writes this VM's notices to it.
 fn spawn_store_tasks<S: Store + 'static>(
     context: &Rc<Context>,
     store: &Rc<S>,
@@ -202,8 +202,8 @@
     tokio::task::spawn_local(store_watcher::run_expiry(context.clone()));
 }
 
-/// Joins the other VMs, which reach this one at an address, and reads the store where it falls to this VM; its tasks run
-/// in the current `LocalSet`.
+/// Joins the other VMs, which reach this one at `address`, and reads the store when this VM is the reader of its zone;
+/// its tasks run in the current `LocalSet`.
 pub fn join_peers<S: Store + 'static, D: Dial + Clone + 'static>(
     context: &Rc<Context>,
     store: &Rc<S>,
@@ -211,7 +211,7 @@
     address: SocketAddr,
     network: D,
 ) {
-    // The others are asked first; the store only if none of them reads it.
+    // The other VMs are asked first; this VM reads the store only if none of them does.
     store_access.stop_reading();
     spawn_store_tasks(context, store, store_access);
     let own = VmEntry {
@@ -235,7 +235,7 @@
     tokio::task::spawn_local(keeping);
 }
 
-/// Takes what other VMs say, by links and by datagrams; returns where they reach this one.
+/// Listens for other VMs, for links and for datagrams; returns the address at which they reach this VM.
 async fn listen_to_peers(
     context: &Rc<Context>,
     store_access: &Rc<StoreAccess>,
--- a/crates/kingcuploft-entry/src/server_updates.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -1,4 +1,4 @@
-//! News of backend servers: taken in, passed on, logged.
+//! Updates of the backend servers: applied, forwarded to followers, logged.
 
 use std::time::{Duration, Instant};
 
@@ -10,11 +10,11 @@
 use crate::context::Context;
 use crate::peers::frame::Frame;
 
-/// The most changes that are told and logged one by one when they come together.
+/// The most changes that are sent and logged one by one when they come together.
 const MAX_CHANGES_SENT_SINGLY: usize = 4;
 
-/// Takes in what is said of backend servers, and passes on what is news: a list repeats what is known, and hundreds of
-/// lines at once are more than a follower's queue holds.
+/// Applies entries of backend servers, and forwards those that are news: a list repeats what is known, and hundreds of
+/// frames at once exceed a follower's queue.
 pub fn apply_servers(context: &Context, now: Instant, mut servers: Vec<BackendServer>) {
     context.with_servers(|known| servers.retain(|server| !known.is_known(server)));
     match &servers[..] {
@@ -26,22 +26,22 @@
         }
     }
     let cold = cold_servers(&servers);
-    let told = servers.into_iter();
+    let entries = servers.into_iter();
     let changes: Vec<Change> =
-        context.with_servers(|known| told.filter_map(|s| known.told(s)).collect());
+        context.with_servers(|known| entries.filter_map(|s| known.told(s)).collect());
     log_changes(&changes);
     context.apply_server_changes(now, &changes);
     cold_servers::apply_store_report(context, &cold);
 }
 
-/// Returns which of these servers are cold, and for how long.
+/// Returns which of these servers are cold, and for how much longer.
 fn cold_servers(servers: &[BackendServer]) -> Vec<(BackendServerName, Duration)> {
     let cold = servers.iter().filter(|server| !server.cold_for.is_zero());
     cold.map(|server| (server.name.clone(), server.cold_for))
         .collect()
 }
 
-/// Takes in that a backend server's entry is gone, and passes it on.
+/// Applies the removal of a backend server's entry, and forwards it.
 pub fn apply_removal(context: &Context, now: Instant, name: &str) {
     context.followers.send(&Frame::ServerGone(name.to_owned()));
     if let Some(change) = context.with_servers(|servers| servers.gone(now, name)) {
@@ -49,10 +49,11 @@
     }
 }
 
-/// Takes in all backend servers that can be read and the names of all that have entries, and passes on what is news.
+/// Applies a complete list of the backend servers, and forwards what is news. `servers` are the readable entries,
+/// `names` the names of all entries.
 ///
-/// Load pattern: after an outage every VM learns of hundreds of servers at once. Each is taken in alone, but they are
-/// told and logged together: a line for each takes a small VM longer than all the rest of its start.
+/// Load pattern: after an outage every VM learns of hundreds of servers at once. Each is applied alone, but they are
+/// forwarded and logged together: a log line for each takes a small VM longer than all the rest of its start.
 pub fn apply_full_list(
     context: &Context,
     now: Instant,
@@ -62,9 +63,9 @@
     let is_news = |server: &BackendServer| context.with_servers(|known| !known.is_known(server));
     let news: Vec<BackendServer> = servers.iter().filter(|s| is_news(s)).cloned().collect();
     let cold = cold_servers(&news);
-    let told = servers.into_iter();
+    let entries = servers.into_iter();
     let joined =
-        context.with_servers(|known| told.filter_map(|s| known.told(s)).collect::<Vec<_>>());
+        context.with_servers(|known| entries.filter_map(|s| known.told(s)).collect::<Vec<_>>());
     let present = names.iter().map(String::as_str);
     let gone = context.with_servers(|known| known.all_told(now, present));
     let changes: Vec<Change> = joined.into_iter().chain(gone).collect();
@@ -75,7 +76,7 @@
     forward_to_followers(context, &news, &changes);
 }
 
-/// Tells the followers what a list of all servers brought: the few that changed, or all where many did.
+/// Forwards the outcome of a complete list to the followers: the changes if they are few, or the whole table.
 fn forward_to_followers(context: &Context, news: &[BackendServer], changes: &[Change]) {
     if news.len() + changes.len() > MAX_CHANGES_SENT_SINGLY {
         let table = context.with_servers(|servers| ServerTable::of(servers.present()));
@@ -92,13 +93,13 @@
     }
 }
 
-/// Follows a change, and writes it down.
+/// Applies a change of a server, and logs it.
 pub fn apply_change(context: &Context, now: Instant, change: &Change) {
     log_changes(std::slice::from_ref(change));
     context.apply_server_changes(now, std::slice::from_ref(change));
 }
 
-/// Writes a line for each of a few changes, and one with counts for many.
+/// Logs a line for each of a few changes, or one line with counts for many.
 fn log_changes(changes: &[Change]) {
     if changes.len() <= MAX_CHANGES_SENT_SINGLY {
         for change in changes {
--- a/crates/kingcuploft-entry/src/settings.rs
+++ b/crates/kingcuploft-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! What one entry VM is told at its start.
+//! The settings of one entry VM, and the names of headers and paths on the wire.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,70 +9,70 @@
 /// The settings of one entry VM.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// Its name.
+    /// The VM's name.
     pub vm: VmName,
-    /// Its availability zone.
+    /// The VM's availability zone.
     pub zone: AvailabilityZone,
-    /// The zones of its region, which tell each other what the store holds; none if all do.
+    /// The zones of the VM's region, which forward the store's contents to each other; empty if all zones do.
     pub region: Vec<AvailabilityZone>,
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub callers: SocketAddr,
-    /// Where counters are read; `None` for a VM that shows none.
+    /// The address of the metrics endpoint; `None` for a VM without one.
     pub metrics: Option<SocketAddr>,
-    /// Where the platform asks whether it is ready.
+    /// The address of the platform's readiness check.
     pub readiness: SocketAddr,
-    /// Where the VMs talk to each other; `None` for a VM that stays alone.
+    /// The address for the links between VMs; `None` for a VM that runs alone.
     pub peers: Option<SocketAddr>,
-    /// Where this VM answers other VMs that know its address from their settings; `None` if nowhere.
+    /// The address at which this VM answers VMs that know it as a seed from their settings; `None` if it is no seed.
     pub control: Option<SocketAddr>,
-    /// Where such VMs answer, which may be old or down.
+    /// The addresses of the seeds, which may be outdated or down.
     pub seeds: Vec<SocketAddr>,
-    /// Where the platform's store answers.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// Its processor, in thousandths of a core.
+    /// The VM's processor, in thousandths of a core.
     pub cpu_milli: u32,
-    /// Its memory, in bytes.
+    /// The VM's memory, in bytes.
     pub memory_bytes: usize,
-    /// Whether all VMs start now, for the first time.
+    /// Whether the whole fleet starts now, for the first time.
     pub all_start: bool,
-    /// What may change while the VM runs.
+    /// The settings that may change while the VM runs.
     pub bounds: Bounds,
 }
 
-/// What may change while the VM runs.
+/// The settings that may change while the VM runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// How long a stop may take.
+    /// How long a graceful shutdown may take.
     pub stop_within: Duration,
     /// The bounds on repeats.
     pub repeats: RepeatBounds,
-    /// How often a backend server writes its entry; one that misses three times is removed.
+    /// How often a backend server renews its entry; a server that misses three heartbeats is removed.
     pub heartbeat: Duration,
-    /// How often a backend server may be probed in a second, by all VMs together.
+    /// How often in a second a backend server may be probed, by all VMs together.
     pub probes_per_server_s: f64,
 }
 
-/// The names of headers and paths that callers, servers and the platform use.
+/// The names of headers and paths between callers, VMs, servers and the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct WireNames {
-    /// Identifies a caller's attempt; servers echo it.
+    /// The header with the id of a caller's attempt; servers echo it.
     pub request_id: &'static str,
-    /// How long the caller waits, in milliseconds.
+    /// The header with the time that the caller still waits, in milliseconds.
     pub deadline_ms: &'static str,
-    /// Marks an answer as the server's own.
+    /// The header that marks an answer as the server's own.
     pub signature: &'static str,
-    /// Names the server that a request is meant for.
+    /// The header with the name of the server that a request is meant for.
     pub meant_for: &'static str,
-    /// What a server says of its load.
+    /// The header of a server's load report.
     pub load: &'static str,
-    /// Names how many requests a second a server takes from all VMs together.
+    /// The header with the requests a second that a server takes from all VMs together.
     pub limit: &'static str,
-    /// Says for how many milliseconds more a server stays cold.
+    /// The header with the milliseconds for which a server stays cold.
     pub cold_ms: &'static str,
-    /// Marks an answer to a request that did not run.
+    /// The header that marks an answer to a request that did not run.
     pub not_run: &'static str,
-    /// The path at which the platform asks for readiness.
+    /// The path of the platform's readiness check.
     pub ready_path: &'static str,
-    /// Reads a load header's value.
+    /// Parses the value of the load header.
     pub parse_load: fn(&str) -> Option<kingcuploft::entry::placement::Reading>,
 }
--- a/crates/kingcuploft-entry/src/store.rs
+++ b/crates/kingcuploft-entry/src/store.rs
@@ -1,5 +1,4 @@
-//! What the platform's store says, in the product's words. The adapter of a platform implements
-//! [`Store`].
+//! The interface to the platform's store, in the terms of this product. The adapter of a platform implements [`Store`].
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -11,26 +10,26 @@
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft::world::ids::AvailabilityZone;
 
-/// A moment in the store's history, over its eras; greater is later.
+/// A position in the store's history, over all its eras; a greater one is later.
 pub type Revision = Moment;
 
-/// What is kept in the store.
+/// A collection of entries in the store.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Collection {
     /// The configuration.
     Configuration,
     /// The backend servers.
     BackendServers,
-    /// The entry VMs, a record for each zone.
+    /// The entry VMs, one record for each zone.
     Zones,
-    /// What VMs have seen of requests and backend servers.
+    /// What VMs have reported about requests and backend servers.
     Notices,
-    /// The availability zones that are to get nothing.
+    /// The evacuated availability zones.
     Evacuations,
 }
 
 impl Collection {
-    /// What a VM that reads the store watches.
+    /// The collections that a VM watches when it reads the store.
     pub const WATCHED: [Self; 4] = [
         Self::Configuration,
         Self::BackendServers,
@@ -59,85 +58,87 @@
     BackendServer(BackendServer),
     /// The entry VMs of a zone.
     Zone(ZoneRecord),
-    /// What a VM has seen.
+    /// What a VM has reported.
     Notice(Notice),
-    /// An availability zone is to get nothing.
+    /// An availability zone that is evacuated.
     Evacuation(AvailabilityZone),
-    /// An entry that can't be read, with its name and why.
+    /// An entry that can't be read: its name and why.
     Unreadable(String, String),
-    /// An entry that is not for this collection's readers.
+    /// An entry that is not meant for the readers of this collection.
     Other,
 }
 
-/// A change in the store.
+/// A change of the store.
 #[derive(Clone, Debug)]
 pub enum StoreChange {
-    /// An entry was written.
+    /// An entry was created or replaced.
     Written(Record),
-    /// The entry of this name is gone.
+    /// The entry of this name was removed.
     Removed(String),
 }
 
-/// Entries of a collection.
+/// One page of a list of entries.
 #[derive(Clone, Debug)]
 pub struct Page {
     /// The entries, with their names.
     pub records: Vec<(String, Record)>,
-    /// The name to go on after, if there are more.
+    /// The name after which the next page starts; `None` on the last page.
     pub next: Option<String>,
-    /// The moment at which this was true.
+    /// The revision at which the page was valid.
     pub revision: Revision,
 }
 
-/// Changes of a collection.
+/// The changes that a watch returned.
 #[derive(Clone, Debug)]
 pub struct Changes {
     /// The changes, in their order.
     pub changes: Vec<StoreChange>,
-    /// The moment up to which these are all.
+    /// The revision up to which these are all changes.
     pub revision: Revision,
 }
 
-/// How the record of a zone is written.
+/// How a zone record is written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ZoneWrite {
-    /// There was none.
+    /// There must be none yet.
     Create,
-    /// It takes the place of another.
+    /// It must replace an existing one.
     Replace,
 }
 
-/// What became of an entry to be written.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
-    /// It stands in the store.
+    /// The entry was written.
     Done,
-    /// Another VM had created it.
+    /// Not written: another VM had created the entry.
     AlreadyExists,
-    /// There is none to replace.
+    /// Not written: there is no entry to replace.
     NotFound,
 }
 
 /// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The history from the asked moment on is gone, or is another one: list again.
-    #[error("the store forgot its history")]
+    /// The history after the requested revision is compacted, or belongs to another era: the collection must be listed
+    /// again.
+    #[error("the store has compacted its history")]
     HistoryGone,
-    /// The store said no, for now.
+    /// The store refused the call, for now.
     #[error("the store refused with status {0}")]
     Refused(u16),
-    /// No answer came; a write may have been done or be done later.
+    /// No answer arrived; a write may have been applied or be applied later.
     #[error("the store did not answer: {0}")]
     NoAnswer(String),
-    /// The answer can't be read.
+    /// The answer can't be parsed.
     #[error("the store's answer can't be read: {0}")]
     Unreadable(String),
 }
 
 /// The platform's store.
 pub trait Store {
-    /// Lists a collection from behind a name on.
+    /// Returns a page of a collection, from the first name after `after` on. With `stale` the page may be some seconds
+    /// old.
     fn list(
         &self,
         collection: Collection,
@@ -145,14 +146,14 @@
         stale: bool,
     ) -> impl Future<Output = Result<Page, StoreError>>;
 
-    /// Asks for a sign of life, as cheaply as the store allows; returns a moment that the store had
-    /// reached, possibly seconds ago.
+    /// Checks that the store answers, as cheaply as it allows; returns a revision that the store had reached, possibly
+    /// seconds ago.
     fn probe_liveness(&self) -> impl Future<Output = Result<Revision, StoreError>>;
 
-    /// Returns when bytes of an answer about a collection arrived last.
+    /// Returns when bytes of an answer about a collection last arrived.
     fn last_received_at(&self, collection: Collection) -> Option<Instant>;
 
-    /// Creates the record of a zone, or replaces it, so that the zone's VMs find each other.
+    /// Creates or replaces the record of a zone, by which the zone's VMs find each other.
     fn write_zone_record(
         &self,
         record: &ZoneRecord,
@@ -165,10 +166,10 @@
         notice: &Notice,
     ) -> impl Future<Output = Result<WriteOutcome, StoreError>>;
 
-    /// Removes a notice, if it is there.
+    /// Deletes a notice, if it exists.
     fn delete_notice(&self, id: &str) -> impl Future<Output = Result<(), StoreError>>;
 
-    /// Waits for changes behind a moment; history is gone for a moment of another era.
+    /// Waits for changes after a revision; a revision of another era gives [`StoreError::HistoryGone`].
     fn watch(
         &self,
         collection: Collection,
--- a/crates/kingcuploft-entry/src/store_access.rs
+++ b/crates/kingcuploft-entry/src/store_access.rs
@@ -1,11 +1,11 @@
-//! Whether this VM reads the platform's store, and whether the store answers, as [`crate::store_liveness`] sees
-//! it. Watches wait here until they may be asked, are given up, or have to be asked again.
+//! Whether this VM reads the platform's store, and whether the store is available, as probed by
+//! [`crate::store_liveness`]. Watches wait here until they may run, must be given up, or must be repeated.
 
 use std::cell::Cell;
 
 use tokio::sync::Notify;
 
-/// Whether this VM reads the store, and whether the store answers, as last seen.
+/// Whether this VM reads the store, and whether the store is available, as last probed.
 #[derive(Debug)]
 pub struct StoreAccess {
     is_reading_store: Cell<bool>,
@@ -33,27 +33,27 @@
         self.is_reading_store.get()
     }
 
-    /// Returns whether the store answers.
+    /// Returns whether the store is available.
     pub fn is_available(&self) -> bool {
         self.is_store_available.get()
     }
 
-    /// Returns once the store is to be read and answers.
+    /// Waits until this VM reads the store and the store is available.
     pub async fn wait_until_open(&self) {
         self.wait_for(true).await;
     }
 
-    /// Returns once the store is not to be read, or does not answer.
+    /// Waits until this VM does not read the store, or the store is not available.
     pub async fn wait_until_closed(&self) {
         self.wait_for(false).await;
     }
 
-    /// Returns once the watches have to be asked again.
+    /// Waits until the watches have to be repeated.
     pub async fn wait_for_rewatch(&self) {
         self.rewatch.notified().await;
     }
 
-    /// Begins to read the store.
+    /// Starts to read the store.
     pub fn start_reading(&self) {
         if !self.is_reading_store.replace(true) {
             self.is_store_available.set(true);
@@ -61,8 +61,7 @@
         }
     }
 
-    /// Asks the store for a sign of life, and begins to read it only if that comes; returns whether
-    /// it did.
+    /// Probes the store, and starts to read it only if it answers; returns whether it did.
     pub async fn start_reading_if_available(&self) -> bool {
         if !self.is_reading_store.replace(true) {
             self.is_store_available.set(false);
@@ -73,24 +72,24 @@
         self.is_store_available.get()
     }
 
-    /// Takes note that the store was asked for a sign of life.
+    /// Records that a probe of the store has ended.
     pub fn probe_completed(&self) {
         self.probed.notify_waiters();
     }
 
-    /// Has the watches asked again.
+    /// Makes all watches repeat their calls.
     pub fn request_rewatch(&self) {
         self.rewatch.notify_waiters();
     }
 
-    /// Leaves reading the store to another VM.
+    /// Stops reading the store; another VM reads it.
     pub fn stop_reading(&self) {
         if self.is_reading_store.replace(false) {
             self.changed.notify_waiters();
         }
     }
 
-    /// Takes in whether the store answers; returns whether that is news.
+    /// Records whether the store is available; returns whether that has changed.
     pub fn set_available(&self, is_available: bool) -> bool {
         let changed = self.is_store_available.replace(is_available) != is_available;
         if changed {
@@ -109,7 +108,7 @@
         }
     }
 
-    /// Returns once this VM reads the store itself.
+    /// Waits until this VM reads the store itself.
     pub async fn wait_until_reading(&self) {
         loop {
             let changed = self.changed.notified();
--- a/crates/kingcuploft-entry/src/store_fallback.rs
+++ b/crates/kingcuploft-entry/src/store_fallback.rs
@@ -1,4 +1,4 @@
-//! How long a VM that knows nothing waits for others to tell it.
+//! The fallback of a starting VM to the store: reads it when no other VM sends what it holds in time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use crate::context::Context;
 use crate::store_access::StoreAccess;
 
-/// How often a VM looks whether it has knowledge.
+/// How often the VM checks whether it has become ready.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Has a VM that knows nothing read the store once it has waited for others for too long.
+/// Makes a VM that knows nothing read the store once it has waited too long for other VMs.
 ///
-/// Where all start together nobody calls yet, and the others are waited for.
+/// When the whole fleet starts for the first time there are no callers yet, and the VM keeps waiting for the others.
 pub(crate) async fn read_store_if_uninformed(context: Rc<Context>, store_access: Rc<StoreAccess>) {
     let begun = clock::now();
     let chance = fastrand::f64();
--- a/crates/kingcuploft-entry/src/store_liveness.rs
+++ b/crates/kingcuploft-entry/src/store_liveness.rs
@@ -1,8 +1,9 @@
-//! Asks the platform's store for signs of life while this VM reads it.
+//! Probes the liveness of the platform's store while this VM reads it.
 //!
-//! A watch that waits for a change looks the same as one whose store, or connection, has fallen silent. So a cheap sign of
-//! life is asked for; without one the watches are given up, and go on from where they stood once it is back. It also
-//! tells a moment that the store has reached: watches that stay behind that moment are asked again.
+//! Failure: the store, or the connection to it, stops answering, which looks the same as a watch that waits for a
+//! change. So the store is probed by a cheap call. When a probe fails the watches are given up, and resume from their
+//! revision when the store answers again. A probe also returns a revision that the store has reached: watches that stay
+//! behind it are repeated.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,28 +18,28 @@
 use crate::store_access::StoreAccess;
 use crate::store_watcher;
 
-/// The time between two signs of life. With [`PATIENCE`] and [`WHILE_AWAY`], a change is known within
-/// 2 s of the store's return, which is what a leaving server allows.
+/// The time between two probes. With [`PROBE_TIMEOUT`] and [`OUTAGE_PROBE_INTERVAL`], a change is known within 2 s of
+/// the store's return, which is as long as a leaving server still serves.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// The same for a VM that others follow: they must not wait longer for its loss than for their own.
+/// The same for a VM with followers: they must not wait longer for its loss of the store than for their own.
 const PROBE_INTERVAL_WITH_FOLLOWERS: Duration = Duration::from_millis(400);
 
-/// The time between two tries while the store is away. Each is a call of full price.
+/// The time between two probes while the store is not available. Each costs as much as a full call.
 const OUTAGE_PROBE_INTERVAL: Duration = Duration::from_millis(350);
 
-/// The same for a VM that knows nothing and that others will tell as soon as the store answers one of them; chance adds
-/// as much again. After an outage of all VMs and the store, hundreds of them ask.
+/// The same for a VM that knows nothing and that other VMs will inform as soon as the store answers one of them; random
+/// jitter up to the same is added. After an outage of all VMs and the store, hundreds of them probe.
 const OUTAGE_PROBE_INTERVAL_WHEN_FED: Duration = Duration::from_millis(1000);
 
-/// How long a sign of life is waited for: twice the slowest answer of a store that is slow, not away.
+/// How long a probe waits for its answer: twice the slowest answer of a store that is slow but available.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long the watches may stay behind the store before they are asked again. Changes are gathered
-/// for most of this time.
+/// How long the watches may stay behind the store before they are repeated. For most of this time changes are gathered
+/// into batches.
 const MAX_WATCH_LAG: Duration = Duration::from_millis(900);
 
-/// Watches over the store while this VM reads it, until the process ends.
+/// Probes the store while this VM reads it, until the process ends.
 pub async fn monitor<S: Store>(context: Rc<Context>, store: Rc<S>, store_access: Rc<StoreAccess>) {
     let mut lag = WatchLag::default();
     loop {
@@ -52,7 +53,7 @@
         if let Some(reached) = reached {
             store_watcher::note_era(&context, era_of(reached));
         }
-        // The answer may stand behind another, long one.
+        // The answer may be queued behind another, long one.
         let is_available =
             reached.is_some() || (answer.is_err() && received_bytes_since(&*store, asked_at));
         if store_access.set_available(is_available) {
@@ -60,7 +61,7 @@
                 true => store_watcher::note_store_return(&context),
                 false => tracing::warn!(event = "store_away"),
             }
-            // Those that follow learn it at once, as one of them may still reach the store.
+            // Followers learn it at once, as one of them may still reach the store.
             let standing = sync_status(&context, &store_access);
             context.followers.send(&Frame::Status(standing));
         }
@@ -81,15 +82,18 @@
     }
 }
 
-/// Returns whether bytes of any answer have come since a moment.
+/// Returns whether bytes of any answer have arrived since a moment.
 fn received_bytes_since<S: Store>(store: &S, since: Instant) -> bool {
-    let heard = Collection::WATCHED
+    let last_received = Collection::WATCHED
         .into_iter()
         .filter_map(|c| store.last_received_at(c));
-    heard.max().is_some_and(|heard| heard > since)
+    last_received
+        .max()
+        .is_some_and(|last_received| last_received > since)
 }
 
-/// Returns whether this VM will be told by others: it serves nobody yet, and is none of those that others ask.
+/// Returns whether other VMs will inform this one: it is not ready yet, and is neither a seed nor named in the zone
+/// record, which are the VMs that others ask.
 fn will_be_fed(context: &Context) -> bool {
     let settings = &context.settings;
     let is_seed = settings
@@ -105,18 +109,18 @@
 #[derive(Debug, Default)]
 struct WatchLag {
     since: Option<(Revision, Instant)>,
-    settled: Revision,
+    reported: Revision,
 }
 
 impl WatchLag {
-    /// Takes in a moment that the store has reached; returns whether the watches have been behind it
-    /// for too long. A moment is complained of once: other collections move the store on as well.
+    /// Records a revision that the store has reached; returns whether the watches have been behind it for too long.
+    /// Each revision is reported once: changes of other collections advance the store as well.
     fn is_too_long(&mut self, now: Instant, reached: Revision, context: &Context) -> bool {
         let known = Collection::WATCHED
             .into_iter()
             .filter_map(|c| context.position(c))
             .max();
-        if known.is_none_or(|known| known >= reached) || reached <= self.settled {
+        if known.is_none_or(|known| known >= reached) || reached <= self.reported {
             self.since = None;
             return false;
         }
@@ -124,7 +128,7 @@
         if now.saturating_duration_since(since) < MAX_WATCH_LAG {
             return false;
         }
-        self.settled = behind;
+        self.reported = behind;
         self.since = None;
         true
     }
--- a/crates/kingcuploft-entry/src/store_watcher.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -1,9 +1,10 @@
-//! Keeps what this VM believes of the platform's store: the configuration and the backend servers.
+//! Synchronizes this VM with the platform's store: the configuration, the backend servers, the notices and the
+//! evacuations.
 //!
-//! A VM that reads the store lists each collection once and then watches it. A watch that fails is
-//! asked again from where it stood; where the store forgot its history, the collection is listed
-//! anew, and what is not in the list is gone. A VM that follows another learns the same from it. While
-//! the store is away, the VM serves by what it knows.
+//! A VM that reads the store lists each collection once and then watches it. A watch that fails is repeated from its
+//! revision; where the store has compacted its history, the collection is listed anew, and what is not in the list is
+//! removed. A VM that follows another receives the same changes from it. While the store is not available, the VM
+//! serves by its last known state.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,29 +32,29 @@
 /// How long a watch waits for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The same for one that is asked again: it tells at once up to which moment this VM knows the store.
+/// The same for a watch that is repeated: its answer shows at once up to which revision this VM knows the store.
 const REWATCH_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// How lately bytes have come of an answer that is arriving.
+/// How recently bytes of an answer must have arrived for it to count as arriving.
 const RECENT_BYTES_AGE: Duration = Duration::from_millis(250);
 
-/// The pause after a failed call; jitter up to the same is added.
+/// The step of the backoff after failed calls; random jitter up to the pause itself is added.
 const BACKOFF_STEP: Duration = Duration::from_millis(100);
 
 /// The longest pause: news of a leaving server must arrive within 2 s of the store's return.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// The pause between two watches that brought something: changes come in bursts, and a server that
-/// leaves must be known within 2 s.
+/// The pause after a watch that brought changes: changes come in bursts, and a server that leaves must be known within
+/// 2 s.
 const BATCH_PAUSE: Duration = Duration::from_millis(600);
 
-/// The same for what is rare and urgent: each tenth of a second may cost another server.
+/// The same for collections whose changes are rare and urgent: each tenth of a second may cost another server.
 const URGENT_BATCH_PAUSE: Duration = Duration::from_millis(50);
 
-/// How often graces of lapsed entries are looked at.
+/// How often the grace periods of lapsed entries are checked.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows one collection until the process ends.
+/// Keeps this VM's copy of one collection up to date until the process ends.
 pub async fn sync_collection<S: Store>(
     context: Rc<Context>,
     store: Rc<S>,
@@ -61,11 +62,11 @@
     collection: Collection,
 ) {
     let mut backoff = Backoff::default();
-    let mut forgotten = false;
+    let mut is_history_gone = false;
     let mut wait = WATCH_TIMEOUT;
     loop {
         store_access.wait_until_open().await;
-        let from = context.position(collection).filter(|_| !forgotten);
+        let from = context.position(collection).filter(|_| !is_history_gone);
         let mut request = std::pin::pin!(list_or_watch(&context, &*store, collection, from, wait));
         let outcome = loop {
             tokio::select! {
@@ -74,7 +75,7 @@
                 () = store_access.wait_until_closed() => break None,
                 () = store_access.wait_for_rewatch() => {
                     wait = REWATCH_TIMEOUT;
-                    // An answer that arrives would have to begin anew.
+                    // An answer that is arriving would have to start again.
                     if !is_arriving(&*store, collection) {
                         break None;
                     }
@@ -87,7 +88,7 @@
         match outcome {
             Ok(revision) => {
                 backoff.answered(&context);
-                forgotten = false;
+                is_history_gone = false;
                 wait = WATCH_TIMEOUT;
                 context.set_position(collection, revision);
                 let standing = sync_status(&context, &store_access);
@@ -95,8 +96,8 @@
             }
             Err(StoreError::HistoryGone) => {
                 tracing::info!(event = "history_gone", collection = collection.label());
-                forgotten = true;
-                // A store that forgets faster than it is read must not be asked without a pause.
+                is_history_gone = true;
+                // A store that compacts its history faster than it is read must not be called without a pause.
                 tokio::time::sleep(BACKOFF_STEP).await;
             }
             Err(error) => tokio::time::sleep(backoff.failed(collection, &error)).await,
@@ -106,8 +107,8 @@
 
 /// Returns whether an answer about a collection is arriving.
 fn is_arriving<S: Store>(store: &S, collection: Collection) -> bool {
-    let heard = store.last_received_at(collection);
-    heard.is_some_and(|at| clock::now().saturating_duration_since(at) < RECENT_BYTES_AGE)
+    let last_received = store.last_received_at(collection);
+    last_received.is_some_and(|at| clock::now().saturating_duration_since(at) < RECENT_BYTES_AGE)
 }
 
 async fn list_or_watch<S: Store>(
@@ -123,14 +124,14 @@
     }
 }
 
-/// Returns whether a notice was withdrawn, and a store that came back from a copy has it again.
+/// Returns whether a notice was withdrawn, and is back as the store was restored from an older copy.
 fn is_restored_withdrawal(context: &Context, notice: &Notice) -> bool {
     context
         .rewinds
         .is_restored_withdrawal(clock::now(), &notice.id())
 }
 
-/// Ends the graces of lapsed entries as they run out.
+/// Ends the grace periods of lapsed entries when they run out.
 pub async fn run_expiry(context: Rc<Context>) {
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
@@ -181,7 +182,7 @@
             next,
             revision,
         } = store.list(collection, after.as_deref(), false).await?;
-        // What changes between two pages is told by the watch from the first page's moment on.
+        // The watch that follows starts at the first page's revision and brings what changes between two pages.
         let first = *first.get_or_insert(revision);
         if era_of(revision) != era_of(first) {
             return Err(StoreError::HistoryGone);
@@ -230,7 +231,7 @@
             StoreChange::Written(Record::BackendServer(server)) => servers.push(server),
             StoreChange::Written(record) => apply_record(context, record),
             StoreChange::Removed(name) if collection == Collection::BackendServers => {
-                // What came before this may be of the same server.
+                // The entries before this removal may be of the same server.
                 server_updates::apply_servers(context, clock::now(), std::mem::take(&mut servers));
                 server_updates::apply_removal(context, clock::now(), &name);
             }
@@ -269,7 +270,7 @@
     }
 }
 
-/// Takes a configuration in and passes it on.
+/// Puts a configuration in force if it is newer, and forwards it to the followers.
 pub fn adopt_configuration(context: &Context, configuration: Configuration) {
     let (version, routes) = (configuration.version, configuration.route_count());
     note_configuration_version(context, version);
@@ -282,15 +283,15 @@
     }
 }
 
-/// Takes in that a version of the configuration exists, and passes it on if it is news.
+/// Records that a version of the configuration exists, and forwards that if it is news.
 pub fn note_configuration_version(context: &Context, version: ConfigurationVersion) {
     if context.active_configuration.note_version(version) {
         context.followers.send_newer_version(version);
     }
 }
 
-/// Takes in that the store answers again, and passes it on if it is news: a follower that has just joined
-/// may never have lost the store, and would keep a leaving server in use for the grace of a lapsed one.
+/// Records that the store answers again, and forwards that if it is news: a follower that has just joined may never
+/// have lost the store, and would keep a leaving server in use for the grace period of a lapsed entry.
 pub fn note_store_return(context: &Context) {
     let news = context.with_servers(|servers| servers.store_returned(clock::now()));
     if news {
@@ -299,10 +300,10 @@
     }
 }
 
-/// How many heartbeats a backend server's entry outlasts.
+/// How many heartbeats a backend server may miss before its entry lapses.
 const HEARTBEATS_UNTIL_LAPSE: u32 = 3;
 
-/// Takes in an era that the store has reached, and passes it on before all that is told of it.
+/// Records an era that the store has reached, and forwards it before all changes of that era.
 pub fn note_era(context: &Context, era: Era) {
     let now = clock::now();
     if context.rewinds.observe_era(now, era) == EraUpdate::Known {
@@ -315,7 +316,7 @@
     context.evacuations.borrow_mut().store_rewound(now);
 }
 
-/// Takes in records of zones, and passes them on if one is news.
+/// Applies zone records, and forwards those that are news.
 pub fn apply_zone_records(context: &Context, records: Vec<ZoneRecord>) {
     let news = context.readers.borrow_mut().told(records);
     if news.is_empty() {
@@ -336,7 +337,7 @@
     context.followers.send(&Frame::Zones(news));
 }
 
-/// Returns the other VMs of the zone, if the record names them all.
+/// Returns the addresses of the other VMs of the zone, if the record names all of them.
 fn zone_peers(context: &Context, record: Option<&ZoneRecord>) -> Vec<SocketAddr> {
     let named_whole = record.filter(|record| record.count as usize <= MOST_NAMED);
     let vms = named_whole.into_iter().flat_map(|record| &record.vms);
--- a/crates/kingcuploft-entry/src/zone_list.rs
+++ b/crates/kingcuploft-entry/src/zone_list.rs
@@ -1,23 +1,23 @@
-//! Lists the records of the zones.
+//! Lists the zone records of the store, which name the entry VMs of each zone.
 
 use kingcuploft::entry::zone_record::ZoneRecord;
 
 use crate::store::{Collection, Record, Store, StoreError};
 
-/// Whether a list may be some seconds old, which the store counts for less.
+/// Whether a list may be some seconds old; the store charges less for such a list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Staleness {
-    /// It may.
+    /// It may be old.
     Allowed,
-    /// It may not.
+    /// It must be current.
     Refused,
 }
 
-/// Lists all records.
+/// Lists all zone records.
 ///
 /// # Errors
 ///
-/// Returns an error if the store does not tell them.
+/// Returns an error if a call to the store fails.
 pub(crate) async fn list_all<S: Store>(
     store: &S,
     stale: Staleness,
