--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -19,18 +19,18 @@
 impl ActiveRequest<'_> {
     /// Sends the request to a server and waits until the attempt ends.
     pub(super) async fn attempt(&self, upstream: &Rc<Upstream>) -> AttemptOutcome {
-        let sent = AttemptRecord::start(self, upstream);
-        let left = sent.left;
+        let record = AttemptRecord::start(self, upstream);
+        let left = record.left;
         let has_turn = |at: &Rc<Upstream>| Rc::ptr_eq(at, upstream);
         if !self.turn_at.as_ref().is_some_and(has_turn) {
-            limits::count_sent(self.context, upstream, sent.at);
+            limits::count_sent(self.context, upstream, record.at);
         }
         let run = SuspectRun::begin(self, upstream);
-        let ended = exchange::attempt(self.context, upstream, self.request, left).await;
-        sent.ended(&ended);
-        self.record_run_end(upstream, ended.end, run.known_ends)
+        let outcome = exchange::attempt(self.context, upstream, self.request, left).await;
+        record.finish(&outcome);
+        self.record_run_end(upstream, outcome.end, run.known_ends)
             .await;
-        ended
+        outcome
     }
 }
 
@@ -68,17 +68,23 @@
             .map_or(1.0, |(_, load_report)| load_report.slowness)
     }
 
-    fn ended(mut self, ended: &AttemptOutcome) {
+    fn finish(mut self, outcome: &AttemptOutcome) {
         self.open = false;
         let (active, context) = (self.active, self.active.context);
-        context.metrics.count_attempt(ended.end.label());
-        let succeeded = ended.end == AttemptEnd::Succeeded;
+        context.metrics.count_attempt(outcome.end.label());
+        let succeeded = outcome.end == AttemptEnd::Succeeded;
         if succeeded && self.candidate.reading.is_some() {
             let (slowness, slot) = (self.slowness(), self.candidate.slot());
-            context.record_service_time(&active.route, &active.service, ended.took, slowness, slot);
+            context.record_service_time(
+                &active.route,
+                &active.service,
+                outcome.took,
+                slowness,
+                slot,
+            );
         }
         if !succeeded || context.writes_ordinary_line(self.at) {
-            self.log(ended.end.label(), ended.detail, ended.took);
+            self.log(outcome.end.label(), outcome.detail, outcome.took);
         }
     }
 
--- a/crates/kingcuploft-entry/src/edge/dispatch.rs
+++ b/crates/kingcuploft-entry/src/edge/dispatch.rs
@@ -73,31 +73,33 @@
                 Selection::CallerLeft => return self.give_up("the caller left"),
             };
             self.attempts.sending();
-            let ended = match self.route.contract {
+            let outcome = match self.route.contract {
                 Contract::RetryFreely => {
-                    let (ended, other) = self.attempt_with_hedge(&upstream).await;
-                    if let Some(other) = other {
+                    let (outcome, hedge_target) = self.attempt_with_hedge(&upstream).await;
+                    if let Some(hedge_target) = hedge_target {
                         // The cancelled send may have run; it counts towards the attempts that the route allows.
                         self.attempts.sending();
                         self.attempts.ended(AttemptEnd::TimedOut);
-                        self.tried_upstreams.push(other);
+                        self.tried_upstreams.push(hedge_target);
                     }
-                    ended
+                    outcome
                 }
                 Contract::AtMostOnce => self.attempt(&upstream).await,
             };
             self.is_trial = false;
             self.turn_at = None;
-            match self.attempts.ended(ended.end) {
-                Verdict::Answer => return self.pass_on(ended),
-                Verdict::TryAgain if self.may_try_again(disconnect, ended.end) => {
-                    self.last_failure = ended.response.filter(|_| ended.end == AttemptEnd::Failed);
+            match self.attempts.ended(outcome.end) {
+                Verdict::Answer => return self.pass_on(outcome),
+                Verdict::TryAgain if self.may_try_again(disconnect, outcome.end) => {
+                    self.last_failure = outcome
+                        .response
+                        .filter(|_| outcome.end == AttemptEnd::Failed);
                     self.tried_upstreams.push(upstream);
                 }
-                Verdict::TryAgain | Verdict::GiveUp if ended.end == AttemptEnd::Failed => {
-                    return self.pass_on(ended);
+                Verdict::TryAgain | Verdict::GiveUp if outcome.end == AttemptEnd::Failed => {
+                    return self.pass_on(outcome);
                 }
-                Verdict::TryAgain | Verdict::GiveUp => return self.give_up(ended.detail),
+                Verdict::TryAgain | Verdict::GiveUp => return self.give_up(outcome.detail),
             }
         }
     }
@@ -120,10 +122,10 @@
         }
     }
 
-    fn pass_on(&mut self, ended: AttemptOutcome) -> Answer {
-        match ended.response {
+    fn pass_on(&mut self, outcome: AttemptOutcome) -> Answer {
+        match outcome.response {
             Some(response) => Answer::from_server(self.request, response),
-            None => self.give_up(ended.detail),
+            None => self.give_up(outcome.detail),
         }
     }
 
--- a/crates/kingcuploft-entry/src/edge/hedge.rs
+++ b/crates/kingcuploft-entry/src/edge/hedge.rs
@@ -37,29 +37,29 @@
         let mut first = std::pin::pin!(self.attempt(upstream));
         tokio::select! {
             biased;
-            ended = &mut first => return (ended, None),
+            outcome = &mut first => return (outcome, None),
             () = tokio::time::sleep(second_look::look_after(expected_ms)) => {}
         }
         let second = tokio::select! {
             biased;
-            ended = &mut first => return (ended, None),
+            outcome = &mut first => return (outcome, None),
             second = self.hedge_upstream(upstream) => second,
         };
-        let Some(other) = second else {
+        let Some(hedge_target) = second else {
             return (first.await, None);
         };
-        let mut second = std::pin::pin!(self.attempt(&other));
-        let (ended, rest) = tokio::select! {
+        let mut second = std::pin::pin!(self.attempt(&hedge_target));
+        let (outcome, pending) = tokio::select! {
             biased;
-            ended = &mut first => (ended, Pending::Second),
-            ended = &mut second => (ended, Pending::First),
+            outcome = &mut first => (outcome, Pending::Second),
+            outcome = &mut second => (outcome, Pending::First),
         };
-        let ended = match (ended.end, rest) {
-            (AttemptEnd::Succeeded, _) => ended,
+        let outcome = match (outcome.end, pending) {
+            (AttemptEnd::Succeeded, _) => outcome,
             (_, Pending::First) => first.await,
             (_, Pending::Second) => second.await,
         };
-        (ended, Some(other.clone()))
+        (outcome, Some(hedge_target.clone()))
     }
 
     /// Returns the server for the hedge of a lookup that takes too long, or `None` if there should be no hedge.
--- a/crates/kingcuploft-entry/src/http/body.rs
+++ b/crates/kingcuploft-entry/src/http/body.rs
@@ -1,19 +1,19 @@
-//! Bodies: by length, in chunks, or until the connection ends.
+//! Message bodies: framed by length, in chunks, or until the connection closes.
 
 use bytes::{Buf, BytesMut};
 
-/// How a body ends.
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// After this many bytes.
     Length(usize),
     /// With an empty chunk.
     Chunked,
-    /// With its connection.
+    /// When the connection closes.
     UntilClose,
 }
 
-/// The longest line that gives a chunk's length.
+/// The most bytes of a line that gives a chunk's length.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 
 /// Why a body can't be read.
@@ -38,7 +38,7 @@
     Done,
 }
 
-/// Reads one body piece by piece.
+/// Reads one body incrementally.
 #[derive(Debug)]
 pub struct BodyReader {
     state: State,
@@ -47,11 +47,11 @@
 }
 
 impl BodyReader {
-    /// Begins a body of at most `most` bytes.
+    /// Creates a reader for a body of at most `max_bytes` bytes.
     ///
     /// # Errors
     ///
-    /// Returns [`BodyError::TooLong`] if its announced length is greater.
+    /// Returns [`BodyError::TooLong`] if the announced length is greater.
     pub fn new(framing: Framing, max_bytes: usize) -> Result<Self, BodyError> {
         let state = match framing {
             Framing::Length(length) if length > max_bytes => return Err(BodyError::TooLong),
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Takes what it can from `bytes`; returns whether the body is whole.
+    /// Consumes bytes of the body from `bytes`; returns whether the body is complete.
     ///
     /// # Errors
     ///
@@ -81,7 +81,7 @@
         Ok(true)
     }
 
-    /// Takes the end of the connection in; returns whether the body is whole.
+    /// Returns whether the body is complete now that the connection has closed.
     pub fn is_complete_at_close(&mut self) -> bool {
         matches!(self.state, State::UntilClose | State::Done)
     }
@@ -91,12 +91,12 @@
         self.body.len()
     }
 
-    /// Returns the body.
+    /// Returns the bytes of the body.
     pub fn into_body(self) -> Vec<u8> {
         self.body
     }
 
-    /// Takes one step; returns whether more can be done with the bytes at hand.
+    /// Consumes one part of the body; returns whether another can be read from the bytes at hand.
     fn step(&mut self, bytes: &mut BytesMut) -> Result<bool, BodyError> {
         match self.state {
             State::Done => Ok(false),
--- a/crates/kingcuploft-entry/src/http/client.rs
+++ b/crates/kingcuploft-entry/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers and to the platform's store.
+//! Client connections over HTTP/1.1, to backend servers and to the platform's store.
 
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -15,56 +15,56 @@
 use crate::clock;
 use crate::network::{Network, Stream};
 
-/// How long a connection may take to be opened: many round trips of a region, and less than the
-/// second after which a lost opening packet is sent again.
+/// How long opening a connection may take: many round trips of a region, and less than the second after which a lost
+/// SYN packet is sent again.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long sent bytes may stay unacknowledged before a connection is given up: a peer without power
-/// does not answer at all.
+/// How long sent bytes may stay unacknowledged before the connection fails: a peer that has lost power sends nothing at
+/// all.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a silent connection is trusted before its peer is asked for a sign of life.
+/// How long a connection may be silent before TCP keepalive checks the peer.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The most bytes of a response's head.
+/// The most bytes of a response head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// The bytes read at once; most responses fit.
+/// How many bytes are read at once; most responses fit.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// A whole response.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Its head.
+    /// Its status line and headers.
     pub head: ResponseHead,
-    /// Its body.
+    /// The bytes of its body.
     pub body: Vec<u8>,
 }
 
 /// Why a request could not be sent.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// Nothing of it left this process.
+    /// Nothing of the request has left this process.
     #[error("nothing was sent: {0}")]
     NothingSent(std::io::Error),
-    /// Some of it may have arrived.
+    /// Some of the request may have arrived.
     #[error("the connection broke while sending: {0}")]
     PartlySent(std::io::Error),
 }
 
-/// Why no response came.
+/// Why no complete response was received.
 #[derive(Debug, thiserror::Error)]
 pub enum ReceiveError {
-    /// The connection ended before a response began.
+    /// The connection closed before a response began.
     #[error("the connection ended without a response")]
     Closed,
-    /// The connection ended within a response.
+    /// The connection closed within a response.
     #[error("the connection ended within a response")]
     Truncated,
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Failed(std::io::Error),
-    /// What came is no response.
+    /// The bytes received are no valid response.
     #[error("the bytes received are no HTTP response")]
     Malformed,
 }
@@ -74,7 +74,7 @@
 pub struct ConnectionCount(Rc<Cell<usize>>);
 
 impl ConnectionCount {
-    /// Counts one more.
+    /// Increments a count of open connections.
     pub fn increment(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
@@ -90,7 +90,7 @@
 /// When bytes last arrived, if any did.
 pub type LastArrival = Rc<Cell<Option<Instant>>>;
 
-/// An open connection, used for one request at a time.
+/// An open connection, which carries one request at a time.
 #[derive(Debug)]
 pub struct Connection {
     count_guard: Option<ConnectionCount>,
@@ -129,16 +129,16 @@
         })
     }
 
-    /// Notes from now on when bytes arrive.
+    /// Records in `last_arrival`, from now on, when bytes arrive.
     pub fn track_arrivals(&mut self, last_arrival: &LastArrival) {
         self.last_arrival = Some(last_arrival.clone());
     }
 
-    /// Opens a connection that is counted from the attempt on.
+    /// Opens a connection that is counted from the start of the attempt.
     ///
     /// # Errors
     ///
-    /// As [`Connection::open`].
+    /// Returns an error as [`Connection::open`] does.
     pub async fn open_counted(
         network: &dyn Network,
         address: SocketAddr,
@@ -149,8 +149,8 @@
         Ok(connection)
     }
 
-    /// Returns whether the connection can carry another request: nothing unasked has come, the
-    /// server has not closed it, and it was used lately.
+    /// Returns whether the connection can carry another request: it was used recently, the server has not closed it,
+    /// and no unexpected bytes have arrived.
     pub fn is_reusable(&mut self, now: Instant, longest_idle: Duration) -> bool {
         let idle = now.saturating_duration_since(self.used);
         let longest = self
@@ -163,7 +163,7 @@
         matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Takes note that the connection can't be trusted with another request.
+    /// Marks the connection as not reusable.
     pub fn mark_unusable(&mut self) {
         self.unusable = true;
     }
@@ -172,7 +172,7 @@
     ///
     /// # Errors
     ///
-    /// Tells whether any byte may have left.
+    /// Returns an error that says whether some bytes may have left.
     pub async fn send(&mut self, bytes: &[u8]) -> Result<(), SendError> {
         let first = self
             .stream
@@ -183,11 +183,11 @@
         rest.map_err(SendError::PartlySent)
     }
 
-    /// Receives the response to a request with this method, skipping interim ones.
+    /// Receives the response to a request with this method, and skips interim responses.
     ///
     /// # Errors
     ///
-    /// Returns an error if no whole response comes.
+    /// Returns an error if no complete response is received.
     pub async fn receive(
         &mut self,
         method: &str,
@@ -244,7 +244,7 @@
         self.keepalive_timeout = keepalive_timeout(&head);
         self.reusable = head.keep_alive && self.buffer.is_empty();
         if self.buffer.is_empty() {
-            // Hundreds of connections are kept; their buffers are not.
+            // Hundreds of idle connections are kept, and their buffers would take much memory.
             self.buffer = BytesMut::new();
         }
         let body = reader.into_body();
@@ -261,7 +261,7 @@
     }
 }
 
-/// Has a connection fail whose peer says nothing any more.
+/// Configures TCP so that a connection to a dead peer fails.
 fn enable_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
@@ -273,8 +273,8 @@
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Returns how long the server keeps the connection, with a margin of a tenth: the server counts from a
-/// moment that is some milliseconds earlier.
+/// Returns how long the server keeps an idle connection open, less a tenth: the server counts from a moment that is
+/// some milliseconds earlier.
 fn keepalive_timeout(head: &ResponseHead) -> Option<Duration> {
     let value = head.headers.get("keep-alive")?;
     let timeout = value
--- a/crates/kingcuploft-entry/src/http/head.rs
+++ b/crates/kingcuploft-entry/src/http/head.rs
@@ -1,4 +1,4 @@
-//! The heads of requests and responses, and how long the body behind them is.
+//! Parses the heads of requests and responses, and determines the framing of their bodies.
 
 use super::body::Framing;
 use super::headers::Headers;
@@ -6,54 +6,53 @@
 /// The most headers of one message.
 const MAX_HEADERS: usize = 100;
 
-/// Why a message can't be read.
+/// Why a head can't be used.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum HeadError {
     /// The bytes are no HTTP/1 head.
     #[error("the head is not HTTP/1")]
     Malformed,
-    /// The length of the body can be understood in more than one way.
+    /// The length of the body is ambiguous.
     #[error("the length of the body is ambiguous")]
     Ambiguous,
-    /// A request names no host, or more than one.
+    /// The request names no host, or more than one.
     #[error("a request names exactly one host")]
     Host,
 }
 
-/// A request up to its body.
+/// The request line and the headers of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Its method.
+    /// The method.
     pub method: String,
-    /// Its target: path and query, as they came.
+    /// The target: path and query, as received.
     pub target: String,
-    /// Its headers.
+    /// The headers.
     pub headers: Headers,
-    /// Whether the connection stays open behind the answer, by the caller's wish.
+    /// Whether the caller wants to reuse the connection after the answer.
     pub keep_alive: bool,
-    /// How its body ends.
+    /// How the end of the body is found.
     pub framing: Framing,
 }
 
-/// A response up to its body.
+/// The status line and the headers of a response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its headers.
+    /// The headers.
     pub headers: Headers,
-    /// Whether the connection can be used again behind it.
+    /// Whether the connection can be reused after the response.
     pub keep_alive: bool,
-    /// How its body ends.
+    /// How the end of the body is found.
     pub framing: Framing,
 }
 
-/// Reads a request's head at the start of `bytes`; `None` while it is not whole. The number is the
-/// head's length.
+/// Parses the request head at the start of `bytes` and returns it with its length; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// Returns an error for bytes that are no request, or one that can be read in two ways.
+/// Returns an error if the bytes are no request head, or one that is ambiguous.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut slots);
@@ -62,9 +61,9 @@
         return Ok(None);
     };
     let headers = collect(parsed.headers);
-    let old = parsed.version == Some(0);
+    let is_http_1_0 = parsed.version == Some(0);
     let hosts = headers.get_all("host").count();
-    if hosts > 1 || (hosts == 0 && !old) {
+    if hosts > 1 || (hosts == 0 && !is_http_1_0) {
         return Err(HeadError::Host);
     }
     let target = parsed.path.unwrap_or_default();
@@ -74,18 +73,19 @@
     let head = RequestHead {
         method: parsed.method.unwrap_or_default().to_owned(),
         target: target.to_owned(),
-        keep_alive: keep_alive(&headers, old),
+        keep_alive: keep_alive(&headers, is_http_1_0),
         framing: framing(&headers)?.unwrap_or(Framing::Length(0)),
         headers,
     };
     Ok(Some((head, length)))
 }
 
-/// Reads a response's head at the start of `bytes`, the answer to a request with this method.
+/// Parses the response head at the start of `bytes` and returns it with its length; `None` while it is incomplete.
+/// `method` is that of the request.
 ///
 /// # Errors
 ///
-/// Returns an error for bytes that are no response, or one that can be read in two ways.
+/// Returns an error if the bytes are no response head, or one that is ambiguous.
 pub fn parse_response(
     bytes: &[u8],
     method: &str,
@@ -98,8 +98,8 @@
     };
     let headers = collect(parsed.headers);
     let status = parsed.code.unwrap_or_default();
-    let bodyless = method == "HEAD" || status == 204 || status == 304 || status < 200;
-    let framing = match (bodyless, framing(&headers)?) {
+    let has_no_body = method == "HEAD" || status == 204 || status == 304 || status < 200;
+    let framing = match (has_no_body, framing(&headers)?) {
         (true, _) => Framing::Length(0),
         (false, known) => known.unwrap_or(Framing::UntilClose),
     };
@@ -121,15 +121,15 @@
     headers
 }
 
-fn keep_alive(headers: &Headers, old: bool) -> bool {
-    match old {
+fn keep_alive(headers: &Headers, is_http_1_0: bool) -> bool {
+    match is_http_1_0 {
         true => headers.has_token("connection", "keep-alive"),
         false => !headers.has_token("connection", "close"),
     }
 }
 
-/// Returns how the body ends, if the headers say. A message with both a length and an encoding, or
-/// with two lengths, is how requests are smuggled past a proxy, and is refused.
+/// Returns the framing of the body, if the headers define it. A message with both a length and a transfer encoding, or
+/// with two lengths, serves to smuggle requests past a proxy, and is refused.
 fn framing(headers: &Headers) -> Result<Option<Framing>, HeadError> {
     let encodings: Vec<&[u8]> = headers.get_all("transfer-encoding").collect();
     let lengths: Vec<&[u8]> = headers.get_all("content-length").collect();
--- a/crates/kingcuploft-entry/src/http/headers.rs
+++ b/crates/kingcuploft-entry/src/http/headers.rs
@@ -1,6 +1,6 @@
-//! The headers of a message.
+//! The headers of an HTTP message, and which of them are forwarded.
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers: they concern one connection only and are not forwarded.
 const HOP_BY_HOP: &[&str] = &[
     "connection",
     "keep-alive",
@@ -15,7 +15,7 @@
     "expect",
 ];
 
-/// Headers in the order they came.
+/// Headers in the order in which they were received.
 #[derive(Clone, Debug, Default)]
 pub struct Headers {
     list: Vec<(String, Vec<u8>)>,
@@ -27,7 +27,7 @@
         self.list.push((name.into(), value.into()));
     }
 
-    /// Returns the first value of a header, if it is text.
+    /// Returns the first value of a header, if it is valid UTF-8.
     pub fn get(&self, name: &str) -> Option<&str> {
         let named = |(n, _): &&(String, Vec<u8>)| n.eq_ignore_ascii_case(name);
         let (_, first) = self.list.iter().find(named)?;
@@ -43,12 +43,12 @@
         named.map(|(_, value)| value.as_slice())
     }
 
-    /// Returns whether a header is there.
+    /// Returns whether a header is present.
     pub fn contains(&self, name: &str) -> bool {
         self.get_all(name).next().is_some()
     }
 
-    /// Returns whether a header with a list of words holds a word.
+    /// Returns whether a header with a comma-separated list contains a token.
     pub fn has_token(&self, name: &str, word: &str) -> bool {
         let values = self
             .get_all(name)
@@ -57,7 +57,7 @@
         words.any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 
-    /// Returns the headers that are passed on: all but those of one connection.
+    /// Returns the end-to-end headers, which are forwarded: all but the hop-by-hop headers.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &[u8])> {
         let kept = self.list.iter().filter(|(name, _)| {
             let hop = HOP_BY_HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop));
@@ -67,7 +67,7 @@
     }
 }
 
-/// Appends a header line.
+/// Appends a header line to `out`.
 pub fn write_header(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
--- a/crates/kingcuploft-entry/src/http/mod.rs
+++ b/crates/kingcuploft-entry/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 messages: heads, bodies, and connections to servers.
+//! HTTP/1.1 messages: heads, bodies, and client connections.
 //!
-//! Requests that a caller sends one behind another are read and served as they come, and a request's
-//! way to a server must be known to the byte (was any of it sent?); both need the bytes at hand.
+//! The VM has its own implementation for two reasons: pipelined requests are read and served as they arrive, and it
+//! must be known to the byte whether any of a request was sent to a server. Both need access to the raw bytes.
 
 pub mod body;
 pub mod client;
--- a/crates/kingcuploft-entry/src/upstream/crash_check.rs
+++ b/crates/kingcuploft-entry/src/upstream/crash_check.rs
@@ -1,4 +1,4 @@
-//! Whether a server has ended that closed a connection without an answer.
+//! Checks whether a server that closed a connection without an answer has crashed.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -6,17 +6,17 @@
 use super::Upstream;
 use crate::network::Network;
 
-/// How long a new connection is waited for: the longest round trip of a region, and some.
+/// How long a new connection may take: the longest round trip of a region, with a margin.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What a new connection to a server comes to after it lost an answer.
+/// The result of opening a new connection to a server that lost an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashCheck {
-    /// Nobody listens there any more.
+    /// The connection was refused: the server process has ended.
     Ended,
-    /// The server still takes connections: it closed one of them.
+    /// The server still accepts connections: it closed only one of them.
     Alive,
-    /// No answer.
+    /// The connection was neither accepted nor refused in time.
     Silent,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Looks whether a server that has just closed a connection without an answer still listens.
+/// Checks whether a server that has just closed a connection without an answer still accepts connections.
 pub async fn check(network: &dyn Network, upstream: &Upstream) -> CrashCheck {
     let connecting = network.connect(upstream.server.address);
     match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: sent to a server, its answer checked.
+//! One attempt at a request: sends it to a server, receives the response and validates it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,25 +14,25 @@
 use crate::limits;
 use crate::peers::load_reports;
 
-/// The most bytes of an answer that is passed on.
+/// The most bytes of a response that is passed on.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// How many answers to other requests are skipped on one connection before it is given up.
+/// How many responses to other requests are skipped on one connection before the attempt fails.
 const MAX_SKIPPED_RESPONSES: usize = 3;
 
-/// The status of a server that is not the one that a request is meant for.
+/// The status by which a server refuses a request that is meant for another server.
 const MISDIRECTED_STATUS: u16 = 421;
 
-/// How one attempt ended, with the answer if there is a whole one.
+/// How one attempt ended, with the response if it is complete.
 #[derive(Debug)]
 pub struct AttemptOutcome {
     /// How it ended.
     pub end: AttemptEnd,
-    /// The server's whole answer.
+    /// The server's complete response.
     pub response: Option<Response>,
     /// How long it took.
     pub took: Duration,
-    /// What is worth telling of a failure.
+    /// The details of the end, for logs and for the answer to the caller.
     pub detail: &'static str,
 }
 
@@ -47,8 +47,8 @@
     }
 }
 
-/// Sends a request to a server and receives its answer. Dropping the future cancels the attempt:
-/// its connection closes, and the server drops the work.
+/// Sends a request to a server and receives its response. Dropping the future cancels the attempt: its connection
+/// closes, and the server drops the work.
 pub async fn attempt(
     context: &Rc<Context>,
     upstream: &Rc<Upstream>,
@@ -58,13 +58,14 @@
     let started_at = clock::now();
     let _in_flight = upstream.track_in_flight(started_at);
     load_reports::share_sent(context, &upstream.server.name);
-    let ended = tokio::time::timeout(left, run(context, upstream, request, left, started_at)).await;
+    let outcome =
+        tokio::time::timeout(left, run(context, upstream, request, left, started_at)).await;
     let timed_out =
         || AttemptOutcome::without_answer(AttemptEnd::TimedOut, "deadline passed", started_at);
-    let ended = ended.unwrap_or_else(|_| timed_out());
-    let failed = !matches!(ended.end, AttemptEnd::Succeeded);
+    let outcome = outcome.unwrap_or_else(|_| timed_out());
+    let failed = !matches!(outcome.end, AttemptEnd::Succeeded);
     upstream.record_outcome(clock::now(), failed);
-    ended
+    outcome
 }
 
 async fn run(
@@ -77,7 +78,7 @@
     let Ok(mut connection) = upstream.connect(&*context.network).await else {
         return AttemptOutcome::without_answer(AttemptEnd::Unsent, "no connection", started_at);
     };
-    // A new connection may take a second, and the zone may have been evacuated meanwhile.
+    // Opening a connection may take a second, and the zone may have been evacuated meanwhile.
     if !context.takes_work(upstream) {
         upstream.release(connection);
         return AttemptOutcome::without_answer(
@@ -133,8 +134,8 @@
     }
 }
 
-/// Receives the answer that bears the request's id. An answer to another request may come first:
-/// the server gave one answer too many to whoever used the connection before.
+/// Receives the response with the request's id. A response to another request may come first: the server sent one
+/// response too many to the previous user of the connection.
 async fn receive_matching(
     context: &Context,
     connection: &mut Connection,
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The backend servers as this VM deals with them: connections, readings, own requests in flight.
+//! The backend servers as this VM uses them: pooled connections, load reports, probes, and requests in flight.
 
 pub mod crash_check;
 pub mod exchange;
@@ -19,51 +19,51 @@
 use crate::network::Network;
 use probe_step::ProbeStep;
 
-/// The most idle connections kept to one server: VMs share a server's connections, and one VM
-/// rarely has more than two requests at one server.
+/// The most idle connections that are pooled for one server: VMs share a server's connections, and one VM rarely has
+/// more than two requests in flight at one server.
 const MAX_IDLE_CONNECTIONS: usize = 3;
 
-/// How long a connection may be idle and still be used, whatever the server says: servers close after 10 s
-/// at all sites, and some forget a connection sooner.
+/// How long a connection may be idle and still be reused, whatever the server announces: servers close idle connections
+/// after 10 s at all sites, and some drop them sooner.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(9);
 
-/// How long it is remembered that another VM has sent a request to a server: longer than any reading
-/// is chosen by.
+/// How long a request that another VM has sent to a server is remembered: longer than the greatest age of a load report
+/// by which a server is selected.
 const PEER_SEND_RETENTION: Duration = Duration::from_millis(50);
 
-/// How long after its answer a probe's failure keeps a server from being asked again, first.
+/// How long a server is not probed after its first failed probe; doubled after each further failure.
 const FIRST_PROBE_BACKOFF: Duration = Duration::from_millis(60);
 
-/// The longest such pause: a server that returns is seen within it.
+/// The longest such pause: a server that recovers is noticed within it.
 const MAX_PROBE_BACKOFF: Duration = Duration::from_millis(800);
 
-/// What it takes to hear of a server's load, the least first.
+/// What it costs to learn a server's load, the cheapest first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum ProbeCost {
-    /// Its last reading is fresh.
+    /// Nothing: the last load report is fresh.
     None,
     /// A probe on an open connection.
     Probe,
-    /// A new connection as well, which takes a millisecond of a slot and a round trip.
+    /// A probe on a new connection, which costs a round trip and takes a slot of the server for a millisecond.
     Connection,
 }
 
-/// One backend server as this VM deals with it.
+/// One backend server as this VM uses it.
 #[derive(Debug)]
 pub struct Upstream {
-    /// What the platform's store says of it.
+    /// The server's entry in the platform's store.
     pub server: BackendServer,
-    /// Whether it is in this VM's zone.
+    /// Whether the server is in this VM's zone.
     pub near: bool,
-    /// Its place in this VM's order of the servers; other VMs order them otherwise.
+    /// The server's place in this VM's order of the servers, which differs between VMs.
     pub rank: u64,
     cold_until: Cell<Instant>,
-    /// Since when and until when it must say first whether it is cold.
+    /// From when and until when the server must report whether it is cold before it gets work.
     cold_report_required_at: Cell<Instant>,
     cold_report_required_until: Cell<Option<Instant>>,
     idle_connections: RefCell<Vec<Connection>>,
     open_connections: std::rc::Rc<Cell<usize>>,
-    reading: Cell<Option<(Instant, Reading)>>,
+    last_load_report: Cell<Option<(Instant, Reading)>>,
     probe_in_flight: Cell<bool>,
     awaits_late_answer: Cell<bool>,
     probe_backoff: Cell<Option<(Instant, Duration)>>,
@@ -74,7 +74,7 @@
 }
 
 impl Upstream {
-    /// Begins to deal with a server.
+    /// Creates the upstream of a server, without connections or load reports.
     pub fn new(server: BackendServer, vm: &VmName, near: bool, now: Instant) -> Self {
         Self {
             rank: rendezvous(vm, &server.name),
@@ -85,7 +85,7 @@
             near,
             idle_connections: RefCell::default(),
             open_connections: std::rc::Rc::default(),
-            reading: Cell::new(None),
+            last_load_report: Cell::new(None),
             probe_in_flight: Cell::new(false),
             awaits_late_answer: Cell::new(false),
             probe_backoff: Cell::new(None),
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Returns whether a call can have a connection of those that this VM may have.
+    /// Returns whether a call can get a connection, given that this VM may have `share` connections to the server.
     pub fn has_connection_available(&self, share: usize) -> bool {
         self.open_connections.get() < share || !self.idle_connections.borrow().is_empty()
     }
 
-    /// Returns a connection: an idle one, or a new one.
+    /// Returns a connection from the pool, or a new one.
     ///
     /// # Errors
     ///
@@ -114,7 +114,7 @@
         Connection::open_counted(network, self.server.address, counted).await
     }
 
-    /// Takes an idle connection that can be used.
+    /// Takes a reusable connection from the pool.
     fn take_idle(&self) -> Option<Connection> {
         let now = clock::now();
         let mut idle = self.idle_connections.borrow_mut();
@@ -126,7 +126,7 @@
         None
     }
 
-    /// Keeps a connection for later.
+    /// Returns a connection to the pool, if it can be reused and the pool is not full.
     pub fn release(&self, mut connection: Connection) {
         let mut idle = self.idle_connections.borrow_mut();
         if idle.len() < MAX_IDLE_CONNECTIONS && connection.is_reusable(clock::now(), MAX_IDLE_AGE) {
@@ -134,26 +134,26 @@
         }
     }
 
-    /// Takes in what the server said of its load.
+    /// Records a load report of the server.
     pub fn record_load_report(&self, now: Instant, reading: Reading) {
-        self.reading.set(Some((now, reading)));
+        self.last_load_report.set(Some((now, reading)));
         if self.probe_backoff.take().is_some() {
             tracing::info!(event = "server_heard", server = %self.server.name);
         }
     }
 
-    /// Returns the last reading and its age.
+    /// Returns the last load report and its age.
     pub fn load_report(&self, now: Instant) -> Option<(Duration, Reading)> {
-        let (at, reading) = self.reading.get()?;
+        let (at, reading) = self.last_load_report.get()?;
         Some((now.saturating_duration_since(at), reading))
     }
 
-    /// Returns whether the last reading is young enough to choose by.
+    /// Returns whether the last load report is fresh enough to select by.
     pub fn has_fresh_load_report(&self, now: Instant, max_age: Duration) -> bool {
         self.load_report(now).is_some_and(|(age, _)| age < max_age)
     }
 
-    /// Returns what it takes to hear of its load.
+    /// Returns what it costs to learn the server's load.
     pub fn probe_cost(&self, now: Instant, max_age: Duration) -> ProbeCost {
         match (
             self.has_fresh_load_report(now, max_age),
@@ -165,44 +165,46 @@
         }
     }
 
-    /// Returns for how long it is cold.
+    /// Returns for how much longer the server is cold.
     pub fn cold_for(&self, now: Instant) -> Duration {
         self.cold_until.get().saturating_duration_since(now)
     }
 
-    /// Takes in until when it is cold.
+    /// Records until when the server is cold.
     pub fn set_cold_until(&self, until: Instant) {
         self.cold_until.set(until);
         self.cold_report_required_until.set(None);
     }
 
-    /// Takes in that it is not cold, as it says itself, asked at this moment.
+    /// Records the server's own report that it is not cold. `asked_at` is when it was asked; an answer to an earlier
+    /// question than the last call of [`Self::require_cold_report`] does not count.
     pub fn set_not_cold(&self, asked_at: Instant) {
         if self.cold_report_required_at.get() <= asked_at {
             self.cold_report_required_until.set(None);
         }
     }
 
-    /// Gets no work until it has said whether it is cold, or can't be any more.
+    /// Keeps work from the server until it has reported whether it is cold, or for the time `lasts`, after which it
+    /// can't be cold any more.
     pub fn require_cold_report(&self, now: Instant, lasts: Duration) {
         self.cold_report_required_at.set(now);
         self.cold_report_required_until.set(Some(now + lasts));
-        self.reading.set(None);
+        self.last_load_report.set(None);
     }
 
-    /// Returns whether it must say first whether it is cold.
+    /// Returns whether the server must still report whether it is cold.
     pub fn awaits_cold_report(&self, now: Instant) -> bool {
         self.cold_report_required_until
             .get()
             .is_some_and(|until| now < until)
     }
 
-    /// Returns whether a probe is on its way.
+    /// Returns whether a probe is in flight.
     pub fn is_probe_in_flight(&self) -> bool {
         self.probe_in_flight.get()
     }
 
-    /// Returns whether the server did not answer the last probe and is not to be asked yet.
+    /// Returns whether the server did not answer the last probe and must not be probed yet.
     pub fn is_unresponsive(&self, now: Instant) -> bool {
         self.awaits_late_answer.get()
             || self
@@ -211,7 +213,7 @@
                 .is_some_and(|(until, _)| now < until)
     }
 
-    /// Returns whether there is an idle connection.
+    /// Returns whether the pool has a connection.
     pub fn has_idle_connection(&self) -> bool {
         !self.idle_connections.borrow().is_empty()
     }
@@ -221,8 +223,8 @@
         let pause = before.map_or(FIRST_PROBE_BACKOFF, |(_, pause)| pause * 2);
         let pause = pause.min(MAX_PROBE_BACKOFF);
         if before.is_none() {
-            let heard = self
-                .reading
+            let age = self
+                .last_load_report
                 .get()
                 .map(|(at, _)| now.saturating_duration_since(at));
             tracing::info!(
@@ -230,28 +232,28 @@
                 server = %self.server.name,
                 step = step.label(),
                 took_ms = took.as_millis() as u64,
-                heard_ms = heard.map(|age| age.as_millis() as u64),
+                heard_ms = age.map(|age| age.as_millis() as u64),
                 own = self.in_flight.borrow().len(),
                 connections = self.open_connections.get()
             );
         }
         self.probe_backoff.set(Some((now + pause, pause)));
-        self.reading.set(None);
+        self.last_load_report.set(None);
     }
 
-    /// Takes in how a call ended.
+    /// Records how a call ended, for the failure rate.
     pub fn record_outcome(&self, now: Instant, failed: bool) {
         self.failures.borrow_mut().ended(now, failed);
     }
 
-    /// Takes in that another VM of the zone has just sent a request there.
+    /// Records that another VM of the zone has just sent a request to the server.
     pub fn record_peer_send(&self, now: Instant) {
         let mut sent = self.peer_sends.borrow_mut();
         sent.retain(|at| now.saturating_duration_since(*at) < PEER_SEND_RETENTION);
         sent.push(now);
     }
 
-    /// Counts an own request as in flight until the guard is dropped.
+    /// Counts a request of this VM as in flight until the guard is dropped.
     pub fn track_in_flight(self: &std::rc::Rc<Self>, now: Instant) -> InFlightGuard {
         self.in_flight.borrow_mut().push(now);
         InFlightGuard {
@@ -260,20 +262,20 @@
         }
     }
 
-    /// Counts a request as at the server, under which others ended, until the guard is dropped.
+    /// Counts a suspect request, during which other servers have crashed, as in flight until the guard is dropped.
     pub fn track_suspect(self: &std::rc::Rc<Self>) -> SuspectGuard {
         self.running_suspects.update(|count| count + 1);
         SuspectGuard(self.clone())
     }
 
-    /// Returns whether it runs a request of this VM under which other servers ended.
+    /// Returns whether the server runs a suspect request of this VM.
     pub fn is_running_suspect(&self) -> bool {
         self.running_suspects.get() > 0
     }
 
-    /// Returns the server as a request sees it.
+    /// Returns what placement considers of the server.
     pub fn candidate(&self, now: Instant, max_age: Duration, tried: bool) -> Candidate {
-        let reading = self.reading.get();
+        let reading = self.last_load_report.get();
         let reading = reading.filter(|(at, _)| now.saturating_duration_since(*at) < max_age);
         let own = self.in_flight.borrow();
         let unseen = match reading {
@@ -300,7 +302,7 @@
     }
 }
 
-/// A request at a server, under which others ended.
+/// Counts a suspect request as in flight at a server.
 #[derive(Debug)]
 pub struct SuspectGuard(std::rc::Rc<Upstream>);
 
@@ -310,7 +312,7 @@
     }
 }
 
-/// An own request in flight at a server.
+/// Counts a request of this VM as in flight at a server.
 #[derive(Debug)]
 pub struct InFlightGuard {
     upstream: std::rc::Rc<Upstream>,
--- a/crates/kingcuploft-entry/src/upstream/probe.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe.rs
@@ -1,4 +1,4 @@
-//! Asking a server for its load.
+//! Probes a server for its load report.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,17 +15,16 @@
 use crate::network::Network;
 use crate::peers::load_reports;
 
-/// How long a probe may take: the longest round trip of a region, many times over.
+/// How long a probe may take: many times the longest round trip of a region.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// How much longer an answer on a new connection is waited for: work at full servers ends within it.
+/// How much longer the answer on a new connection is waited for: the work at a fully loaded server ends within it.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The most bytes of a probe's answer.
+/// The most bytes of the answer to a probe.
 const MAX_PROBE_RESPONSE_BYTES: usize = 16 * 1024;
 
-/// Asks a server for its load, unless its last reading is fresh, a probe is on its way, or it did
-/// not answer lately.
+/// Starts a probe of a server, unless its last load report is fresh, a probe is in flight, or it did not answer lately.
 pub fn start(context: &Rc<Context>, upstream: &Rc<Upstream>, health_path: &str) {
     let now = clock::now();
     let fresh = upstream.has_fresh_load_report(now, context.max_load_report_age());
@@ -46,12 +45,12 @@
     tokio::task::spawn_local(async move { probe(&context, &upstream, &request).await });
 }
 
-/// Sends a probe and takes its end in.
+/// Sends a probe and records its result.
 ///
-/// Load pattern: a new connection takes a slot for a moment, and at a full server it waits for one. The server is not
-/// silent then but full, and given up, its connection would be opened anew again and again, each time at the price of a
-/// slot's time. So the server counts as one that does not answer, and the answer is still waited for: with it comes a
-/// connection on which the next one comes at once.
+/// Load pattern: a new connection takes a slot for a moment, and at a server with all slots taken it waits for one.
+/// Such a server is not dead but full. If the probe were given up, its connection would be opened anew again and again,
+/// each time at the price of a slot's time. So the server counts as unresponsive after [`PROBE_TIMEOUT`], but the
+/// answer is still waited for: it brings a connection on which the next probe is answered at once.
 async fn probe(context: &Context, upstream: &Rc<Upstream>, request: &[u8]) {
     let started_at = clock::now();
     let step = Cell::new(ProbeStep::Connecting);
@@ -114,9 +113,9 @@
     request: &[u8],
     step: &Cell<ProbeStep>,
 ) -> Option<Response> {
-    let kept = upstream.has_idle_connection();
+    let is_pooled = upstream.has_idle_connection();
     let mut connection = upstream.connect(network).await.ok()?;
-    step.set(if kept {
+    step.set(if is_pooled {
         ProbeStep::Kept
     } else {
         ProbeStep::New
--- a/crates/kingcuploft-entry/src/upstream/probe_step.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe_step.rs
@@ -1,15 +1,15 @@
-//! Where a probe stands that is not answered.
+//! The steps of a probe, as logged when a server stops answering probes.
 
-/// Where a probe stood when it failed.
+/// The step at which a probe failed.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ProbeStep {
-    /// A new connection was being opened.
+    /// Opening a new connection.
     Connecting,
-    /// The answer was waited for on a new connection.
+    /// Waiting for the answer on a new connection.
     New,
-    /// The answer was waited for on a connection that had been used before.
+    /// Waiting for the answer on a pooled connection.
     Kept,
-    /// The answer told no load.
+    /// The answer held no load report.
     Unreadable,
 }
 
