--- a/crates/kingcuploft-simulation/src/words.rs
+++ b/crates/kingcuploft-simulation/src/header_names.rs
@@ -4,7 +4,7 @@
 use kingcuploft_entry::settings::WireNames;
 
 /// The names.
-pub const WORDS: WireNames = WireNames {
+pub const HEADER_NAMES: WireNames = WireNames {
     request_id: "x-id",
     deadline_ms: "x-deadline-ms",
     signature: "x-signed",
--- a/crates/kingcuploft-simulation/src/operator.rs
+++ b/crates/kingcuploft-simulation/src/operator.rs
@@ -11,42 +11,45 @@
 use kingcuploft::world::contract::Contract;
 
 use crate::deployment::Deployment;
-use crate::seen::{Accepted, Seen};
+use crate::history::{AcceptedWrite, History};
 use crate::server::Server;
 use crate::store::TestStore;
 
 /// How many connections a server accepts.
-const MOST_CONNECTIONS: u32 = 260;
+const CONNECTIONS_PER_SERVER: u32 = 260;
 
 /// How many servers one request may reach.
-const MOST_ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Writes to the store.
 #[derive(Debug)]
 pub struct Operator {
     deployment: Rc<Deployment>,
     store: TestStore,
-    seen: Rc<Seen>,
+    history: Rc<History>,
     version: Cell<u64>,
 }
 
 impl Operator {
     /// Returns an operator that has written nothing.
-    pub fn new(deployment: Rc<Deployment>, store: TestStore, seen: Rc<Seen>) -> Self {
+    pub fn new(deployment: Rc<Deployment>, store: TestStore, seen: Rc<History>) -> Self {
         Self {
             deployment,
             store,
-            seen,
+            history: seen,
             version: Cell::new(0),
         }
     }
 
     /// Writes the next configuration, with a route more than the last; returns its version.
-    pub fn configure(&self) -> u64 {
+    pub fn write_next_configuration(&self) -> u64 {
         let version = self.version.get() + 1;
         self.version.set(version);
-        self.store.0.configure(self.configuration(version));
-        self.seen.accepted(Accepted::Configuration { version });
+        self.store
+            .0
+            .write_configuration(self.configuration(version));
+        self.history
+            .record_write(AcceptedWrite::Configuration { version });
         version
     }
 
@@ -60,7 +63,7 @@
         let added = (1..=version).map(|added| {
             let second = Duration::from_secs(1);
             route(
-                &marker(added),
+                &version_route_name(added),
                 service,
                 Contract::RetryFreely,
                 second,
@@ -74,7 +77,7 @@
             });
             let known = Service {
                 health_path: "/health".into(),
-                most_connections: MOST_CONNECTIONS,
+                most_connections: CONNECTIONS_PER_SERVER,
                 cold_start,
             };
             (service.name.as_str().into(), known)
@@ -84,53 +87,65 @@
     }
 
     /// Writes the entry of a server.
-    pub fn register(&self, server: &Server) {
-        self.store.0.serve(BackendServer {
+    pub fn write_server(&self, server: &Server) {
+        self.store.0.write_backend_server(BackendServer {
             name: server.name.as_str().into(),
             service: server.service.name.as_str().into(),
             address: server.address,
             zone: format!("zone-{}", server.zone).into(),
             slots: server.service.slots,
-            draining: server.is_leaving.get(),
+            draining: server.is_draining.get(),
             cold_for: server.cold_for(),
             started_at: None,
         });
-        let leaving = Accepted::Leaving {
+        let leaving = AcceptedWrite::ServerDraining {
             server: server.index,
         };
         let is_known = self
-            .seen
-            .accepted
+            .history
+            .accepted_writes
             .borrow()
             .iter()
             .any(|(_, what)| *what == leaving);
-        if server.is_leaving.get() && !is_known {
-            self.seen.accepted(Accepted::Leaving {
+        if server.is_draining.get() && !is_known {
+            self.history.record_write(AcceptedWrite::ServerDraining {
                 server: server.index,
             });
         }
     }
 
     /// Has a zone evacuated, or takes it back.
-    pub fn evacuate(&self, zone: usize, is_evacuated: bool) {
-        self.store.0.evacuate(&format!("zone-{zone}"), is_evacuated);
-        self.seen.accepted(match is_evacuated {
-            true => Accepted::Evacuated { zone },
-            false => Accepted::TakenBack { zone },
+    pub fn set_evacuated(&self, zone: usize, is_evacuated: bool) {
+        self.store
+            .0
+            .set_evacuated(&format!("zone-{zone}"), is_evacuated);
+        self.history.record_write(match is_evacuated {
+            true => AcceptedWrite::ZoneEvacuated { zone },
+            false => AcceptedWrite::ZoneReinstated { zone },
         });
     }
 
     /// Writes again what is in force, to a store that may lack it.
-    pub fn write_again(&self) {
+    pub fn rewrite(&self) {
         let configuration = self.configuration(self.version.get());
-        self.store.0.configure(configuration);
+        self.store.0.write_configuration(configuration);
         for zone in 0..self.deployment.zones.len() {
-            let mut accepted = self.seen.accepted.borrow().clone().into_iter().rev();
+            let mut accepted = self
+                .history
+                .accepted_writes
+                .borrow()
+                .clone()
+                .into_iter()
+                .rev();
             let last = accepted.find(|(_, what)| {
-                *what == Accepted::Evacuated { zone } || *what == Accepted::TakenBack { zone }
+                *what == AcceptedWrite::ZoneEvacuated { zone }
+                    || *what == AcceptedWrite::ZoneReinstated { zone }
             });
-            let is_evacuated = last.is_some_and(|(_, what)| what == Accepted::Evacuated { zone });
-            self.store.0.evacuate(&format!("zone-{zone}"), is_evacuated);
+            let is_evacuated =
+                last.is_some_and(|(_, what)| what == AcceptedWrite::ZoneEvacuated { zone });
+            self.store
+                .0
+                .set_evacuated(&format!("zone-{zone}"), is_evacuated);
         }
     }
 
@@ -141,7 +156,7 @@
 }
 
 /// Returns the name of the route that a version adds.
-pub fn marker(version: u64) -> String {
+pub fn version_route_name(version: u64) -> String {
     format!("version-{version}")
 }
 
@@ -159,7 +174,7 @@
         contract,
         target,
         timeout,
-        most_attempts: MOST_ATTEMPTS,
+        most_attempts: MAX_ATTEMPTS,
         priority: 1,
         destinations: vec![Destination {
             service: service.into(),
