--- a/crates/kingcuploft/src/decisions/claim/partition.rs
+++ b/crates/kingcuploft/src/decisions/claim/partition.rs
@@ -9,8 +9,8 @@
     Claim, ClaimCommand, ClaimEvent, ClaimId, Operation, Output, StoreAnswer, StoreFailure, Verdict,
 };
 use super::seal::{Garbage, Staged};
-use super::state::{AbandonedClaim, KnownMember, OpenCall, PendingEnd, QueuedRequest, SealedKeys};
-use super::write_pacing::DequeueInterval;
+use super::state::{AbandonedClaim, KnownHead, OpenCall, PendingClaim, PendingEnd, SealedKeys};
+use super::write_pacing::WritePacing;
 use crate::settings::claim::ClaimSettings;
 
 /// The time and the random source of one event.
@@ -31,7 +31,7 @@
     /// Makes the names of this VM's sealed objects its own.
     pub(super) owner: u64,
     pub(super) settings: Arc<ClaimSettings>,
-    pub(super) known: Option<KnownMember>,
+    pub(super) known: Option<KnownHead>,
     /// The store is known to hold at least this version of the head.
     pub(super) min_version: Version,
     pub(super) must_read: bool,
@@ -40,7 +40,7 @@
     /// Whether the head may name sealed objects whose keys are not known yet.
     pub(super) keys_missing: bool,
     pub(super) sealed: SealedKeys,
-    pub(super) waiting: BTreeMap<ClaimId, QueuedRequest>,
+    pub(super) waiting: BTreeMap<ClaimId, PendingClaim>,
     pub(super) held: BTreeMap<ClaimId, (KeyHash, Claimant)>,
     /// The keys of claims that wait or are held, and the content they were claimed for.
     pub(super) local_fingerprints: BTreeMap<KeyHash, Fingerprint>,
@@ -50,7 +50,7 @@
     pub(super) garbage: Vec<Garbage>,
     pub(super) sealed_objects_named: u64,
     pub(super) open: Option<(OpenCall, Instant)>,
-    pub(super) pace: DequeueInterval,
+    pub(super) pace: WritePacing,
     started: Instant,
     flushing: bool,
     last_write: Option<Instant>,
@@ -89,7 +89,7 @@
             garbage: Vec::new(),
             sealed_objects_named: 0,
             open: None,
-            pace: DequeueInterval::default(),
+            pace: WritePacing::default(),
             started: now,
             flushing: false,
             last_write: None,
@@ -181,7 +181,7 @@
             return out.push(Output::Verdict(id, verdict));
         }
         self.local_fingerprints.insert(claim.key, claim.fingerprint);
-        let waiting = QueuedRequest {
+        let waiting = PendingClaim {
             claim,
             since: time.now,
             write_sent: false,
--- a/crates/kingcuploft/src/decisions/claim/read.rs
+++ b/crates/kingcuploft/src/decisions/claim/read.rs
@@ -7,7 +7,7 @@
     ClaimEvent, ClaimId, Operation, Output, StoreAnswer, StoredKind, StoredObject, Verdict,
 };
 use super::partition::{EventContext, Partition, settled_verdict};
-use super::state::{KnownMember, OpenCall, PendingEnd};
+use super::state::{KnownHead, OpenCall, PendingEnd};
 
 impl Partition {
     pub(super) fn read_head(&self) -> (OpenCall, Operation) {
@@ -35,7 +35,7 @@
                 self.records_found(time, number, found, out);
             }
             (OpenCall::Write { head, claims, ends }, StoreAnswer::Written(version)) => {
-                self.write_applied(time, KnownMember { version, head }, &claims, ends, out);
+                self.write_applied(time, KnownHead { version, head }, &claims, ends, out);
             }
             (OpenCall::Write { .. }, StoreAnswer::Conflict { found }) => {
                 self.write_conflicted(time, found, out);
@@ -74,11 +74,11 @@
             self.contended = false;
             return;
         }
-        self.adopt(time, KnownMember { version, head });
+        self.adopt(time, KnownHead { version, head });
     }
 
     /// Takes over a newer head: every earlier write of this VM is decided by it.
-    fn adopt(&mut self, time: &EventContext<'_>, known: KnownMember) {
+    fn adopt(&mut self, time: &EventContext<'_>, known: KnownHead) {
         self.min_version = known.version;
         self.pace.observe_writes(time.now, known.head.writes);
         for abandoned in std::mem::take(&mut self.abandoned) {
@@ -100,7 +100,7 @@
     fn write_applied(
         &mut self,
         time: &mut EventContext<'_>,
-        known: KnownMember,
+        known: KnownHead,
         claims: &[ClaimId],
         ends: usize,
         out: &mut Vec<Output>,
--- a/crates/kingcuploft/src/decisions/claim/seal.rs
+++ b/crates/kingcuploft/src/decisions/claim/seal.rs
@@ -13,7 +13,7 @@
 };
 use super::message::{Operation, Precondition, StoreAnswer, StoredKind, StoredObject};
 use super::partition::{EventContext, Partition};
-use super::state::{KnownMember, OpenCall, SealedKeys};
+use super::state::{KnownHead, OpenCall, SealedKeys};
 
 /// A sealed object that is written, and not yet named by the head.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -154,7 +154,7 @@
     }
 
     /// Notes that the head now names the staged object; tells whether there was one.
-    pub(super) fn staged_object_named(&mut self, known: &KnownMember) -> bool {
+    pub(super) fn staged_object_named(&mut self, known: &KnownHead) -> bool {
         let Some(staged) = self.staged.take() else {
             return false;
         };
--- a/crates/kingcuploft/src/decisions/claim/state.rs
+++ b/crates/kingcuploft/src/decisions/claim/state.rs
@@ -9,7 +9,7 @@
 
 /// The head as last read or written.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(super) struct KnownMember {
+pub(super) struct KnownHead {
     /// The version; 0 where the object was absent.
     pub(super) version: Version,
     pub(super) head: Arc<Head>,
@@ -17,7 +17,7 @@
 
 /// A claim that is not decided yet.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(super) struct QueuedRequest {
+pub(super) struct PendingClaim {
     pub(super) claim: Claim,
     pub(super) since: Instant,
     /// Whether a write with it was ever called for.
--- a/crates/kingcuploft/src/decisions/claim/write_pacing.rs
+++ b/crates/kingcuploft/src/decisions/claim/write_pacing.rs
@@ -20,7 +20,7 @@
 
 /// What one VM has seen of the fleet's writes.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
-pub(super) struct DequeueInterval {
+pub(super) struct WritePacing {
     /// The head's count of writes at the last look, and when that was.
     seen: Option<(u64, Instant)>,
     written: u32,
@@ -37,7 +37,7 @@
     between: Duration,
 }
 
-impl DequeueInterval {
+impl WritePacing {
     /// Notes a write of this VM that took effect.
     pub(super) fn record_written(&mut self) {
         self.written = self.written.saturating_add(1);
--- a/crates/kingcuploft/src/decisions/drain.rs
+++ b/crates/kingcuploft/src/decisions/drain.rs
@@ -71,8 +71,6 @@
 
     fn count_available(&mut self) {
         let servers = 0..self.by_manifest.len();
-        self.available = servers
-            .filter(|&server| self.takes_work(server))
-            .count();
+        self.available = servers.filter(|&server| self.takes_work(server)).count();
     }
 }
--- a/crates/kingcuploft/src/decisions/load_estimate.rs
+++ b/crates/kingcuploft/src/decisions/load_estimate.rs
@@ -131,13 +131,7 @@
     }
 
     /// Records a load report that left the server half a round trip ago; `check` has its consistency checked.
-    pub fn record_report(
-        &mut self,
-        now: Instant,
-        report: LoadReport,
-        rtt: Duration,
-        check: bool,
-    ) {
+    pub fn record_report(&mut self, now: Instant, report: LoadReport, rtt: Duration, check: bool) {
         let had_arrived = |sent: &&Instant| now.saturating_duration_since(**sent) > rtt;
         let own_arrived = self.own_sent_at.iter().filter(had_arrived).count();
         if check {
--- a/crates/kingcuploft/src/entry/backend_servers.rs
+++ b/crates/kingcuploft/src/entry/backend_servers.rs
@@ -131,15 +131,15 @@
 }
 
 #[derive(Clone, Debug)]
-struct KnownMember {
+struct Known {
     server: BackendServer,
-    standing: QueueEntry,
+    standing: Standing,
     /// When its entry went, if it did.
     gone_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum QueueEntry {
+enum Standing {
     InUse,
     LapsesAt(Instant),
     Draining,
@@ -153,7 +153,7 @@
 /// All backend servers heard of.
 #[derive(Debug, Default)]
 pub struct BackendServers {
-    known: HashMap<BackendServerName, KnownMember>,
+    known: HashMap<BackendServerName, Known>,
     returned: Option<Instant>,
 }
 
@@ -180,8 +180,8 @@
     pub fn store_rewound(&mut self, now: Instant, lapse_after: Duration) {
         self.returned = Some(now);
         for known in self.known.values_mut() {
-            if known.standing == QueueEntry::Gone {
-                known.standing = QueueEntry::GoneBeforeCopy(now + lapse_after);
+            if known.standing == Standing::Gone {
+                known.standing = Standing::GoneBeforeCopy(now + lapse_after);
             }
         }
     }
@@ -196,26 +196,26 @@
         let name = server.name.clone();
         let Some(known) = self.known.get_mut(&name) else {
             let standing = standing_of(&server);
-            let known = KnownMember {
+            let known = Known {
                 server,
                 standing,
                 gone_at: None,
             };
             self.known.insert(name.clone(), known);
-            return (standing == QueueEntry::InUse).then_some(Change::Joined(name));
+            return (standing == Standing::InUse).then_some(Change::Joined(name));
         };
         known.gone_at = None;
         let is_later_start = server.started_at > known.server.started_at;
-        if known.standing == QueueEntry::Draining && !is_later_start {
+        if known.standing == Standing::Draining && !is_later_start {
             return None;
         }
         let before = known.standing;
-        if let QueueEntry::GoneBeforeCopy(until) | QueueEntry::DoubtedUntil(until) = before
+        if let Standing::GoneBeforeCopy(until) | Standing::DoubtedUntil(until) = before
             && !is_later_start
         {
             known.standing = match standing_of(&server) {
-                QueueEntry::Draining => QueueEntry::Draining,
-                _ => QueueEntry::DoubtedUntil(until),
+                Standing::Draining => Standing::Draining,
+                _ => Standing::DoubtedUntil(until),
             };
             known.server = server;
             return None;
@@ -225,16 +225,14 @@
         known.standing = standing_of(&server);
         known.server = server;
         match (before, known.standing) {
-            (QueueEntry::Gone | QueueEntry::GoneBeforeCopy(_), QueueEntry::InUse) => {
+            (Standing::Gone | Standing::GoneBeforeCopy(_), Standing::InUse) => {
                 Some(Change::Joined(name))
             }
-            (QueueEntry::DoubtedUntil(_), QueueEntry::InUse) => Some(Change::Joined(name)),
-            (_, QueueEntry::InUse) if moved => Some(Change::Joined(name)),
-            (QueueEntry::InUse, QueueEntry::InUse) if same => None,
-            (_, QueueEntry::InUse) => Some(Change::Updated(name)),
-            (QueueEntry::Gone | QueueEntry::GoneBeforeCopy(_) | QueueEntry::DoubtedUntil(_), _) => {
-                None
-            }
+            (Standing::DoubtedUntil(_), Standing::InUse) => Some(Change::Joined(name)),
+            (_, Standing::InUse) if moved => Some(Change::Joined(name)),
+            (Standing::InUse, Standing::InUse) if same => None,
+            (_, Standing::InUse) => Some(Change::Updated(name)),
+            (Standing::Gone | Standing::GoneBeforeCopy(_) | Standing::DoubtedUntil(_), _) => None,
             _ => Some(Change::Left(name)),
         }
     }
@@ -245,23 +243,23 @@
         let known = self.known.get_mut(name)?;
         known.gone_at.get_or_insert(now);
         match known.standing {
-            QueueEntry::InUse if just_returned => {
+            Standing::InUse if just_returned => {
                 let until = self.returned.unwrap_or(now) + LAPSE_GRACE;
-                known.standing = QueueEntry::LapsesAt(until);
+                known.standing = Standing::LapsesAt(until);
                 Some(Change::Lapsed(known.server.name.clone()))
             }
-            QueueEntry::InUse => {
-                known.standing = QueueEntry::Gone;
+            Standing::InUse => {
+                known.standing = Standing::Gone;
                 Some(Change::Left(known.server.name.clone()))
             }
-            QueueEntry::DoubtedUntil(until) => {
-                known.standing = QueueEntry::GoneBeforeCopy(until);
+            Standing::DoubtedUntil(until) => {
+                known.standing = Standing::GoneBeforeCopy(until);
                 None
             }
-            QueueEntry::LapsesAt(_)
-            | QueueEntry::Draining
-            | QueueEntry::Gone
-            | QueueEntry::GoneBeforeCopy(_) => None,
+            Standing::LapsesAt(_)
+            | Standing::Draining
+            | Standing::Gone
+            | Standing::GoneBeforeCopy(_) => None,
         }
     }
 
@@ -288,13 +286,13 @@
         for known in self.known.values_mut() {
             let name = &known.server.name;
             match known.standing {
-                QueueEntry::LapsesAt(at) if at <= now => {
-                    known.standing = QueueEntry::Gone;
+                Standing::LapsesAt(at) if at <= now => {
+                    known.standing = Standing::Gone;
                     changes.push(Change::Left(name.clone()));
                 }
-                QueueEntry::GoneBeforeCopy(at) if at <= now => known.standing = QueueEntry::Gone,
-                QueueEntry::DoubtedUntil(at) if at <= now => {
-                    known.standing = QueueEntry::InUse;
+                Standing::GoneBeforeCopy(at) if at <= now => known.standing = Standing::Gone,
+                Standing::DoubtedUntil(at) if at <= now => {
+                    known.standing = Standing::InUse;
                     changes.push(Change::Joined(name.clone()));
                 }
                 _ => {}
@@ -302,10 +300,10 @@
         }
         let forgotten = |at: Instant| now.saturating_duration_since(at) > REMEMBER_GONE;
         self.known.retain(|_, known| match known.standing {
-            QueueEntry::Draining | QueueEntry::Gone | QueueEntry::GoneBeforeCopy(_) => {
+            Standing::Draining | Standing::Gone | Standing::GoneBeforeCopy(_) => {
                 !known.gone_at.is_some_and(forgotten)
             }
-            QueueEntry::InUse | QueueEntry::LapsesAt(_) | QueueEntry::DoubtedUntil(_) => true,
+            Standing::InUse | Standing::LapsesAt(_) | Standing::DoubtedUntil(_) => true,
         });
         changes
     }
@@ -313,7 +311,7 @@
     /// Returns whether a server may be sent work now.
     pub fn takes_work(&self, name: &str) -> bool {
         let known = self.known.get(name);
-        known.is_some_and(|k| matches!(k.standing, QueueEntry::InUse | QueueEntry::LapsesAt(_)))
+        known.is_some_and(|k| matches!(k.standing, Standing::InUse | Standing::LapsesAt(_)))
     }
 
     /// Returns whether this is what is known of a server already.
@@ -342,14 +340,14 @@
     pub fn in_use(&self) -> usize {
         let standings = self.known.values().map(|known| known.standing);
         standings
-            .filter(|s| matches!(s, QueueEntry::InUse | QueueEntry::LapsesAt(_)))
+            .filter(|s| matches!(s, Standing::InUse | Standing::LapsesAt(_)))
             .count()
     }
 }
 
-fn standing_of(server: &BackendServer) -> QueueEntry {
+fn standing_of(server: &BackendServer) -> Standing {
     match server.draining && !planted::is_on(Planted::ChoosesLeavingServers) {
-        true => QueueEntry::Draining,
-        false => QueueEntry::InUse,
+        true => Standing::Draining,
+        false => Standing::InUse,
     }
 }
--- a/crates/kingcuploft/src/entry/evacuations.rs
+++ b/crates/kingcuploft/src/entry/evacuations.rs
@@ -24,9 +24,9 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum QueueEntry {
+enum Standing {
     /// The store has the entry.
-    StoredObject,
+    Stored,
     /// The store had it, and came back from a copy that has not.
     MissingUntil(Instant),
 }
@@ -34,7 +34,7 @@
 /// The zones that are evacuated.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
-    zones: HashMap<AvailabilityZone, QueueEntry>,
+    zones: HashMap<AvailabilityZone, Standing>,
     rewound_at: Option<Instant>,
 }
 
@@ -53,7 +53,7 @@
 
     /// Takes an entry in.
     pub fn told(&mut self, zone: AvailabilityZone) -> Option<Change> {
-        let before = self.zones.insert(zone.clone(), QueueEntry::StoredObject);
+        let before = self.zones.insert(zone.clone(), Standing::Stored);
         before.is_none().then_some(Change::Begun(zone))
     }
 
@@ -73,7 +73,7 @@
         for zone in missing {
             match until.filter(|until| *until > now) {
                 Some(until) => {
-                    self.zones.insert(zone, QueueEntry::MissingUntil(until));
+                    self.zones.insert(zone, Standing::MissingUntil(until));
                 }
                 None => changes.extend(self.gone(&zone)),
             }
@@ -99,7 +99,7 @@
     /// Ends the evacuations whose entries have not been written again in time.
     pub fn expire(&mut self, now: Instant) -> Vec<Change> {
         let over =
-            |standing: &QueueEntry| matches!(standing, QueueEntry::MissingUntil(at) if *at <= now);
+            |standing: &Standing| matches!(standing, Standing::MissingUntil(at) if *at <= now);
         let over = self.zones.iter().filter(|(_, standing)| over(standing));
         let over: Vec<_> = over.map(|(zone, _)| zone.clone()).collect();
         over.iter().filter_map(|zone| self.gone(zone)).collect()
--- a/crates/kingcuploft/src/entry/repeats.rs
+++ b/crates/kingcuploft/src/entry/repeats.rs
@@ -63,14 +63,14 @@
 
 /// The requests for one service and their repeats, on one VM.
 #[derive(Debug, Default)]
-struct ClaimEvent {
+struct Counted {
     requests: VecDeque<Instant>,
     repeats: VecDeque<Instant>,
     /// What this VM did before it restarted.
     before: Option<Kept>,
 }
 
-impl ClaimEvent {
+impl Counted {
     fn forget(&mut self, now: Instant, bounds: &RepeatBounds) {
         forget(&mut self.requests, now, bounds.window);
         forget(&mut self.repeats, now, bounds.repeat_counts_for());
@@ -106,7 +106,7 @@
 /// The repeats of one VM.
 #[derive(Debug)]
 pub struct Repeats {
-    services: HashMap<ServiceName, ClaimEvent>,
+    services: HashMap<ServiceName, Counted>,
     /// What is not known of the time before the start; none on a VM that has not run before.
     past: Option<Past>,
 }
@@ -243,7 +243,7 @@
         is_news
     }
 
-    fn counted(&mut self, service: &ServiceName) -> &mut ClaimEvent {
+    fn counted(&mut self, service: &ServiceName) -> &mut Counted {
         self.services.entry(service.clone()).or_default()
     }
 }
--- a/crates/kingcuploft/src/entry/server_limits.rs
+++ b/crates/kingcuploft/src/entry/server_limits.rs
@@ -49,7 +49,7 @@
 
 /// The limit of a server, by what it has named, by being cold, or by the lesser of both.
 #[derive(Clone, Debug)]
-struct KnownMember {
+struct Known {
     limit: ServerLimit,
     named: Option<Named>,
     cold: Option<Cold>,
@@ -57,7 +57,7 @@
     turn_at: Instant,
 }
 
-impl KnownMember {
+impl Known {
     fn new(now: Instant, limit: ServerLimit) -> Self {
         Self {
             limit,
@@ -94,7 +94,7 @@
 /// The limits of servers.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLimits {
-    known: HashMap<BackendServerName, KnownMember>,
+    known: HashMap<BackendServerName, Known>,
     /// When the VM began, if it matters.
     begun: Option<Instant>,
 }
@@ -151,8 +151,8 @@
         let takes = cold.map_or(per_s, |cold| cold.per_s.min(per_s));
         let part = part(takes);
         let known = self.known.entry(server.clone());
-        let known = known
-            .or_insert_with(|| KnownMember::new(now, ServerLimit::new(now, takes, part, chance)));
+        let known =
+            known.or_insert_with(|| Known::new(now, ServerLimit::new(now, takes, part, chance)));
         let before = known.named;
         known.named = Some(Named {
             per_s,
@@ -216,7 +216,7 @@
         let known = self.known.entry(server.clone());
         let known = known.or_insert_with(|| {
             let limit = ServerLimit::new(now, takes, part, chance);
-            KnownMember::new(now, limit.with_saved(up_for))
+            Known::new(now, limit.with_saved(up_for))
         });
         let before = known.cold.replace(Cold {
             per_s,
@@ -256,7 +256,7 @@
         now: Instant,
         part: impl Fn(&BackendServerName, PerSecond) -> Part,
     ) -> Vec<BackendServerName> {
-        let is_over = |known: &&mut KnownMember| known.cold.is_some_and(|cold| cold.until <= now);
+        let is_over = |known: &&mut Known| known.cold.is_some_and(|cold| cold.until <= now);
         let mut over = Vec::new();
         for (server, known) in &mut self.known {
             if is_over(&known) {
@@ -273,9 +273,8 @@
     /// Takes in a notice that the store has; returns whether it is news. What the server itself has named holds.
     pub fn told(&mut self, now: Instant, notice: &LimitNotice, part: Part, chance: f64) -> bool {
         let known = self.known.entry(notice.server.clone());
-        let known = known.or_insert_with(|| {
-            KnownMember::new(now, ServerLimit::new(now, notice.per_s, part, chance))
-        });
+        let known = known
+            .or_insert_with(|| Known::new(now, ServerLimit::new(now, notice.per_s, part, chance)));
         if let Some(named) = &mut known.named {
             return !std::mem::replace(&mut named.is_stored, true);
         }
--- a/crates/kingcuploftd/src/peer_link/link.rs
+++ b/crates/kingcuploftd/src/peer_link/link.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinHandle;
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-use super::counted::ClaimEvent;
+use super::counted::Counted;
 use super::node::{Link, Node, in_time};
 use super::peer_capnp::peer;
 use super::server::PeerServer;
@@ -133,7 +133,7 @@
     where
         S: AsyncRead + AsyncWrite + Unpin + 'static,
     {
-        let stream = ClaimEvent::new(stream, node.shared.clone());
+        let stream = Counted::new(stream, node.shared.clone());
         let (reader, writer) = tokio::io::split(stream);
         let writer = futures::io::BufWriter::new(writer.compat_write());
         let mut options = ReaderOptions::new();
