--- a/crates/kingcuploft/src/decisions/admission/offer.rs
+++ b/crates/kingcuploft/src/decisions/admission/offer.rs
@@ -1,4 +1,4 @@
-//! A request as the door sees it, and what becomes of it there.
+//! The request that admission decides on, and its decisions.
 
 use std::time::{Duration, Instant};
 
@@ -6,20 +6,20 @@
 use crate::world::ids::{Caller, IdempotencyKey, RequestId, RuleName};
 use crate::world::refusal::Refusal;
 
-/// A request that waits for a backend server.
+/// A request that waits for a backend server, or is to.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
-    /// The request.
+    /// The request's number.
     pub request: RequestId,
-    /// Its rule.
+    /// The name of its rule.
     pub rule: RuleName,
-    /// Its order among waiting requests.
+    /// Its priority among waiting requests.
     pub priority: Priority,
     /// How many requests of its rule may wait.
     pub queue_limit: u32,
     /// The largest share of the queue that its caller may hold while others wait.
     pub caller_share: f64,
-    /// Who sent it.
+    /// The caller who sent it.
     pub caller: Caller,
     /// Its idempotency key, if it has one.
     pub key: Option<IdempotencyKey>,
@@ -29,34 +29,34 @@
     pub deadline: Instant,
 }
 
-/// What became of a request that was offered.
+/// The decision on a new request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AdmissionDecision {
-    /// It waits.
+    /// It is queued.
     Queued,
-    /// It waits, and this request, which waited, is refused in its stead.
+    /// It is queued, and this request, which waited, is evicted and refused.
     QueuedReplacing(RequestId, Refusal),
-    /// It is refused at the door.
+    /// It is refused without being queued.
     Refused(Refusal),
 }
 
-/// Which waiting request is served next.
+/// The result of taking a request off the queue.
 #[derive(Debug)]
 pub enum NextRequest {
-    /// This one.
+    /// This request is served next.
     Serve(QueuedRequest),
-    /// None yet: this one can not be answered in time any more and is refused.
+    /// This request can not be answered in time any more and is refused; the caller asks again for the next one.
     Shed(RequestId, Refusal),
-    /// Nothing waits.
+    /// No request waits.
     Empty,
 }
 
-/// What a request can expect, as things stand.
+/// The estimated wait of a request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct WaitEstimate {
     /// How many requests are served before it.
     pub ahead: usize,
-    /// How long it waits.
+    /// How long it waits for a slot.
     pub wait: Duration,
     /// The service time that nine of ten requests of its rule stay under.
     pub service_time: Duration,
--- a/crates/kingcuploft/src/decisions/concurrency.rs
+++ b/crates/kingcuploft/src/decisions/concurrency.rs
@@ -1,13 +1,12 @@
-//! How many calls of one VM may be in flight to the backend servers of a service.
+//! The concurrency limit: how many calls of one VM may be in flight to the backend servers of a service.
 //!
-//! **Load pattern:** 14 VMs share 22 slots. **Without it** each VM under overload fills every slot
-//! that it believes free, 14 times over: requests wait at the backend servers, where no priority,
-//! share or deadline is heeded, and answers come late. **Grounds:** a limit that rises a little
-//! for each reply of a backend server where nothing waits, while requests wait here, and falls for
-//! each reply of one where requests wait. At rest a share `rise / (rise + fall)` of the replies
-//! tells of waiting, enough to keep slots busy between two calls. It never falls below this VM's
-//! even share of the slots (all slots over the live VMs), so that no VM is pushed out by others,
-//! and never rises above all slots.
+//! **Load pattern:** 14 VMs share 22 slots. **Without it** each VM under overload fills every slot that it believes
+//! free, 14 times over: requests wait at the backend servers, where no priority, share or deadline is respected, and
+//! answers come late. **Grounds:** the limit rises a little for each response of a backend server where no request
+//! queues, while requests wait here, and falls for each response of one where requests queue. At equilibrium a share
+//! `rise / (rise + fall)` of the responses report queueing, enough to keep slots busy between two calls. The limit
+//! never falls below this VM's even share of the slots (all slots divided by the live VMs), so that no VM is starved by
+//! others, and never rises above all slots.
 
 use std::time::Duration;
 
@@ -16,14 +15,14 @@
 use crate::settings::concurrency::ConcurrencySettings;
 use crate::world::backend_server::{CallEnd, CallReport};
 
-/// How many times the usual latency a reply without a load report takes where requests wait.
-const WAITING_FACTOR: f64 = 2.0;
+/// How many times the baseline latency a response without a load report takes where requests queue.
+const QUEUEING_LATENCY_FACTOR: f64 = 2.0;
 
-/// How fast the usual latency is forgotten, by sample: a service that became slower for good is
-/// taken as usual after some thousand replies.
-const FORGET_SHARE: f64 = 0.001;
+/// How fast the baseline latency rises per sample: a service that became slower for good gets a new baseline after
+/// about a thousand responses.
+const BASELINE_RISE_PER_SAMPLE: f64 = 0.001;
 
-/// The limit of one service on one VM.
+/// The concurrency limit of one service on one VM.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     settings: ConcurrencySettings,
@@ -31,11 +30,11 @@
     live_vms: u32,
     limit: f64,
     in_flight: usize,
-    usual_s: Option<f64>,
+    baseline_s: Option<f64>,
 }
 
 impl ConcurrencyLimit {
-    /// Builds a limit that begins at the even share, where live VMs are known, else at all slots.
+    /// Creates a limit that starts at the even share where the live VMs are known, else at all slots.
     pub fn new(service: &Service, live_vms: Option<u32>) -> Self {
         let mut concurrency = Self {
             settings: service.policy.concurrency.clone(),
@@ -43,7 +42,7 @@
             live_vms: live_vms.unwrap_or(u32::MAX),
             limit: 0.0,
             in_flight: 0,
-            usual_s: None,
+            baseline_s: None,
         };
         concurrency.limit = match live_vms {
             Some(_) => concurrency.floor(),
@@ -52,16 +51,16 @@
         concurrency
     }
 
-    /// Goes on under a new manifest.
+    /// Takes the slots and settings of a new manifest.
     pub fn update_service(&mut self, service: &Service) {
         self.settings = service.policy.concurrency.clone();
         self.slots = slots(service);
         self.limit = self.limit.clamp(self.floor(), self.ceiling());
     }
 
-    /// Takes in how many VMs are live.
-    pub fn set_live_vms(&mut self, set_live_vms: u32) {
-        self.live_vms = set_live_vms.max(1);
+    /// Sets how many VMs are live.
+    pub fn set_live_vms(&mut self, live_vms: u32) {
+        self.live_vms = live_vms.max(1);
         self.limit = self.limit.clamp(self.floor(), self.ceiling());
     }
 
@@ -70,7 +69,7 @@
         self.in_flight = in_flight;
     }
 
-    /// Tells whether another call may be sent.
+    /// Returns whether another call may be sent.
     pub fn has_capacity(&self) -> bool {
         !self.settings.adaptive || self.in_flight < self.limit()
     }
@@ -85,12 +84,13 @@
         self.in_flight
     }
 
-    /// Notes that a call was sent.
+    /// Records that a call was sent.
     pub fn record_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Notes that a call ended; `slots` are its backend server's, `requests_wait` tells of this VM.
+    /// Records that a call ended; `slots` are those of its backend server, `requests_wait` says whether requests wait
+    /// on this VM.
     pub fn record_end(
         &mut self,
         report: &CallReport,
@@ -99,16 +99,16 @@
         requests_wait: bool,
     ) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        let waiting_there = match (report.end, report.load) {
+        let queues_there = match (report.end, report.load) {
             (CallEnd::Refused, _) => true,
             (CallEnd::Answered { .. }, Some(load)) => {
                 f64::from(load.in_flight) > f64::from(slots) * self.settings.full_at
             }
-            (CallEnd::Answered { .. }, None) => self.slower_than_usual(report.latency, usual),
+            (CallEnd::Answered { .. }, None) => self.is_above_baseline(report.latency, usual),
             _ => return,
         };
         let (rise, fall) = (self.settings.rise, self.settings.fall);
-        let limit = match (waiting_there, requests_wait) {
+        let limit = match (queues_there, requests_wait) {
             (true, _) => self.limit - fall,
             (false, true) => self.limit + rise / self.limit,
             (false, false) => return,
@@ -116,12 +116,12 @@
         self.limit = limit.clamp(self.floor(), self.ceiling());
     }
 
-    /// Compares a latency with the lowest median of late.
-    fn slower_than_usual(&mut self, latency: Duration, now: ServiceTime) -> bool {
+    /// Compares a latency with the baseline: the lowest recent median.
+    fn is_above_baseline(&mut self, latency: Duration, now: ServiceTime) -> bool {
         let median_s = now.median().as_secs_f64();
-        let usual_s = self.usual_s.get_or_insert(median_s);
-        *usual_s = (*usual_s * (1.0 + FORGET_SHARE)).min(median_s);
-        latency.as_secs_f64() > *usual_s * WAITING_FACTOR
+        let baseline_s = self.baseline_s.get_or_insert(median_s);
+        *baseline_s = (*baseline_s * (1.0 + BASELINE_RISE_PER_SAMPLE)).min(median_s);
+        latency.as_secs_f64() > *baseline_s * QUEUEING_LATENCY_FACTOR
     }
 
     fn floor(&self) -> f64 {
--- a/crates/kingcuploft/src/decisions/measuring.rs
+++ b/crates/kingcuploft/src/decisions/measuring.rs
@@ -1,19 +1,17 @@
-//! What to measure, and when, within a budget.
+//! Active probing of backend servers within a budget: what to probe, and when.
 //!
-//! Load pattern: a probe takes 6 ms of a slot. Fourteen VMs that each probe every backend server ten
-//! times a second take 42% of a server of two slots. Without probes at all, nobody learns that an
-//! idle or ejected server has come back.
+//! Load pattern: a probe takes 6 ms of a slot. Fourteen VMs that each probe every backend server ten times a second
+//! take 42% of a server of two slots. Without probes, no VM learns that an idle or ejected server has recovered.
 //!
-//! - A server has one prober in the fleet: the live VM with the greatest hash of the VM's and the
-//!   server's names. When a VM goes, only its servers change hands.
-//! - The budget is a share of the servers' slot time, fleet-wide: a prober earns for its own servers
-//!   only, so the VMs' earnings add up to the budget, however many VMs there are. Views of the fleet
-//!   differ for some seconds, and then two VMs may both take a server for theirs; therefore a prober
-//!   earns half of the budget ([`GUARD`]), and waits `settle_ms` before it probes what a new view
-//!   gives it.
-//! - A new VM begins with nothing earned. With a full bucket, a fleet whose VMs are replaced often
-//!   would spend a bucket for each new VM on top of the budget.
-//! - Only what replies do not tell is probed: servers that no reply told of for `idle_ms`.
+//! - A server has one prober in the fleet: the live VM with the greatest rendezvous hash of the VM's and the server's
+//!   names. When a VM goes, only the servers that it probed change their prober.
+//! - The budget is a share of the servers' slot time, over the whole fleet: a prober earns for its own servers only, so
+//!   the VMs' earnings add up to the budget, however many VMs there are. Views of the fleet differ for some seconds,
+//!   and then two VMs may both count as a server's prober; therefore a prober earns half of the budget
+//!   ([`PROBER_BUDGET_SHARE`]), and waits `settle_ms` before it probes what a new view assigns to it.
+//! - A new VM starts with an empty budget. With a full one, a fleet whose VMs are replaced often would spend a full
+//!   budget for each new VM on top of the earnings.
+//! - Only what responses do not report is probed: servers that no response reported on for `idle_ms`.
 
 use std::time::{Duration, Instant};
 
@@ -22,44 +20,44 @@
 use crate::utils::rendezvous::rendezvous;
 use crate::world::ids::VmName;
 
-/// The share of the budget that a prober earns: two probers of one server then stay within it.
+/// The share of the budget that a prober earns: two probers of one server then stay within the budget.
 pub const PROBER_BUDGET_SHARE: f64 = 0.5;
-/// Probes that can be saved up.
-const BURST_PROBES: f64 = 2.0;
-/// How many of its servers a VM looks at for one probe.
-const LOOKED_AT: usize = 64;
-/// How often a VM that has earned a probe looks for a server that needs it.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+/// The most probes whose budget can be saved up.
+const MAX_SAVED_PROBES: f64 = 2.0;
+/// How many of its servers a VM checks to find one to probe.
+const MAX_SERVERS_CHECKED: usize = 64;
+/// How often a VM that has earned a probe checks for a server that needs it.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The measuring of one service by one VM.
+/// The probes of one service that one VM sends.
 #[derive(Debug)]
 pub struct ProbeScheduler {
     settings: MeasuringSettings,
-    servers: Vec<Measured>,
-    /// The servers whose prober this VM is.
+    servers: Vec<ProbedServer>,
+    /// The indexes of the servers whose prober this VM is.
     own: Vec<usize>,
     next: usize,
     earned_ms: f64,
     earning_since: Option<Instant>,
-    look_at: Option<Instant>,
-    settled: Option<Instant>,
+    check_at: Option<Instant>,
+    settled_at: Option<Instant>,
 }
 
 #[derive(Clone, Debug)]
-struct Measured {
+struct ProbedServer {
     name: crate::world::ids::BackendServerName,
     slots: f64,
-    told: Option<Instant>,
+    last_report: Option<Instant>,
     probing: bool,
 }
 
 impl ProbeScheduler {
-    /// Builds the state of a VM that is no server's prober yet.
+    /// Creates the state of a VM that is no server's prober yet.
     pub fn new(service: &Service) -> Self {
-        let servers = service.backend_servers.iter().map(|server| Measured {
+        let servers = service.backend_servers.iter().map(|server| ProbedServer {
             name: server.name.clone(),
             slots: f64::from(server.slots),
-            told: None,
+            last_report: None,
             probing: false,
         });
         Self {
@@ -69,24 +67,24 @@
             next: 0,
             earned_ms: 0.0,
             earning_since: None,
-            look_at: None,
-            settled: None,
+            check_at: None,
+            settled_at: None,
         }
     }
 
-    /// Takes over what was earned and known under an earlier manifest.
+    /// Carries over the earned budget and what is known of the servers from an earlier manifest.
     pub fn take_over(&mut self, old: &Self, old_of: &[Option<usize>]) {
         for (server, old_index) in self.servers.iter_mut().zip(old_of) {
             if let Some(index) = old_index {
-                (server.told, server.probing) =
-                    (old.servers[*index].told, old.servers[*index].probing);
+                (server.last_report, server.probing) =
+                    (old.servers[*index].last_report, old.servers[*index].probing);
             }
         }
         self.earned_ms = old.earned_ms;
         self.earning_since = old.earning_since;
     }
 
-    /// Takes the live VMs in, `own` among them; finds the servers that this VM probes.
+    /// Takes the live VMs, `own` among them, and finds the servers that this VM probes.
     pub fn update_members(&mut self, now: Instant, own: &VmName, live: &[VmName]) {
         if self.settings.budget_share <= 0.0 {
             return;
@@ -96,61 +94,63 @@
         let own = servers.filter(|&i| prober(live, &self.servers[i].name) == Some(own));
         let own: Vec<usize> = own.collect();
         if own != self.own {
-            self.settled = Some(now + Duration::from_millis(self.settings.settle_ms));
+            self.settled_at = Some(now + Duration::from_millis(self.settings.settle_ms));
             self.own = own;
         }
-        // Nothing is due before that, so the dispatcher need not wake.
-        self.look_at = self.settled.map(|settled| settled.max(now));
+        // No probe is due before the view has settled, so the dispatcher need not wake earlier.
+        self.check_at = self.settled_at.map(|settled_at| settled_at.max(now));
     }
 
-    /// Notes that a reply told of a server.
+    /// Records that a response reported the load of a server.
     pub fn record_reply(&mut self, now: Instant, server: usize) {
-        self.servers[server].told = Some(now);
+        self.servers[server].last_report = Some(now);
     }
 
-    /// Notes that a probe came back, or that none will.
+    /// Records that a probe was answered, or that none will be.
     pub fn record_probe_end(&mut self, now: Instant, server: usize) {
         self.servers[server].probing = false;
-        self.servers[server].told = Some(now);
+        self.servers[server].last_report = Some(now);
     }
 
     /// Returns when to ask for the next probe.
     pub fn due(&self) -> Option<Instant> {
-        self.look_at
+        self.check_at
     }
 
     /// Returns the next server to probe, if one needs it and the budget covers it.
     pub fn next_probe(&mut self, now: Instant) -> Option<usize> {
-        self.look_at.take_if(|at| *at <= now)?;
+        self.check_at.take_if(|at| *at <= now)?;
         if self.own.is_empty() {
             return None;
         }
-        self.look_at = Some(now + LOOK_AGAIN);
+        self.check_at = Some(now + CHECK_INTERVAL);
         self.earn(now);
-        let settled = self.settled.is_none_or(|settled| settled <= now);
-        if !settled || self.earned_ms < self.settings.probe_ms {
+        let is_settled = self.settled_at.is_none_or(|at| at <= now);
+        if !is_settled || self.earned_ms < self.settings.probe_ms {
             return None;
         }
-        let server = self.silent(now)?;
+        let server = self.next_unreported(now)?;
         self.earned_ms -= self.settings.probe_ms;
         self.servers[server].probing = true;
         Some(server)
     }
 
-    fn silent(&mut self, now: Instant) -> Option<usize> {
+    fn next_unreported(&mut self, now: Instant) -> Option<usize> {
         let idle = Duration::from_millis(self.settings.idle_ms);
-        for _ in 0..self.own.len().min(LOOKED_AT) {
+        for _ in 0..self.own.len().min(MAX_SERVERS_CHECKED) {
             self.next = (self.next + 1) % self.own.len();
             let server = &self.servers[self.own[self.next]];
-            let told = server.told.map(|at| now.saturating_duration_since(at));
-            if !server.probing && told.is_none_or(|age| age >= idle) {
+            let report_age = server
+                .last_report
+                .map(|at| now.saturating_duration_since(at));
+            if !server.probing && report_age.is_none_or(|age| age >= idle) {
                 return Some(self.own[self.next]);
             }
         }
         None
     }
 
-    /// Adds what the VM's own servers earned since the last time.
+    /// Adds what the VM's own servers earned since the last call.
     fn earn(&mut self, now: Instant) {
         let since = self.earning_since.replace(now);
         let elapsed = since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
@@ -160,12 +160,12 @@
             * slots
             * self.settings.budget_share
             * PROBER_BUDGET_SHARE;
-        let most_ms = BURST_PROBES * self.settings.probe_ms;
+        let most_ms = MAX_SAVED_PROBES * self.settings.probe_ms;
         self.earned_ms = (self.earned_ms + earned_ms).min(most_ms);
     }
 }
 
-/// Returns the prober of a server among the live VMs; the same on every VM with the same view.
+/// Returns the prober of a server among the live VMs; it is the same on every VM with the same view.
 pub fn prober<'a>(live: &'a [VmName], server: &str) -> Option<&'a VmName> {
     live.iter()
         .max_by_key(|vm| (rendezvous(vm, server), (*vm).clone()))
--- a/crates/kingcuploft/src/decisions/priority_scheduler.rs
+++ b/crates/kingcuploft/src/decisions/priority_scheduler.rs
@@ -1,22 +1,21 @@
-//! Which priority is served next.
+//! Weighted scheduling of priorities: which priority is served next.
 //!
-//! **Load pattern:** holds, reads and archive searches wait for the same slots. **Without it**
-//! a burst of searches delays a hold; with a strict order a long burst of reads would starve the
-//! searches. **Grounds:** weighted turns: a priority that waits gets at least its weight's share
-//! of service (a search one in 25 by default), and what a priority leaves unused goes to the
-//! others. One that was idle does not save up turns, and goes first when it begins to wait.
+//! **Load pattern:** holds, reads and archive searches wait for the same slots. **Without it** a burst of searches
+//! delays a hold; with strict priorities a long burst of reads would starve the searches. **Grounds:** weighted fair
+//! scheduling: a priority that waits gets at least its weight's share of service (a search one in 25 by default), and
+//! what a priority leaves unused goes to the others. A priority that was idle does not save up turns, and goes first
+//! when it begins to wait.
 
 use crate::settings::admission::AdmissionSettings;
 use crate::world::contract::Priority;
 
-/// How many priorities there are.
+/// The number of priorities.
 pub const PRIORITY_COUNT: usize = 3;
 
-/// One turn of a priority with weight 1; large enough that integer division loses nothing
-/// noticeable.
-const TURN: u64 = 1 << 20;
+/// The stride of a priority with weight 1; large enough that integer division loses nothing noticeable.
+const UNIT_STRIDE: u64 = 1 << 20;
 
-/// The turns of the priorities of one service.
+/// The virtual times of the priorities of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorityScheduler {
     weights: [u32; PRIORITY_COUNT],
@@ -25,7 +24,7 @@
 }
 
 impl PriorityScheduler {
-    /// Begins with nobody having had a turn.
+    /// Creates the state in which no priority was served.
     pub fn new(settings: &AdmissionSettings) -> Self {
         Self {
             weights: weights(settings),
@@ -34,7 +33,7 @@
         }
     }
 
-    /// Goes on with other weights.
+    /// Takes new weights.
     pub fn update_settings(&mut self, settings: &AdmissionSettings) {
         self.weights = weights(settings);
     }
@@ -45,11 +44,11 @@
         waiting.min_by_key(|&i| self.next[i].max(self.now))
     }
 
-    /// Notes that a priority was served.
+    /// Records that a priority was served.
     pub fn record_served(&mut self, priority: usize) {
         let start = self.next[priority].max(self.now);
         self.now = start;
-        self.next[priority] = start + TURN / u64::from(self.weights[priority]);
+        self.next[priority] = start + UNIT_STRIDE / u64::from(self.weights[priority]);
     }
 }
 
--- a/crates/kingcuploft/src/decisions/retry.rs
+++ b/crates/kingcuploft/src/decisions/retry.rs
@@ -1,11 +1,10 @@
-//! When a request is sent again.
+//! Retries: when a request is sent again.
 //!
-//! **Load pattern:** backend servers die, shed load, or all fail at once for seconds. **Without
-//! it** a lookup fails for a connection that broke; with retries but no bound, a service that
-//! fails under load gets two and three times the load, and does not come back. **Grounds:** a
-//! retry costs a token, and a token is earned by ten calls that succeeded: in a storm in which
-//! nothing succeeds, the retries are at most what was saved up, ten on one VM. A request that may
-//! run only once is sent again only where no byte of it was handed over or where the backend
+//! **Load pattern:** backend servers die, shed load, or all fail at once for seconds. **Without it** a lookup fails for
+//! a connection that broke; with unbounded retries, a service that fails under load gets two and three times the load,
+//! and does not recover (a retry storm). **Grounds:** a retry costs a token of the retry budget, and ten calls that
+//! succeeded earn one: in an outage in which nothing succeeds, the retries are at most what was saved up, ten on one
+//! VM. A request that may run only once is sent again only where no byte of it was handed over or where the backend
 //! server refused by the contract that the manifest states.
 
 use std::time::{Duration, Instant};
@@ -15,14 +14,14 @@
 use crate::world::contract::Contract;
 use crate::world::refusal::{Refusal, RefusalReason};
 
-/// Why a request is sent again; the same words label the metric.
+/// Why a request is sent again; the reasons also label the metric.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RetryReason {
     /// No byte of the attempt was handed to a connection.
     NeverSent,
     /// The backend server refused without running the request.
     Refused,
-    /// A lookup's answer was cut, crossed or never came.
+    /// The answer to a lookup was cut off, belonged to another request or never came.
     Broken,
     /// A lookup was answered 502, 503 or 504: the backend server could not serve it just then.
     Unavailable,
@@ -37,7 +36,7 @@
         Self::Unavailable,
     ];
 
-    /// Returns the word that stands in metrics.
+    /// Returns the label in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::NeverSent => "never_sent",
@@ -48,38 +47,38 @@
     }
 }
 
-/// What to do after an attempt ended.
+/// What follows an attempt that ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryDecision {
-    /// Pass the answer on.
+    /// The answer is passed on.
     Answer,
-    /// Send the request again.
+    /// The request is sent again.
     Retry {
-        /// Why.
+        /// The reason.
         reason: RetryReason,
-        /// How long to wait first.
+        /// The backoff before the next attempt.
         after: Duration,
     },
-    /// Refuse the request.
+    /// The request is refused.
     Refuse(Refusal),
 }
 
 impl RetryDecision {
-    /// Decides where no attempt may follow: an answer is passed on, whatever its status.
+    /// Decides where no further attempt may follow: an answer is passed on, whatever its status.
     pub fn without_retry(end: CallEnd) -> Self {
         match end {
             CallEnd::Answered { .. } => Self::Answer,
-            end => Self::Refuse(last_word(end)),
+            end => Self::Refuse(final_refusal(end)),
         }
     }
 }
 
-/// The attempt that ended, and what it belongs to.
+/// The attempt that ended, and the request that it belongs to.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt<'a> {
-    /// What the rule promises.
+    /// The retry contract of the request's rule.
     pub contract: Contract,
-    /// How many attempts were begun, this one included.
+    /// How many attempts were started, this one included.
     pub attempts: u32,
     /// When the answer is due.
     pub deadline: Instant,
@@ -87,13 +86,13 @@
     pub report: &'a CallReport,
 }
 
-/// When to ask again after every backend server has refused.
-const REFUSED_BY_ALL: Duration = Duration::from_millis(100);
+/// When a caller should retry after every backend server has refused.
+const RETRY_AFTER_ALL_REFUSED: Duration = Duration::from_millis(100);
 
-/// Parts of a token; whole numbers, so that tenths add up.
-const TOKEN: u64 = 1_000;
+/// The units of a token: whole numbers, so that tenths of a token add up.
+const UNITS_PER_TOKEN: u64 = 1_000;
 
-/// The retries that recent successes have earned, for one service on one VM.
+/// The retry budget of one service on one VM: the retries that recent successes have earned.
 #[derive(Debug)]
 pub struct Retry {
     settings: RetrySettings,
@@ -101,23 +100,23 @@
 }
 
 impl Retry {
-    /// Builds a budget of the few retries that are allowed before anything has succeeded.
+    /// Creates a budget of the few retries that are allowed before anything has succeeded.
     pub fn new(settings: &RetrySettings) -> Self {
         Self {
             settings: settings.clone(),
-            budget: u64::from(settings.budget_at_start) * TOKEN,
+            budget: u64::from(settings.budget_at_start) * UNITS_PER_TOKEN,
         }
     }
 
-    /// Goes on under new settings with what was earned.
+    /// Takes new settings and keeps what was earned.
     pub fn update_settings(&mut self, settings: &RetrySettings) {
         self.settings = settings.clone();
-        self.budget = self.budget.min(self.most());
+        self.budget = self.budget.min(self.max_budget_units());
     }
 
     /// Decides what follows an attempt that ended.
     ///
-    /// A backend server that fails fast answers, but its errors do not pay for more calls.
+    /// A backend server that fails fast answers, but its errors earn no tokens.
     pub fn decide(
         &mut self,
         now: Instant,
@@ -126,23 +125,23 @@
     ) -> RetryDecision {
         let end = ended.report.end;
         if end.succeeded() {
-            let earned = (self.settings.budget_share * TOKEN as f64) as u64;
-            self.budget = (self.budget + earned).min(self.most());
+            let earned = (self.settings.budget_share * UNITS_PER_TOKEN as f64) as u64;
+            self.budget = (self.budget + earned).min(self.max_budget_units());
         }
         let Some(reason) = reason(end, ended.contract) else {
             return RetryDecision::without_retry(end);
         };
         let after = self.backoff(rng, ended.attempts);
         let in_time = now + after < ended.deadline;
-        if !in_time || ended.attempts >= self.settings.attempts || self.budget < TOKEN {
+        if !in_time || ended.attempts >= self.settings.attempts || self.budget < UNITS_PER_TOKEN {
             return RetryDecision::without_retry(end);
         }
-        self.budget -= TOKEN;
+        self.budget -= UNITS_PER_TOKEN;
         RetryDecision::Retry { reason, after }
     }
 
-    /// Returns the pause before the next attempt: none before the second, which goes to another
-    /// backend server; a jittered and growing one after that, as more than one has failed.
+    /// Returns the backoff before the next attempt: none before the second, which goes to another backend server; a
+    /// jittered and exponentially growing one after that, as more than one has failed.
     fn backoff(&self, rng: &mut fastrand::Rng, attempts: u32) -> Duration {
         let Some(doublings) = attempts.checked_sub(2) else {
             return Duration::ZERO;
@@ -153,23 +152,23 @@
 
     /// Returns how many retries are allowed now.
     pub fn budget(&self) -> u64 {
-        self.budget / TOKEN
+        self.budget / UNITS_PER_TOKEN
     }
 
-    /// Returns when to ask again after every backend server has refused.
+    /// Returns when a caller should retry after every backend server has refused.
     pub fn retry_after_all_refused(&self) -> Duration {
-        REFUSED_BY_ALL
+        RETRY_AFTER_ALL_REFUSED
     }
 
-    fn most(&self) -> u64 {
-        u64::from(self.settings.budget_most) * TOKEN
+    fn max_budget_units(&self) -> u64 {
+        u64::from(self.settings.budget_most) * UNITS_PER_TOKEN
     }
 }
 
 /// Returns why a request may be sent again after an attempt ended so, if it may.
 ///
-/// Of the errors that a backend server answers, those count that say "not now": 502, 503 and 504.
-/// A 500 or 501 is its answer to this request and would come again.
+/// Of the error statuses that a backend server answers, those count that mean "not now": 502, 503 and 504. A 500 or 501
+/// is its answer to this request and would come again.
 fn reason(end: CallEnd, contract: Contract) -> Option<RetryReason> {
     match (end, contract) {
         (CallEnd::NeverSent, _) => Some(RetryReason::NeverSent),
@@ -182,8 +181,9 @@
     }
 }
 
-/// Returns the truthful refusal after the last attempt ended without an answer.
-fn last_word(end: CallEnd) -> Refusal {
+/// Returns the refusal after the last attempt ended without an answer; it says only what is known of whether the
+/// request ran.
+fn final_refusal(end: CallEnd) -> Refusal {
     let reason = match end {
         CallEnd::NeverSent => RefusalReason::BackendServerUnreachable,
         CallEnd::Refused => RefusalReason::BackendServerRefused,
@@ -196,5 +196,5 @@
     if end.may_have_run() {
         return Refusal::unknown(reason);
     }
-    Refusal::not_run(reason).retry_after(REFUSED_BY_ALL)
+    Refusal::not_run(reason).retry_after(RETRY_AFTER_ALL_REFUSED)
 }
--- a/crates/kingcuploft/src/decisions/selection.rs
+++ b/crates/kingcuploft/src/decisions/selection.rs
@@ -1,15 +1,14 @@
-//! Where work goes.
+//! Server selection: which backend server gets a call.
 //!
-//! Load pattern: load on small backend servers shifts within milliseconds, by other VMs' calls, long
-//! jobs and slow spells, and every report of it is stale. Without this module, calls wait behind long
-//! jobs on one server while another has a free slot: by chance at random, by blindness to the other
-//! VMs with the fewest own calls in flight.
+//! Load pattern: load on small backend servers shifts within milliseconds, by other VMs' calls, long jobs and slow
+//! spells, and every report of it is stale. Without this module, calls wait behind long jobs on one server while
+//! another has a free slot: with random selection by chance, with the fewest own calls in flight because the other VMs'
+//! calls are not seen.
 //!
-//! Each call goes to the server that costs it least (`server_view`) among a bounded sample,
-//! so that a choice costs the same among ten thousand servers as among sixteen. While every server
-//! looked at has its slots and the allowance full, calls wait at the entry, where they can still go
-//! to whichever server turns free first. The figures come from the rounds in
-//! `docs/decisions/0301-selection.md`.
+//! Each call goes to the server with the least estimated cost (`server_view`) among a bounded sample, so that a choice
+//! costs the same among ten thousand servers as among sixteen. While every sampled server has its slots and the
+//! allowance full, calls wait at the entry, where they can still go to whichever server has a free slot first.
+//! `docs/decisions/0301-selection.md` gives the measurements behind the figures.
 
 use std::time::{Duration, Instant};
 
@@ -19,38 +18,38 @@
 use crate::world::backend_server::CallReport;
 use crate::world::ids::AvailabilityZone;
 
-/// Weight of one report in the typical load that stands for reports that are ignored.
+/// The weight of one report in the typical load, which stands for the reports that are ignored.
 const TYPICAL_WEIGHT: f64 = 0.01;
-/// How soon calls that wait at the entry look for room again, as estimates drift.
-const LOOK_AGAIN: Duration = Duration::from_millis(1);
-/// Breaks ties between servers that cost the same, in ms.
-const TIE_MS: f64 = 0.01;
+/// How soon calls that wait at the entry check the servers again, as estimates decay.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(1);
+/// The random cost that breaks ties between servers of equal cost, in ms.
+const TIE_BREAK_MS: f64 = 0.01;
 
-/// Which backend server gets the next call.
+/// The result of a selection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Choice {
-    /// The backend server with this index.
+    /// The call goes to the backend server with this index.
     Send(usize),
-    /// All that take work are full: the call waits.
+    /// All servers that take work are full: the call waits.
     Full,
-    /// None takes work.
+    /// No server takes work.
     NoneAvailable,
 }
 
-/// What one VM knows of the backend servers of one service.
+/// One VM's view of the backend servers of one service.
 #[derive(Debug)]
 pub struct Selection {
     settings: SelectionSettings,
     servers: Vec<ServerView>,
-    /// The others' calls for each slot, over all servers whose reports are believed.
+    /// The other VMs' calls per slot, averaged over all servers whose reports are trusted.
     typical_others: f64,
-    /// Where `round_robin` goes on.
+    /// The next index of the `round_robin` policy.
     next: usize,
-    look_again: Option<Instant>,
+    recheck_at: Option<Instant>,
 }
 
 impl Selection {
-    /// Builds the view of a VM that has not called any backend server yet.
+    /// Creates the view of a VM that has not called any backend server yet.
     pub fn new(service: &Service, own_zone: &AvailabilityZone) -> Self {
         let settings = service.policy.selection.clone();
         let distance = Duration::from_secs_f64(settings.zone_distance_ms / 1000.0);
@@ -63,12 +62,12 @@
             settings,
             typical_others: 0.5,
             next: 0,
-            look_again: None,
+            recheck_at: None,
         }
     }
 
-    /// Takes over what an earlier manifest's view knows; `old_of` gives the earlier index of each
-    /// backend server, `None` for one that is new.
+    /// Carries over the state known under an earlier manifest; `old_of` gives the earlier index of each backend server,
+    /// `None` for one that is new.
     pub fn take_over(&mut self, old: &Self, old_of: &[Option<usize>]) {
         self.typical_others = old.typical_others;
         for (server, old_index) in self.servers.iter_mut().zip(old_of) {
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Chooses a backend server that `takes_work` for the next call.
+    /// Selects a backend server that `takes_work` for the next call.
     pub fn choose(
         &mut self,
         now: Instant,
@@ -88,16 +87,16 @@
         takes_work: impl Fn(usize) -> bool,
     ) -> Choice {
         let choice = match self.settings.policy {
-            SelectionPolicy::Adaptive => self.adaptive(now, rng, takes_work),
-            policy => self.naive(policy, rng, takes_work),
+            SelectionPolicy::Adaptive => self.least_cost(now, rng, takes_work),
+            policy => self.baseline(policy, rng, takes_work),
         };
-        self.look_again = (choice == Choice::Full).then(|| now + LOOK_AGAIN);
+        self.recheck_at = (choice == Choice::Full).then(|| now + RECHECK_INTERVAL);
         choice
     }
 
-    /// Returns when calls that found no room should look again.
+    /// Returns when the calls that found every server full should check again.
     pub fn recheck_at(&self) -> Option<Instant> {
-        self.look_again
+        self.recheck_at
     }
 
     /// Returns how many calls of this VM are in flight to a backend server.
@@ -105,12 +104,12 @@
         self.servers[server].load.own_calls()
     }
 
-    /// Notes that a call was handed over.
+    /// Records that a call was sent.
     pub fn record_sent(&mut self, now: Instant, server: usize) {
         self.servers[server].record_sent(now);
     }
 
-    /// Notes how a call ended.
+    /// Records how a call ended.
     pub fn record_end(&mut self, now: Instant, server: usize, report: &CallReport) {
         let view = &mut self.servers[server];
         view.record_end(now, report, &self.settings);
@@ -120,15 +119,15 @@
         }
     }
 
-    /// Takes in what a peer learnt of a backend server's load.
+    /// Records a load that a probe or a peer saw at a backend server.
     pub fn record_load(&mut self, now: Instant, server: usize, in_flight: u32) {
         if let Some(view) = self.servers.get_mut(server) {
             view.load.record_load(now, in_flight);
         }
     }
 
-    /// Chooses the server that costs a call least among those with room.
-    fn adaptive(
+    /// Selects the server with the least estimated cost among those that are not full.
+    fn least_cost(
         &self,
         now: Instant,
         rng: &mut fastrand::Rng,
@@ -136,29 +135,29 @@
     ) -> Choice {
         let count = self.servers.len();
         let sample = self.settings.sample as usize;
-        let mut best = Best::default();
+        let mut best = BestCandidate::default();
         if count <= sample {
             let all = (0..count).filter(|&i| takes_work(i));
-            all.for_each(|i| self.weigh(now, i, rng, &mut best));
+            all.for_each(|i| self.consider(now, i, rng, &mut best));
             return best.choice();
         }
         for _ in 0..sample {
             let i = rng.usize(0..count);
             if takes_work(i) {
-                self.weigh(now, i, rng, &mut best);
+                self.consider(now, i, rng, &mut best);
             }
         }
         if best.seen {
             return best.choice();
         }
-        // Nearly none takes work: the first that does is found by a walk, which is rare.
+        // Nearly no server takes work: a linear search finds the first that does. This is rare.
         let from = rng.usize(0..count);
-        let walk = (from..count).chain(0..from);
-        let usable = walk.into_iter().find(|&i| takes_work(i));
+        let search = (from..count).chain(0..from);
+        let usable = search.into_iter().find(|&i| takes_work(i));
         usable.map_or(Choice::NoneAvailable, Choice::Send)
     }
 
-    fn weigh(&self, now: Instant, i: usize, rng: &mut fastrand::Rng, best: &mut Best) {
+    fn consider(&self, now: Instant, i: usize, rng: &mut fastrand::Rng, best: &mut BestCandidate) {
         best.seen = true;
         let server = &self.servers[i];
         let ageing = Duration::from_secs_f64(self.settings.ageing_ms / 1000.0);
@@ -168,15 +167,15 @@
         if full_of_own || total >= server.slots + self.settings.allowance {
             return;
         }
-        let cost_ms = server.cost_ms(now, total, &self.settings) + rng.f64() * TIE_MS;
+        let cost_ms = server.cost_ms(now, total, &self.settings) + rng.f64() * TIE_BREAK_MS;
         if best.server.is_none() || cost_ms < best.cost_ms {
             best.server = Some(i);
             best.cost_ms = cost_ms;
         }
     }
 
-    /// The policies that the adaptive one is measured against.
-    fn naive(
+    /// Selects by one of the baseline policies that the adaptive one is compared with.
+    fn baseline(
         &mut self,
         policy: SelectionPolicy,
         rng: &mut fastrand::Rng,
@@ -207,16 +206,16 @@
     }
 }
 
-/// The best server so far.
+/// The best server of the sample so far.
 #[derive(Debug, Default)]
-struct Best {
-    /// Whether any server that takes work was looked at.
+struct BestCandidate {
+    /// Whether the sample holds any server that takes work.
     seen: bool,
     server: Option<usize>,
     cost_ms: f64,
 }
 
-impl Best {
+impl BestCandidate {
     fn choice(&self) -> Choice {
         match (self.seen, self.server) {
             (false, _) => Choice::NoneAvailable,
