--- a/crates/kingcuploft/src/decisions/admission/mod.rs
+++ b/crates/kingcuploft/src/decisions/admission/mod.rs
@@ -205,7 +205,7 @@
         load.waiting += 1;
         let mean = load.service_time.mean();
         let cost_us = mean.map_or(UNMEASURED_COST_US, |mean| mean.as_micros() as u64);
-        let hopeless_at = match self.settings.deadline_aware {
+        let latest_start = match self.settings.deadline_aware {
             true => waiting.deadline - load.service_time.median(),
             false => waiting.deadline,
         };
@@ -214,14 +214,14 @@
             false => 0,
         };
         let place = self.queues[priority].push(waiting, start_us);
-        self.latest_starts.insert((hopeless_at, request));
+        self.latest_starts.insert((latest_start, request));
         self.entries.insert(
             request,
             QueueEntry {
                 priority,
                 position: place,
                 cost_us,
-                latest_start: hopeless_at,
+                latest_start,
             },
         );
     }
@@ -252,9 +252,9 @@
     fn shed_first(&mut self, now: Instant, priority: usize) -> Option<NextRequest> {
         let first = self.queues[priority].first()?;
         let (request, overdue) = (first.request, first.deadline <= now);
-        let latest_starts = self.entries.get(&request)?.latest_start <= now;
+        let too_late = self.entries.get(&request)?.latest_start <= now;
         let others_wait = self.len() > 1;
-        if !overdue && (!latest_starts || !others_wait) {
+        if !overdue && (!too_late || !others_wait) {
             return None;
         }
         self.remove(request);
@@ -316,8 +316,8 @@
 
     fn remove_from_indexes(&mut self, waiting: &QueuedRequest) {
         if let Some(entry) = self.entries.remove(&waiting.request) {
-            let latest_starts = (entry.latest_start, waiting.request);
-            self.latest_starts.remove(&latest_starts);
+            self.latest_starts
+                .remove(&(entry.latest_start, waiting.request));
         }
         if let Some(load) = self.rules.get_mut(&waiting.rule) {
             load.waiting -= 1;
--- a/crates/kingcuploft/src/decisions/adoption.rs
+++ b/crates/kingcuploft/src/decisions/adoption.rs
@@ -111,11 +111,11 @@
 pub struct Adoption {
     in_force: Option<KnownRoot>,
     pending: Option<KnownRoot>,
-    heard: Generation,
+    newest_announced: Generation,
     services: HashMap<ContentHash, KnownService>,
-    earlier: VecDeque<Root>,
+    earlier_roots: VecDeque<Root>,
     fault: Option<String>,
-    awaiting: bool,
+    awaits_sources: bool,
 }
 
 impl Adoption {
@@ -123,19 +123,19 @@
     /// the first that answers may be a peer that was partitioned off for an hour.
     pub fn awaiting_sources() -> Self {
         Self {
-            awaiting: true,
+            awaits_sources: true,
             ..Self::default()
         }
     }
 
     /// Returns whether sources are still being asked for a first manifest.
     pub fn awaits_sources(&self) -> bool {
-        self.awaiting
+        self.awaits_sources
     }
 
     /// Records that enough sources were asked: the store answered, or peers had the time to.
     pub fn sources_asked(&mut self) -> AdoptionStep {
-        self.awaiting = false;
+        self.awaits_sources = false;
         self.try_activate()
     }
 
@@ -153,7 +153,7 @@
 
     /// Records that some source has this generation.
     pub fn note_generation(&mut self, generation: Generation) {
-        self.heard = self.heard.max(generation);
+        self.newest_announced = self.newest_announced.max(generation);
     }
 
     /// Takes the text of a root object.
@@ -227,11 +227,11 @@
     pub fn missing_parts(&self) -> MissingParts {
         let newest = self.newest_root().map_or(0, |root| root.generation);
         match &self.pending {
-            Some(pending) if newest >= self.heard => {
+            Some(pending) if newest >= self.newest_announced => {
                 MissingParts::Services(self.missing(&pending.root))
             }
-            _ if newest < self.heard => MissingParts::Root {
-                generation: self.heard,
+            _ if newest < self.newest_announced => MissingParts::Root {
+                generation: self.newest_announced,
                 since: newest,
             },
             _ => MissingParts::Nothing,
@@ -245,7 +245,10 @@
         if known.root.generation <= since {
             return None;
         }
-        let earlier = self.earlier.iter().find(|root| root.generation == since);
+        let earlier = self
+            .earlier_roots
+            .iter()
+            .find(|root| root.generation == since);
         Some(RootDelta::between(earlier, &known.root))
     }
 
@@ -260,7 +263,7 @@
         AdoptionStatus {
             in_force: self.generation(),
             root: self.root_hash().cloned(),
-            heard: self.heard,
+            heard: self.newest_announced,
             missing: missing.map_or(0, |missing| missing.len()),
             fault: self.fault.clone(),
         }
@@ -293,8 +296,9 @@
         };
         // A first manifest must be the newest that any source announced; a later one is progress even where a still
         // newer one is known of.
-        let first_is_stale = self.in_force.is_none() && pending.root.generation < self.heard;
-        if first_is_stale || self.awaiting {
+        let first_is_stale =
+            self.in_force.is_none() && pending.root.generation < self.newest_announced;
+        if first_is_stale || self.awaits_sources {
             return AdoptionStep::FetchMissing;
         }
         let mut services = Vec::new();
@@ -315,9 +319,9 @@
     /// Puts the pending root in force and drops the service objects that it does not name.
     fn activate_pending(&mut self) {
         let old = std::mem::replace(&mut self.in_force, self.pending.take());
-        self.earlier.extend(old.map(|known| known.root));
-        if self.earlier.len() > MAX_EARLIER_ROOTS {
-            self.earlier.pop_front();
+        self.earlier_roots.extend(old.map(|known| known.root));
+        if self.earlier_roots.len() > MAX_EARLIER_ROOTS {
+            self.earlier_roots.pop_front();
         }
         self.fault = None;
         let services = self.in_force.iter().flat_map(|known| &known.root.services);
--- a/crates/kingcuploft/src/decisions/membership/member.rs
+++ b/crates/kingcuploft/src/decisions/membership/member.rs
@@ -1,4 +1,4 @@
-//! Members of the fleet, and what one VM knows of each.
+//! Members of the fleet, and the state that one VM keeps of each.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -6,19 +6,19 @@
 use crate::utils::rendezvous::rendezvous;
 use crate::world::ids::{AvailabilityZone, Incarnation, VmName};
 
-/// Whether a member is thought to run.
+/// The state of a member, as the failure detector sees it.
 #[derive(
     Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It was heard.
+    /// It was heard from.
     Live,
-    /// Its neighbours do not hear it.
+    /// Its neighbours do not hear from it.
     Suspect,
-    /// It has not been heard for long.
+    /// It has not been heard from for long.
     Gone,
-    /// It said that it stops.
+    /// It announced that it stops.
     Leaving,
 }
 
@@ -26,7 +26,7 @@
     /// Every state, for metrics.
     pub const ALL: [Self; 4] = [Self::Live, Self::Suspect, Self::Gone, Self::Leaving];
 
-    /// Returns the word that stands in metrics and status.
+    /// Returns the label in metrics and status.
     pub fn label(self) -> &'static str {
         match self {
             Self::Live => "live",
@@ -37,55 +37,55 @@
     }
 }
 
-/// What is told of a member.
+/// A member's entry, as it is gossiped.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct Member {
     /// Its name.
     pub name: VmName,
-    /// Where it stands.
+    /// Its availability zone.
     pub availability_zone: AvailabilityZone,
-    /// Where it listens for peers.
+    /// The address at which it listens for peers.
     pub address: SocketAddr,
-    /// Its life; a later one replaces an earlier.
+    /// Its incarnation; a later one replaces an earlier.
     pub incarnation: Incarnation,
-    /// How many heartbeats it had sent when this was seen.
+    /// How many heartbeats it had sent when this entry was made.
     pub beat: u32,
-    /// Whether it is thought to run.
+    /// Its state.
     pub state: MemberState,
 }
 
 impl Member {
-    /// Orders news of one member: the greater is the newer. A stop that was announced goes before
-    /// any beat of the same life.
+    /// Orders the entries of one member: the greater is the newer. An announced stop takes precedence over any
+    /// heartbeat of the same incarnation.
     pub(super) fn precedence(&self) -> (Incarnation, bool, u32, MemberState) {
         let leaving = self.state == MemberState::Leaving;
         (self.incarnation, leaving, self.beat, self.state)
     }
 }
 
-/// A member with what this VM itself knows of it.
+/// A member with the state that this VM keeps of it.
 #[derive(Clone, Debug)]
 pub(super) struct KnownMember {
     pub(super) member: Member,
-    /// When it was heard on a link of this VM, or its news last changed.
+    /// When it was heard from on a link of this VM, or its entry last changed.
     pub(super) last_heard: Instant,
-    /// Whether it is heard on a link of this VM.
+    /// Whether it is heard from on a link of this VM.
     pub(super) linked: bool,
-    /// Since when this VM should hear it as a neighbour; `None` while it is none.
+    /// Since when this VM should hear from it as a neighbour; `None` while it is none.
     pub(super) monitored_since: Option<Instant>,
     /// The hashes of its name, computed once.
     pub(super) hashes: Hashes,
 }
 
-/// The hashes by which a member is chosen for one thing or another.
+/// The hashes by which members are chosen.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Hashes {
-    /// As a neighbour of this VM: the same for both ends, so that two VMs rather share one link
-    /// than have two.
+    /// Ranks it as a neighbour of this VM: the same at both ends, so that two VMs tend to share one link instead of
+    /// having two.
     pub(super) affinity: u64,
-    /// Its place on the ring.
+    /// Its position on the ring.
     pub(super) ring_position: u64,
-    /// As a watcher of the store.
+    /// Ranks it as a watcher of the store.
     pub(super) store_watch: u64,
     /// Its part of the digest.
     pub(super) incarnation: u64,
@@ -103,7 +103,7 @@
     }
 }
 
-/// An address that the settings or the VM list name and nobody has heard from.
+/// An address that the settings or the VM list name and that was not heard from yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     /// When it may be tried (again).
@@ -117,6 +117,6 @@
 pub struct Neighbour {
     /// Its name; `None` where only the address is known.
     pub name: Option<VmName>,
-    /// Where it listens for peers.
+    /// The address at which it listens for peers.
     pub address: SocketAddr,
 }
--- a/crates/kingcuploft/src/decisions/membership/mod.rs
+++ b/crates/kingcuploft/src/decisions/membership/mod.rs
@@ -1,19 +1,18 @@
-//! Who is in the fleet, as far as one VM can tell.
+//! Fleet membership by gossip: which VMs are in the fleet, as far as one VM can tell.
 //!
-//! Load pattern: 30 VMs fail on an ordinary day, 940 are restarted, zones lose each other, and the
-//! platform's VM list lags behind all of it. Without this module a VM would tell news to the dead,
-//! leave out the new, and each would watch the store.
+//! Load pattern: 30 VMs fail on an ordinary day, 940 are restarted, zones lose each other, and the platform's VM list
+//! lags behind all of it. Without this module a VM would send news to dead VMs, leave out new ones, and each would
+//! watch the store.
 //!
-//! The view decides only costs: whom to link with, who watches the store, over how many VMs a
-//! backend server's connections are shared. A wrong view never breaks a promise.
+//! The view decides only costs: which VMs to link with, which watch the store, over how many VMs a backend server's
+//! connections are shared. A wrong view never breaks correctness.
 //!
-//! Heartbeats go to a fixed number of neighbours, so a VM's bytes do not grow with the fleet: the
-//! successor on a ring of hashed names, by which every VM has someone who watches it, and the best
-//! by rendezvous hash, half from the own availability zone. Of the others only changes are told,
-//! a bounded number of times each. Each line of news carries the incarnation and the beat it was
-//! seen at; lines are ordered by these, so all VMs converge whatever the order of arrival, and a
-//! suspicion ends with the next beat of the suspected. Heartbeats carry a digest of the view; a
-//! difference that lasts is mended by reading one neighbour's whole list.
+//! Heartbeats go to a fixed number of neighbours, so a VM's bytes do not grow with the fleet: the successor on a ring
+//! of hashed names, by which every VM has one that monitors it, and the best by rendezvous hash, half of them from the
+//! own availability zone. Of the other VMs only changes are gossiped, a bounded number of times each. Each gossip entry
+//! carries the incarnation and the heartbeat count that it was seen at; entries are ordered by these, so all VMs
+//! converge whatever the order of arrival, and a suspicion ends with the next heartbeat of the suspected. Heartbeats
+//! carry a digest of the view; a difference that lasts is repaired by reading one neighbour's whole list.
 
 mod member;
 mod neighbours;
@@ -29,8 +28,8 @@
 use crate::utils::{HashMap, HashSet};
 use crate::world::ids::VmName;
 
-/// The pause after a candidate was first tried in vain; it doubles with each try.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// The backoff after the first failed attempt to link with a candidate; it doubles with each attempt.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
 /// One VM's view of the fleet.
 #[derive(Debug)]
@@ -40,7 +39,7 @@
     settings: MembershipSettings,
     members: HashMap<VmName, KnownMember>,
     candidates: HashMap<SocketAddr, Candidate>,
-    /// Members that this VM counts as live and a peer does not know: they are tried.
+    /// Members that this VM counts as live and a peer does not know: this VM tries to link with them.
     unconfirmed: HashSet<VmName>,
     gossip: VecDeque<(VmName, u32)>,
     last_tick: Option<Instant>,
@@ -50,7 +49,7 @@
 }
 
 impl Membership {
-    /// Builds the view of a VM that knows only itself.
+    /// Creates the view of a VM that knows only itself.
     pub fn new(own: Member, settings: MembershipSettings) -> Self {
         Self {
             own_hashes: Hashes::new(&own.name, &own),
@@ -66,30 +65,30 @@
         }
     }
 
-    /// Returns what this VM tells of itself.
+    /// Returns this VM's own member entry.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Sets where this VM listens for peers, once that is known.
+    /// Sets the address at which this VM listens for peers, once that is known.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.own.address = address;
     }
 
-    /// Counts a heartbeat of this VM.
+    /// Counts a heartbeat of this VM and returns its number.
     pub fn next_heartbeat(&mut self) -> u32 {
         self.own.beat += 1;
         self.own.beat
     }
 
-    /// Notes that this VM stops; told to the peers like any news.
+    /// Records that this VM stops; the peers learn it by gossip.
     pub fn leave(&mut self) {
         self.own.state = MemberState::Leaving;
         self.queue_gossip(self.own.name.clone());
     }
 
-    /// Notes addresses that the settings or the platform's VM list name. The list lags: it only
-    /// adds whom to try.
+    /// Adds addresses that the settings or the platform's VM list name as candidates. The list lags, so it only adds
+    /// candidates and removes no member.
     pub fn add_candidates(
         &mut self,
         now: Instant,
@@ -109,8 +108,8 @@
         }
     }
 
-    /// Notes that an address could not be linked with; a candidate is left alone for a while, and
-    /// a member that was in doubt is suspected.
+    /// Records that no link to an address could be opened: a candidate is not tried again for a while, and an
+    /// unconfirmed member is suspected.
     pub fn record_unreachable(&mut self, now: Instant, address: SocketAddr) {
         let mut suspected = Vec::new();
         for (name, known) in &mut self.members {
@@ -125,14 +124,14 @@
             .into_iter()
             .for_each(|name| self.queue_gossip(name));
         if let Some(candidate) = self.candidates.get_mut(&address) {
-            let pause = FIRST_PAUSE * (1 << candidate.tries.min(16));
+            let pause = INITIAL_BACKOFF * (1 << candidate.tries.min(16));
             candidate.not_before = now + pause.min(self.settings.forget_after());
             candidate.tries += 1;
         }
     }
 
-    /// Takes what a member said of itself on a link; tells whether it may stay linked. An earlier
-    /// life of a member that is known in a later one may not: it was replaced.
+    /// Takes the entry that a member sent of itself on a link; returns whether it may stay linked. An earlier
+    /// incarnation of a member that is known in a later one may not: it was replaced.
     pub fn accept_peer(&mut self, now: Instant, member: &Member) -> bool {
         if member.name == self.own.name {
             return false;
@@ -150,7 +149,7 @@
         true
     }
 
-    /// Takes a heartbeat of a member that is linked.
+    /// Records a heartbeat of a member that is linked.
     pub fn record_heartbeat(&mut self, now: Instant, name: &VmName, beat: u32) {
         let Some(known) = self.members.get_mut(name) else {
             return;
@@ -167,17 +166,17 @@
         }
     }
 
-    /// Notes that the link with a member ended.
+    /// Records that the link with a member ended.
     pub fn record_unlinked(&mut self, name: &VmName) {
         if let Some(known) = self.members.get_mut(name) {
             known.linked = false;
         }
     }
 
-    /// Takes news that a peer passes on.
+    /// Takes a gossip entry that a peer passes on.
     pub fn apply_gossip(&mut self, now: Instant, member: &Member) {
         if member.name == self.own.name {
-            // Someone suspects this VM: the next beat of this life ends that everywhere.
+            // Another VM suspects this one: the next heartbeat of this incarnation ends that everywhere.
             if member.incarnation == self.own.incarnation && member.state != self.own.state {
                 self.queue_gossip(self.own.name.clone());
             }
@@ -189,8 +188,8 @@
         self.apply(now, member, false);
     }
 
-    /// Takes a peer's whole list. Its lines are not passed on as news: who has them long told the
-    /// others.
+    /// Takes a peer's whole list. Its entries are not passed on as gossip: the VMs that have them told the others long
+    /// ago.
     pub fn merge_list(&mut self, now: Instant, list: &[Member]) {
         let news = self.gossip.clone();
         list.iter()
@@ -198,12 +197,12 @@
         self.gossip = news;
     }
 
-    /// Takes a peer's whole list where views have differed for long.
+    /// Takes a peer's whole list where the views have differed for long.
     ///
-    /// A member that the peer has forgotten stands in no line, as does one that it has not heard of
-    /// yet. Where this VM does not hear the member either, it tries the member itself and then
-    /// tells what it found. To suspect it without a try would be wrong half of the time, and would
-    /// stand against every line of the same beat.
+    /// A member that the peer has forgotten is missing from the list, as is one that it has not heard of yet. Where
+    /// this VM has no link with the member either, it tries to link with it and then tells the others the result. To
+    /// suspect the member without a try would be wrong half of the time, and no entry of the same heartbeat could
+    /// revert it.
     pub fn reconcile_list(&mut self, now: Instant, list: &[Member]) {
         self.merge_list(now, list);
         let listed: HashSet<&VmName> = list.iter().map(|member| &member.name).collect();
@@ -215,12 +214,12 @@
         }
     }
 
-    /// Suspects and forgets members that have been silent; returns whether the view changed.
+    /// Suspects and drops members that have been silent; returns whether the view changed.
     pub fn tick(&mut self, now: Instant) -> bool {
         let paused = self.was_paused(now);
         let mut changed = Vec::new();
         let settings = &self.settings;
-        let watched: Vec<VmName> = self
+        let monitored: Vec<VmName> = self
             .neighbours(now)
             .into_iter()
             .filter_map(|n| n.name)
@@ -232,16 +231,16 @@
             }
             let silent = now.saturating_duration_since(known.last_heard);
             let state = known.member.state;
-            // Only who should hear a member may suspect it; the others learn it as news. One that
-            // has just become a neighbour gets the time to be heard.
-            known.monitored_since = match watched.contains(name) {
+            // Only a VM that should hear a member may suspect it; the others learn it by gossip. One that has just
+            // become a neighbour gets the time to be heard.
+            known.monitored_since = match monitored.contains(name) {
                 true => Some(known.monitored_since.unwrap_or(now)),
                 false => None,
             };
             let long = |since| now.saturating_duration_since(since) > settings.suspect_after();
-            let watches = known.linked || known.monitored_since.is_some_and(long);
+            let monitors = known.linked || known.monitored_since.is_some_and(long);
             let next = match state {
-                MemberState::Live if watches && silent > settings.suspect_after() => {
+                MemberState::Live if monitors && silent > settings.suspect_after() => {
                     MemberState::Suspect
                 }
                 MemberState::Suspect if silent > settings.gone_after() => MemberState::Gone,
@@ -265,22 +264,22 @@
         !changed.is_empty() || before != self.members.len()
     }
 
-    /// Returns the news for one heartbeat: the least often told first, a few lines at most.
+    /// Returns the gossip for one heartbeat: the entries sent least often first, `most` at most.
     pub fn next_gossip(&mut self, most: usize) -> Vec<Member> {
-        let mut told = Vec::new();
+        let mut entries = Vec::new();
         for _ in 0..most.min(self.gossip.len()) {
             let Some((name, left)) = self.gossip.pop_front() else {
                 break;
             };
-            told.extend(self.member(&name).cloned());
+            entries.extend(self.member(&name).cloned());
             if left > 1 {
                 self.gossip.push_back((name, left - 1));
             }
         }
-        told
+        entries
     }
 
-    /// Returns a number that two VMs have in common while they count the same lives as live.
+    /// Returns a digest of the view: equal on two VMs that count the same incarnations as live.
     pub fn digest(&self) -> u32 {
         let members = self.members.values();
         let live = members.filter(|known| known.member.state == MemberState::Live);
@@ -288,15 +287,15 @@
         lives.fold(self.own_hashes.incarnation, u64::wrapping_add) as u32
     }
 
-    /// Takes a neighbour's digest; tells whether to read its whole list of members.
+    /// Takes a neighbour's digest; returns whether to read its whole list of members.
     ///
-    /// News is told a bounded number of times, so some may miss a VM when many change at once. A
-    /// difference that lasts is mended by reading one neighbour's list, and not more often than
-    /// once in the time after which a silent member counts as gone.
+    /// Each entry is gossiped a bounded number of times, so some entries may miss a VM when many change at once. A
+    /// difference that lasts is repaired by reading one neighbour's list, and not more often than once in the time
+    /// after which a silent member counts as gone.
     pub fn needs_resync(&mut self, now: Instant, digest: u32) -> bool {
         let own = self.digest();
         if digest == own {
-            // Another neighbour may still differ: two may have missed the same line.
+            // Another neighbour may still differ: this one may have missed the same entry.
             return false;
         }
         let since = match self.differs_since {
@@ -315,12 +314,12 @@
         true
     }
 
-    /// Tells whether all news was told.
+    /// Returns whether no gossip is left to send.
     pub fn is_gossip_empty(&self) -> bool {
         self.gossip.is_empty()
     }
 
-    /// Returns every member that is known, this VM included, in the order of names.
+    /// Returns every known member, this VM included, in the order of names.
     pub fn members(&self) -> Vec<Member> {
         let members = self.members.values().map(|known| known.member.clone());
         let mut members: Vec<Member> = members.chain([self.own.clone()]).collect();
@@ -328,7 +327,7 @@
         members
     }
 
-    /// A new VM answers at the address of another one: that one is gone.
+    /// Marks a member as gone at whose address another, new VM answers.
     fn mark_replaced(&mut self, now: Instant, member: &Member) {
         let mut replaced = Vec::new();
         for known in self.members.values_mut() {
@@ -344,31 +343,31 @@
             .for_each(|name| self.queue_gossip(name));
     }
 
-    fn apply(&mut self, now: Instant, member: &Member, direct: bool) {
+    fn apply(&mut self, now: Instant, member: &Member, linked: bool) {
         match self.members.get_mut(&member.name) {
             None => {
-                // News of someone who is gone already is no news.
-                if !direct && member.state == MemberState::Gone {
+                // Gossip of an unknown member that is gone already needs no entry.
+                if !linked && member.state == MemberState::Gone {
                     return;
                 }
                 let known = KnownMember {
                     member: member.clone(),
                     last_heard: now,
-                    linked: direct,
+                    linked,
                     monitored_since: None,
                     hashes: Hashes::new(&self.own.name, member),
                 };
                 self.members.insert(member.name.clone(), known);
             }
             Some(known) => {
-                known.linked |= direct;
-                if direct {
+                known.linked |= linked;
+                if linked {
                     known.last_heard = now;
                 }
                 if known.member.precedence() >= member.precedence() {
                     return;
                 }
-                // A suspicion does not end the grace that leads to "gone".
+                // A suspicion does not extend the time after which a member counts as gone.
                 if member.state == MemberState::Live || member.state == MemberState::Leaving {
                     known.last_heard = now;
                 }
@@ -386,8 +385,8 @@
         self.queue_gossip(member.name.clone());
     }
 
-    /// Puts a member's line on the list of news: each is told a number of times that grows with
-    /// the logarithm of the fleet, enough for it to reach every VM with high probability.
+    /// Queues a member's entry as gossip: it is sent a number of times that grows with the logarithm of the fleet,
+    /// enough for it to reach every VM with high probability.
     fn queue_gossip(&mut self, name: VmName) {
         self.gossip.retain(|(known, _)| *known != name);
         let log2 = usize::BITS - (self.members.len() + 1).leading_zeros();
@@ -401,7 +400,8 @@
         }
     }
 
-    /// A process that was paused would take everyone's silence for death, while it is its own.
+    /// Returns whether this process was paused: it would take everyone's silence for failure, while the silence is its
+    /// own.
     fn was_paused(&mut self, now: Instant) -> bool {
         let last = self.last_tick.replace(now);
         let pause = self.settings.heartbeat_interval() * 2;
--- a/crates/kingcuploft/src/decisions/membership/periods.rs
+++ b/crates/kingcuploft/src/decisions/membership/periods.rs
@@ -1,4 +1,4 @@
-//! The periods of the settings as times.
+//! The periods of the membership settings as durations.
 
 use std::time::Duration;
 
