--- a/crates/kingcuploft/src/decisions/claim/ledger.rs
+++ b/crates/kingcuploft/src/decisions/claim/ledger.rs
@@ -1,4 +1,4 @@
-//! The objects of the ledger, as they stand in the store.
+//! The objects of the claims ledger, as they are stored.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,33 +10,33 @@
 /// The hash of a service and an idempotency key.
 pub type KeyHash = u128;
 
-/// The hash of a request's content; a key used with another one is refused.
+/// The hash of a request's content; a key used with another content is refused.
 pub type Fingerprint = u128;
 
 /// The store's version of an object; it only grows.
 pub type Version = u64;
 
-/// Numbers the sealed segments of a partition.
+/// The number of a sealed segment in its partition.
 pub type SegmentNumber = u32;
 
-/// The key of the layout.
+/// The store key of the layout.
 pub const LAYOUT_KEY: &str = "claims/layout";
 
-/// How many partitions the ledger has; written once, and the same for every VM.
+/// The number of partitions of the ledger; written once, and the same for every VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Layout {
     /// The number of partitions.
     pub partitions: u16,
 }
 
-/// Who claimed a key: only this very claim may be released or acknowledged.
+/// The claimant of a key: only the very same claim may be released or acknowledged.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Claimant {
-    /// The VM.
+    /// The name of the VM.
     pub vm: VmName,
-    /// The life of the VM.
+    /// The incarnation of the VM.
     pub incarnation: Incarnation,
-    /// The number of the claim in that life.
+    /// The number of the claim in that incarnation.
     pub nonce: u64,
 }
 
@@ -52,7 +52,7 @@
     pub body: Vec<u8>,
 }
 
-/// How far a claimed action is known to have come.
+/// The state of a claimed action, as far as it is known.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EntryState {
@@ -67,13 +67,13 @@
 }
 
 impl EntryState {
-    /// Tells whether nothing will change the state any more.
+    /// Returns whether the state is final.
     pub fn is_settled(&self) -> bool {
         !matches!(self, Self::Claimed)
     }
 }
 
-/// One claimed key.
+/// The entry of one claimed key.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Entry {
     /// The key.
@@ -82,21 +82,21 @@
     /// The content it was claimed for.
     #[serde(with = "hex")]
     pub fingerprint: Fingerprint,
-    /// Who claimed it.
+    /// The claim's owner.
     pub claimant: Claimant,
-    /// When, by the claimant's clock, in ms since 1970.
+    /// When it was claimed, by the claimant's clock, in ms since 1970.
     pub claimed_ms: u64,
-    /// When it may be forgotten, in ms since 1970; the clock slack is in it.
+    /// When it may be forgotten, in ms since 1970; this includes the clock slack.
     pub expires_ms: u64,
-    /// How far it came.
+    /// The state of the action.
     pub state: EntryState,
 }
 
-/// What an entry takes besides its texts, in bytes: names, punctuation and numbers.
+/// The size of an entry besides its texts, in bytes: names, punctuation and numbers.
 const ENTRY_BYTES: usize = 320;
 
 impl Entry {
-    /// Returns a bound on the entry's size in an object, in bytes.
+    /// Returns an upper bound of the entry's size in an object, in bytes.
     pub fn bytes(&self) -> usize {
         let record = match &self.state {
             EntryState::Answered(record) => record.bytes(),
@@ -107,8 +107,8 @@
 }
 
 impl Record {
-    /// Returns a bound on the record's size in an object, in bytes: any character of a header
-    /// may need an escape of six.
+    /// Returns an upper bound of the record's size in an object, in bytes: any character of a header may need an escape
+    /// of six.
     pub fn bytes(&self) -> usize {
         let headers = self.headers.iter();
         let headers = headers.map(|(name, value)| 6 * (name.len() + value.len()) + 8);
@@ -121,7 +121,7 @@
 pub struct SegmentRef {
     /// Its number.
     pub number: SegmentNumber,
-    /// Its object's key.
+    /// Its object's store key.
     pub name: String,
     /// Its object's version, with which it is deleted.
     pub version: Version,
@@ -136,7 +136,7 @@
     pub first: SegmentNumber,
     /// The last segment's number.
     pub last: SegmentNumber,
-    /// Its object's key.
+    /// Its object's store key.
     pub name: String,
     /// Its object's version, with which it is deleted.
     pub version: Version,
@@ -147,7 +147,7 @@
 /// The object that decides a partition: each claim is a conditional update of it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Head {
-    /// How often the head was written: by it each VM sees how much all of them write.
+    /// How often the head was written: each VM sees by it how much all of them write.
     pub writes: u64,
     /// The pause that every VM keeps between its writes, in ms.
     pub pace_ms: u64,
@@ -164,17 +164,17 @@
     pub entries: BTreeMap<KeyHash, Entry>,
 }
 
-/// What a reference takes, in bytes.
+/// An upper bound of a reference's size, in bytes.
 const REF_BYTES: usize = 200;
 
 impl Head {
-    /// Returns a bound on the object's size, in bytes.
+    /// Returns an upper bound of the object's size, in bytes.
     pub fn bytes(&self) -> usize {
         let refs = (self.indexes.len() + self.segments.len()) * REF_BYTES;
         refs + self.entries.values().map(Entry::bytes).sum::<usize>() + REF_BYTES
     }
 
-    /// Tells whether a segment is still part of the partition.
+    /// Returns whether a segment is still part of the partition.
     pub fn covers(&self, number: SegmentNumber) -> bool {
         let indexed = |index: &IndexRef| (index.first..=index.last).contains(&number);
         self.segments.iter().any(|segment| segment.number == number)
@@ -182,7 +182,7 @@
     }
 }
 
-/// Settled entries that were cut off a head; a segment never changes.
+/// Settled entries that were moved out of a head; a segment never changes.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Segment {
     /// The entries, by key.
@@ -249,7 +249,7 @@
     }
 }
 
-/// Entries are a list in the object; the key stands in each.
+/// Stores the entries as a list; each holds its key.
 mod entry_list {
     use std::collections::BTreeMap;
 
--- a/crates/kingcuploft/src/decisions/claim/message.rs
+++ b/crates/kingcuploft/src/decisions/claim/message.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of a partition.
+//! The inputs and outputs of a partition: commands, store calls, answers and verdicts.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,63 +7,63 @@
     Claimant, EntryState, Fingerprint, Head, Index, KeyHash, Record, Segment, Version,
 };
 
-/// Numbers the claims of one VM, in the order in which they came.
+/// The number of a claim on one VM, in the order of arrival.
 pub type ClaimId = u64;
 
 /// A key to claim.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Claim {
-    /// The key.
+    /// The hash of the key.
     pub key: KeyHash,
     /// The content it is claimed for.
     pub fingerprint: Fingerprint,
-    /// Who claims it.
+    /// The claim's owner.
     pub claimant: Claimant,
     /// How long the key is remembered.
     pub window: Duration,
-    /// When the claim is refused for want of a decision.
+    /// When the claim is refused if it is not decided.
     pub deadline: Instant,
 }
 
-/// What a partition is asked to do.
+/// A command to a partition.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum ClaimCommand {
     /// Claim a key; a [`Verdict`] follows.
     Claim(ClaimId, Claim),
-    /// Give a held claim back: nothing was sent.
+    /// Release a held claim: nothing was sent.
     Release(ClaimId),
     /// Record how the action of a held claim ended.
     Acknowledge(ClaimId, EntryState),
 }
 
-/// What a claim came to.
+/// The decision on a claim.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Verdict {
     /// The claim is held: the request may be sent, once.
     Held,
-    /// An earlier request with this key was answered so.
+    /// An earlier request with this key got this answer.
     Replay(Arc<Record>),
     /// An earlier request with this key ran, and its answer was not kept.
     AlreadyRan,
-    /// An earlier request with this key is claimed; its end may still become known.
+    /// An earlier request with this key is claimed; its result may still become known.
     InProgress,
-    /// An earlier request with this key ended in a way that nobody knows.
+    /// An earlier request with this key ended with a result that is not known.
     EndUnknown,
     /// The key was used with another content.
     Reused,
     /// The store does not answer; nothing is sent.
     Unavailable {
-        /// When to ask again.
+        /// When to retry.
         retry_after: Duration,
     },
-    /// The partition has no room for another claim.
+    /// The partition's object has no space for another claim.
     Full,
 }
 
-/// What must hold for a write to take effect.
+/// The condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Precondition {
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
     /// The object has this version.
     Version(Version),
@@ -80,7 +80,7 @@
     Index(Arc<Index>),
 }
 
-/// What kind of object a read should find.
+/// The kind of object that a read should find.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum StoredKind {
     /// A partition's head.
@@ -91,28 +91,28 @@
     Index,
 }
 
-/// A call to the store; a partition has at most one open.
+/// A call to the store; a partition has at most one call in flight.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Operation {
-    /// Read an object.
+    /// Reads an object.
     Get {
-        /// The object's key.
+        /// The object's store key.
         name: String,
-        /// What it holds.
+        /// The kind of object.
         kind: StoredKind,
     },
-    /// Write an object.
+    /// Writes an object.
     Put {
-        /// The object's key.
+        /// The object's store key.
         name: String,
         /// The new value.
         value: StoredObject,
-        /// What must hold.
+        /// The condition.
         when: Precondition,
     },
-    /// Delete an object.
+    /// Deletes an object.
     Delete {
-        /// The object's key.
+        /// The object's store key.
         name: String,
         /// The version it must have.
         version: Version,
@@ -122,7 +122,7 @@
 /// How a call to the store ended.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum StoreAnswer {
-    /// A read found this.
+    /// A read found this version of the object, or none.
     Found(Option<(Version, StoredObject)>),
     /// A write took effect and gave the object this version.
     Written(Version),
@@ -140,52 +140,52 @@
 /// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum StoreFailure {
-    /// No answer: a write may have taken effect, or may yet.
+    /// There was no answer: a write may have taken effect, or may yet.
     NoAnswer,
     /// It is certain that nothing was written.
     NotApplied,
-    /// The store counts as down and was not called.
+    /// The store counts as down (its circuit breaker is open) and was not called.
     Down {
-        /// When it is tried again.
+        /// When the store is probed again.
         retry_after: Duration,
     },
-    /// The VM has spent its calls; the store was not called.
+    /// The VM has used up its rate of store calls; the store was not called.
     OverBudget {
-        /// When there is a call again.
+        /// When a call is allowed again.
         retry_after: Duration,
     },
     /// The object can not be read; it is never overwritten.
     Corrupt,
 }
 
-/// What is worth counting.
+/// An event of a claim, for metrics.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ClaimEvent {
-    /// A write lost against another VM's.
+    /// A conditional write lost against another VM's.
     Conflict,
     /// A write without an answer is settled by reading or writing again.
     ReadBack,
-    /// A read returned what is known to be old.
+    /// A read returned an older version than is known to exist.
     StaleRead,
     /// A write took effect that carried this many claims and ends.
     Group(usize),
-    /// A claim was given back.
+    /// A claim was released.
     Released,
     /// The end of an action was recorded.
     Acknowledged,
-    /// A refused claim may have been written and is taken back if so.
+    /// A claim was refused that may have been written; it is released if it was.
     Abandoned,
     /// Settled entries were sealed.
     Sealed,
 }
 
-/// What comes out of a partition.
+/// An output of a partition.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Output {
     /// Call the store.
     Store(Operation),
     /// A claim is decided.
     Verdict(ClaimId, Verdict),
-    /// Something to count.
+    /// Count an event.
     Event(ClaimEvent),
 }
--- a/crates/kingcuploft/src/decisions/claim/mod.rs
+++ b/crates/kingcuploft/src/decisions/claim/mod.rs
@@ -1,23 +1,22 @@
-//! Claims of protected actions: at most one run per idempotency key, whatever fails.
+//! Claims of idempotency keys: at most one run of a protected action per key, whatever fails.
 //!
-//! Load pattern: callers resend holds and publications through any VM while the store loses
-//! answers, delays writes and serves old reads, and VMs pause or die at any point. Without a claim
-//! that is decided before the first byte goes out, two VMs run the same action.
+//! Load pattern: callers resend holds and publications through any VM while the store loses answers, delays writes and
+//! serves stale reads, and VMs pause or die at any point. Without a claim that is decided before the first byte of the
+//! request is sent, two VMs run the same action.
 //!
-//! Keys hash to partitions. One object of a partition, its [`ledger::Head`], decides: a claim is
-//! held only once a conditional update of the head with it has taken effect. Whoever writes with
-//! an older version loses, so a paused VM or a late write can't undo a decision, and no lease is
-//! needed. All claims and ends that came while a write was under way share the next one, so the
-//! writes grow with the number of writers and not with that of the actions.
+//! Keys hash to partitions. One object of a partition, its [`ledger::Head`], decides: a claim is held only once a
+//! conditional update (compare-and-swap) of the head that contains it has taken effect. A write based on an older
+//! version fails, so a paused VM or a late write can't undo a decision, and no lease is needed. All claims and ends
+//! that came while a write was under way share the next one (group commit), so the writes grow with the number of
+//! writers and not with that of the actions.
 //!
-//! * A write without an answer decides nothing: it may still arrive. It is settled by the next
-//!   conditional write that succeeds or by a read of a greater version, since the late write then
-//!   finds another version than it expects.
-//! * A claim that is given up before that is refused as `not_run`, which is true since nothing is
-//!   sent; it is taken back as soon as it is found in the head.
-//! * Nobody but its claimant releases or ends a claim, and nobody takes one over: it may be running.
-//! * Settled entries are sealed into segments that never change, and segments are put under
-//!   indexes; both are named by the head, so that one conditional update still decides everything.
+//! * A write without an answer decides nothing: it may still arrive. It is settled by the next conditional write that
+//!   succeeds or by a read of a greater version, since the late write then finds another version than it expects.
+//! * A claim that is given up before that is refused as `not_run`, which is true since nothing is sent; it is released
+//!   as soon as it is found in the head.
+//! * Only its claimant releases or ends a claim, and no other VM takes one over: the action may be running.
+//! * Settled entries are sealed into segments that never change, and segments are grouped under indexes; both are named
+//!   by the head, so that one conditional update still decides everything.
 //!
 //! The figures of [`crate::settings::claim`] come from the experiment `claims`.
 
@@ -38,10 +37,10 @@
 use crate::world::refusal::{Outcome, Refusal, RefusalReason};
 use message::Verdict;
 
-/// When to ask again for the end of an action that may be running.
+/// When to retry for the result of an action that may be running.
 const IN_PROGRESS_RETRY: Duration = Duration::from_millis(500);
 
-/// When to ask again where the partition is full.
+/// When to retry where the partition is full.
 const FULL_RETRY: Duration = Duration::from_secs(5);
 
 /// Returns the hash of an idempotency key; the same key of another service is another action.
@@ -60,7 +59,7 @@
     (key % u128::from(partitions.max(1))) as u16
 }
 
-/// Returns the truthful refusal of a verdict; `None` where the request goes on or is answered.
+/// Returns the refusal for a verdict; `None` where the request goes on or is answered.
 pub fn refusal(verdict: &Verdict) -> Option<Refusal> {
     let refusal = match verdict {
         Verdict::Held | Verdict::Replay(_) => return None,
--- a/crates/kingcuploft/src/decisions/claim/partition.rs
+++ b/crates/kingcuploft/src/decisions/claim/partition.rs
@@ -1,4 +1,4 @@
-//! One partition as one VM sees it: orders and store answers in, store calls and verdicts out.
+//! The state machine of one partition on one VM: commands and store answers in, store calls and verdicts out.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
     pub now: Instant,
     /// The wall clock, in ms since 1970.
     pub unix_ms: u64,
-    /// Draws the jitter of pauses.
+    /// The random source of the jitter.
     pub rng: &'a mut fastrand::Rng,
 }
 
@@ -28,21 +28,21 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Partition {
     pub(super) number: u16,
-    /// Makes the names of this VM's sealed objects its own.
+    /// Distinguishes the names of this VM's sealed objects from those of other VMs.
     pub(super) owner: u64,
     pub(super) settings: Arc<ClaimSettings>,
     pub(super) known: Option<KnownHead>,
-    /// The store is known to hold at least this version of the head.
+    /// The least version of the head that the store is known to hold.
     pub(super) min_version: Version,
     pub(super) must_read: bool,
-    /// Whether other VMs write to the partition, so that a read before a write saves a write.
+    /// Whether other VMs write to the partition, so that a read before a write saves a write that would fail.
     pub(super) contended: bool,
     /// Whether the head may name sealed objects whose keys are not known yet.
     pub(super) keys_missing: bool,
     pub(super) sealed: SealedKeys,
     pub(super) waiting: BTreeMap<ClaimId, PendingClaim>,
     pub(super) held: BTreeMap<ClaimId, (KeyHash, Claimant)>,
-    /// The keys of claims that wait or are held, and the content they were claimed for.
+    /// The keys of claims that wait or are held, with the fingerprint of the content they were claimed for.
     pub(super) local_fingerprints: BTreeMap<KeyHash, Fingerprint>,
     pub(super) ends: Vec<PendingEnd>,
     pub(super) abandoned: Vec<AbandonedClaim>,
@@ -55,20 +55,20 @@
     flushing: bool,
     last_write: Option<Instant>,
     last_answer: Option<Instant>,
-    pause_until: Option<Instant>,
-    /// While the store is down: when it is probed.
+    backoff_until: Option<Instant>,
+    /// While the store is down: when it is probed next.
     down_until: Option<Instant>,
     failures: u32,
 }
 
-/// The most often that a pause doubles.
-const DOUBLINGS: u32 = 8;
+/// The most times that the backoff doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// The pause between probes where the store gives none.
-const PROBE_PAUSE: Duration = Duration::from_millis(300);
+/// The time between probes where the store gives none.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Partition {
-    /// Builds a partition of which nothing is known; `owner` is another for each life of a VM.
+    /// Creates a partition of which nothing is known; `owner` differs for each incarnation of a VM.
     pub fn new(number: u16, owner: u64, settings: Arc<ClaimSettings>, now: Instant) -> Self {
         Self {
             number,
@@ -94,71 +94,71 @@
             flushing: false,
             last_write: None,
             last_answer: None,
-            pause_until: None,
+            backoff_until: None,
             down_until: None,
             failures: 0,
         }
     }
 
-    /// Returns the key of the object that decides a partition.
+    /// Returns the store key of the object that decides a partition.
     pub fn head_name(number: u16) -> String {
         format!("claims/{number:03}/head")
     }
 
-    /// Takes an order in.
+    /// Handles a command.
     pub fn handle_command(
         &mut self,
-        time: &mut EventContext<'_>,
+        context: &mut EventContext<'_>,
         handle_command: ClaimCommand,
         out: &mut Vec<Output>,
     ) {
         match handle_command {
-            ClaimCommand::Claim(id, claim) => self.claim(time, id, claim, out),
-            ClaimCommand::Release(id) => self.end(time.now, id, None),
-            ClaimCommand::Acknowledge(id, state) => self.end(time.now, id, Some(state)),
+            ClaimCommand::Claim(id, claim) => self.claim(context, id, claim, out),
+            ClaimCommand::Release(id) => self.end(context.now, id, None),
+            ClaimCommand::Acknowledge(id, state) => self.end(context.now, id, Some(state)),
         }
-        self.step(time, out);
+        self.step(context, out);
     }
 
-    /// Takes the answer to the open call in.
+    /// Handles the answer to the call in flight.
     pub fn handle_answer(
         &mut self,
-        time: &mut EventContext<'_>,
+        context: &mut EventContext<'_>,
         answer: StoreAnswer,
         out: &mut Vec<Output>,
     ) {
         let Some((open, _)) = self.open.take() else {
             return;
         };
-        self.last_answer = Some(time.now);
+        self.last_answer = Some(context.now);
         match answer {
-            StoreAnswer::Failed(failure) => self.handle_failure(time, &open, failure, out),
+            StoreAnswer::Failed(failure) => self.handle_failure(context, &open, failure, out),
             answer => {
                 self.down_until = None;
-                self.dispatch_answer(time, open, answer, out);
+                self.dispatch_answer(context, open, answer, out);
             }
         }
-        self.step(time, out);
+        self.step(context, out);
     }
 
-    /// Refuses claims whose time is over and calls the store where that is due.
-    pub fn tick(&mut self, time: &mut EventContext<'_>, out: &mut Vec<Output>) {
+    /// Refuses claims whose deadline has passed and calls the store where that is due.
+    pub fn tick(&mut self, context: &mut EventContext<'_>, out: &mut Vec<Output>) {
         let over = self.waiting.iter();
-        let over = over.filter(|(_, waiting)| waiting.claim.deadline <= time.now);
+        let over = over.filter(|(_, waiting)| waiting.claim.deadline <= context.now);
         let over: Vec<ClaimId> = over.map(|(id, _)| *id).collect();
         for id in over {
-            self.refuse_undecided(id, PROBE_PAUSE, out);
+            self.refuse_undecided(id, PROBE_INTERVAL, out);
         }
-        self.step(time, out);
+        self.step(context, out);
     }
 
-    /// Tells when the next tick is due.
+    /// Returns when the next tick is due.
     pub fn next_due(&self) -> Option<Instant> {
         let give_up = self.waiting.values().map(|waiting| waiting.claim.deadline);
         self.work_due().into_iter().chain(give_up).min()
     }
 
-    /// Tells whether nothing is left to write.
+    /// Returns whether nothing is left to write.
     pub fn is_idle(&self) -> bool {
         self.open.is_none()
             && self.waiting.is_empty()
@@ -166,7 +166,7 @@
             && self.abandoned.is_empty()
     }
 
-    /// Writes without waiting for others from now on: the VM stops.
+    /// Writes without waiting to group claims from now on: the VM stops.
     pub fn flush_immediately(&mut self) {
         self.flushing = true;
     }
@@ -176,22 +176,28 @@
         self.held.len()
     }
 
-    fn claim(&mut self, time: &EventContext<'_>, id: ClaimId, claim: Claim, out: &mut Vec<Output>) {
-        if let Some(verdict) = self.known_verdict(time, &claim) {
+    fn claim(
+        &mut self,
+        context: &EventContext<'_>,
+        id: ClaimId,
+        claim: Claim,
+        out: &mut Vec<Output>,
+    ) {
+        if let Some(verdict) = self.known_verdict(context, &claim) {
             return out.push(Output::Verdict(id, verdict));
         }
         self.local_fingerprints.insert(claim.key, claim.fingerprint);
         let waiting = PendingClaim {
             claim,
-            since: time.now,
+            since: context.now,
             write_sent: false,
             head_read: false,
         };
         self.waiting.insert(id, waiting);
     }
 
-    /// Decides a claim without the store, where what is known can't change any more.
-    fn known_verdict(&self, time: &EventContext<'_>, claim: &Claim) -> Option<Verdict> {
+    /// Decides a claim without the store, where what is known is final.
+    fn known_verdict(&self, context: &EventContext<'_>, claim: &Claim) -> Option<Verdict> {
         if let Some(fingerprint) = self.local_fingerprints.get(&claim.key) {
             return Some(match *fingerprint == claim.fingerprint {
                 true => Verdict::InProgress,
@@ -200,7 +206,7 @@
         }
         if let Some(known) = &self.known
             && let Some(entry) = known.head.entries.get(&claim.key)
-            && entry.expires_ms > time.unix_ms
+            && entry.expires_ms > context.unix_ms
         {
             let end = self.ends.iter().find(|end| end.claimant == entry.claimant);
             let state = end.map_or(Some(&entry.state), |end| end.state.as_ref());
@@ -211,17 +217,20 @@
             }
         }
         if let Some(at) = self.down_until {
-            let retry_after = at.saturating_duration_since(time.now).max(PROBE_PAUSE);
+            let retry_after = at
+                .saturating_duration_since(context.now)
+                .max(PROBE_INTERVAL);
             return Some(self.undecided(claim, retry_after));
         }
         let began = self.open.as_ref().map(|(_, began)| *began);
-        let slow = |began| time.now.saturating_duration_since(began) > self.settings.slow_store();
+        let slow =
+            |began| context.now.saturating_duration_since(began) > self.settings.slow_store();
         let slow = began.is_some_and(slow);
-        slow.then(|| self.undecided(claim, PROBE_PAUSE))
+        slow.then(|| self.undecided(claim, PROBE_INTERVAL))
     }
 
-    /// Returns the verdict on a claim that the store did not decide. A key that was seen claimed by
-    /// an earlier request may have run: "not run" is said only of one that was not seen.
+    /// Returns the verdict on a claim that the store did not decide. A key that was seen claimed by an earlier request
+    /// may have run: "not run" is said only of a key that was not seen.
     fn undecided(&self, claim: &Claim, retry_after: Duration) -> Verdict {
         let entries = self.known.iter().map(|known| &known.head.entries);
         let mut entries = entries.filter_map(|entries| entries.get(&claim.key));
@@ -260,9 +269,9 @@
         out.push(Output::Verdict(id, verdict));
     }
 
-    /// Refuses a claim for want of a decision. Nothing was sent and nothing will be, so "not run"
-    /// is true; but where a write may have carried the claim, it is taken back once it is found.
-    /// Without that, a resend through any VM would be told "in progress" for the whole window.
+    /// Refuses a claim that was not decided. Nothing was sent and nothing will be, so "not run" is true; but where a
+    /// write may have carried the claim, it is released once it is found. Without that, a resend through any VM would
+    /// be told "in progress" for the whole window.
     fn refuse_undecided(&mut self, id: ClaimId, retry_after: Duration, out: &mut Vec<Output>) {
         let Some(waiting) = self.waiting.get(&id) else {
             return;
@@ -278,24 +287,24 @@
         self.decide(id, verdict, out);
     }
 
-    pub(super) fn back_off(&mut self, time: &mut EventContext<'_>) {
+    pub(super) fn back_off(&mut self, context: &mut EventContext<'_>) {
         let longest_ms = self.settings.longest_retry_pause_ms;
-        let bound_ms = self.settings.retry_pause_ms << self.failures.min(DOUBLINGS);
-        self.failures = (self.failures + 1).min(DOUBLINGS);
+        let bound_ms = self.settings.retry_pause_ms << self.failures.min(MAX_BACKOFF_DOUBLINGS);
+        self.failures = (self.failures + 1).min(MAX_BACKOFF_DOUBLINGS);
         let bound = Duration::from_millis(bound_ms.min(longest_ms));
-        self.pause_until = Some(time.now + bound.mul_f64(time.rng.f64()));
-        // The pace holds between writes that took effect, not before the next try of one.
+        self.backoff_until = Some(context.now + bound.mul_f64(context.rng.f64()));
+        // Pacing applies between writes that took effect, not before a retry of one.
         self.last_write = None;
     }
 
     pub(super) fn reset_backoff(&mut self) {
         self.failures = 0;
-        self.pause_until = None;
+        self.backoff_until = None;
     }
 
     fn handle_failure(
         &mut self,
-        time: &mut EventContext<'_>,
+        context: &mut EventContext<'_>,
         open: &OpenCall,
         failure: StoreFailure,
         out: &mut Vec<Output>,
@@ -311,34 +320,36 @@
         }
         match failure {
             StoreFailure::NoAnswer | StoreFailure::NotApplied if self.down_until.is_none() => {
-                self.back_off(time)
+                self.back_off(context)
             }
             StoreFailure::OverBudget { retry_after } => {
-                self.pause_until = Some(time.now + retry_after)
+                self.backoff_until = Some(context.now + retry_after)
+            }
+            StoreFailure::Down { retry_after } => {
+                self.store_went_down(context.now, retry_after, out)
             }
-            StoreFailure::Down { retry_after } => self.store_went_down(time.now, retry_after, out),
             StoreFailure::NoAnswer | StoreFailure::NotApplied | StoreFailure::Corrupt => {
-                self.store_went_down(time.now, PROBE_PAUSE, out);
+                self.store_went_down(context.now, PROBE_INTERVAL, out);
             }
         }
     }
 
-    /// Refuses all that waits: the store is probed, and nothing waits for the probe.
+    /// Refuses all claims that wait: the store is probed, and no claim waits for the probe.
     fn store_went_down(&mut self, now: Instant, retry_after: Duration, out: &mut Vec<Output>) {
         self.down_until = Some(now + retry_after);
         let ids: Vec<ClaimId> = self.waiting.keys().copied().collect();
         for id in ids {
-            self.refuse_undecided(id, retry_after.max(PROBE_PAUSE), out);
+            self.refuse_undecided(id, retry_after.max(PROBE_INTERVAL), out);
         }
     }
 
-    /// Tells when the store should be called next.
+    /// Returns when the store should be called next.
     fn work_due(&self) -> Option<Instant> {
         if self.open.is_some() {
             return None;
         }
         if let Some(probe) = self.down_until {
-            return Some(probe.max(self.pause_until.unwrap_or(probe)));
+            return Some(probe.max(self.backoff_until.unwrap_or(probe)));
         }
         let settings = &self.settings;
         let claims = self.waiting.values().map(|w| w.since + settings.linger());
@@ -346,54 +357,54 @@
             .ends
             .iter()
             .map(|end| end.since + settings.end_linger());
-        let chores = self.known.is_none()
+        let maintenance = self.known.is_none()
             || self.keys_missing
             || !self.abandoned.is_empty()
             || !self.garbage.is_empty();
-        let chores = chores.then_some(self.last_answer.unwrap_or(self.started));
-        let due = claims.chain(ends).chain(chores).min()?;
+        let maintenance = maintenance.then_some(self.last_answer.unwrap_or(self.started));
+        let due = claims.chain(ends).chain(maintenance).min()?;
         if self.flushing {
-            return Some(self.pause_until.unwrap_or(self.started));
+            return Some(self.backoff_until.unwrap_or(self.started));
         }
         let pace_ms = self.known.as_ref().map_or(0, |known| known.head.pace_ms);
         let pause = Duration::from_millis(pace_ms.max(settings.shortest_pace_ms));
         let paced = self.last_write.map(|last| last + pause);
         Some(
             due.max(paced.unwrap_or(due))
-                .max(self.pause_until.unwrap_or(due)),
+                .max(self.backoff_until.unwrap_or(due)),
         )
     }
 
-    fn step(&mut self, time: &mut EventContext<'_>, out: &mut Vec<Output>) {
-        if self.open.is_some() || self.work_due().is_none_or(|due| due > time.now) {
+    fn step(&mut self, context: &mut EventContext<'_>, out: &mut Vec<Output>) {
+        if self.open.is_some() || self.work_due().is_none_or(|due| due > context.now) {
             return;
         }
-        if let Some((open, operation)) = self.next(time, out) {
+        if let Some((open, operation)) = self.next(context, out) {
             if matches!(open, OpenCall::Write { .. }) {
-                self.last_write = Some(time.now);
+                self.last_write = Some(context.now);
             }
-            self.open = Some((open, time.now));
+            self.open = Some((open, context.now));
             out.push(Output::Store(operation));
         }
     }
 
     fn next(
         &mut self,
-        time: &mut EventContext<'_>,
+        context: &mut EventContext<'_>,
         out: &mut Vec<Output>,
     ) -> Option<(OpenCall, Operation)> {
         if self.must_read || self.known.is_none() || self.down_until.is_some() {
             return Some(self.read_head());
         }
         self.load_missing_keys()
-            .or_else(|| self.decide_known(time, out))
-            .or_else(|| self.stage(time))
-            .or_else(|| self.write(time, out))
+            .or_else(|| self.decide_known(context, out))
+            .or_else(|| self.stage(context))
+            .or_else(|| self.write(context, out))
             .or_else(|| self.collect_garbage())
     }
 }
 
-/// Returns what a settled entry means for a later claim of its key.
+/// Returns the verdict of a settled entry on a later claim of its key.
 pub(super) fn settled_verdict(
     fingerprint: Fingerprint,
     state: &EntryState,
--- a/crates/kingcuploft/src/decisions/claim/read.rs
+++ b/crates/kingcuploft/src/decisions/claim/read.rs
@@ -1,4 +1,4 @@
-//! What a partition makes of the answers to its calls.
+//! How a partition handles the answers to its store calls.
 
 use std::sync::Arc;
 
@@ -18,40 +18,40 @@
         (OpenCall::Head, get)
     }
 
-    /// Acts on an answer that did come.
+    /// Handles an answer to the call in flight.
     pub(super) fn dispatch_answer(
         &mut self,
-        time: &mut EventContext<'_>,
+        context: &mut EventContext<'_>,
         open: OpenCall,
         answer: StoreAnswer,
         out: &mut Vec<Output>,
     ) {
         match (open, answer) {
-            (OpenCall::Head, StoreAnswer::Found(found)) => self.head_found(time, found, out),
+            (OpenCall::Head, StoreAnswer::Found(found)) => self.head_found(context, found, out),
             (OpenCall::LoadKeys(name), StoreAnswer::Found(found)) => {
-                self.keys_found(time, name, found)
+                self.keys_found(context, name, found)
             }
             (OpenCall::LoadRecords(number), StoreAnswer::Found(found)) => {
-                self.records_found(time, number, found, out);
+                self.records_found(context, number, found, out);
             }
             (OpenCall::Write { head, claims, ends }, StoreAnswer::Written(version)) => {
-                self.write_applied(time, KnownHead { version, head }, &claims, ends, out);
+                self.write_applied(context, KnownHead { version, head }, &claims, ends, out);
             }
             (OpenCall::Write { .. }, StoreAnswer::Conflict { found }) => {
-                self.write_conflicted(time, found, out);
+                self.write_conflicted(context, found, out);
             }
             (OpenCall::WriteSealed, answer) => self.staged_write_ended(&answer),
             (OpenCall::FindGarbage, StoreAnswer::Found(found)) => self.garbage_found(found),
             (OpenCall::DeleteGarbage, _) => drop(self.garbage.pop()),
-            _ => self.back_off(time),
+            _ => self.back_off(context),
         }
     }
 
-    /// Takes a head that was read, unless it is older than what is known: the store serves old
-    /// reads, and going back would forget claims.
+    /// Takes a head that was read, unless it is older than a known one: the store serves stale reads, and going back
+    /// would forget claims.
     fn head_found(
         &mut self,
-        time: &mut EventContext<'_>,
+        context: &mut EventContext<'_>,
         found: Option<(Version, StoredObject)>,
         out: &mut Vec<Output>,
     ) {
@@ -63,7 +63,7 @@
         if version < self.min_version.max(known.unwrap_or_default()) {
             out.push(Output::Event(ClaimEvent::StaleRead));
             self.must_read = true;
-            return self.back_off(time);
+            return self.back_off(context);
         }
         self.must_read = false;
         self.reset_backoff();
@@ -74,13 +74,13 @@
             self.contended = false;
             return;
         }
-        self.adopt(time, KnownHead { version, head });
+        self.adopt(context, KnownHead { version, head });
     }
 
-    /// Takes over a newer head: every earlier write of this VM is decided by it.
-    fn adopt(&mut self, time: &EventContext<'_>, known: KnownHead) {
+    /// Takes a newer head: every earlier write of this VM is decided by it.
+    fn adopt(&mut self, context: &EventContext<'_>, known: KnownHead) {
         self.min_version = known.version;
-        self.pace.observe_writes(time.now, known.head.writes);
+        self.pace.observe_writes(context.now, known.head.writes);
         for abandoned in std::mem::take(&mut self.abandoned) {
             let entry = known.head.entries.get(&abandoned.key);
             if entry.is_some_and(|entry| entry.claimant == abandoned.claimant) {
@@ -88,7 +88,7 @@
                     key: abandoned.key,
                     claimant: abandoned.claimant,
                     state: None,
-                    since: time.now,
+                    since: context.now,
                 });
             }
         }
@@ -99,7 +99,7 @@
 
     fn write_applied(
         &mut self,
-        time: &mut EventContext<'_>,
+        context: &mut EventContext<'_>,
         known: KnownHead,
         claims: &[ClaimId],
         ends: usize,
@@ -121,18 +121,18 @@
         if self.staged_object_named(&known) {
             out.push(Output::Event(ClaimEvent::Sealed));
         }
-        self.adopt(time, known);
-        // All that this head names was known before it was written.
+        self.adopt(context, known);
+        // The keys of all objects that this head names were known before it was written.
         self.keys_missing = false;
         for id in claims {
             self.decide(*id, Verdict::Held, out);
         }
     }
 
-    /// Another VM's write came first, or an earlier one of this VM's own without an answer.
+    /// Handles a lost conditional write: another VM's write came first, or an earlier one of this VM without an answer.
     fn write_conflicted(
         &mut self,
-        time: &mut EventContext<'_>,
+        context: &mut EventContext<'_>,
         found: Option<Version>,
         out: &mut Vec<Output>,
     ) {
@@ -142,11 +142,11 @@
         self.must_read = true;
         let known = self.known.as_ref().map_or(0, |known| known.version);
         self.min_version = found.unwrap_or_default().max(known + 1);
-        self.back_off(time);
+        self.back_off(context);
     }
 
-    /// Returns the read of a sealed object whose keys are not known yet: no key can be claimed
-    /// before all earlier ones are known.
+    /// Returns the read of a sealed object whose keys are not known yet: no key can be claimed before all earlier ones
+    /// are known.
     pub(super) fn load_missing_keys(&mut self) -> Option<(OpenCall, Operation)> {
         let head = Arc::clone(&self.known.as_ref()?.head);
         for index in &head.indexes {
@@ -172,7 +172,7 @@
 
     fn keys_found(
         &mut self,
-        time: &mut EventContext<'_>,
+        context: &mut EventContext<'_>,
         name: String,
         found: Option<(Version, StoredObject)>,
     ) {
@@ -190,19 +190,18 @@
                 }
                 self.sealed.loaded.insert(name);
             }
-            // Deleted since the head was read, or not yet seen by a read that lags.
+            // The object was deleted since the head was read, or the read is stale and does not show it yet.
             _ => {
                 self.must_read = true;
-                self.back_off(time);
+                self.back_off(context);
             }
         }
     }
 
-    /// Decides the claims that the known head and the sealed keys decide. Returns a read where one
-    /// is needed first.
+    /// Decides the claims that the known head and the sealed keys decide. Returns a read where one is needed first.
     pub(super) fn decide_known(
         &mut self,
-        time: &EventContext<'_>,
+        context: &EventContext<'_>,
         out: &mut Vec<Output>,
     ) -> Option<(OpenCall, Operation)> {
         let known = self.known.clone()?;
@@ -213,7 +212,7 @@
             let waiting = &self.waiting[&id];
             let claim = &waiting.claim;
             let entry = known.head.entries.get(&claim.key);
-            let Some(entry) = entry.filter(|entry| entry.expires_ms > time.unix_ms) else {
+            let Some(entry) = entry.filter(|entry| entry.expires_ms > context.unix_ms) else {
                 lookup = lookup.or(self.sealed.keys.get(&claim.key).copied());
                 continue;
             };
@@ -251,15 +250,15 @@
 
     fn records_found(
         &mut self,
-        time: &mut EventContext<'_>,
+        context: &mut EventContext<'_>,
         number: SegmentNumber,
         found: Option<(Version, StoredObject)>,
         out: &mut Vec<Output>,
     ) {
         let Some((_, StoredObject::Segment(segment))) = found else {
-            // Expired and deleted, or not yet seen by a read that lags.
+            // The segment has expired and was deleted, or the read is stale and does not show it yet.
             self.must_read = true;
-            return self.back_off(time);
+            return self.back_off(context);
         };
         let ids: Vec<ClaimId> = self.waiting.keys().copied().collect();
         for id in ids {
@@ -268,8 +267,8 @@
                 continue;
             }
             let verdict = match segment.entries.get(&claim.key) {
-                // The key's window is over: it is as good as new.
-                Some(entry) if entry.expires_ms <= time.unix_ms => {
+                // The key's window is over: it may be claimed like a new one.
+                Some(entry) if entry.expires_ms <= context.unix_ms => {
                     self.sealed.keys.remove(&claim.key);
                     continue;
                 }
@@ -280,7 +279,7 @@
         }
     }
 
-    /// Forgets the sealed segments that a newer head does not name any more.
+    /// Drops the sealed segments that a newer head does not name any more.
     fn forget_dropped_segments(&mut self) {
         let Some(known) = &self.known else {
             return;
--- a/crates/kingcuploft/src/decisions/claim/seal.rs
+++ b/crates/kingcuploft/src/decisions/claim/seal.rs
@@ -1,9 +1,9 @@
-//! Settled entries leave the head: into segments that never change, and indexes over them.
+//! Sealing: settled entries move out of the head, into segments that never change and indexes over them.
 //!
-//! Without sealing, a head would grow past 1 MB within minutes and be rewritten whole with each
-//! claim. Without indexes, a VM that starts would read every segment of the window. Names belong to
-//! one VM's life, so two VMs that seal at once never write the same object; the head's conditional
-//! update decides which of the two counts, and the other is deleted.
+//! Without sealing, a head would grow past 1 MB within minutes and be rewritten whole with each claim. Without indexes,
+//! a VM that starts would read every segment of the window. Object names belong to one incarnation of a VM, so two VMs
+//! that seal at once never write the same object; the head's conditional update decides which of the two counts, and
+//! the other is deleted.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use super::partition::{EventContext, Partition};
 use super::state::{KnownHead, OpenCall, SealedKeys};
 
-/// A sealed object that is written, and not yet named by the head.
+/// A sealed object that is written or being written, and not yet named by the head.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Staged {
     name: String,
@@ -35,13 +35,12 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Garbage {
     name: String,
-    /// The version; `None` where the write had no answer.
+    /// Its version; `None` where the write had no answer.
     version: Option<Version>,
 }
 
 impl SealedKeys {
-    /// Learns the keys of a segment; a key that was claimed again after its window stays with the
-    /// later segment.
+    /// Adds the keys of a segment; a key that was claimed again after its window stays with the later segment.
     pub(super) fn add_segment(&mut self, segment: SegmentRef, keys: impl Iterator<Item = KeyHash>) {
         for key in keys {
             let number = self.keys.entry(key).or_default();
@@ -53,14 +52,17 @@
 }
 
 impl Partition {
-    /// Writes a segment or an index where the head has grown; the head names it afterwards. Each
-    /// VM draws its own threshold, so that seldom two seal at once.
-    pub(super) fn stage(&mut self, time: &mut EventContext<'_>) -> Option<(OpenCall, Operation)> {
+    /// Writes a segment or an index once the head has grown; the next head names it. Each VM draws its own threshold,
+    /// so that two seldom seal at once.
+    pub(super) fn stage(
+        &mut self,
+        context: &mut EventContext<'_>,
+    ) -> Option<(OpenCall, Operation)> {
         if self.staged.is_some() || (self.waiting.is_empty() && self.ends.is_empty()) {
             return None;
         }
         let head = Arc::clone(&self.known.as_ref()?.head);
-        let threshold = 1.0 + time.rng.f64();
+        let threshold = 1.0 + context.rng.f64();
         let bytes = self.settings.seal_bytes as f64 * threshold;
         let segments = self.settings.segments_per_index as f64 * threshold;
         let (what, value, expires_ms) = if head.segments.len() as f64 >= segments {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Gives a staged object up; a write without an answer may have left it behind.
+    /// Discards a staged object; a write without an answer may have left it in the store.
     pub(super) fn discard_staged(&mut self) {
         if let Some(staged) = self.staged.take() {
             self.garbage.push(Garbage {
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Names the staged object in a new head, if what it seals is still there.
+    /// Names the staged object in a new head, if the entries that it seals are still there.
     pub(super) fn apply_staged(&mut self, head: &mut Head) {
         let Some(staged) = &self.staged else {
             return;
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Notes that the head now names the staged object; tells whether there was one.
+    /// Takes the staged object's keys now that the head names it; returns whether there was one.
     pub(super) fn staged_object_named(&mut self, known: &KnownHead) -> bool {
         let Some(staged) = self.staged.take() else {
             return false;
@@ -170,15 +172,15 @@
         true
     }
 
-    /// Drops what has expired from a head, and marks its objects for deletion. Only the VM whose
-    /// write drops them deletes them; they are then named by no head.
+    /// Drops what has expired from a new head. The VM whose write takes effect deletes the dropped objects: no head
+    /// names them any more.
     pub(super) fn drop_expired(&mut self, head: &mut Head, unix_ms: u64) {
         head.entries.retain(|_, entry| entry.expires_ms > unix_ms);
         head.segments.retain(|segment| segment.expires_ms > unix_ms);
         head.indexes.retain(|index| index.expires_ms > unix_ms);
     }
 
-    /// Marks the objects that a newer head of this VM's own does not name any more.
+    /// Queues the objects for deletion that a newer head, written by this VM, does not name any more.
     pub(super) fn queue_garbage(&mut self, before: &Head, after: &Head) {
         let indexes = before.indexes.iter();
         for index in indexes.filter(|index| !after.indexes.contains(index)) {
@@ -216,7 +218,7 @@
     }
 }
 
-/// Cuts the settled entries off a head; `None` where there is none.
+/// Seals the settled entries of a head; returns `None` where there are none.
 fn segment(head: &Head) -> Option<(StagedContent, StoredObject, u64)> {
     let settled = head
         .entries
@@ -233,8 +235,8 @@
 }
 
 fn apply_segment(head: &mut Head, staged: &Staged, version: Version, segment: &Segment) -> bool {
-    // Another VM may have sealed the same entries, or a key may have expired and been claimed
-    // anew: then this segment must not take them out of the head.
+    // Another VM may have sealed the same entries, or a key may have expired and been claimed anew: then this segment
+    // must not take them out of the head.
     let mut sealed = segment.entries.iter();
     if !sealed.all(|(key, entry)| head.entries.get(key) == Some(entry)) {
         return false;
--- a/crates/kingcuploft/src/decisions/claim/state.rs
+++ b/crates/kingcuploft/src/decisions/claim/state.rs
@@ -1,4 +1,4 @@
-//! What a partition keeps between events.
+//! The state that a partition keeps between events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,9 +20,9 @@
 pub(super) struct PendingClaim {
     pub(super) claim: Claim,
     pub(super) since: Instant,
-    /// Whether a write with it was ever called for.
+    /// Whether a write that carries it was ever started.
     pub(super) write_sent: bool,
-    /// Whether the head was read since it came.
+    /// Whether the head was read since it arrived.
     pub(super) head_read: bool,
 }
 
@@ -31,7 +31,7 @@
 pub(super) struct PendingEnd {
     pub(super) key: KeyHash,
     pub(super) claimant: Claimant,
-    /// The settled state; `None` gives the claim back.
+    /// The settled state; `None` releases the claim.
     pub(super) state: Option<EntryState>,
     pub(super) since: Instant,
 }
@@ -43,13 +43,13 @@
     pub(super) claimant: Claimant,
 }
 
-/// What the open call to the store is for.
+/// What the store call in flight is for.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) enum OpenCall {
     Head,
-    /// Learn the keys of a sealed object.
+    /// Read the keys of a sealed object.
     LoadKeys(String),
-    /// Find the answers of sealed keys.
+    /// Read the answers of sealed keys.
     LoadRecords(SegmentNumber),
     Write {
         head: Arc<Head>,
--- a/crates/kingcuploft/src/decisions/claim/write.rs
+++ b/crates/kingcuploft/src/decisions/claim/write.rs
@@ -1,4 +1,4 @@
-//! One conditional update of the head that carries all that waits.
+//! Group commit: one conditional update of the head that carries all waiting claims and ends.
 
 use std::sync::Arc;
 
@@ -8,22 +8,22 @@
 use super::state::{OpenCall, PendingEnd};
 
 impl Partition {
-    /// Builds the write that carries all ends and claims; `None` where there is nothing to write.
+    /// Returns the write that carries all ends and claims; `None` where there is nothing to write.
     pub(super) fn write(
         &mut self,
-        time: &EventContext<'_>,
+        context: &EventContext<'_>,
         out: &mut Vec<Output>,
     ) -> Option<(OpenCall, Operation)> {
         let known = self.known.clone()?;
         let mut head = (*known.head).clone();
-        self.drop_expired(&mut head, time.unix_ms);
+        self.drop_expired(&mut head, context.unix_ms);
         self.ends.retain(|end| applies(end, &head));
         for end in &self.ends {
             apply(end, &mut head, self.settings.object_bytes);
         }
         self.apply_staged(&mut head);
-        let claims = self.apply_claims(time, &mut head, out);
-        // A refused claim that a lost write may have carried needs a write that decides it.
+        let claims = self.apply_claims(context, &mut head, out);
+        // A refused claim that a write without an answer may have carried needs a write that decides it.
         if claims.is_empty() && self.ends.is_empty() && self.abandoned.is_empty() {
             return None;
         }
@@ -48,7 +48,7 @@
 
     fn apply_claims(
         &mut self,
-        time: &EventContext<'_>,
+        context: &EventContext<'_>,
         head: &mut Head,
         out: &mut Vec<Output>,
     ) -> Vec<ClaimId> {
@@ -63,8 +63,8 @@
                 key: claim.key,
                 fingerprint: claim.fingerprint,
                 claimant: claim.claimant.clone(),
-                claimed_ms: time.unix_ms,
-                expires_ms: time.unix_ms + window_ms + slack_ms,
+                claimed_ms: context.unix_ms,
+                expires_ms: context.unix_ms + window_ms + slack_ms,
                 state: EntryState::Claimed,
             };
             bytes += entry.bytes();
@@ -83,14 +83,14 @@
     }
 }
 
-/// Tells whether an end is still to be written: a write without an answer may have carried it.
+/// Returns whether an end is still to be written: a write without an answer may have carried it.
 fn applies(end: &PendingEnd, head: &Head) -> bool {
     let entry = head.entries.get(&end.key);
     entry.is_some_and(|entry| entry.claimant == end.claimant && !entry.state.is_settled())
 }
 
-/// Applies an end. An answer that would take the object over its bound is not kept: a duplicate is
-/// then told that the action ran, which is true.
+/// Applies an end. An answer that would take the object over its size limit is not kept: a duplicate is then told that
+/// the action ran, which is true.
 fn apply(end: &PendingEnd, head: &mut Head, object_bytes: usize) {
     let Some(state) = &end.state else {
         head.entries.remove(&end.key);
--- a/crates/kingcuploft/src/decisions/claim/write_pacing.rs
+++ b/crates/kingcuploft/src/decisions/claim/write_pacing.rs
@@ -1,11 +1,10 @@
-//! How often each VM writes, so that all VMs together write a given number of times a second.
+//! Write pacing: how often each VM writes, so that all VMs together write a given number of times a second.
 //!
-//! Load pattern: many VMs claim a little each. Their groups stay small, so the store sees nearly a
-//! write for each claim, and the more of them there are the more conflict. The head carries a count
-//! of its writes and the pause that every VM keeps between its own; whoever writes and sees more
-//! calls than the aim makes the pause longer, or shorter where there are fewer. At few actions a
-//! second nobody waits; at many, groups grow in place of writes. One pause for all keeps a VM from
-//! waiting for the others' sake.
+//! Load pattern: many VMs claim a little each. Their groups stay small, so the store sees nearly a write for each
+//! claim, and the more writes there are, the more of them conflict. The head carries a count of its writes and the
+//! pause that every VM keeps between its own; a VM that writes and sees more writes than the target makes the pause
+//! longer, or shorter where there are fewer. At few actions a second no claim waits; at many, groups grow instead of
+//! writes. One pause for all keeps a VM from waiting in favour of the others.
 
 use std::time::{Duration, Instant};
 
@@ -13,53 +12,54 @@
 use crate::settings::claim::ClaimSettings;
 
 /// The least time over which the fleet's writes are counted.
-const WINDOW: Duration = Duration::from_millis(200);
+const MIN_WINDOW: Duration = Duration::from_millis(200);
 
 /// The most that a pause may be stretched by at once, as a multiple of the time between writes.
-const STRETCH: f64 = 4.0;
+const MAX_STRETCH: f64 = 4.0;
 
-/// What one VM has seen of the fleet's writes.
+/// What one VM has observed of the fleet's writes.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub(super) struct WritePacing {
-    /// The head's count of writes at the last look, and when that was.
-    seen: Option<(u64, Instant)>,
-    written: u32,
-    lost: u32,
+    /// The head's count of writes at the start of the window, and when that was.
+    window_start: Option<(u64, Instant)>,
+    writes_applied: u32,
+    writes_lost: u32,
     observed: Option<Observed>,
 }
 
-/// What was seen over the last window.
+/// The rates observed over the last window.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Observed {
-    /// Writes of all VMs in 1,000 s, those that lost included.
+    /// Writes of all VMs in 1,000 s, those that lost a conflict included.
     calls_per_ks: u64,
     /// The time between two writes of this VM.
     between: Duration,
 }
 
 impl WritePacing {
-    /// Notes a write of this VM that took effect.
+    /// Records a write of this VM that took effect.
     pub(super) fn record_written(&mut self) {
-        self.written = self.written.saturating_add(1);
+        self.writes_applied = self.writes_applied.saturating_add(1);
     }
 
-    /// Notes a write of this VM that lost: the store counts it too.
+    /// Records a write of this VM that lost a conflict: the store counts it too.
     pub(super) fn record_conflict(&mut self) {
-        self.lost = self.lost.saturating_add(1);
+        self.writes_lost = self.writes_lost.saturating_add(1);
     }
 
-    /// Notes how often the head had been written by now.
+    /// Takes the head's count of writes at this time.
     pub(super) fn observe_writes(&mut self, now: Instant, writes: u64) {
-        let (before, since) = *self.seen.get_or_insert((writes, now));
+        let (before, since) = *self.window_start.get_or_insert((writes, now));
         let time = now.saturating_duration_since(since);
-        if time < WINDOW {
+        if time < MIN_WINDOW {
             return;
         }
-        let own = f64::from(self.written.max(1));
-        // The others lose about as many of their writes as this VM does.
-        let calls = writes.saturating_sub(before) as f64 * (1.0 + f64::from(self.lost) / own);
+        let own = f64::from(self.writes_applied.max(1));
+        // The other VMs lose about as large a share of their writes as this VM does.
+        let calls =
+            writes.saturating_sub(before) as f64 * (1.0 + f64::from(self.writes_lost) / own);
         *self = Self {
-            seen: Some((writes, now)),
+            window_start: Some((writes, now)),
             observed: Some(Observed {
                 calls_per_ks: (calls * 1000.0 / time.as_secs_f64()) as u64,
                 between: time.div_f64(own),
@@ -76,12 +76,12 @@
         if head.writes < head.paced_at + settings.fleet_writes_per_s.div_ceil(2) {
             return;
         }
-        let aim_per_ks = (settings.fleet_writes_per_s * 1000).max(1);
-        // If all VMs stretch the time between their writes by this, they meet the aim; half of
-        // the way at a time, since what is seen is of the past.
-        let stretch = observed.calls_per_ks as f64 / aim_per_ks as f64 - 1.0;
+        let target_per_ks = (settings.fleet_writes_per_s * 1000).max(1);
+        // If all VMs stretch the time between their writes by this, they meet the target; half of the way at a time,
+        // since the observation is of the past.
+        let stretch = observed.calls_per_ks as f64 / target_per_ks as f64 - 1.0;
         let between_ms = observed.between.as_millis() as f64;
-        let pause_ms = head.pace_ms as f64 + between_ms * stretch.min(STRETCH) / 2.0;
+        let pause_ms = head.pace_ms as f64 + between_ms * stretch.min(MAX_STRETCH) / 2.0;
         head.pace_ms = (pause_ms.max(0.0) as u64).min(settings.longest_pace_ms);
         head.paced_at = head.writes;
     }
