--- a/crates/kingcuploft-entry/src/peers/dial.rs
+++ b/crates/kingcuploft-entry/src/peers/dial.rs
@@ -1,4 +1,4 @@
-//! How the VMs reach each other.
+//! How VMs open links to each other: over TCP, or over a network that a test provides.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -6,20 +6,20 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// A network that links VMs.
+/// A network over which VMs open links.
 pub trait Dial {
     /// An open link.
     type Link: AsyncRead + AsyncWrite + Unpin + 'static;
 
-    /// Opens a link.
+    /// Opens a link to the VM at an address.
     ///
     /// # Errors
     ///
-    /// Returns an error if the other side can't be reached.
+    /// Returns an error if the VM can't be reached.
     fn dial(&self, address: SocketAddr) -> impl Future<Output = std::io::Result<Self::Link>>;
 }
 
-/// Links over TCP.
+/// Opens links over TCP.
 #[derive(Clone, Copy, Debug)]
 pub struct Tcp;
 
--- a/crates/kingcuploft-entry/src/peers/feed.rs
+++ b/crates/kingcuploft-entry/src/peers/feed.rs
@@ -1,4 +1,5 @@
-//! What one follower is told: all that it lacks, then each change, what is long only to a few at a time.
+//! Feeds one follower: sends a snapshot of what it lacks, then each change. Long writes go to a few followers at a
+//! time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,22 +24,23 @@
 use crate::store_access::StoreAccess;
 use crate::store_watcher;
 
-/// The time between two heartbeats. A follower that misses two and a bit leaves.
+/// The time between two heartbeats. A follower leaves a feeder whose heartbeats stay out for a bit more than two
+/// intervals.
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a follower is kept waiting by a VM that knows nothing itself.
+/// How long a follower is kept waiting by a VM that is not synchronized itself.
 const SYNC_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// From how many bytes on a follower waits for its turn.
+/// The least size of a write that waits for a permit.
 const LONG_WRITE_BYTES: usize = 16 * 1024;
 
-/// A link to a follower.
+/// The link to one follower.
 pub(super) struct Feed<'a, W> {
     context: &'a Rc<Context>,
-    pulse: &'a StoreAccess,
+    store_access: &'a StoreAccess,
     stream: W,
     protocol_version: ProtocolVersion,
-    /// The version that the follower has.
+    /// The version of the configuration that the follower has.
     version: Option<ConfigurationVersion>,
     arrived: Option<Arrived>,
 }
@@ -46,13 +48,13 @@
 impl<'a, W: AsyncWrite + Unpin> Feed<'a, W> {
     pub(super) fn new(
         context: &'a Rc<Context>,
-        pulse: &'a StoreAccess,
+        store_access: &'a StoreAccess,
         hello: &Hello,
         stream: W,
     ) -> Self {
         Self {
             context,
-            pulse,
+            store_access,
             stream,
             protocol_version: hello.protocol_version,
             version: hello.version,
@@ -60,12 +62,12 @@
         }
     }
 
-    /// Tells a follower all that it lacks, and then what this VM hears, until the link ends.
+    /// Sends a snapshot and then all changes, until the link ends.
     pub(super) async fn run(mut self, hello: &Hello, mut queue: Queue) -> std::io::Result<()> {
-        if !sync_status(self.context, self.pulse).is_complete() {
+        if !sync_status(self.context, self.store_access).is_complete() {
             let whole = tokio::time::timeout(SYNC_TIMEOUT, self.wait_until_synced());
             whole.await.map_err(|_| timed_out())??;
-            // What queued up meanwhile is in the account.
+            // The snapshot includes what was queued meanwhile.
             queue.clear();
         }
         self.send_snapshot(hello).await?;
@@ -78,7 +80,7 @@
                     self.send(&Frame::NewerVersion(version)).await?;
                 }
                 Outgoing::NewerVersion(_) => {}
-                Outgoing::Configuration => self.configuration().await?,
+                Outgoing::Configuration => self.send_configuration().await?,
                 Outgoing::SinceVersion(release, line) if self.protocol_version >= release => {
                     write_line(&mut self.stream, &line).await?;
                 }
@@ -93,38 +95,42 @@
     }
 
     async fn send_snapshot(&mut self, hello: &Hello) -> std::io::Result<()> {
-        let own = sync_status(self.context, self.pulse);
+        let own = sync_status(self.context, self.store_access);
         let digest = self.context.with_servers(|servers| servers.digest());
         let knows_servers = hello.servers.is_some() && hello.servers_digest == Some(digest);
         let context = self.context;
-        let servers =
-            (!knows_servers).then(|| context.followers.server_snapshot(|| servers(context)));
-        let mut greeting = Frame::Status(own).to_line();
+        let servers = (!knows_servers).then(|| {
+            context
+                .followers
+                .server_snapshot(|| all_servers_line(context))
+        });
+        let mut snapshot = Frame::Status(own).to_line();
         let records = self.context.readers.borrow().records();
-        greeting.extend(Frame::Zones(records).to_line());
+        snapshot.extend(Frame::Zones(records).to_line());
         if self.protocol_version >= FIRST_VERSION_WITH_EVACUATIONS {
             let frame = match planted::is_on(Planted::JoinersLackEvacuations) {
                 true => Frame::Evacuations(Vec::new()),
                 false => evacuation::to_frame(self.context),
             };
-            greeting.extend(frame.to_line());
+            snapshot.extend(frame.to_line());
         }
         if self.protocol_version >= FIRST_VERSION_WITH_NOTICES {
             let notices = notices::stored(self.context);
-            greeting.extend(Frame::AllNotices(notices).to_line());
+            snapshot.extend(Frame::AllNotices(notices).to_line());
         }
-        write_line(&mut self.stream, &greeting).await?;
+        write_line(&mut self.stream, &snapshot).await?;
         self.request_newer_configuration(hello).await?;
-        self.configuration().await?;
+        self.send_configuration().await?;
         if let Some(servers) = servers {
             self.write_throttled(&[servers]).await?;
         }
         self.send(&Frame::SnapshotEnd).await
     }
 
-    /// Asks a follower for its configuration that knows a newer one.
+    /// Asks a follower for its configuration if that is newer.
     ///
-    /// Failure: the store came back from a copy, a VM starts and reads it before the operator has written the configuration again.
+    /// Failure: the store is restored from an older copy, and a VM starts and reads it before the operator has written
+    /// the configuration again. Its followers know the newer one.
     async fn request_newer_configuration(&mut self, hello: &Hello) -> std::io::Result<()> {
         let Some(newer) = hello
             .version
@@ -139,13 +145,13 @@
         }
     }
 
-    /// Tells the follower that this VM is alive, until it knows all.
+    /// Sends the follower heartbeats until this VM is synchronized.
     async fn wait_until_synced(&mut self) -> std::io::Result<()> {
         loop {
             self.send(&Frame::Wait).await?;
             let complete = tokio::time::timeout(
                 HEARTBEAT_INTERVAL,
-                wait_until_complete(self.context, self.pulse),
+                wait_until_complete(self.context, self.store_access),
             );
             if complete.await.is_ok() {
                 return Ok(());
@@ -153,8 +159,9 @@
         }
     }
 
-    /// Tells the follower what leads from its configuration to the one in force.
-    async fn configuration(&mut self) -> std::io::Result<()> {
+    /// Sends the changes that lead from the follower's configuration to the one in force, without the parts that it
+    /// already has; the whole configuration to a follower of an earlier release.
+    async fn send_configuration(&mut self) -> std::io::Result<()> {
         let Some(current) = self.context.configuration() else {
             return Ok(());
         };
@@ -176,37 +183,40 @@
             .active_configuration
             .changes_since(self.version)
         {
-            let has = arrived.filter(|has| (has.from, has.to) == (change.from, change.to));
+            let progress =
+                arrived.filter(|progress| (progress.from, progress.to) == (change.from, change.to));
             let parts = self.context.followers.change_lines(&change);
-            let missing = has.map_or(0, |has| has.parts as usize).min(parts.len());
-            self.write_throttled(&parts[missing..]).await?;
+            let skipped = progress
+                .map_or(0, |progress| progress.parts as usize)
+                .min(parts.len());
+            self.write_throttled(&parts[skipped..]).await?;
             self.version = Some(change.to);
         }
         Ok(())
     }
 
-    /// Writes lines; where they are long together, after others that are being written to.
+    /// Writes lines. If they are long together, waits for a permit first.
     async fn write_throttled(&mut self, lines: &[Line]) -> std::io::Result<()> {
         let bytes: usize = lines.iter().map(|line| line.len()).sum();
-        let turn = match bytes >= LONG_WRITE_BYTES {
+        let permit = match bytes >= LONG_WRITE_BYTES {
             true => Some(self.long_write_permit().await?),
             false => None,
         };
         for line in lines {
             write_line(&mut self.stream, line).await?;
         }
-        drop(turn);
+        drop(permit);
         Ok(())
     }
 
-    /// Waits until few others are written to, and tells the follower meanwhile that this VM is alive.
+    /// Returns a permit for a long write; sends the follower heartbeats while it waits for one.
     async fn long_write_permit(&mut self) -> std::io::Result<SemaphorePermit<'a>> {
-        let turn = self.context.followers.long_writes.acquire();
-        tokio::pin!(turn);
+        let permit = self.context.followers.long_writes.acquire();
+        tokio::pin!(permit);
         loop {
             tokio::select! {
                 biased;
-                turn = &mut turn => return turn.map_err(|_| timed_out()),
+                permit = &mut permit => return permit.map_err(|_| timed_out()),
                 () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
             }
             let alive = match self.takes_parts() {
@@ -222,18 +232,18 @@
     }
 }
 
-async fn wait_until_complete(context: &Context, pulse: &StoreAccess) {
+async fn wait_until_complete(context: &Context, store_access: &StoreAccess) {
     loop {
-        let moved = context.position_advanced.notified();
-        if sync_status(context, pulse).is_complete() {
+        let advanced = context.position_advanced.notified();
+        if sync_status(context, store_access).is_complete() {
             return;
         }
-        moved.await;
+        advanced.await;
     }
 }
 
-/// Writes all backend servers that have entries.
-fn servers(context: &Context) -> Vec<u8> {
+/// Encodes the entries of all backend servers.
+fn all_servers_line(context: &Context) -> Vec<u8> {
     let table = context.with_servers(|servers| ServerTable::of(servers.present()));
     Frame::AllServers(table).to_line()
 }
--- a/crates/kingcuploft-entry/src/peers/feeder.rs
+++ b/crates/kingcuploft-entry/src/peers/feeder.rs
@@ -1,4 +1,5 @@
-//! The feeder's side of a link: tells its followers what it hears.
+//! The feeder's side of a link: accepts connections of other VMs, admits followers and passes on to them what this VM
+//! learns of the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,18 +15,18 @@
 use crate::context::Context;
 use crate::store_access::StoreAccess;
 
-/// The bytes read at once of what a follower says.
+/// The capacity of the buffer for what a follower sends: a follower's frames are short.
 const READ_BUFFER_BYTES: usize = 256;
 
-/// Takes followers until the process ends.
-pub async fn serve(context: Rc<Context>, pulse: Rc<StoreAccess>, listener: TcpListener) {
+/// Accepts connections of other VMs, until the process ends.
+pub async fn serve(context: Rc<Context>, store_access: Rc<StoreAccess>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (context, pulse) = (context.clone(), pulse.clone());
+                let (context, store_access) = (context.clone(), store_access.clone());
                 tokio::task::spawn_local(async move {
                     let _ = stream.set_nodelay(true);
-                    let _ = handle_connection(&context, &pulse, stream).await;
+                    let _ = handle_connection(&context, &store_access, stream).await;
                 });
             }
             Err(error) => {
@@ -36,33 +37,35 @@
     }
 }
 
-/// Beats until the process ends.
-pub async fn send_heartbeats(context: Rc<Context>, pulse: Rc<StoreAccess>) {
+/// Sends heartbeats to all followers, until the process ends: the whole status if it has changed since the last one, a
+/// short frame otherwise.
+pub async fn send_heartbeats(context: Rc<Context>, store_access: Rc<StoreAccess>) {
     let mut last_sent = None;
     loop {
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         if context.followers.is_empty() {
             continue;
         }
-        let standing = sync_status(&context, &pulse);
-        let is_news = last_sent.as_ref() != Some(&standing);
-        let line = Frame::Status(standing.clone());
-        match is_news {
+        let status = sync_status(&context, &store_access);
+        let has_changed = last_sent.as_ref() != Some(&status);
+        let line = Frame::Status(status.clone());
+        match has_changed {
             true => context.followers.send(&line),
             false => context.followers.send_alive(&line),
         }
-        last_sent = Some(standing);
+        last_sent = Some(status);
     }
 }
 
-/// Answers one VM until its link ends.
+/// Serves one connection of another VM until it ends: answers a request for the zones' records, takes such records, or
+/// feeds a follower.
 ///
 /// # Errors
 ///
 /// Returns an error if the link fails.
 pub async fn handle_connection(
     context: &Rc<Context>,
-    pulse: &StoreAccess,
+    store_access: &StoreAccess,
     stream: impl AsyncRead + AsyncWrite,
 ) -> std::io::Result<()> {
     let (read, mut write) = tokio::io::split(stream);
@@ -76,19 +79,19 @@
             crate::store_watcher::apply_zone_records(context, records);
             Ok(())
         }
-        Ok(Frame::Hello(hello)) => feed(context, pulse, hello, lines, write).await,
+        Ok(Frame::Hello(hello)) => feed(context, store_access, hello, lines, write).await,
         Ok(_) | Err(_) => Ok(()),
     }
 }
 
 async fn feed(
     context: &Rc<Context>,
-    pulse: &StoreAccess,
+    store_access: &StoreAccess,
     hello: Hello,
     lines: BufReader<impl AsyncRead + Unpin>,
     mut stream: impl AsyncWrite + Unpin,
 ) -> std::io::Result<()> {
-    let own = sync_status(context, pulse);
+    let own = sync_status(context, store_access);
     let (vm, zone) = (hello.vm.clone(), &context.settings.zone);
     let admitted = context
         .followers
@@ -99,18 +102,18 @@
         Admitted::Rejected => return send(&mut stream, &Frame::Status(own)).await,
     };
     if is_follower_ahead(&hello, &own) {
-        refresh(context, pulse);
+        refresh(context, store_access);
     }
     let ended = tokio::select! {
         biased;
-        ended = Feed::new(context, pulse, &hello, stream).run(&hello, queue) => ended,
-        () = receive(context, pulse, id, lines) => Ok(()),
+        ended = Feed::new(context, store_access, &hello, stream).run(&hello, queue) => ended,
+        () = receive(context, store_access, id, lines) => Ok(()),
     };
     context.followers.remove(id);
     ended
 }
 
-/// Returns whether a VM that wants to be fed knows the store up to a later moment.
+/// Returns whether a VM that asks to be fed knows a later revision of the store.
 fn is_follower_ahead(hello: &Hello, own: &SyncStatus) -> bool {
     let knows_more = hello.configuration > own.configuration
         || hello.servers > own.servers
@@ -118,20 +121,21 @@
     own.is_complete() && knows_more
 }
 
-/// Learns up to which moment this VM knows the store.
+/// Has this VM, or the reader that feeds it, ask the store for its current revision.
 ///
-/// A watch that brings no change tells none: whoever read the store a moment later would take this VM for one that is behind.
-fn refresh(context: &Context, pulse: &StoreAccess) {
-    match pulse.is_reading() {
-        true => pulse.request_rewatch(),
+/// A watch that brings no change brings no revision either. Without this, a VM that has read the store a moment later
+/// takes this VM for one that is behind, for as long as nothing changes.
+fn refresh(context: &Context, store_access: &StoreAccess) {
+    match store_access.is_reading() {
+        true => store_access.request_rewatch(),
         false => context.follower_ahead.notify_waiters(),
     }
 }
 
-/// Hears how many VMs are fed through a follower, until the link ends.
+/// Handles what a follower reports, until the link ends.
 async fn receive(
     context: &Context,
-    pulse: &StoreAccess,
+    store_access: &StoreAccess,
     id: u64,
     mut lines: BufReader<impl AsyncRead + Unpin>,
 ) {
@@ -143,11 +147,13 @@
             Ok(_) => {}
         }
         match serde_json::from_slice(&line) {
-            Ok(Frame::Descendants(below)) => context.followers.set_descendants(id, below),
+            Ok(Frame::Descendants(descendants)) => {
+                context.followers.set_descendants(id, descendants)
+            }
             Ok(Frame::Configuration(newer)) => {
                 crate::store_watcher::adopt_configuration(context, *newer)
             }
-            Ok(Frame::FollowerAhead) => refresh(context, pulse),
+            Ok(Frame::FollowerAhead) => refresh(context, store_access),
             Ok(_) | Err(_) => {}
         }
     }
--- a/crates/kingcuploft-entry/src/peers/follower.rs
+++ b/crates/kingcuploft-entry/src/peers/follower.rs
@@ -1,4 +1,5 @@
-//! The follower's side of a link: learns from another VM what the store holds.
+//! The follower's side of a link: replicates the platform's store from another VM, the feeder, instead of reading the
+//! store.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -27,24 +28,24 @@
 use crate::store_access::StoreAccess;
 use crate::store_watcher;
 
-/// How long a link may take to be opened by a VM that knows what the store held a moment ago.
+/// How long opening a link may take for a VM that has recent knowledge of the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The same for a VM that knows nothing, and refuses callers meanwhile: a VM of the zone that runs answers
-/// within some milliseconds, and one that has no power does not even refuse.
+/// The same for a VM that is not ready and refuses callers meanwhile: a running VM of the zone answers within some
+/// milliseconds, and one without power does not even refuse the connection.
 const CONNECT_TIMEOUT_NOT_READY: Duration = Duration::from_millis(20);
 
-/// How long a feeder may be silent: two heartbeats and a bit. A change that it missed is then read
-/// from the store within some tenths of a second, well within the 2 s of a leaving server.
+/// How long a feeder may send nothing: two heartbeats and a bit. A change that was missed is then read from the store
+/// within some tenths of a second, well within the 2 s in which a leaving server must get no new work.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(650);
 
-/// From which length on a line is logged with the time that it took.
+/// The least length of a line that is logged with the time that it took to arrive.
 const LONG_LINE_BYTES: usize = 16 * 1024;
 
-/// Whether a link came to feed this VM before it ended.
+/// Whether a link delivered a snapshot before it ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkOutcome {
-    /// It did.
+    /// It did, and fed this VM.
     Fed,
     /// It did not.
     NotFed,
@@ -53,34 +54,33 @@
 /// How a link ended.
 #[derive(Debug)]
 pub struct LinkEnd {
-    /// Why.
+    /// The reason.
     pub why: LinkError,
-    /// Whether it fed this VM.
+    /// Whether it had fed this VM.
     pub outcome: LinkOutcome,
 }
 
-/// Follows a VM until the link ends. While all that it knows has been told and it goes on telling, this VM does not
-/// read the store.
+/// Follows a VM until the link ends. From the end of the snapshot until then, this VM does not read the store.
 pub async fn follow(
     context: &Rc<Context>,
-    pulse: &StoreAccess,
+    store_access: &StoreAccess,
     own: &VmEntry,
     feeder: &VmEntry,
     network: &impl Dial,
 ) -> LinkEnd {
     let _guard = FollowingGuard(context);
-    let ended = run_link(context, pulse, own, feeder, network).await;
+    let result = run_link(context, store_access, own, feeder, network).await;
     let outcome = match context.feeder.borrow().is_some() {
         true => LinkOutcome::Fed,
         false => LinkOutcome::NotFed,
     };
     LinkEnd {
-        why: ended.err().unwrap_or(LinkError::Closed),
+        why: result.err().unwrap_or(LinkError::Closed),
         outcome,
     }
 }
 
-/// What holds while a VM is followed, and no longer, also where following is broken off.
+/// Resets what the context holds of the feeder once the link ends, also where the future that follows it is dropped.
 struct FollowingGuard<'a>(&'a Context);
 
 impl Drop for FollowingGuard<'_> {
@@ -92,9 +92,10 @@
     }
 }
 
+/// Opens a link and serves both of its directions until it ends.
 async fn run_link(
     context: &Rc<Context>,
-    pulse: &StoreAccess,
+    store_access: &StoreAccess,
     own: &VmEntry,
     feeder: &VmEntry,
     network: &impl Dial,
@@ -121,12 +122,13 @@
     let lines = Lines::new(read);
     tokio::select! {
         biased;
-        ended = receive(context, pulse, feeder, lines) => ended,
-        ended = report_descendants(context, write) => ended,
+        result = receive(context, store_access, feeder, lines) => result,
+        result = report_descendants(context, write) => result,
     }
 }
 
-/// Tells the feeder how many VMs are fed through this one, each time that changes, and that one is ahead.
+/// Reports to the feeder, until the link fails: how many VMs are fed through this one, each time that changes; this
+/// VM's configuration, if the feeder asks for it; and that a follower is ahead.
 async fn report_descendants(
     context: &Context,
     mut stream: impl AsyncWrite + Unpin,
@@ -150,7 +152,7 @@
     }
 }
 
-/// Tells the feeder the configuration in force, of which it knows an older one.
+/// Sends the feeder the configuration in force, as it knows an older one.
 async fn send_configuration(
     context: &Context,
     stream: &mut (impl AsyncWrite + Unpin),
@@ -158,13 +160,14 @@
     let Some(configuration) = context.configuration() else {
         return Ok(());
     };
-    let whole = Frame::Configuration(Box::new((*configuration).clone()));
-    stream.write_all(&whole.to_line()).await
+    let full = Frame::Configuration(Box::new((*configuration).clone()));
+    stream.write_all(&full.to_line()).await
 }
 
+/// Applies what the feeder sends, until the link ends.
 async fn receive(
     context: &Rc<Context>,
-    pulse: &StoreAccess,
+    store_access: &StoreAccess,
     feeder: &VmEntry,
     mut lines: Lines<impl AsyncRead + Unpin>,
 ) -> Result<(), LinkError> {
@@ -182,7 +185,7 @@
                 if let Some(era) = status.era() {
                     store_watcher::note_era(context, era);
                 }
-                check_feeder(context, pulse, &status)?;
+                check_feeder(context, store_access, &status)?;
                 match has_snapshot {
                     true => apply_status(context, status),
                     false => pending_status = Some(status),
@@ -194,7 +197,7 @@
                     apply_status(context, status);
                 }
                 has_snapshot = true;
-                pulse.stop_reading();
+                store_access.stop_reading();
                 context.readers.borrow_mut().answered(&feeder.name);
                 *context.feeder.borrow_mut() = Some(feeder.clone());
                 tracing::info!(
@@ -204,7 +207,7 @@
                 );
             }
             Frame::Part(part) => {
-                transfer.add(&lines);
+                transfer.add_line(&lines);
                 apply_part(context, *part, &mut transfer)?;
             }
             frame => apply(context, frame)?,
@@ -212,33 +215,34 @@
     }
 }
 
-/// The parts of a configuration that have come over one link.
+/// The parts of a configuration that have arrived over one link, to be logged.
 #[derive(Debug, Default)]
 struct Transfer {
     parts: u32,
     bytes: usize,
-    began: Option<Instant>,
+    started_at: Option<Instant>,
 }
 
 impl Transfer {
-    /// Counts the line that was read last.
-    fn add<R: AsyncRead + Unpin>(&mut self, lines: &Lines<R>) {
-        let (bytes, took) = lines.last_line();
-        let began = clock::now().checked_sub(took);
-        self.began = self.began.or(began);
+    /// Counts the part in the line that was read last.
+    fn add_line<R: AsyncRead + Unpin>(&mut self, lines: &Lines<R>) {
+        let (bytes, duration) = lines.last_line();
+        let started_at = clock::now().checked_sub(duration);
+        self.started_at = self.started_at.or(started_at);
         self.parts += 1;
         self.bytes += bytes;
     }
 
-    /// Writes down that the configuration is whole.
-    fn end(&mut self, version: ConfigurationVersion) {
+    /// Logs that the configuration is complete, and begins anew.
+    fn log_complete(&mut self, version: ConfigurationVersion) {
         let Self {
             parts,
             bytes,
-            began,
+            started_at,
         } = std::mem::take(self);
-        let took = began.map(|began| clock::now().saturating_duration_since(began));
-        let took_ms = took.unwrap_or_default().as_millis() as u64;
+        let duration =
+            started_at.map(|started_at| clock::now().saturating_duration_since(started_at));
+        let took_ms = duration.unwrap_or_default().as_millis() as u64;
         tracing::info!(
             event = "configuration_arrived",
             version,
@@ -249,7 +253,7 @@
     }
 }
 
-/// Returns what a feeder tells next, or `None` at the end of the link.
+/// Returns the next frame, or `None` at the end of the link.
 async fn next_frame(lines: &mut Lines<impl AsyncRead + Unpin>) -> Result<Option<Frame>, LinkError> {
     let frame = match lines.next(SILENCE_TIMEOUT).await {
         Ok(Some(line)) => serde_json::from_slice(line)?,
@@ -262,18 +266,19 @@
             });
         }
     };
-    let (bytes, took) = lines.last_line();
+    let (bytes, duration) = lines.last_line();
     if bytes >= LONG_LINE_BYTES {
-        let took_ms = took.as_millis() as u64;
+        let took_ms = duration.as_millis() as u64;
         tracing::info!(event = "long_line", bytes, took_ms);
     }
     Ok(Some(frame))
 }
 
-/// Checks whether the feeder may still be followed.
+/// Checks whether the feeder may still be followed: it must not be fed through this VM, not be behind it, and have the
+/// store if this VM has.
 fn check_feeder(
     context: &Context,
-    pulse: &StoreAccess,
+    store_access: &StoreAccess,
     status: &SyncStatus,
 ) -> Result<(), LinkError> {
     if feeding::is_circle(&context.settings.vm, &status.path) {
@@ -289,13 +294,14 @@
     if status.is_behind(&own) {
         return Err(LinkError::Behind);
     }
-    let has_store = pulse.is_reading() && pulse.is_available();
+    let has_store = store_access.is_reading() && store_access.is_available();
     if !status.store_reachable && has_store && context.is_ready() {
         return Err(LinkError::StoreUnreachable);
     }
     Ok(())
 }
 
+/// Adopts the feeder's revisions as this VM's own: all changes up to them have been applied.
 fn apply_status(context: &Context, status: SyncStatus) {
     if let Some(revision) = status.configuration {
         context.set_position(Collection::Configuration, revision);
@@ -355,7 +361,7 @@
     match context.active_configuration.add_part(part)? {
         Taken::More | Taken::Known => Ok(()),
         Taken::Whole(configuration) => {
-            transfer.end(configuration.version);
+            transfer.log_complete(configuration.version);
             store_watcher::adopt_configuration(context, *configuration);
             Ok(())
         }
--- a/crates/kingcuploft-entry/src/peers/followers.rs
+++ b/crates/kingcuploft-entry/src/peers/followers.rs
@@ -1,4 +1,4 @@
-//! The VMs that this one feeds, and what waits to be written to them.
+//! The followers that this VM feeds, and the queue of what is to be written to each.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -15,51 +15,52 @@
     FIRST_VERSION_WITH_EVACUATIONS, FIRST_VERSION_WITH_NOTICES, Frame, ProtocolVersion,
 };
 
-/// How many frames may wait for one follower; one that is so far behind is better off alone.
+/// The most frames in the queue of one follower. A follower that is further behind is dropped: it syncs sooner from
+/// another feeder or from the store.
 const MAX_QUEUED_FRAMES: usize = 256;
 
-/// How many bytes may.
+/// The most bytes in the queue of one follower.
 const MAX_QUEUED_BYTES: usize = 512 * 1024;
 
-/// How many followers are written long lines at once: the first of them tell others while the last still wait.
+/// The most long writes at a time. Followers that are written first already feed others while the last still wait.
 const MAX_LONG_WRITES: usize = 3;
 
-/// What is written to several followers.
+/// A line that is written to several followers, encoded once.
 pub type Line = Rc<Vec<u8>>;
 
-/// What is told to a follower next.
+/// An entry in the queue of a follower.
 #[derive(Clone, Debug)]
 pub enum Outgoing {
-    /// A line.
+    /// A line that every follower understands.
     Line(Line),
-    /// That this VM is alive; the line says so to one that does not understand the short word for it.
+    /// A heartbeat; the line is the whole status, for followers that do not understand `Frame::Alive`.
     Alive(Line),
-    /// That a version of the configuration exists.
+    /// The news that a version of the configuration exists.
     NewerVersion(ConfigurationVersion),
-    /// What leads from its configuration to the one in force.
+    /// The changes that lead from the follower's configuration to the one in force, computed when they are written.
     Configuration,
-    /// A line that VMs understand from this release on.
+    /// A line that followers understand from this version of the protocol on.
     SinceVersion(ProtocolVersion, Line),
 }
 
-/// What waits to be told to one follower.
+/// The queue of one follower.
 #[derive(Debug)]
 pub struct Queue {
-    waiting: mpsc::Receiver<Outgoing>,
-    bytes: Rc<Cell<usize>>,
+    receiver: mpsc::Receiver<Outgoing>,
+    queued_bytes: Rc<Cell<usize>>,
 }
 
 impl Queue {
-    /// Returns what is told next, or `None` once the follower is let go.
+    /// Returns the next entry, or `None` once the follower has been dropped.
     pub async fn next(&mut self) -> Option<Outgoing> {
-        let next = self.waiting.recv().await;
+        let next = self.receiver.recv().await;
         self.subtract_bytes(next.as_ref());
         next
     }
 
-    /// Forgets all that waits.
+    /// Removes all entries.
     pub fn clear(&mut self) {
-        while let Ok(outgoing) = self.waiting.try_recv() {
+        while let Ok(outgoing) = self.receiver.try_recv() {
             self.subtract_bytes(Some(&outgoing));
         }
     }
@@ -69,12 +70,12 @@
             Outgoing::Line(line) | Outgoing::Alive(line) | Outgoing::SinceVersion(_, line),
         ) = outgoing
         {
-            self.bytes.set(self.bytes.get() - line.len());
+            self.queued_bytes.set(self.queued_bytes.get() - line.len());
         }
     }
 }
 
-/// Tells one follower from the others.
+/// Identifies the link to a follower.
 type FollowerId = u64;
 
 #[derive(Debug)]
@@ -82,11 +83,11 @@
     id: FollowerId,
     fed: Fed,
     queue: mpsc::Sender<Outgoing>,
-    waiting_bytes: Rc<Cell<usize>>,
+    queued_bytes: Rc<Cell<usize>>,
 }
 
 impl Follower {
-    /// Has something told; returns whether there was room.
+    /// Queues an entry; returns whether there was room for it.
     fn enqueue(&self, outgoing: &Outgoing) -> bool {
         let bytes = match outgoing {
             Outgoing::Line(line) | Outgoing::Alive(line) | Outgoing::SinceVersion(_, line) => {
@@ -94,41 +95,41 @@
             }
             Outgoing::NewerVersion(_) | Outgoing::Configuration => 0,
         };
-        let waiting = self.waiting_bytes.get();
+        let waiting = self.queued_bytes.get();
         let has_room = waiting == 0 || waiting + bytes <= MAX_QUEUED_BYTES;
         if !has_room || self.queue.try_send(outgoing.clone()).is_err() {
             let vm = &self.fed.vm.name;
             tracing::info!(event = "follower_dropped", %vm, waiting_bytes = waiting);
             return false;
         }
-        self.waiting_bytes.set(waiting + bytes);
+        self.queued_bytes.set(waiting + bytes);
         true
     }
 }
 
-/// A change, by the versions that it leads from and to.
+/// A change of the configuration, by the versions that it leads from and to.
 type ChangeKey = (Option<ConfigurationVersion>, ConfigurationVersion);
 
-/// The VMs that this one feeds.
+/// The followers of this VM.
 #[derive(Debug)]
 pub struct Followers {
     all: RefCell<Vec<Follower>>,
     next_id: Cell<FollowerId>,
     server_snapshot: RefCell<Weak<Vec<u8>>>,
     parts: RefCell<HashMap<ChangeKey, Weak<Vec<Line>>>>,
-    /// Those that may be written long lines.
+    /// The permits for long writes.
     pub long_writes: Semaphore,
-    /// Wakes whoever tells how many there are.
+    /// Notified when a follower joins or leaves, or the number of VMs fed through one changes.
     pub changed: Notify,
 }
 
-/// What becomes of a VM that wants to be fed.
+/// The decision about a VM that asks to be fed.
 pub enum Admitted {
-    /// It is fed: this link's place among the followers, and what is told to it from now on.
+    /// It is fed: the id of its link, and the queue of what is to be written to it from now on.
     Accepted(FollowerId, Queue),
-    /// Another VM may feed it.
+    /// It is redirected to a follower of this VM.
     Redirected(VmEntry),
-    /// It is turned away.
+    /// It is rejected.
     Rejected,
 }
 
@@ -146,7 +147,7 @@
 }
 
 impl Followers {
-    /// Tells all followers; one that does not keep up is dropped.
+    /// Sends a frame to all followers; drops those whose queue is full.
     pub fn send(&self, frame: &Frame) {
         match frame {
             Frame::Server(_) | Frame::Servers(_) | Frame::ServerGone(_) | Frame::AllServers(_) => {
@@ -160,7 +161,7 @@
         self.enqueue_all(&Outgoing::Line(Rc::new(frame.to_line())));
     }
 
-    /// Tells all followers what leads to the configuration in force, first those that tell most others.
+    /// Sends the latest configuration to all followers, first to those through which most others are fed.
     pub fn send_configuration(&self) {
         let mut all = self.all.borrow_mut();
         all.sort_by_key(|follower| std::cmp::Reverse(follower.fed.below));
@@ -168,33 +169,33 @@
         self.enqueue_all(&Outgoing::Configuration);
     }
 
-    /// Tells all followers that this VM is alive and stands where it did.
-    pub fn send_alive(&self, standing: &Frame) {
-        self.enqueue_all(&Outgoing::Alive(Rc::new(standing.to_line())));
+    /// Sends all followers a heartbeat of this VM, whose status has not changed.
+    pub fn send_alive(&self, status: &Frame) {
+        self.enqueue_all(&Outgoing::Alive(Rc::new(status.to_line())));
     }
 
-    /// Tells all followers that understand it of notices.
+    /// Sends notices to all followers that understand them.
     pub fn send_notices(&self, notices: &Frame) {
         self.send_since(FIRST_VERSION_WITH_NOTICES, notices);
     }
 
-    /// Tells all followers that understand it which zones are evacuated.
+    /// Sends the evacuated zones to all followers that understand them.
     pub fn send_evacuations(&self, evacuations: &Frame) {
         self.send_since(FIRST_VERSION_WITH_EVACUATIONS, evacuations);
     }
 
-    /// Tells all followers that understand it of the store's era.
+    /// Sends the store's era to all followers that understand it.
     pub fn send_era(&self, era: &Frame) {
         self.send_since(FIRST_VERSION_WITH_EVACUATIONS, era);
     }
 
-    fn send_since(&self, release: ProtocolVersion, frame: &Frame) {
+    fn send_since(&self, version: ProtocolVersion, frame: &Frame) {
         if !self.is_empty() {
-            self.enqueue_all(&Outgoing::SinceVersion(release, Rc::new(frame.to_line())));
+            self.enqueue_all(&Outgoing::SinceVersion(version, Rc::new(frame.to_line())));
         }
     }
 
-    /// Tells all followers that a version of the configuration exists.
+    /// Announces a newer version of the configuration to all followers.
     pub fn send_newer_version(&self, version: ConfigurationVersion) {
         self.enqueue_all(&Outgoing::NewerVersion(version));
     }
@@ -208,8 +209,9 @@
         }
     }
 
-    /// Returns the account of all backend servers, shared by the followers that join before the next
-    /// change: when all VMs of a zone start together, a copy for each is more than a small VM has.
+    /// Returns the encoded entries of all backend servers, shared by the followers that join before the next change.
+    ///
+    /// Load pattern: all VMs of a zone start together. A copy for each is more memory than a small VM has.
     pub fn server_snapshot(&self, write: impl FnOnce() -> Vec<u8>) -> Line {
         let mut shared = self.server_snapshot.borrow_mut();
         if let Some(server_snapshot) = shared.upgrade() {
@@ -220,7 +222,7 @@
         server_snapshot
     }
 
-    /// Returns the lines that tell a change, shared by the followers that are told it together.
+    /// Returns the encoded parts of a change, shared by the followers that it is sent to at the same time.
     pub fn change_lines(&self, change: &ConfigurationChange) -> Rc<Vec<Line>> {
         let mut shared = self.parts.borrow_mut();
         let key = (change.from, change.to);
@@ -235,53 +237,53 @@
         lines
     }
 
-    /// Returns the most bytes that wait for one follower.
+    /// Returns how many bytes the longest queue of a follower holds.
     pub fn max_queued_bytes(&self) -> usize {
         let all = self.all.borrow();
-        let waiting = all.iter().map(|follower| follower.waiting_bytes.get());
+        let waiting = all.iter().map(|follower| follower.queued_bytes.get());
         waiting.max().unwrap_or(0)
     }
 
-    /// Takes note that the account is no longer true.
+    /// Drops the encoded entries of the backend servers, as they have changed.
     pub fn invalidate_server_snapshot(&self) {
         self.server_snapshot.take();
     }
 
-    /// Returns whether nobody follows.
+    /// Returns whether this VM has no followers.
     pub fn is_empty(&self) -> bool {
         self.all.borrow().is_empty()
     }
 
-    /// Returns how many VMs are fed at first hand.
+    /// Returns how many followers this VM has.
     pub fn len(&self) -> usize {
         self.all.borrow().len()
     }
 
-    /// Returns how many VMs of a zone are fed at first or second hand.
+    /// Returns how many VMs of a zone are fed through this one, at first or second hand.
     pub fn descendants(&self, zone: &AvailabilityZone) -> u32 {
         feeding::below(zone, &self.fed())
     }
 
-    /// Returns the VMs of a zone that are fed at first hand.
+    /// Returns the followers that are VMs of a zone.
     pub fn vms(&self, zone: &AvailabilityZone) -> Vec<VmEntry> {
         let all = self.all.borrow();
         let vms = all.iter().map(|follower| follower.fed.vm.clone());
         vms.filter(|vm| vm.zone == *zone).collect()
     }
 
-    /// Forgets the followers without closing their links, as a VM that froze does.
+    /// Forgets the followers without closing their links, as if this VM had frozen.
     pub fn forget_without_closing(&self) {
         std::mem::forget(self.all.take());
     }
 
-    /// Ends the links to all followers: another VM reads from now on.
+    /// Closes the links to all followers, as another VM reads the store from now on.
     pub fn disconnect_all(&self) {
         self.all.take();
         self.changed.notify_waiters();
     }
 
-    /// Decides about a VM that wants to be fed, of which so many are fed already. What is told from now on queues up
-    /// for one that is taken in.
+    /// Decides about a VM that asks to be fed and through which `below` VMs are fed already. For one that is admitted,
+    /// all that is sent from now on is queued.
     pub fn admit(
         &self,
         vm: VmEntry,
@@ -289,7 +291,7 @@
         zone: &AvailabilityZone,
         path: &[VmName],
     ) -> Admitted {
-        // A VM whose link broke comes back before its old link is seen to have ended.
+        // A VM whose link broke may reconnect before the end of its old link is noticed.
         self.all
             .borrow_mut()
             .retain(|follower| follower.fed.vm.name != vm.name);
@@ -302,7 +304,7 @@
 
     fn add(&self, vm: VmEntry, below: u32) -> Admitted {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
-        let waiting_bytes = Rc::new(Cell::new(0));
+        let queued_bytes = Rc::new(Cell::new(0));
         let id = self.next_id.replace(self.next_id.get() + 1);
         let follower = Follower {
             id,
@@ -312,13 +314,13 @@
                 sent_there: 0,
             },
             queue: sender,
-            waiting_bytes: waiting_bytes.clone(),
+            queued_bytes: queued_bytes.clone(),
         };
         self.all.borrow_mut().push(follower);
         self.changed.notify_waiters();
         let queue = Queue {
-            waiting: receiver,
-            bytes: waiting_bytes,
+            receiver,
+            queued_bytes,
         };
         Admitted::Accepted(id, queue)
     }
@@ -332,7 +334,7 @@
         Admitted::Redirected(follower.fed.vm.clone())
     }
 
-    /// Takes in how many VMs are fed through a follower.
+    /// Records how many VMs are fed through a follower.
     pub fn set_descendants(&self, id: FollowerId, below: u32) {
         let mut all = self.all.borrow_mut();
         if let Some(follower) = all.iter_mut().find(|follower| follower.id == id) {
@@ -343,7 +345,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes in that the link to a follower has ended.
+    /// Removes a follower whose link has ended.
     pub fn remove(&self, id: FollowerId) {
         self.all.borrow_mut().retain(|follower| follower.id != id);
         self.changed.notify_waiters();
--- a/crates/kingcuploft-entry/src/peers/frame.rs
+++ b/crates/kingcuploft-entry/src/peers/frame.rs
@@ -1,4 +1,5 @@
-//! What the VMs tell each other: one JSON object a line.
+//! The protocol of the links between VMs: frames, each a JSON object on a line of its own. Names that are sent are wire
+//! text; where the code uses another name, a serde attribute keeps the one on the wire.
 
 use kingcuploft::entry::arriving::Arrived;
 use kingcuploft::entry::backend_servers::BackendServer;
@@ -15,143 +16,145 @@
 
 use crate::store::Revision;
 
-/// One line.
+/// One frame.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Frame {
-    /// Sent first by a VM that wants to be fed.
+    /// Opens a link: the sender asks to be admitted as a follower.
     Hello(Hello),
-    /// Sent first by a VM that asks which VMs there are, and by nothing else.
+    /// Asks for the records of all zones; the only frame that such a VM sends.
     #[serde(rename = "WhoReads")]
     ZonesRequest,
-    /// How far the sender knows the store; sent by the feeder after each change and as a heartbeat.
+    /// How far the sender has replicated the store; a feeder sends it after each change and as a heartbeat.
     #[serde(rename = "Standing")]
     Status(SyncStatus),
-    /// The sender knows nothing yet, is alive, and will tell all.
+    /// The sender is alive but not synchronized yet, and will send a snapshot once it is.
     Wait,
-    /// The sender feeds as many as it can; this VM may feed one more.
+    /// The sender feeds as many followers as it may, and redirects the receiver to one of them.
     #[serde(rename = "Elsewhere")]
     Redirect(VmEntry),
-    /// How many VMs are fed through the sender, which is fed itself.
+    /// How many VMs are fed through the sender, at first or second hand; a follower reports it to its feeder.
     #[serde(rename = "Below")]
     Descendants(u32),
-    /// A VM that would be fed through the sender knows the store up to a later moment.
+    /// A VM that asks to follow the sender knows a later revision of the store than the sender.
     #[serde(rename = "Ahead")]
     FollowerAhead,
-    /// The configuration in force, whole, for VMs of earlier releases.
+    /// The whole configuration in force: for VMs of earlier releases, and in reply to `ConfigurationRequest`.
     Configuration(Box<Configuration>),
-    /// This version of the configuration exists; what leads to it follows.
+    /// A newer version of the configuration exists; the parts that lead to it follow.
     #[serde(rename = "Newer")]
     NewerVersion(ConfigurationVersion),
-    /// A part of what leads to a newer configuration.
+    /// A part of the change that leads to a newer configuration.
     Part(Box<ChangePart>),
-    /// The sender is alive, and will go on.
+    /// A heartbeat: the sender is alive and its status has not changed.
     Alive,
-    /// What the store says of a backend server.
+    /// The entry of a backend server.
     Server(BackendServer),
-    /// What the store says of several backend servers.
+    /// The entries of several backend servers.
     Servers(ServerTable),
-    /// A backend server's entry is gone.
+    /// The entry of a backend server was removed.
     ServerGone(String),
-    /// All backend servers that have entries; the others are gone.
+    /// The entries of all backend servers; those not listed were removed.
     AllServers(ServerTable),
-    /// The records of the zones.
+    /// The records of zones.
     Zones(Vec<ZoneRecord>),
-    /// What VMs have seen of requests and backend servers.
+    /// Notices: what VMs have observed of requests and backend servers.
     Notices(Vec<Notice>),
-    /// Such notices are withdrawn.
+    /// These notices were withdrawn.
     NoticesGone(Vec<NoticeId>),
-    /// All notices that the store has.
+    /// All notices in the store.
     AllNotices(Vec<Notice>),
-    /// The availability zones that get nothing, all of them.
+    /// All evacuated availability zones, which get no requests.
     Evacuations(Vec<AvailabilityZone>),
-    /// The store came back from a copy, and is in this era.
+    /// The store was restored from an older copy and is in this era.
     Era(Era),
-    /// The sender knows an older configuration than the follower, and asks for that one's.
+    /// The sender knows an older configuration than its follower, and asks for that follower's configuration.
     #[serde(rename = "Lacks")]
     ConfigurationRequest,
-    /// The store answers the sender again after it did not.
+    /// The store answers the sender again after an outage.
     StoreReturned,
-    /// All that the sender knew when the link began has been told.
+    /// The end of the snapshot: the sender has sent all that it knew when the link was opened.
     #[serde(rename = "Told")]
     SnapshotEnd,
 }
 
-/// Who wants to be fed, and what it knows.
+/// Which VM asks to be fed, and what it has replicated so far.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Hello {
     /// The VM.
     pub vm: VmEntry,
-    /// Up to which moment it knows the configuration.
+    /// The latest revision of the configuration that it knows.
     pub configuration: Option<Revision>,
-    /// Up to which moment it knows the backend servers.
+    /// The latest revision of the backend servers that it knows.
     pub servers: Option<Revision>,
-    /// Up to which moment it knows which zones are evacuated.
+    /// The latest revision of the evacuations that it knows.
     #[serde(default)]
     pub evacuations: Option<Revision>,
-    /// How many VMs are fed through it.
+    /// How many VMs are fed through it, at first or second hand.
     #[serde(rename = "below")]
     pub descendants: u32,
-    /// The version of the configuration that it may be led on from.
+    /// The version of the configuration that the parts of a change may build on; none if it needs the whole
+    /// configuration.
     #[serde(default)]
     pub version: Option<ConfigurationVersion>,
-    /// What has arrived of the next one.
+    /// Which parts of the next configuration have arrived.
     #[serde(default)]
     pub arrived: Option<Arrived>,
-    /// The digest of the backend servers that it knows.
+    /// A digest of the backend servers that it knows.
     #[serde(default)]
     pub servers_digest: Option<u64>,
-    /// The frames that it understands: 3 for all of this release, 2 for all but evacuations, 1 for no notices either, 0
-    /// for those before.
+    /// The version of the protocol that it understands: 3 understands all frames, 2 all but evacuations, 1 no notices
+    /// either; 0 stands for the releases before these.
     #[serde(default, rename = "speaks")]
     pub protocol_version: ProtocolVersion,
 }
 
-/// Which frames a VM understands; a greater one understands more.
+/// A version of the protocol; each understands all frames of the ones before.
 pub type ProtocolVersion = u32;
 
-/// What a VM of this release understands.
+/// The version of the protocol that this release understands.
 pub const PROTOCOL_VERSION: ProtocolVersion = 3;
 
-/// The first release whose VMs take a configuration in parts.
+/// The first version that takes a configuration in parts.
 pub const FIRST_VERSION_WITH_PARTS: ProtocolVersion = 1;
 
-/// The first release whose VMs take notices.
+/// The first version that takes notices.
 pub const FIRST_VERSION_WITH_NOTICES: ProtocolVersion = 2;
 
-/// The first release whose VMs take evacuations and eras, and tell a feeder what it lacks.
+/// The first version that takes evacuations and eras, and that sends its configuration to a feeder that knows an older
+/// one.
 pub const FIRST_VERSION_WITH_EVACUATIONS: ProtocolVersion = 3;
 
-/// How far a VM knows the store.
+/// How far a VM has replicated the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SyncStatus {
-    /// Up to which moment it knows the configuration.
+    /// The latest revision of the configuration that it knows.
     pub configuration: Option<Revision>,
-    /// Up to which moment it knows the backend servers.
+    /// The latest revision of the backend servers that it knows.
     pub servers: Option<Revision>,
-    /// Up to which moment it knows which zones are evacuated; none also where the sender is of an earlier release.
+    /// The latest revision of the evacuations that it knows; also none if the sender is of an earlier release.
     #[serde(default)]
     pub evacuations: Option<Revision>,
-    /// Whether the store answers the one that reads.
+    /// Whether the store answers the VM that reads it.
     #[serde(rename = "store_there")]
     pub store_reachable: bool,
-    /// Through which VMs it hears, the one that reads first, itself last.
+    /// The VMs through which changes reach it: the one that reads the store first, itself last.
     pub path: Vec<VmName>,
 }
 
 impl SyncStatus {
-    /// Returns the store's era as the sender knows it, if it does.
+    /// Returns the latest era of the store that the sender knows, if any.
     pub fn era(&self) -> Option<Era> {
         let known = [self.configuration, self.servers, self.evacuations];
         known.into_iter().flatten().map(era_of).max()
     }
 
-    /// Returns whether it knows all that a request is sent by: the configuration, the servers, which zones are evacuated.
+    /// Returns whether it knows all that requests are routed by: the configuration, the servers and the evacuations.
     pub fn is_complete(&self) -> bool {
         self.configuration.is_some() && self.servers.is_some() && self.evacuations.is_some()
     }
 
-    /// Returns whether a VM that stands here knows less than one that stands at `own`. What it says
-    /// of a server that left would bring the server back.
+    /// Returns whether this status is incomplete or behind `own` in any collection. An older entry of a server that has
+    /// left would bring that server back.
     pub fn is_behind(&self, own: &Self) -> bool {
         let knows_less = self.configuration < own.configuration
             || self.servers < own.servers
@@ -161,7 +164,7 @@
 }
 
 impl Frame {
-    /// Writes the frame as a line.
+    /// Encodes the frame as a line.
     pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
--- a/crates/kingcuploft-entry/src/peers/line_writer.rs
+++ b/crates/kingcuploft-entry/src/peers/line_writer.rs
@@ -1,13 +1,13 @@
-//! Writes to a link, for as long as the other side takes some.
+//! Writes lines to a link, and gives up on a receiver that stops reading.
 
 use std::time::Duration;
 
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 
-/// How long the other side may take nothing of what is written to it.
+/// How long the receiver may read nothing of what is written to it.
 pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Writes a line.
+/// Writes a line; fails if the receiver reads nothing for [`WRITE_STALL_TIMEOUT`].
 pub(super) async fn write_line(
     stream: &mut (impl AsyncWrite + Unpin),
     mut line: &[u8],
@@ -20,7 +20,7 @@
     Ok(())
 }
 
-/// Returns the error of a link whose other side takes or says nothing.
+/// Returns the error of a link whose other end stalled.
 pub(super) fn timed_out() -> std::io::Error {
     std::io::ErrorKind::TimedOut.into()
 }
--- a/crates/kingcuploft-entry/src/peers/lines.rs
+++ b/crates/kingcuploft-entry/src/peers/lines.rs
@@ -1,4 +1,4 @@
-//! Reads a link line by line, and knows of a line that is still arriving.
+//! Reads a link line by line, and keeps track of a line that is still arriving.
 
 use std::time::{Duration, Instant};
 
@@ -6,21 +6,21 @@
 
 use crate::clock;
 
-/// The bytes read at once.
+/// The capacity of the read buffer.
 const BUFFER_BYTES: usize = 8 * 1024;
 
-/// Why no line came.
+/// Why no line was read.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
     /// The link failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// Nothing arrived for as long as was waited.
-    #[error("nothing arrived")]
+    /// Nothing arrived within the timeout.
+    #[error("no data arrived within the timeout")]
     TimedOut,
 }
 
-/// The lines that come over a link.
+/// A reader of the lines of a link.
 #[derive(Debug)]
 pub struct Lines<R> {
     reader: BufReader<R>,
@@ -31,7 +31,7 @@
 }
 
 impl<R: AsyncRead + Unpin> Lines<R> {
-    /// Reads from a link that has just been opened.
+    /// Builds a reader for a link that has just been opened.
     pub fn new(link: R) -> Self {
         Self {
             reader: BufReader::with_capacity(BUFFER_BYTES, link),
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Returns the next line, or `None` at the end of the link. Each byte is a sign of life: a line may take as long as it
-    /// goes on arriving.
+    /// Returns the next line, or `None` at the end of the link. The timeout restarts with each byte: a slow line may
+    /// take as long as it keeps arriving.
     ///
     /// # Errors
     ///
-    /// Returns an error if the link fails, or if nothing arrives for so long.
+    /// Returns an error if the link fails, or if nothing arrives within `timeout`.
     pub async fn next(&mut self, timeout: Duration) -> Result<Option<&[u8]>, LineError> {
         loop {
             let reading = tokio::time::timeout(timeout, self.read());
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Reads some bytes of a line; returns whether there were any.
+    /// Reads some bytes of a line; returns whether any arrived before the end of the link.
     async fn read(&mut self) -> std::io::Result<bool> {
         let bytes = self.reader.fill_buf().await?;
         if std::mem::take(&mut self.is_complete) {
@@ -77,7 +77,7 @@
         Ok(count > 0)
     }
 
-    /// Returns the bytes of a line that is not whole yet.
+    /// Returns how many bytes have arrived of a line that is not complete yet.
     pub fn partial_bytes(&self) -> usize {
         match self.is_complete {
             true => 0,
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Returns how long nothing has arrived.
+    /// Returns how long ago the last bytes arrived.
     pub fn silent_for(&self) -> Duration {
         clock::now().saturating_duration_since(self.last_received)
     }
 
-    /// Returns the length of the line that was read last, and how long it took to arrive.
+    /// Returns the length in bytes of the line that was read last, and how long it took to arrive.
     pub fn last_line(&self) -> (usize, Duration) {
         let took = self
             .last_received
--- a/crates/kingcuploft-entry/src/peers/link_error.rs
+++ b/crates/kingcuploft-entry/src/peers/link_error.rs
@@ -1,4 +1,4 @@
-//! Why a link to a feeder ended.
+//! Why a link to a feeder ended, as counted and logged.
 
 use std::time::Duration;
 
@@ -9,51 +9,51 @@
 /// Why a link ended.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// It could not be opened, or broke.
+    /// The link could not be opened, or broke.
     #[error("the link failed: {0}")]
     Failed(#[from] std::io::Error),
-    /// The feeder closed it.
+    /// The feeder closed the link.
     #[error("the feeder closed the link")]
     Closed,
-    /// The feeder can't be reached in time.
-    #[error("the feeder does not answer")]
+    /// The feeder did not accept the link in time.
+    #[error("the feeder did not accept the link in time")]
     Unreachable,
-    /// The feeder fell silent.
-    #[error("the feeder is silent for {} ms, with {partial_bytes} bytes of a line", .silent_for.as_millis())]
+    /// The feeder sent nothing for too long.
+    #[error("the feeder has sent nothing for {} ms, with {partial_bytes} bytes of an incomplete line", .silent_for.as_millis())]
     Silent {
-        /// How long nothing has arrived.
+        /// How long ago the last bytes arrived.
         silent_for: Duration,
-        /// The bytes that had arrived of a line.
+        /// How many bytes had arrived of an incomplete line.
         partial_bytes: usize,
     },
-    /// The VM feeds as many as it can, and names another.
-    #[error("the VM names {}", .0.name)]
+    /// The feeder feeds as many followers as it may, and names another VM to follow.
+    #[error("the feeder redirects to {}", .0.name)]
     Redirected(VmEntry),
-    /// The feeder has not heard yet what this VM knows.
-    #[error("the feeder is behind")]
+    /// The feeder knows an older revision of the store than this VM.
+    #[error("the feeder knows an older revision of the store")]
     Behind,
-    /// The store answers this VM, and not the one that reads for the feeder.
-    #[error("the reader has lost the store")]
+    /// The store answers this VM, but not the VM that reads it for the feeder.
+    #[error("the store does not answer the VM that reads it for the feeder")]
     StoreUnreachable,
-    /// The feeder hears through this VM.
-    #[error("the feeder hears through this VM")]
+    /// The feeder is fed through this VM.
+    #[error("the feeder is fed through this VM")]
     Cycle,
-    /// What came can't be read.
-    #[error("a line can't be read: {0}")]
+    /// A frame can't be decoded.
+    #[error("a frame can't be decoded: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A table of servers can't be read.
+    /// A table of backend servers can't be decoded.
     #[error(transparent)]
     Table(#[from] TableError),
-    /// A part of a configuration can't be read.
+    /// A part of a configuration can't be decoded.
     #[error(transparent)]
     Part(#[from] PartError),
-    /// What is told of a configuration does not lead on from this VM's own.
-    #[error("the feeder does not lead on from the configuration in force")]
+    /// The change that the feeder sends does not build on this VM's configuration.
+    #[error("the feeder's change does not build on the configuration in force")]
     VersionMismatch,
 }
 
 impl LinkError {
-    /// Returns the name used in counters.
+    /// Returns the label of the reason in counters.
     pub fn label(&self) -> &'static str {
         match self {
             Self::Failed(_) => "failed",
--- a/crates/kingcuploft-entry/src/peers/load_reports.rs
+++ b/crates/kingcuploft-entry/src/peers/load_reports.rs
@@ -1,8 +1,9 @@
-//! What one VM has just learned of a server's load, told to the other VMs of its zone.
+//! Shares what a VM has just learned of a backend server's load with the other VMs of its zone, and handles the
+//! messages that other VMs send.
 //!
-//! Load pattern: several VMs of a zone ask the same few servers, each for itself, and under overload the
-//! probes take slots from work. A reading is worth as much to the others: a datagram within the zone
-//! takes a tenth of a millisecond and costs no bytes between zones. One that is lost costs a probe.
+//! Load pattern: several VMs of a zone probe the same few servers, each for itself, and under overload the probes take
+//! slots from work. A load report is worth as much to the other VMs: a datagram within the zone takes a tenth of a
+//! millisecond and costs no bytes between zones. A lost one costs a probe.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,20 +20,20 @@
 use crate::context::Context;
 use crate::limits;
 
-/// The most VMs that tell each other all readings. In a larger zone each VM asks servers of its own,
-/// and telling all would cost more than it saves.
+/// The most VMs of a zone that share all load reports. In a larger zone each VM probes servers of its own, and sharing
+/// all reports would cost more than it saves.
 const MAX_VMS: usize = 8;
 
-/// The most bytes of a datagram.
+/// The most bytes of a datagram that are read.
 const MAX_DATAGRAM_BYTES: usize = 4096;
 
-/// How long before it is heard another VM may have asked the server.
+/// How old a load report may be when it arrives, counted from the probe of the VM that sent it.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(60);
 
 /// The pause after a failed receive.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Tells the other VMs of the zone a reading, and how long the server is cold, if it said whether it is.
+/// Sends the other VMs of the zone a load report, and for how long the server is cold, if it said whether it is.
 pub fn share_report(
     context: &Context,
     server: &BackendServerName,
@@ -60,13 +61,13 @@
     let Some(socket) = context.peer_socket.get() else {
         return;
     };
-    let others = context.zone_peers.borrow();
-    if !others.is_empty() && others.len() < MAX_VMS {
-        socket.send(message, &others);
+    let peers = context.zone_peers.borrow();
+    if !peers.is_empty() && peers.len() < MAX_VMS {
+        socket.send(message, &peers);
     }
 }
 
-/// Takes readings in until the process ends.
+/// Handles messages of other VMs, until the process ends.
 pub async fn receive(context: Rc<Context>, socket: Rc<PeerSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
@@ -78,7 +79,7 @@
     }
 }
 
-/// Takes in what another VM tells.
+/// Handles a message of another VM.
 pub fn handle_message(context: &Context, message: &PeerMessage, from: SocketAddr) {
     let now = clock::now();
     match *message {
--- a/crates/kingcuploft-entry/src/peers/mod.rs
+++ b/crates/kingcuploft-entry/src/peers/mod.rs
@@ -1,5 +1,6 @@
-//! The links between the VMs of an availability zone: what one VM reads of the platform's store, it
-//! passes on to those that follow it.
+//! The links over which the VMs of an availability zone replicate the platform's store: one VM reads it and feeds its
+//! followers, which may feed followers of their own (a dissemination tree). Beside that, VMs exchange short messages
+//! about backend servers by datagram.
 
 pub mod dial;
 mod feed;
--- a/crates/kingcuploft-entry/src/peers/peer_socket.rs
+++ b/crates/kingcuploft-entry/src/peers/peer_socket.rs
@@ -1,5 +1,6 @@
-//! The socket by which VMs tell each other what they learn of servers and what they have used together, and what it
-//! carries.
+//! Datagrams between VMs: what they have just learned of backend servers, and what they share of limits and of the
+//! budget of repeats. Names that are sent are wire text; where the code uses another name, a serde attribute keeps the
+//! one on the wire.
 
 use std::net::SocketAddr;
 
@@ -8,66 +9,66 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 
-/// What one VM tells others.
+/// A message from one VM to others, one a datagram.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum PeerMessage {
-    /// Its load, as it has just said.
+    /// The load that a backend server has just reported.
     #[serde(rename = "Reading")]
     LoadReport {
         /// The server.
         server: BackendServerName,
-        /// Requests it works on.
+        /// Requests that run on it.
         running: u32,
-        /// Requests that wait at it.
+        /// Requests that are queued at it.
         waiting: u32,
-        /// How many it works on at once.
+        /// How many requests it runs at once.
         slots: u32,
-        /// How long work takes there now, 1 is usual.
+        /// The factor by which work takes longer there than usual; 1 is usual.
         slowness: f64,
-        /// For how many milliseconds more it is cold, if it said whether it is.
+        /// For how many more milliseconds it is cold, if it said whether it is.
         #[serde(default)]
         cold_ms: Option<u64>,
     },
-    /// A request is on its way there, which its last reading does not count: without this, all VMs
-    /// that know the same reading send to the same server.
+    /// A request is on its way to a server, and not counted in the server's last load report. Without this message, all
+    /// VMs that know the same report send to the same server.
     #[serde(rename = "Sent")]
     RequestSent {
         /// The server.
         server: BackendServerName,
     },
-    /// A turn is asked for at a server whose limit the other keeps.
+    /// Requests a turn at a server whose limit the receiver keeps.
     #[serde(rename = "AskTurn")]
     TurnRequest {
         /// The server.
         server: BackendServerName,
-        /// How long the request waits for it at most, in milliseconds.
+        /// How long the caller's request may wait for the turn, in milliseconds.
         #[serde(rename = "patience_ms")]
         max_wait_ms: u64,
-        /// Tells the answer from others.
+        /// The id that the reply repeats.
         #[serde(rename = "ask")]
         request_id: u64,
     },
-    /// The answer to that.
+    /// The reply to a `TurnRequest`.
     #[serde(rename = "Turn")]
     TurnReply {
-        /// What was asked.
+        /// The id of the request.
         #[serde(rename = "ask")]
         request_id: u64,
-        /// When the turn is, or would be.
+        /// In how many milliseconds the turn is, or would be.
         after_ms: u64,
-        /// Whether it is given.
+        /// Whether the turn is granted.
         #[serde(rename = "given")]
         granted: bool,
     },
-    /// A server names another limit than before; told to those that keep it.
+    /// A server names another limit than before; sent to the VMs that keep the limit.
     #[serde(rename = "Limit")]
     LimitChanged {
         /// The server.
         server: BackendServerName,
-        /// How many requests a second it takes now.
+        /// How many requests a second the server takes now.
         per_s: f64,
     },
-    /// What a VM has used of the budget of repeats, for others to keep.
+    /// What a VM has used of the budget of repeats, for the receiver to keep.
     #[serde(rename = "Repeats")]
     RepeatsUsed {
         /// The VM.
@@ -75,27 +76,27 @@
         /// What it has used.
         used: Used,
     },
-    /// A VM that has just started asks what is kept for it.
+    /// Asks for what the receiver keeps for a VM that has just started.
     #[serde(rename = "AskRepeats")]
     RepeatsRequest {
         /// The VM.
         vm: VmName,
     },
-    /// The answer to that, if anything is kept.
+    /// The reply to a `RepeatsRequest`, if anything is kept.
     #[serde(rename = "KeptRepeats")]
     RepeatsReply {
-        /// What it had used.
+        /// What the VM had used before it started.
         used: Used,
     },
 }
 
-/// Carries what one VM tells others. What is lost is not sent again.
+/// Sends messages to other VMs. A lost message is not sent again.
 pub trait PeerSender: std::fmt::Debug {
-    /// Tells others.
+    /// Sends a message to each of these addresses.
     fn send(&self, message: &PeerMessage, others: &[SocketAddr]);
 }
 
-/// The socket to other VMs.
+/// The UDP socket for messages of other VMs.
 #[derive(Debug)]
 pub struct PeerSocket {
     socket: UdpSocket,
@@ -106,13 +107,13 @@
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the system's error if the address can't be bound.
     pub async fn open(address: SocketAddr) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(address).await?;
         Ok(Self { socket })
     }
 
-    /// Returns what another VM tells next, and which; nothing if it can't be read.
+    /// Receives the next message and its sender's address; returns `None` for a datagram that can't be decoded.
     ///
     /// # Errors
     ///
@@ -133,7 +134,8 @@
             return;
         };
         for other in others {
-            // A full or failing socket costs the others a probe, and nothing that isn't told again.
+            // A message that a full or failing socket drops costs its receivers a probe at most: all else is sent
+            // again.
             let _ = self.socket.try_send_to(&bytes, *other);
         }
     }
--- a/crates/kingcuploft-entry/src/peers/pending_turns.rs
+++ b/crates/kingcuploft-entry/src/peers/pending_turns.rs
@@ -1,4 +1,4 @@
-//! The turns that this VM has asked others for and that are not answered.
+//! The turns at limited servers that this VM has requested from others and that are not answered yet.
 
 use std::cell::{Cell, RefCell};
 
@@ -6,10 +6,10 @@
 use kingcuploft::utils::HashMap;
 use tokio::sync::oneshot;
 
-/// Tells an answer from others.
+/// Matches a reply to its request.
 pub type TurnRequestId = u64;
 
-/// The turns that have been asked for.
+/// The requests for turns that wait for a reply.
 #[derive(Debug, Default)]
 pub struct PendingTurns {
     last_id: Cell<TurnRequestId>,
@@ -17,7 +17,7 @@
 }
 
 impl PendingTurns {
-    /// Begins to wait for an answer.
+    /// Registers a request; returns its id and the receiver of its reply.
     pub fn register(&self) -> (TurnRequestId, oneshot::Receiver<Turn>) {
         let (sender, answer) = oneshot::channel();
         let id = self.last_id.get() + 1;
@@ -26,14 +26,14 @@
         (id, answer)
     }
 
-    /// Takes an answer in.
+    /// Completes a request with its reply.
     pub fn complete(&self, id: TurnRequestId, turn: Turn) {
         if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
             let _ = sender.send(turn);
         }
     }
 
-    /// Waits no longer for an answer.
+    /// Removes a request that is no longer waited for.
     pub fn cancel(&self, id: TurnRequestId) {
         self.waiting.borrow_mut().remove(&id);
     }
--- a/crates/kingcuploft-entry/src/peers/reader_failover.rs
+++ b/crates/kingcuploft-entry/src/peers/reader_failover.rs
@@ -1,9 +1,9 @@
-//! What a follower does while its reader has lost the platform's store.
+//! How a follower takes over reading the platform's store when its reader has lost it.
 //!
-//! Failure: the store turns some VMs away and serves the others, and the one that reads for its zone is among the
-//! first; or the store is away for all. A zone that only waits misses a leaving server; one in which every VM asks for
-//! itself makes a call from each, which the store counts at full price while it is away. So those that the zone's record
-//! names ask, one after the other, and the first that gets an answer reads for all.
+//! Failure: the store turns some VMs away and serves others, and the reader of a zone is among the first; or the store
+//! is away for all. If the zone only waits, it misses a leaving server. If every VM asks the store for itself, each
+//! makes a call, which the store counts at full price while it is away. The guard: the VMs that the zone's record names
+//! ask one after the other, and the first that gets an answer reads for all.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use crate::context::Context;
 use crate::store_access::StoreAccess;
 
-/// How often it is looked whether the reader has the store.
+/// How often it is checked whether the reader has the store.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The time between two questions by one VM.
+/// The time between two attempts of one VM to reach the store.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Returns once the reader has lost the store and it answers this VM.
-pub async fn wait_for_takeover(context: &Context, pulse: &StoreAccess) {
+/// Returns once the reader has lost the store and the store answers this VM.
+pub async fn wait_for_takeover(context: &Context, store_access: &StoreAccess) {
     loop {
         while context.reader_has_store.get() {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -33,10 +33,10 @@
         if context.reader_has_store.get() {
             continue;
         }
-        if pulse.start_reading_if_available().await {
+        if store_access.start_reading_if_available().await {
             return;
         }
-        pulse.stop_reading();
+        store_access.stop_reading();
         tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
--- a/crates/kingcuploft-entry/src/peers/repeat_replication.rs
+++ b/crates/kingcuploft-entry/src/peers/repeat_replication.rs
@@ -1,4 +1,5 @@
-//! Has other VMs keep what this one has used of the budget of repeats, and asks them for it after a start.
+//! Replicates what this VM has used of the budget of repeats to other VMs, the holders, and recovers it from them after
+//! a start.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,96 +14,99 @@
 use crate::clock;
 use crate::context::Context;
 
-/// The time between two tells of a VM that goes on repeating: with all holders some 2 KB a second.
+/// The least time between two updates of a VM that goes on repeating: with all holders some 2 KB a second.
 const MIN_SEND_INTERVAL: Duration = Duration::from_millis(600);
 
-/// When it is told again, as datagrams are lost and holders restart: while there are repeats, and otherwise.
+/// The time until an update is sent again, as datagrams are lost and holders restart: while there are repeats, and
+/// otherwise.
 const RESEND_INTERVAL: Duration = Duration::from_millis(1200);
 const IDLE_RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The time between the first two questions, and the longest between two.
+/// The pause after the first request for copies, and the longest pause.
 const FIRST_REQUEST_PAUSE: Duration = Duration::from_millis(100);
 const MAX_REQUEST_PAUSE: Duration = Duration::from_millis(1600);
 
-/// When a VM that knows no other looks again whether there is one.
+/// How long a VM that knows no other VM waits before it looks for holders again.
 const NO_HOLDERS_PAUSE: Duration = Duration::from_millis(500);
 
-/// The most services of one datagram.
+/// The most services in one datagram.
 const MAX_SERVICES_PER_DATAGRAM: usize = 8;
 
-/// Keeps the holders informed, until the process ends.
+/// Recovers what this VM has used before, and keeps the holders' copies up to date, until the process ends.
 pub async fn run(context: Rc<Context>) {
     tokio::join!(request_copies(&context), send_updates(&context));
 }
 
-/// Asks the holders until one has answered, or it does not matter any more.
+/// Asks the holders for their copies, until one has answered or what was used before no longer counts.
 async fn request_copies(context: &Context) {
     let vm = context.settings.vm.clone();
     let mut pause = FIRST_REQUEST_PAUSE;
     while context.repeats_unknown_for() > Duration::ZERO {
-        let others = holder_addresses(context);
-        if others.is_empty() {
+        let addresses = holder_addresses(context);
+        if addresses.is_empty() {
             sleep(FIRST_REQUEST_PAUSE).await;
             continue;
         }
         send(
             context,
             &PeerMessage::RepeatsRequest { vm: vm.clone() },
-            &others,
+            &addresses,
         );
         sleep(pause).await;
         pause = (pause * 2).min(MAX_REQUEST_PAUSE);
     }
 }
 
+/// Sends the holders what this VM has used: after each repeat, and again from time to time.
 async fn send_updates(context: &Context) {
     loop {
         let used = context.repeats_used();
-        let next = match used.accounts.is_empty() {
+        let interval = match used.accounts.is_empty() {
             true => IDLE_RESEND_INTERVAL,
             false => RESEND_INTERVAL,
         };
         let sent_at = Instant::now();
         let vm = &context.settings.vm;
-        let others = holder_addresses(context);
+        let addresses = holder_addresses(context);
         for used in used.parts(MAX_SERVICES_PER_DATAGRAM) {
             let vm = vm.clone();
-            send(context, &PeerMessage::RepeatsUsed { vm, used }, &others);
+            send(context, &PeerMessage::RepeatsUsed { vm, used }, &addresses);
         }
-        let again = match others.is_empty() {
+        let pause = match addresses.is_empty() {
             true => NO_HOLDERS_PAUSE,
-            false => next,
+            false => interval,
         };
         tokio::select! {
             biased;
             () = context.repeat_taken.notified() => sleep_until(sent_at + MIN_SEND_INTERVAL).await,
-            () = sleep(again) => {}
+            () = sleep(pause) => {}
         }
     }
 }
 
+/// Returns the addresses of the VMs that hold this VM's copies.
 fn holder_addresses(context: &Context) -> Vec<SocketAddr> {
     let records = context.readers.borrow().records();
     let holders = holders(&context.settings.vm, &records);
     holders.into_iter().map(|vm| vm.address).collect()
 }
 
-fn send(context: &Context, message: &PeerMessage, others: &[SocketAddr]) {
+fn send(context: &Context, message: &PeerMessage, addresses: &[SocketAddr]) {
     if let Some(socket) = context.peer_socket.get() {
-        socket.send(message, others);
+        socket.send(message, addresses);
     }
 }
 
-/// Keeps what another VM has used.
+/// Keeps a copy of what another VM has used.
 pub fn store_copy(context: &Context, vm: &VmName, used: &Used) {
     let mut copies = context.repeat_copies.borrow_mut();
     copies.told(clock::now(), vm.clone(), used.clone());
 }
 
-/// Tells a VM that has just started what is kept for it.
+/// Sends a VM that has just started what is kept for it.
 pub fn send_copies(context: &Context, vm: &VmName, from: SocketAddr) {
-    let kept = context.repeat_copies.borrow_mut().of(clock::now(), vm);
-    for used in kept
+    let copy = context.repeat_copies.borrow_mut().of(clock::now(), vm);
+    for used in copy
         .into_iter()
         .flat_map(|used| used.parts(MAX_SERVICES_PER_DATAGRAM))
     {
@@ -110,7 +114,7 @@
     }
 }
 
-/// Takes in what this VM had used before it started.
+/// Recovers what this VM had used before it started, from a holder's copy.
 pub fn restore_used(context: &Context, used: &Used, from: SocketAddr) {
     if context.recover_repeats(used) {
         tracing::info!(
--- a/crates/kingcuploft-entry/src/peers/seeds.rs
+++ b/crates/kingcuploft-entry/src/peers/seeds.rs
@@ -1,7 +1,7 @@
-//! Asks VMs whose addresses the settings name which VMs there are.
+//! Asks the seeds, VMs whose addresses the settings name, for the records of the zones.
 //!
-//! They may be old or down; the platform's store is the second way. Asked first, they spare it a call for each VM
-//! that starts, and they answer while it is away.
+//! Seeds may be outdated or down; the platform's store is the second source. Asked first, they save the store a call
+//! for each VM that starts, and they answer while it is away.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,14 +12,15 @@
 use super::dial::Dial;
 use super::frame::Frame;
 
-/// How long they are waited for: a round trip to another zone, to a small machine that is asked by hundreds.
+/// How long the seeds' answers are waited for: a round trip to another zone, to a small machine that hundreds of VMs
+/// ask.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// How long telling them may take.
+/// How long sending a record to a seed may take.
 const PUBLISH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Returns the records that the seeds know; none if none of them answers in time. All are asked at once, as each may
-/// be down.
+/// Returns the records that the seeds know; none if no seed answers in time. All are asked at once, as each may be
+/// down, and the first answer that names a record is taken.
 pub async fn query<D: Dial + Clone + 'static>(
     network: &D,
     seeds: &[SocketAddr],
@@ -29,10 +30,10 @@
     for seed in seeds.iter().filter(|seed| Some(**seed) != own) {
         queries.spawn_local(query_one(network.clone(), *seed));
     }
-    let until = tokio::time::Instant::now() + QUERY_TIMEOUT;
+    let deadline = tokio::time::Instant::now() + QUERY_TIMEOUT;
     let mut records = Vec::new();
-    while let Ok(Some(answer)) = tokio::time::timeout_at(until, queries.join_next()).await {
-        if let Ok(Ok(found)) = answer {
+    while let Ok(Some(result)) = tokio::time::timeout_at(deadline, queries.join_next()).await {
+        if let Ok(Ok(found)) = result {
             records.extend(found);
         }
         if !records.is_empty() {
@@ -42,7 +43,7 @@
     records
 }
 
-/// Tells the seeds a record, so that those who ask them next find it.
+/// Sends a record to the seeds, for the VMs that ask them next.
 pub fn publish<D: Dial + Clone + 'static>(network: &D, seeds: Vec<SocketAddr>, record: ZoneRecord) {
     let line = Frame::Zones(vec![record]).to_line();
     for seed in seeds {
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -1,6 +1,6 @@
-//! Turns at servers that name limits, asked of the VMs that keep these.
+//! Turns at backend servers that name a limit, requested from the VMs that keep the limit.
 //!
-//! One datagram asks, one answers; a lost one costs a turn, and never gives one too many.
+//! A request and its reply are one datagram each. A lost datagram costs a turn, and never grants one too many.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use crate::context::Context;
 use crate::limits;
 
-/// How long an answer is waited for: many round trips of a region.
+/// How long a reply is waited for: many round trips within a region.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Asks for a turn at a server for a request that waits so long at most.
+/// Requests a turn at a server for a request that may wait `max_wait` at most.
 pub async fn request(context: &Context, server: &BackendServerName, max_wait: Duration) -> Turn {
     if limits::is_keeper(context, server) {
         let mut limits = context.limits.borrow_mut();
@@ -41,7 +41,7 @@
     }
 }
 
-/// Answers a VM that asks for a turn.
+/// Replies to a VM that requests a turn.
 pub fn handle_request(
     context: &Context,
     server: &BackendServerName,
@@ -66,7 +66,7 @@
     socket.send(&message, &[from]);
 }
 
-/// Takes an answer in.
+/// Handles the reply to a request of this VM.
 pub fn handle_reply(context: &Context, request_id: u64, after: Duration, granted: bool) {
     let turn = match granted {
         true => Turn::After(after),
--- a/crates/kingcuploft-entry/src/store_sync/mod.rs
+++ b/crates/kingcuploft-entry/src/store_sync/mod.rs
@@ -1,5 +1,5 @@
-//! How this VM learns what the store holds: it finds the VMs of its zone, follows one of them, or reads the store for
-//! them.
+//! Keeps this VM synchronized with the platform's store: it discovers the VMs of its zone, follows one of them, or
+//! reads the store for them.
 
 mod zone_leader;
 
@@ -25,82 +25,86 @@
 use crate::store_watcher;
 use crate::zone_list::{Staleness, list_all};
 
-/// The time between two lists of the zones by one that reads the store. Other zones grow meanwhile, and what all use
-/// together is divided by the VMs counted.
+/// The time between two lists of the zones by a VM that reads the store. Other zones grow meanwhile, and what all VMs
+/// may use together is divided by the VMs counted.
 const LIST_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How often a VM that reads the store looks whether it may follow another, and whether its zone's record misleads.
+/// How often a VM that reads the store checks whether it may follow another, and how often a leader checks its zone's
+/// record.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a feeder that is behind is given: two VMs that both read hear of a change within half a
-/// second of each other, and this VM goes on reading meanwhile.
+/// How long a feeder that is behind is given to catch up. Two VMs that both read the store learn of a change within
+/// half a second of each other, and this VM goes on reading meanwhile.
 const CATCH_UP_TIME: Duration = Duration::from_millis(170);
 
-/// How many VMs are asked in a row, each of which names another.
+/// The most VMs that are asked in a row, each of which redirects to the next.
 const MAX_REDIRECTS: usize = 6;
 
-/// How long a VM that has lost its feeder looks for another before it reads by itself meanwhile.
+/// How long a VM that has lost its feeder looks for another before it reads the store meanwhile.
 const MAX_TIME_WITHOUT_FEEDER: Duration = Duration::from_millis(250);
 
-/// How long a VM that has just started hears another before it goes by what the store holds.
+/// How long a VM that has just started syncs from another VM before it relies on what the store holds.
 const INITIAL_SYNC_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often it looks whether it has heard all.
+/// How often it checks whether that VM has sent all.
 const INITIAL_SYNC_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The pause after a failed call.
+/// The pause after a failed call of the store; chance adds as much again.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How long a VM can reach none of those that its zone's record names before it names itself beside them; chance adds as
-/// much again.
+/// How long a VM can reach none of those that its zone's record names before it adds itself to the record; chance adds
+/// as much again.
 const UNREACHABLE_PEERS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time between two questions to the seeds by a VM that knows no other.
+/// The time between two queries of the seeds by a VM that knows no other.
 const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Keeps this VM informed, until the process ends.
+/// Keeps this VM synchronized with the store, until the process ends.
 pub async fn run<S: Store + 'static, D: Dial + Clone + 'static>(
     context: Rc<Context>,
     store: Rc<S>,
-    pulse: Rc<StoreAccess>,
+    store_access: Rc<StoreAccess>,
     own: VmEntry,
     network: D,
 ) {
     let sync = StoreSync {
         context: &context,
         store: &store,
-        pulse: &pulse,
+        store_access: &store_access,
         own: &own,
         network: &network,
         stored_version: Cell::default(),
         stored_at_rewind: Cell::default(),
         vm_count: Cell::default(),
     };
-    let impatience = store_fallback::read_store_if_uninformed(context.clone(), pulse.clone());
-    let impatience = tokio::task::spawn_local(impatience);
+    let fallback = store_fallback::read_store_if_uninformed(context.clone(), store_access.clone());
+    let fallback = tokio::task::spawn_local(fallback);
     if context.settings.all_start {
         tokio::time::sleep(joining::claim_after(&own, fastrand::f64())).await;
     }
     sync.discover_vms().await;
-    tokio::join!(sync.sync(), sync.lead_zone());
-    impatience.abort();
+    tokio::join!(sync.follow_or_read(), sync.lead_zone());
+    fallback.abort();
 }
 
+/// The synchronization of one VM with the store.
 struct StoreSync<'a, S, D> {
     context: &'a Rc<Context>,
     store: &'a Rc<S>,
-    pulse: &'a StoreAccess,
+    store_access: &'a StoreAccess,
     own: &'a VmEntry,
     network: &'a D,
-    /// The version of the own zone's record that the store holds, as far as is known.
+    /// The version of the own zone's record in the store, as far as is known.
     stored_version: Cell<u64>,
-    /// How often the store had come back from a copy then.
+    /// How many rewinds of the store were known when that was learned.
     stored_at_rewind: Cell<u32>,
+    /// The count of the zone's VMs, kept while this VM leads the zone.
     vm_count: Cell<ZoneCount>,
 }
 
 impl<S: Store, D: Dial + Clone + 'static> StoreSync<'_, S, D> {
-    async fn sync(&self) {
+    /// Follows a feeder or reads the store, whichever this VM's source is, until the process ends.
+    async fn follow_or_read(&self) {
         if !self.context.settings.all_start {
             self.sync_from_peer_once().await;
         }
@@ -112,7 +116,7 @@
                         fed_at = clock::now();
                     }
                     if clock::since(fed_at) >= MAX_TIME_WITHOUT_FEEDER && self.context.is_ready() {
-                        self.pulse.start_reading();
+                        self.store_access.start_reading();
                     }
                 }
                 source => {
@@ -123,10 +127,11 @@
         }
     }
 
-    /// Hears what another VM of the zone knows, where this one has just started and leads the zone.
+    /// Syncs from another VM of the zone, if this one has just started and leads the zone.
     ///
-    /// Failure: the store came back from a copy and holds an older configuration than the others have in force; they leave a
-    /// VM alone for seconds that has just failed, and it would serve by the older one.
+    /// Failure: the store was restored from an older copy, and holds an older configuration than the other VMs have in
+    /// force. They leave a VM that has just failed alone for some seconds, and meanwhile it would serve by the older
+    /// configuration.
     async fn sync_from_peer_once(&self) {
         let others = self
             .own_zone_record()
@@ -139,24 +144,25 @@
         tokio::select! {
             biased;
             () = self.peer_answered() => {}
-            _ = follower::follow(self.context, self.pulse, self.own, &other, self.network) => {}
+            _ = follower::follow(self.context, self.store_access, self.own, &other, self.network) => {}
             () = tokio::time::sleep(INITIAL_SYNC_TIMEOUT) => {}
         }
     }
 
-    /// Returns once the VM that is followed has told all, or knows nothing itself.
+    /// Returns once the VM that is followed has sent its snapshot, or has said that it is not synchronized itself.
     async fn peer_answered(&self) {
         while self.context.feeder.borrow().is_none() && !self.context.feed_promised.get() {
             tokio::time::sleep(INITIAL_SYNC_POLL_INTERVAL).await;
         }
     }
 
+    /// Returns where this VM learns what the store holds: a reader that has the store if this VM has lost it.
     fn source(&self) -> Source {
         let readers = self.context.readers.borrow();
         let region = &self.context.settings.region;
         let now = clock::now();
         let source = readers.source(now, &self.own.name, &self.own.zone, region);
-        let has_lost_store = self.pulse.is_reading() && !self.pulse.is_available();
+        let has_lost_store = self.store_access.is_reading() && !self.store_access.is_available();
         match source {
             Source::Store | Source::StoreAlone if has_lost_store => readers
                 .source_without_store(now, &self.own.zone, region)
@@ -165,7 +171,7 @@
         }
     }
 
-    /// Returns whether this VM keeps its zone's record.
+    /// Returns whether this VM leads its zone and so keeps the zone's record.
     fn is_zone_leader(&self) -> bool {
         let readers = self.context.readers.borrow();
         let source = readers.source_in_zone(clock::now(), &self.own.name, &self.own.zone);
@@ -177,24 +183,24 @@
         readers.record(&self.own.zone).cloned()
     }
 
-    /// Learns which VMs there are: of the seeds, and of the store if they don't know.
+    /// Discovers the VMs: from the seeds, or from the store if the seeds know none.
     async fn discover_vms(&self) {
         let settings = &self.context.settings;
         loop {
-            let told = seeds::query(self.network, &settings.seeds, settings.control).await;
-            store_watcher::apply_zone_records(self.context, told);
+            let records = seeds::query(self.network, &settings.seeds, settings.control).await;
+            store_watcher::apply_zone_records(self.context, records);
             if self.own_zone_record().is_some() {
                 return;
             }
-            // While the store is away, one of the seeds may be told by a VM that it answers.
-            if self.pulse.is_available() && self.list_zones(Staleness::Allowed).await {
+            // While the store is away, a VM that the store answers may still send a record to one of the seeds.
+            if self.store_access.is_available() && self.list_zones(Staleness::Allowed).await {
                 return;
             }
             tokio::time::sleep(SEED_RETRY_INTERVAL).await;
         }
     }
 
-    /// Learns of the store which VMs there are; returns whether it answered.
+    /// Reads the records of the zones from the store; returns whether it answered.
     async fn list_zones(&self, stale: Staleness) -> bool {
         match list_all(&**self.store, stale).await {
             Ok(records) => {
@@ -214,32 +220,32 @@
         }
     }
 
-    /// Follows a VM, or one that it names, until the link ends; returns whether it was fed.
+    /// Follows a VM, or one that it redirects to, until the link ends; returns whether this VM was fed.
     async fn follow(&self, first: VmEntry) -> LinkOutcome {
         let mut feeder = first.clone();
         for _ in 0..MAX_REDIRECTS {
-            let ended = tokio::select! {
+            let end = tokio::select! {
                 biased;
-                ended = follower::follow(self.context, self.pulse, self.own, &feeder, self.network) => ended,
-                () = reader_failover::wait_for_takeover(self.context, self.pulse) => {
+                end = follower::follow(self.context, self.store_access, self.own, &feeder, self.network) => end,
+                () = reader_failover::wait_for_takeover(self.context, self.store_access) => {
                     self.take_over_reading(&feeder).await;
                     return LinkOutcome::Fed;
                 }
                 () = self.source_changed(&first) => return LinkOutcome::Fed,
             };
-            let link = ended.outcome;
-            match ended.why {
+            let outcome = end.outcome;
+            match end.why {
                 LinkError::Redirected(other) if other.name != self.own.name => {
                     feeder = other;
                     continue;
                 }
                 LinkError::Behind => {
-                    // A feeder that has just started knows nothing yet; this VM goes on by itself meanwhile.
+                    // A feeder that has just started is not synchronized yet; this VM reads the store meanwhile.
                     if self.context.is_ready() {
-                        self.pulse.start_reading();
+                        self.store_access.start_reading();
                     }
                     tokio::time::sleep(CATCH_UP_TIME).await;
-                    return link;
+                    return outcome;
                 }
                 LinkError::Cycle => {
                     self.context
@@ -247,7 +253,7 @@
                         .count_reader_lost(LinkError::Cycle.label());
                     let mut readers = self.context.readers.borrow_mut();
                     readers.hears_through_own(clock::now(), &feeder.name);
-                    return link;
+                    return outcome;
                 }
                 why => {
                     let metrics = &self.context.metrics;
@@ -257,24 +263,27 @@
             }
             let mut readers = self.context.readers.borrow_mut();
             readers.failed(clock::now(), &feeder.name);
-            return link;
+            return outcome;
         }
-        // Each named another: those below will have told how many they feed by then.
+        // Each VM redirected to another. By the next attempt, those that they feed have reported how many they feed in
+        // turn.
         tokio::time::sleep(CATCH_UP_TIME).await;
         LinkOutcome::NotFed
     }
 
-    /// Returns once this VM would follow another than `first`, and hears through it of no store, or has followed it for its
-    /// zone, which another leads by now.
+    /// Returns once this VM would follow another VM than `first`, and either gets nothing of the store through the one
+    /// it follows, or has followed it for its zone, which another VM leads by now.
     ///
-    /// Failure: the store turns away the VM that leads a zone, and serves another of that zone, which names itself first.
+    /// Failure: the store turns away the VM that leads a zone, and serves another VM of that zone, which has put itself
+    /// first in the zone's record.
     async fn source_changed(&self, first: &VmEntry) {
         loop {
             tokio::time::sleep(CHECK_INTERVAL / 5).await;
-            let hears_of_store = self.context.reader_has_store.get() || self.pulse.is_reading();
+            let reaches_store =
+                self.context.reader_has_store.get() || self.store_access.is_reading();
             let has_other = self.source() != Source::Reader(first.clone());
             let follows_for_zone = first.zone != self.own.zone;
-            if has_other && (!hears_of_store || follows_for_zone && self.has_other_leader()) {
+            if has_other && (!reaches_store || follows_for_zone && self.has_other_leader()) {
                 return;
             }
         }
@@ -287,8 +296,8 @@
         matches!(source, Source::Reader(_))
     }
 
-    /// Makes this VM its zone's reader, as the store answers it and not the one that reads; that one follows it. One that
-    /// leads its zone already reads for that alone until it finds a reader that has the store.
+    /// Makes this VM its zone's reader, as the store answers it and not the current reader, which then follows this VM.
+    /// A VM that leads its zone already reads for the zone alone until it finds a reader that has the store.
     async fn take_over_reading(&self, feeder: &VmEntry) {
         if self.is_zone_leader() {
             self.context
@@ -307,20 +316,20 @@
         seeds::publish(self.network, vec![first.address, feeder.address], record);
     }
 
-    /// Reads the store until another VM reads.
+    /// Reads the store until this VM is to follow another.
     async fn read_store(&self, source: Source) {
-        self.pulse.start_reading();
-        let begun = clock::now();
-        let append_after = UNREACHABLE_PEERS_TIMEOUT.mul_f64(1.0 + fastrand::f64());
-        let mut listed: Option<Instant> = None;
+        self.store_access.start_reading();
+        let started_at = clock::now();
+        let append_delay = UNREACHABLE_PEERS_TIMEOUT.mul_f64(1.0 + fastrand::f64());
+        let mut listed_at: Option<Instant> = None;
         while self.source() == source {
-            let is_old = listed.is_none_or(|at| clock::since(at) >= LIST_INTERVAL);
-            if self.pulse.is_available() && is_old && self.own_zone_record().is_some() {
+            let is_list_due = listed_at.is_none_or(|at| clock::since(at) >= LIST_INTERVAL);
+            if self.store_access.is_available() && is_list_due && self.own_zone_record().is_some() {
                 self.list_zones(Staleness::Allowed).await;
-                listed = Some(clock::now());
+                listed_at = Some(clock::now());
                 continue;
             }
-            if source == Source::StoreAlone && clock::since(begun) >= append_after {
+            if source == Source::StoreAlone && clock::since(started_at) >= append_delay {
                 self.append_self().await;
             }
             tokio::time::sleep(CHECK_INTERVAL).await;
--- a/crates/kingcuploft-entry/src/store_sync/zone_leader.rs
+++ b/crates/kingcuploft-entry/src/store_sync/zone_leader.rs
@@ -1,4 +1,4 @@
-//! The record of a zone, kept true by the VM that leads it.
+//! Keeps the record of a zone in the store up to date, on the VM that leads the zone.
 
 use std::time::Instant;
 
@@ -13,28 +13,30 @@
 use crate::zone_list::Staleness;
 
 impl<S: Store, D: Dial + Clone + 'static> StoreSync<'_, S, D> {
-    /// Keeps the zone's record true whenever this VM leads its zone, whether it reads or follows the reader of another.
+    /// Keeps the zone's record up to date whenever this VM leads its zone, whether it reads the store or follows the
+    /// reader of another zone.
     pub(super) async fn lead_zone(&self) {
-        let mut led_since: Option<Instant> = None;
+        let mut leading_since: Option<Instant> = None;
         loop {
-            let leads = self.is_zone_leader() && !self.context.is_stopping();
-            let has_store = !self.pulse.is_reading() || self.pulse.is_available();
-            match leads {
+            let is_leader = self.is_zone_leader() && !self.context.is_stopping();
+            let has_store = !self.store_access.is_reading() || self.store_access.is_available();
+            match is_leader {
                 true if has_store => {
-                    if led_since.is_none() {
+                    if leading_since.is_none() {
                         self.publish_to_seeds();
                     }
-                    self.maintain_record(*led_since.get_or_insert_with(clock::now))
+                    self.maintain_record(*leading_since.get_or_insert_with(clock::now))
                         .await;
                 }
                 true => {}
-                false => led_since = None,
+                false => leading_since = None,
             }
             tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
-    async fn maintain_record(&self, begun: Instant) {
+    /// Creates the zone's record, hands the zone over to a larger VM, or writes the record anew if it misleads.
+    async fn maintain_record(&self, leading_since: Instant) {
         let Some(old) = self.own_zone_record() else {
             return self.claim().await;
         };
@@ -47,39 +49,39 @@
         if let Some(record) = handed_over(&old, &seen) {
             tracing::info!(event = "reader_hands_over", version = record.version);
             store_watcher::apply_zone_records(self.context, vec![record]);
-            // What the followers are told last must be on its way before their links end.
+            // The last frames to the followers must be on their way before the links are closed.
             tokio::time::sleep(CATCH_UP_TIME).await;
             return followers.disconnect_all();
         }
         let mut vm_count = self.vm_count.get();
         let holds = vm_count.holds(clock::now(), old.count, seen.below + 1);
         self.vm_count.set(vm_count);
-        let settled = old.settled || clock::since(begun) >= SETTLE;
-        // Zones that began together with this one are known before it takes itself for counted.
+        let settled = old.settled || clock::since(leading_since) >= SETTLE;
+        // Zones that started at the same time are known before this zone counts as counted.
         if settled && !old.settled && !self.list_zones(Staleness::Allowed).await {
             return;
         }
         if let Some(record) = renewed(&old, &seen, holds, settled) {
             store_watcher::apply_zone_records(self.context, vec![record]);
         }
-        let alone = seen.followers.is_empty() && holds > 1;
+        let has_lost_followers = seen.followers.is_empty() && holds > 1;
         self.doubt_stored_version();
         if let Some(record) = self
             .own_zone_record()
-            .filter(|r| r.version > self.stored_version.get() && !alone)
+            .filter(|r| r.version > self.stored_version.get() && !has_lost_followers)
         {
             self.write(record, ZoneWrite::Replace).await;
         }
     }
 
-    /// Tells the seeds what this VM knows of its zone: after an outage they know nothing themselves.
+    /// Sends the seeds the zone's record: after an outage they know none themselves.
     fn publish_to_seeds(&self) {
         if let Some(record) = self.own_zone_record() {
             seeds::publish(self.network, self.context.settings.seeds.clone(), record);
         }
     }
 
-    /// Makes this VM the reader of a zone that has no record.
+    /// Creates the record of a zone that has none, with this VM as its reader.
     async fn claim(&self) {
         let record = ZoneRecord::first(self.own);
         match self
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Names this VM in the record beside those that it can't reach.
+    /// Adds this VM to the record, beside the VMs that it can't reach.
     pub(super) async fn append_self(&self) {
         let old = self.own_zone_record();
         let record = old.and_then(|old| zone_record::appended(&old, self.own));
@@ -109,6 +111,7 @@
         }
     }
 
+    /// Writes the record, and creates it where the store holds none.
     async fn write(&self, record: ZoneRecord, how: ZoneWrite) {
         match self.store.write_zone_record(&record, how).await {
             Ok(WriteOutcome::NotFound) => {
@@ -126,14 +129,15 @@
         }
     }
 
-    /// Takes the store to hold no record if it came back from a copy since it was written: a copy may hold an older one, and
-    /// what a list allows to be stale may tell of the one before.
+    /// Assumes that the store holds no record if it was restored from an older copy since the record was written. The
+    /// copy may hold an older record, and a list that may be stale may still return the record from before.
     fn doubt_stored_version(&self) {
         if self.stored_at_rewind.get() != self.context.rewinds.count() {
             self.stored_version.set(0);
         }
     }
 
+    /// Logs a failed write of the record, and pauses.
     async fn back_off(&self, error: &StoreError) {
         tracing::warn!(event = "zone_not_recorded", %error);
         tokio::time::sleep(STORE_RETRY_DELAY.mul_f64(1.0 + fastrand::f64())).await;
