--- a/crates/kingcuploft-entry/src/peers/load_reports.rs
+++ b/crates/kingcuploft-entry/src/peers/load_reports.rs
@@ -102,8 +102,8 @@
                     let asked_at = now.checked_sub(MAX_REPORT_AGE).unwrap_or(now);
                     cold_servers::apply_probe_answer(context, &upstream, cold_for, asked_at);
                 }
-                upstream.record_reading(now, reading);
-                context.readings_changed.notify_waiters();
+                upstream.record_load_report(now, reading);
+                context.load_report_received.notify_waiters();
             }
         }
         PeerMessage::RequestSent { ref server } => {
