--- a/crates/kingcuploft-entry/src/budgets.rs
+++ b/crates/kingcuploft-entry/src/budgets.rs
@@ -1,4 +1,4 @@
-//! What a VM takes from budgets: probes, repeats, lines of log.
+//! Takes from the VM's budgets for probes, repeats and log lines.
 
 use std::time::{Duration, Instant};
 
@@ -12,39 +12,39 @@
 use crate::clock;
 use crate::context::Context;
 
-/// A second send that a request wants.
+/// A repeat that a request asks for: a retry or a hedge.
 #[derive(Debug)]
 pub struct WantedRepeat<'a> {
     /// The request's id.
     pub request: Option<&'a str>,
-    /// The service.
+    /// The service that it is sent to.
     pub service: &'a ServiceName,
-    /// What was wrong with the first send.
+    /// What was wrong with the earlier send, as logged and counted.
     pub after: &'static str,
-    /// Sends so far.
+    /// The number of sends so far.
     pub attempts: u32,
 }
 
 impl Context {
-    /// Counts a request for a service.
-    pub fn arrived(&self, now: Instant, service: &ServiceName) {
+    /// Counts a request for a service; the repeat budget is a share of the requests.
+    pub fn count_request(&self, now: Instant, service: &ServiceName) {
         self.repeats.borrow_mut().arrived(now, service);
     }
 
-    /// Takes one probe from the budget, if it has room.
+    /// Takes one probe from the probe budget; returns whether the budget allowed it.
     pub fn take_probe(&self, now: Instant) -> bool {
         if planted::is_on(Planted::ProbesUnbounded) {
             return true;
         }
         let servers = self.servers.borrow().in_use();
         let bound = self.bounds.get().probes_per_server_s;
-        self.probing
+        self.probe_budget
             .borrow_mut()
-            .take(now, bound, servers, self.vms.get())
+            .take(now, bound, servers, self.vm_count.get())
     }
 
-    /// Returns whether a line that says that all went well is written; tells now and then how many
-    /// were not.
+    /// Returns whether the log budget allows a line about a request that succeeded. Logs from time to time how many
+    /// such lines were left out.
     pub fn writes_ordinary_line(&self, now: Instant) -> bool {
         let taken = self.log_budget.borrow_mut().take(now);
         match taken {
@@ -56,31 +56,31 @@
         false
     }
 
-    /// Returns which part of the probe budget is there to be used, from 0 to 1.
-    pub fn probes_left(&self) -> f64 {
-        self.probing.borrow().fill()
+    /// Returns the fill of the probe budget, from 0 (exhausted) to 1 (full).
+    pub fn probe_budget_left(&self) -> f64 {
+        self.probe_budget.borrow().fill()
     }
 
-    /// Returns which share of its servers a request asks that has looked so often in vain.
-    pub fn ask_share(&self, looks: u32) -> f64 {
-        probe_budget::ask_share(self.probes_left(), looks)
+    /// Returns the share of its servers that a request probes after so many unsuccessful rounds of selection.
+    pub fn probe_share(&self, rounds: u32) -> f64 {
+        probe_budget::ask_share(self.probe_budget_left(), rounds)
     }
 
-    /// Returns how old a reading may be to choose by it.
-    pub fn reading_life(&self) -> Duration {
-        self.probing.borrow().reading_life()
+    /// Returns the greatest age of a load report by which a server may be selected.
+    pub fn max_load_report_age(&self) -> Duration {
+        self.probe_budget.borrow().reading_life()
     }
 
-    /// Takes one repeat from the budget, if it has room.
+    /// Takes one repeat from the repeat budget; returns whether the budget allowed it.
     pub fn take_repeat(&self, now: Instant, service: &ServiceName) -> bool {
-        self.take_part(now, service).has_room()
+        self.take_repeat_share(now, service).has_room()
     }
 
-    /// Takes one repeat from the budget, if it has room, counts it by what was wrong with the first send, and writes what
-    /// decided it.
-    pub fn repeats(&self, wanted: &WantedRepeat<'_>) -> bool {
+    /// Takes one repeat from the repeat budget, counts it by what was wrong with the earlier send, and logs the figures
+    /// behind the decision. Returns whether the budget allowed it.
+    pub fn request_repeat(&self, wanted: &WantedRepeat<'_>) -> bool {
         let now = clock::now();
-        let standing = self.take_part(now, wanted.service);
+        let standing = self.take_repeat_share(now, wanted.service);
         let room = standing.has_room();
         tracing::info!(
             event = "repeat",
@@ -91,36 +91,36 @@
             service = %wanted.service,
             used = standing.used,
             allowed = standing.allowed,
-            vms = self.vms.get(),
-            up_ms = clock::since(self.begun).as_millis() as u64,
+            vms = self.vm_count.get(),
+            up_ms = clock::since(self.started_at).as_millis() as u64,
         );
         let reason = if room { wanted.after } else { "no_budget" };
-        self.metrics.repeat(reason);
+        self.metrics.count_repeat(reason);
         room
     }
 
-    fn take_part(&self, now: Instant, service: &ServiceName) -> Standing {
+    fn take_repeat_share(&self, now: Instant, service: &ServiceName) -> Standing {
         let bounds = self.bounds.get().repeats;
         let mut repeats = self.repeats.borrow_mut();
-        let standing = repeats.take(now, service, &bounds, self.vms.get());
+        let standing = repeats.take(now, service, &bounds, self.vm_count.get());
         if standing.has_room() {
-            self.repeated.notify_one();
+            self.repeat_taken.notify_one();
         }
         standing
     }
 
-    /// Returns what others may keep of the budget of repeats for this VM.
+    /// Returns the usage of the repeat budget that other VMs store for this VM.
     pub fn repeats_used(&self) -> Used {
         let bounds = self.bounds.get().repeats;
         self.repeats.borrow_mut().used(clock::now(), &bounds)
     }
 
-    /// Returns for how much longer it matters what this VM used before it started, which nobody has told it.
+    /// Returns for how much longer the usage before this VM's start matters while no other VM has reported it.
     pub fn repeats_unknown_for(&self) -> Duration {
         self.repeats.borrow().unknown_for(clock::now())
     }
 
-    /// Goes on with what another VM has kept; returns whether that is news.
+    /// Adopts the usage that another VM has stored for this one; returns whether it was unknown.
     pub fn recover_repeats(&self, used: &Used) -> bool {
         self.repeats.borrow_mut().recover(clock::now(), used)
     }
--- /dev/null
+++ b/crates/kingcuploft-entry/src/edge/active_request.rs
@@ -0,0 +1,116 @@
+//! The state of one request from its arrival to its answer, and how it starts: route, destination, deadline.
+
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use kingcuploft::entry::configuration::{Configuration, Route};
+use kingcuploft::entry::verdict::Attempts;
+use kingcuploft::world::ids::ServiceName;
+
+use super::answer::Answer;
+use super::request::Request;
+use crate::context::Context;
+use crate::http::client::Response;
+use crate::upstream::Upstream;
+
+/// The `Retry-After` of a refused request where no better estimate exists: the speed of a server has changed several
+/// times by then.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
+
+/// The `Retry-After` of a VM that knows no configuration yet, or not the newest one.
+const UNREADY_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// The result of routing a request.
+pub(super) enum Routed<'a> {
+    Refused(Answer),
+    Active(ActiveRequest<'a>),
+}
+
+/// A request that has been routed and is not answered yet.
+pub(super) struct ActiveRequest<'a> {
+    pub(super) context: &'a Rc<Context>,
+    pub(super) request: &'a Request,
+    pub(super) configuration: Arc<Configuration>,
+    pub(super) route: Arc<Route>,
+    pub(super) service: ServiceName,
+    pub(super) deadline: Instant,
+    pub(super) target: Instant,
+    /// Whether the caller made an earlier attempt at the same request.
+    pub(super) is_returning: bool,
+    /// Whether this VM holds the one trial of a quarantined request.
+    pub(super) is_trial: bool,
+    /// The rate-limited server at which the request holds a turn (a reserved send slot).
+    pub(super) turn_at: Option<Rc<Upstream>>,
+    pub(super) attempts: Attempts,
+    pub(super) tried_upstreams: Vec<Rc<Upstream>>,
+    pub(super) last_failure: Option<Response>,
+    /// The `Retry-After` that the caller gets if the request is refused.
+    pub(super) retry_after: Duration,
+}
+
+impl<'a> ActiveRequest<'a> {
+    /// Returns whether a request can be routed or refused for good: its host and path have a route, or this VM has the
+    /// newest configuration and there is none.
+    pub(super) fn can_begin(context: &Context, request: &Request) -> bool {
+        let Some(configuration) = context.configuration() else {
+            return false;
+        };
+        let host = request.head.headers.get("host").unwrap_or_default();
+        let has_route = configuration.route(host, &request.head.target).is_some();
+        has_route || context.active_configuration.stale_for().is_none()
+    }
+
+    /// Finds the route and the destination of a request, or refuses it.
+    pub(super) fn begin(context: &'a Rc<Context>, request: &'a Request) -> Routed<'a> {
+        let refuse = |status, reason: &'static str, after| {
+            context.metrics.count_failure(reason);
+            tracing::info!(event = "refused", request = request.id, status, reason);
+            let wire_names = &context.wire_names;
+            Routed::Refused(Answer::generated(
+                request, wire_names, status, reason, after,
+            ))
+        };
+        let Some(configuration) = context.configuration() else {
+            return refuse(503, "no configuration yet", Some(UNREADY_RETRY_AFTER));
+        };
+        let host = request.head.headers.get("host").unwrap_or_default();
+        let Some(route) = configuration.route(host, &request.head.target).cloned() else {
+            return match context.active_configuration.stale_for() {
+                None => refuse(404, "no such route", None),
+                Some(_) => refuse(503, "the route may be new", Some(UNREADY_RETRY_AFTER)),
+            };
+        };
+        let Some(destination) = context.next_destination(&route) else {
+            return refuse(
+                503,
+                "the route has no destination",
+                Some(DEFAULT_RETRY_AFTER),
+            );
+        };
+        let patience = request.patience(&context.wire_names);
+        let waited_before = patience.map_or(Duration::ZERO, |patience| {
+            context.waited_before(&route, patience)
+        });
+        let allowed = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
+        context.count_request(request.arrived, &destination.service);
+        Routed::Active(Self {
+            deadline: request.arrived + allowed,
+            target: (request.arrived + route.target)
+                .checked_sub(waited_before)
+                .unwrap_or(request.arrived),
+            is_returning: waited_before > Duration::ZERO,
+            is_trial: false,
+            turn_at: None,
+            attempts: Attempts::new(route.contract, route.most_attempts),
+            context,
+            request,
+            configuration,
+            route,
+            service: destination.service,
+            tried_upstreams: Vec::new(),
+            last_failure: None,
+            retry_after: DEFAULT_RETRY_AFTER,
+        })
+    }
+}
--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request, told in a log line when it ends, also where it is cancelled.
+//! One attempt at a request, logged when it ends, also when it is cancelled.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -6,92 +6,99 @@
 use kingcuploft::entry::placement::{Candidate, Reading};
 use kingcuploft::entry::verdict::AttemptEnd;
 
-use super::flight::Flight;
-use super::suspect::Run;
+use super::active_request::ActiveRequest;
+use super::suspect::SuspectRun;
 use crate::clock;
 use crate::limits;
 use crate::upstream::Upstream;
-use crate::upstream::exchange::{self, Ended};
+use crate::upstream::exchange::{self, AttemptOutcome};
 
-/// How old a reading may be to tell what a server did when a request was sent there: older than any that
-/// servers are chosen by.
-const READING_TELLS: Duration = Duration::from_millis(60);
+/// How old a load report may be to appear in the log line of an attempt: older than any by which a server is selected.
+const MAX_LOGGED_LOAD_REPORT_AGE: Duration = Duration::from_millis(60);
 
-impl Flight<'_> {
-    /// Sends the request to a server and waits for the end of it.
-    pub(super) async fn attempt(&self, upstream: &Rc<Upstream>) -> Ended {
-        let sent = Sent::now(self, upstream);
-        let left = sent.left;
+impl ActiveRequest<'_> {
+    /// Sends the request to a server and waits until the attempt ends.
+    pub(super) async fn attempt(&self, upstream: &Rc<Upstream>) -> AttemptOutcome {
+        let record = AttemptRecord::start(self, upstream);
+        let left = record.left;
         let has_turn = |at: &Rc<Upstream>| Rc::ptr_eq(at, upstream);
         if !self.turn_at.as_ref().is_some_and(has_turn) {
-            limits::sent(self.context, upstream, sent.at);
+            limits::count_sent(self.context, upstream, record.at);
         }
-        let run = Run::begin(self, upstream);
-        let ended = exchange::attempt(self.context, upstream, self.request, left).await;
-        sent.ended(&ended);
-        self.learn(upstream, ended.end, run.known).await;
-        ended
+        let run = SuspectRun::begin(self, upstream);
+        let outcome = exchange::attempt(self.context, upstream, self.request, left).await;
+        record.finish(&outcome);
+        self.record_run_end(upstream, outcome.end, run.known_ends)
+            .await;
+        outcome
     }
 }
 
-/// An attempt under way, with what was known of the server when it was sent.
+/// An attempt in flight, with what was known of the server when the request was sent.
 ///
-/// Failure: a caller leaves, or another server answers first, and the attempt is cancelled. Without a line
-/// of its own nobody could tell later at which server a request stood until its caller left. Dropping this
-/// writes it.
-struct Sent<'a> {
-    flight: &'a Flight<'a>,
+/// Failure: the caller disconnects, or another server answers first, and the attempt is cancelled. Without a log line
+/// for cancelled attempts nobody could tell later at which server a request was when its caller left. Dropping this
+/// value writes that line.
+struct AttemptRecord<'a> {
+    active: &'a ActiveRequest<'a>,
     upstream: Rc<Upstream>,
     at: Instant,
     left: Duration,
-    reading: Option<(Duration, Reading)>,
-    seen: Candidate,
+    load_report: Option<(Duration, Reading)>,
+    candidate: Candidate,
     open: bool,
 }
 
-impl<'a> Sent<'a> {
-    fn now(flight: &'a Flight<'a>, upstream: &Rc<Upstream>) -> Self {
+impl<'a> AttemptRecord<'a> {
+    fn start(active: &'a ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
         let at = clock::now();
         Self {
-            flight,
+            active,
             at,
-            left: flight.deadline.saturating_duration_since(at),
-            reading: upstream.reading(at),
-            seen: upstream.candidate(at, READING_TELLS, false),
+            left: active.deadline.saturating_duration_since(at),
+            load_report: upstream.load_report(at),
+            candidate: upstream.candidate(at, MAX_LOGGED_LOAD_REPORT_AGE, false),
             upstream: upstream.clone(),
             open: true,
         }
     }
 
     fn slowness(&self) -> f64 {
-        self.reading.map_or(1.0, |(_, reading)| reading.slowness)
+        self.load_report
+            .map_or(1.0, |(_, load_report)| load_report.slowness)
     }
 
-    fn ended(mut self, ended: &Ended) {
+    fn finish(mut self, outcome: &AttemptOutcome) {
         self.open = false;
-        let (flight, context) = (self.flight, self.flight.context);
-        context.metrics.attempt(ended.end.label());
-        let succeeded = ended.end == AttemptEnd::Succeeded;
-        if succeeded && self.seen.reading.is_some() {
-            let (slowness, slot) = (self.slowness(), self.seen.slot());
-            context.measured(&flight.route, &flight.service, ended.took, slowness, slot);
+        let (active, context) = (self.active, self.active.context);
+        context.metrics.count_attempt(outcome.end.label());
+        let succeeded = outcome.end == AttemptEnd::Succeeded;
+        if succeeded && self.candidate.reading.is_some() {
+            let (slowness, slot) = (self.slowness(), self.candidate.slot());
+            context.record_service_time(
+                &active.route,
+                &active.service,
+                outcome.took,
+                slowness,
+                slot,
+            );
         }
         if !succeeded || context.writes_ordinary_line(self.at) {
-            self.tell(ended.end.label(), ended.detail, ended.took);
+            self.log(outcome.end.label(), outcome.detail, outcome.took);
         }
     }
 
-    fn tell(&self, end: &'static str, detail: &'static str, took: Duration) {
-        let request = self.flight.request;
+    fn log(&self, end: &'static str, detail: &'static str, took: Duration) {
+        let request = self.active.request;
         tracing::info!(
             event = "attempt",
             request = request.id,
-            route = %self.flight.route.name,
+            route = %self.active.route.name,
             server = %self.upstream.server.name,
             near = self.upstream.near,
-            age_ms = self.reading.map(|(age, _)| age.as_millis() as u64),
-            running = self.reading.map(|(_, r)| r.running),
-            waiting = self.reading.map(|(_, r)| r.waiting),
+            age_ms = self.load_report.map(|(age, _)| age.as_millis() as u64),
+            running = self.load_report.map(|(_, r)| r.running),
+            waiting = self.load_report.map(|(_, r)| r.waiting),
             slowness = self.slowness(),
             waited_ms = (self.at - request.arrived).as_millis() as u64,
             took_ms = took.as_millis() as u64,
@@ -102,12 +109,12 @@
     }
 }
 
-impl Drop for Sent<'_> {
+impl Drop for AttemptRecord<'_> {
     fn drop(&mut self) {
         if self.open {
             let why = "the caller left, or another server answered first";
-            self.flight.context.metrics.attempt("cancelled");
-            self.tell("cancelled", why, clock::since(self.at));
+            self.active.context.metrics.count_attempt("cancelled");
+            self.log("cancelled", why, clock::since(self.at));
         }
     }
 }
--- a/crates/kingcuploft-entry/src/edge/dispatch.rs
+++ b/crates/kingcuploft-entry/src/edge/dispatch.rs
@@ -1,4 +1,4 @@
-//! A request's way: choice, attempts, answer.
+//! Serves a request from routing to its answer: selects servers, makes attempts, retries, or refuses.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,109 +7,110 @@
 use kingcuploft::world::contract::Contract;
 use tokio::sync::oneshot;
 
+use super::active_request::{ActiveRequest, Routed};
 use super::answer::Answer;
-use super::choosing::Chosen;
-use super::flight::{Begun, Flight};
-use super::gone::Gone;
+use super::caller_disconnect::CallerDisconnect;
 use super::request::Request;
+use super::selection::Selection;
 use crate::budgets::WantedRepeat;
 use crate::clock;
 use crate::context::Context;
-use crate::upstream::exchange::Ended;
+use crate::upstream::exchange::AttemptOutcome;
 
-/// How long a request waits for a configuration that has it in it, at a VM that has just started or knows that a newer
-/// one exists: that takes some tens of milliseconds, or as long as the store is away.
-const HOLD_UNREADY: Duration = Duration::from_millis(150);
+/// How long a request for an unknown route waits for a configuration, at a VM that has just started or knows that a
+/// newer version exists. It arrives within some tens of milliseconds, or not before the store answers again.
+const CONFIGURATION_WAIT: Duration = Duration::from_millis(150);
 
-/// Serves one request and hands its answer over.
+/// Serves one request and delivers its answer through `answer`.
 pub async fn serve(
     context: Rc<Context>,
     request: Request,
-    gone: Rc<Gone>,
+    disconnect: Rc<CallerDisconnect>,
     answer: oneshot::Sender<Answer>,
 ) {
     context.metrics.requests.inc();
-    if !Flight::may_begin(&context, &request) {
-        let adopting = context.in_force.adopting.notified();
-        let _ = tokio::time::timeout(HOLD_UNREADY, adopting).await;
+    if !ActiveRequest::can_begin(&context, &request) {
+        let adopting = context.active_configuration.adopted_notify.notified();
+        let _ = tokio::time::timeout(CONFIGURATION_WAIT, adopting).await;
     }
-    let (route, answered) = match Flight::begin(&context, &request) {
-        Begun::Refused(answer) => (None, answer),
-        Begun::Flight(mut flight) => {
-            let answered = match flight.route.contract {
+    let (route, answered) = match ActiveRequest::begin(&context, &request) {
+        Routed::Refused(answer) => (None, answer),
+        Routed::Active(mut active) => {
+            let answered = match active.route.contract {
                 Contract::RetryFreely => tokio::select! {
                     biased;
-                    answer = flight.run(&gone) => answer,
-                    () = gone.wait() => return flight.caller_left(),
+                    answer = active.run(&disconnect) => answer,
+                    () = disconnect.wait() => return active.log_caller_left(),
                 },
-                // A protected request that was sent runs on: cancelling it would leave open whether
-                // it ran.
-                Contract::AtMostOnce => flight.run(&gone).await,
+                // A protected request that was sent is not cancelled: it would stay unknown whether it ran.
+                Contract::AtMostOnce => active.run(&disconnect).await,
             };
-            (Some(flight.route.name.clone()), answered)
+            (Some(active.route.name.clone()), answered)
         }
     };
     let (route, took) = (route.as_deref(), clock::since(request.arrived));
-    context.metrics.answered(route, answered.status, took);
+    context.metrics.observe_answer(route, answered.status, took);
     let _ = answer.send(answered);
 }
 
-impl Flight<'_> {
-    async fn run(&mut self, gone: &Gone) -> Answer {
+impl ActiveRequest<'_> {
+    async fn run(&mut self, disconnect: &CallerDisconnect) -> Answer {
         loop {
-            let upstream = match self.choose(gone).await {
-                Chosen::Upstream(upstream) => upstream,
-                Chosen::Refuse(come_back) => {
-                    self.come_back = come_back;
+            let upstream = match self.select_upstream(disconnect).await {
+                Selection::Upstream(upstream) => upstream,
+                Selection::Refuse(retry_after) => {
+                    self.retry_after = retry_after;
                     return self.give_up("no server can answer in time");
                 }
-                Chosen::Quarantined(come_back) => {
-                    self.come_back = come_back;
+                Selection::Quarantined(retry_after) => {
+                    self.retry_after = retry_after;
                     return self.give_up("servers end under it");
                 }
-                Chosen::Evacuated(come_back) => {
-                    self.come_back = come_back;
+                Selection::Evacuated(retry_after) => {
+                    self.retry_after = retry_after;
                     return self.give_up("all servers are in evacuated zones");
                 }
-                Chosen::CallerLeft => return self.give_up("the caller left"),
+                Selection::CallerLeft => return self.give_up("the caller left"),
             };
             self.attempts.sending();
-            let ended = match self.route.contract {
+            let outcome = match self.route.contract {
                 Contract::RetryFreely => {
-                    let (ended, other) = self.attempt_with_second_look(&upstream).await;
-                    if let Some(other) = other {
-                        // The send that lost may have run; it counts among those that the route
-                        // allows.
+                    let (outcome, hedge_target) = self.attempt_with_hedge(&upstream).await;
+                    if let Some(hedge_target) = hedge_target {
+                        // The cancelled send may have run; it counts towards the attempts that the route allows.
                         self.attempts.sending();
                         self.attempts.ended(AttemptEnd::TimedOut);
-                        self.tried.push(other);
+                        self.tried_upstreams.push(hedge_target);
                     }
-                    ended
+                    outcome
                 }
                 Contract::AtMostOnce => self.attempt(&upstream).await,
             };
             self.is_trial = false;
             self.turn_at = None;
-            match self.attempts.ended(ended.end) {
-                Verdict::Answer => return self.pass_on(ended),
-                Verdict::TryAgain if self.may_try_again(gone, ended.end) => {
-                    self.last_failure = ended.response.filter(|_| ended.end == AttemptEnd::Failed);
-                    self.tried.push(upstream);
+            match self.attempts.ended(outcome.end) {
+                Verdict::Answer => return self.pass_on(outcome),
+                Verdict::TryAgain if self.may_try_again(disconnect, outcome.end) => {
+                    self.last_failure = outcome
+                        .response
+                        .filter(|_| outcome.end == AttemptEnd::Failed);
+                    self.tried_upstreams.push(upstream);
                 }
-                Verdict::TryAgain | Verdict::GiveUp if ended.end == AttemptEnd::Failed => {
-                    return self.pass_on(ended);
+                Verdict::TryAgain | Verdict::GiveUp if outcome.end == AttemptEnd::Failed => {
+                    return self.pass_on(outcome);
                 }
-                Verdict::TryAgain | Verdict::GiveUp => return self.give_up(ended.detail),
+                Verdict::TryAgain | Verdict::GiveUp => return self.give_up(outcome.detail),
             }
         }
     }
 
-    fn may_try_again(&self, gone: &Gone, end: AttemptEnd) -> bool {
+    fn may_try_again(&self, disconnect: &CallerDisconnect, end: AttemptEnd) -> bool {
         let now = clock::now();
-        if now >= self.deadline || gone.is_set() {
+        if now >= self.deadline || disconnect.is_set() {
             return false;
         }
-        self.context.repeats(&self.wanted_repeat(end.label()))
+        self.context
+            .request_repeat(&self.wanted_repeat(end.label()))
     }
 
     pub(super) fn wanted_repeat(&self, after: &'static str) -> WantedRepeat<'_> {
@@ -121,21 +122,21 @@
         }
     }
 
-    fn pass_on(&mut self, ended: Ended) -> Answer {
-        match ended.response {
-            Some(response) => Answer::of_server(self.request, response),
-            None => self.give_up(ended.detail),
+    fn pass_on(&mut self, outcome: AttemptOutcome) -> Answer {
+        match outcome.response {
+            Some(response) => Answer::from_server(self.request, response),
+            None => self.give_up(outcome.detail),
         }
     }
 
     fn give_up(&mut self, reason: &'static str) -> Answer {
-        self.context.metrics.failure(reason);
+        self.context.metrics.count_failure(reason);
         if let Some(response) = self.last_failure.take() {
-            return Answer::of_server(self.request, response);
+            return Answer::from_server(self.request, response);
         }
         let timed_out = clock::now() >= self.deadline;
         let status = self.attempts.refusal_status(timed_out);
-        let after = (status == 503).then_some(self.come_back);
+        let after = (status == 503).then_some(self.retry_after);
         tracing::info!(
             event = "gave_up",
             request = self.request.id,
@@ -146,16 +147,16 @@
             held_ms = clock::since(self.request.arrived).as_millis() as u64,
             come_back_ms = after.map(|after| after.as_millis() as u64),
         );
-        Answer::own(
+        Answer::generated(
             self.request,
-            &self.context.vocabulary,
+            &self.context.wire_names,
             status,
             reason,
             after,
         )
     }
 
-    fn caller_left(&self) {
+    fn log_caller_left(&self) {
         tracing::info!(
             event = "caller_left",
             request = self.request.id,
--- /dev/null
+++ b/crates/kingcuploft-entry/src/edge/hedge.rs
@@ -0,0 +1,120 @@
+//! Hedged requests: a second send of an idempotent lookup whose first send takes too long.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use kingcuploft::entry::placement::{Candidate, Reach, Step, place};
+use kingcuploft::entry::second_look::{self, Look};
+use kingcuploft::entry::verdict::AttemptEnd;
+
+use super::active_request::ActiveRequest;
+use super::selection::LOAD_REPORT_POLL_INTERVAL;
+use crate::clock;
+use crate::upstream::exchange::AttemptOutcome;
+use crate::upstream::{Upstream, probe};
+
+/// How long the load reports that a hedge needs are waited for: a round trip to another zone, with a margin.
+const HEDGE_LOAD_REPORT_WAIT: Duration = Duration::from_millis(5);
+
+/// The send that has not ended.
+enum Pending {
+    First,
+    Second,
+}
+
+/// An age that no load report reaches: the last one is used, however old it is.
+const ANY_LOAD_REPORT_AGE: Duration = Duration::from_secs(3600);
+
+impl ActiveRequest<'_> {
+    /// Sends a lookup, and sends it to a second server when it takes too long. So the caller does not depend on a
+    /// server that has stopped answering, or that is late while others are free. The first complete answer counts; the
+    /// other send is cancelled.
+    pub(super) async fn attempt_with_hedge(
+        &self,
+        upstream: &Rc<Upstream>,
+    ) -> (AttemptOutcome, Option<Rc<Upstream>>) {
+        let expected_ms = self.expected_ms(upstream);
+        let mut first = std::pin::pin!(self.attempt(upstream));
+        tokio::select! {
+            biased;
+            outcome = &mut first => return (outcome, None),
+            () = tokio::time::sleep(second_look::look_after(expected_ms)) => {}
+        }
+        let second = tokio::select! {
+            biased;
+            outcome = &mut first => return (outcome, None),
+            second = self.hedge_upstream(upstream) => second,
+        };
+        let Some(hedge_target) = second else {
+            return (first.await, None);
+        };
+        let mut second = std::pin::pin!(self.attempt(&hedge_target));
+        let (outcome, pending) = tokio::select! {
+            biased;
+            outcome = &mut first => (outcome, Pending::Second),
+            outcome = &mut second => (outcome, Pending::First),
+        };
+        let outcome = match (outcome.end, pending) {
+            (AttemptEnd::Succeeded, _) => outcome,
+            (_, Pending::First) => first.await,
+            (_, Pending::Second) => second.await,
+        };
+        (outcome, Some(hedge_target.clone()))
+    }
+
+    /// Returns the server for the hedge of a lookup that takes too long, or `None` if there should be no hedge.
+    async fn hedge_upstream(&self, upstream: &Rc<Upstream>) -> Option<Rc<Upstream>> {
+        if self.is_suspect() {
+            return None;
+        }
+        let service = self.configuration.services.get(&self.service)?;
+        let asked_at = clock::now();
+        probe::start(self.context, upstream, &service.health_path);
+        tokio::time::sleep(HEDGE_LOAD_REPORT_WAIT).await;
+        let now = clock::now();
+        let age = upstream.load_report(now).map(|(age, _)| age);
+        let need = self.need(now, now, Reach::Far);
+        let look = Look {
+            answers: age
+                .is_some_and(|age| age <= now - asked_at + self.context.max_load_report_age()),
+            probes_left: self.context.probe_budget_left(),
+            left_ms: need.deadline_left_ms,
+            work_ms: need.work_ms,
+        };
+        if !second_look::wants_second(&look) || !self.attempts.may_send(1) {
+            return None;
+        }
+        let other_upstreams: Vec<_> = self.candidate_upstreams(now, Reach::Far);
+        let other_upstreams: Vec<_> = other_upstreams
+            .into_iter()
+            .filter(|u| !Rc::ptr_eq(u, upstream))
+            .collect();
+        self.probe_upstreams(&other_upstreams, 1.0);
+        tokio::time::sleep(HEDGE_LOAD_REPORT_WAIT).await;
+        let now = clock::now();
+        let max_age =
+            self.context.max_load_report_age() + HEDGE_LOAD_REPORT_WAIT + LOAD_REPORT_POLL_INTERVAL;
+        let seen = other_upstreams
+            .iter()
+            .map(|u| u.candidate(now, max_age, self.is_excluded(u, now)));
+        let candidates: Vec<Candidate> = seen.collect();
+        let need = self.need(now, now, Reach::Near);
+        let Step::Send(at) = place(&need, &candidates, fastrand::f64) else {
+            return None;
+        };
+        let after = match look.answers {
+            true => "late",
+            false => "silent",
+        };
+        let has_budget = self.context.request_repeat(&self.wanted_repeat(after));
+        other_upstreams.get(at).filter(|_| has_budget).cloned()
+    }
+
+    fn expected_ms(&self, upstream: &Upstream) -> f64 {
+        let now = clock::now();
+        let work_ms = self.context.work_ms(&self.route, &self.service);
+        upstream
+            .candidate(now, ANY_LOAD_REPORT_AGE, false)
+            .expected_ms(work_ms, self.context.last_slot_factor(&self.service))
+    }
+}
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -1,4 +1,5 @@
-//! A request under which servers ended: whether it is sent on, and what its runs tell.
+//! Quarantine of suspect requests, during which servers have crashed: whether a request may be sent, and what its runs
+//! show.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,29 +10,29 @@
 use kingcuploft::entry::verdict::AttemptEnd;
 use kingcuploft::planted::{self, Planted};
 
-use super::flight::Flight;
+use super::active_request::ActiveRequest;
 use crate::clock;
 use crate::context::Context;
-use crate::notice_writes::Write;
+use crate::notice_writes::NoticeWrite;
 use crate::notices;
-use crate::upstream::after_loss::{self, AfterLoss};
-use crate::upstream::{HoldsSuspect, Upstream};
+use crate::upstream::crash_check::{self, CrashCheck};
+use crate::upstream::{SuspectGuard, Upstream};
 
-/// Whether a request may be sent on.
-pub(super) enum Clearance {
-    Go,
-    /// Another run of it is under way here.
+/// Whether a request may be sent.
+pub(super) enum QuarantineDecision {
+    Send,
+    /// Another run of the same request is in flight at this VM.
     Wait,
-    /// Servers end under it; the caller may come back after this time.
+    /// Servers crash when they run it; the caller may retry after this time.
     Refuse(Duration),
 }
 
-impl Flight<'_> {
-    /// Returns whether the request may be sent on.
-    pub(super) async fn clearance(&mut self) -> Clearance {
-        let knows_none = self.context.quarantine.borrow().is_empty();
-        if self.is_trial || knows_none || planted::is_on(Planted::SendsSuspects) {
-            return Clearance::Go;
+impl ActiveRequest<'_> {
+    /// Returns whether the request may be sent.
+    pub(super) async fn check_quarantine(&mut self) -> QuarantineDecision {
+        let is_quarantine_empty = self.context.quarantine.borrow().is_empty();
+        if self.is_trial || is_quarantine_empty || planted::is_on(Planted::SendsSuspects) {
+            return QuarantineDecision::Send;
         }
         let fingerprint = self.request.fingerprint();
         let admission = self
@@ -40,10 +41,10 @@
             .borrow()
             .admit(clock::now(), fingerprint);
         match admission {
-            // A run that hangs must not hold the others back until they are late.
-            Admission::Wait if clock::now() < self.target => Clearance::Wait,
-            Admission::Free | Admission::Alone | Admission::Wait => Clearance::Go,
-            Admission::Refuse(after) => Clearance::Refuse(after),
+            // A run that hangs must not delay the others beyond the target latency.
+            Admission::Wait if clock::now() < self.target => QuarantineDecision::Wait,
+            Admission::Free | Admission::Alone | Admission::Wait => QuarantineDecision::Send,
+            Admission::Refuse(after) => QuarantineDecision::Refuse(after),
             Admission::Trial(report) => {
                 match self
                     .context
@@ -53,32 +54,37 @@
                 {
                     true => {
                         self.is_trial = true;
-                        Clearance::Go
+                        QuarantineDecision::Send
                     }
-                    false => Clearance::Refuse(Quarantine::tried_elsewhere()),
+                    false => QuarantineDecision::Refuse(Quarantine::tried_elsewhere()),
                 }
             }
         }
     }
 
-    /// Returns whether servers have ended under the request.
+    /// Returns whether servers have crashed while they ran the request.
     pub(super) fn is_suspect(&self) -> bool {
         let quarantine = self.context.quarantine.borrow();
         !quarantine.is_empty() && quarantine.is_suspect(self.request.fingerprint())
     }
 
-    /// Takes in how a run ended that began when so many ends in a row were known.
-    pub(super) async fn learn(&self, upstream: &Rc<Upstream>, end: AttemptEnd, known: u32) {
+    /// Records how a run ended. `known` is the number of consecutive crashes that were known when the run started.
+    pub(super) async fn record_run_end(
+        &self,
+        upstream: &Rc<Upstream>,
+        end: AttemptEnd,
+        known: u32,
+    ) {
         match end {
-            AttemptEnd::Succeeded if self.is_suspect() => self.clear(),
-            AttemptEnd::Lost => self.look_after_loss(upstream, known).await,
+            AttemptEnd::Succeeded if self.is_suspect() => self.clear_suspicion(),
+            AttemptEnd::Lost => self.check_server_after_loss(upstream, known).await,
             _ => {}
         }
     }
 
-    fn clear(&self) {
+    fn clear_suspicion(&self) {
         let fingerprint = self.request.fingerprint();
-        let ids = notices::logged(self.context, fingerprint, || {
+        let ids = notices::log_quarantine_change(self.context, fingerprint, || {
             self.context.quarantine.borrow_mut().answered(fingerprint)
         });
         tracing::info!(
@@ -91,13 +97,13 @@
         }
     }
 
-    /// Looks whether a server has ended that lost an answer, and tells the others if so.
-    async fn look_after_loss(&self, upstream: &Rc<Upstream>, known: u32) {
-        let found = after_loss::look(&*self.context.network, upstream).await;
+    /// Checks whether the server that lost an answer has crashed, and reports the crash to the other VMs if so.
+    async fn check_server_after_loss(&self, upstream: &Rc<Upstream>, known: u32) {
+        let found = crash_check::check(&*self.context.network, upstream).await;
         let fingerprint = self.request.fingerprint();
         let server = &upstream.server.name;
-        let report = (found == AfterLoss::Ended).then(|| {
-            notices::logged(self.context, fingerprint, || {
+        let report = (found == CrashCheck::Ended).then(|| {
+            notices::log_quarantine_change(self.context, fingerprint, || {
                 let mut quarantine = self.context.quarantine.borrow_mut();
                 quarantine.server_ended(clock::now(), fingerprint, server, known)
             })
@@ -113,35 +119,35 @@
         if let Some(report) = report {
             self.context
                 .notice_writes
-                .send(Write::Tell(Notice::Crash(report)));
+                .send(NoticeWrite::Create(Notice::Crash(report)));
         }
     }
 }
 
 /// A run of a request that may be suspect, until it ends.
-pub(super) struct Run<'a> {
+pub(super) struct SuspectRun<'a> {
     context: &'a Context,
     fingerprint: Option<Fingerprint>,
-    _held: Option<HoldsSuspect>,
-    /// How many servers were known to have ended in a row under it.
-    pub(super) known: u32,
+    _guard: Option<SuspectGuard>,
+    /// How many consecutive crashes under the request were known when the run started.
+    pub(super) known_ends: u32,
 }
 
-impl<'a> Run<'a> {
-    pub(super) fn begin(flight: &Flight<'a>, upstream: &Rc<Upstream>) -> Self {
-        let suspect = flight.is_suspect();
-        let fingerprint = suspect.then(|| flight.request.fingerprint());
-        let begins = |fp| flight.context.quarantine.borrow_mut().begins(fp);
+impl<'a> SuspectRun<'a> {
+    pub(super) fn begin(active: &ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
+        let suspect = active.is_suspect();
+        let fingerprint = suspect.then(|| active.request.fingerprint());
+        let begins = |fp| active.context.quarantine.borrow_mut().begins(fp);
         Self {
-            context: flight.context,
-            known: fingerprint.map_or(0, begins),
-            _held: suspect.then(|| upstream.hold_suspect()),
+            context: active.context,
+            known_ends: fingerprint.map_or(0, begins),
+            _guard: suspect.then(|| upstream.track_suspect()),
             fingerprint,
         }
     }
 }
 
-impl Drop for Run<'_> {
+impl Drop for SuspectRun<'_> {
     fn drop(&mut self) {
         if let Some(fingerprint) = self.fingerprint {
             self.context.quarantine.borrow_mut().ends(fingerprint);
--- a/crates/kingcuploft-entry/src/http/body.rs
+++ b/crates/kingcuploft-entry/src/http/body.rs
@@ -1,20 +1,20 @@
-//! Bodies: by length, in chunks, or until the connection ends.
+//! Message bodies: framed by length, in chunks, or until the connection closes.
 
 use bytes::{Buf, BytesMut};
 
-/// How a body ends.
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// After this many bytes.
     Length(usize),
     /// With an empty chunk.
     Chunked,
-    /// With its connection.
+    /// When the connection closes.
     UntilClose,
 }
 
-/// The longest line that gives a chunk's length.
-const LONGEST_CHUNK_LINE: usize = 256;
+/// The most bytes of a line that gives a chunk's length.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
 /// Why a body can't be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
@@ -38,23 +38,23 @@
     Done,
 }
 
-/// Reads one body piece by piece.
+/// Reads one body incrementally.
 #[derive(Debug)]
 pub struct BodyReader {
     state: State,
-    most: usize,
+    max_bytes: usize,
     body: Vec<u8>,
 }
 
 impl BodyReader {
-    /// Begins a body of at most `most` bytes.
+    /// Creates a reader for a body of at most `max_bytes` bytes.
     ///
     /// # Errors
     ///
-    /// Returns [`BodyError::TooLong`] if its announced length is greater.
-    pub fn new(framing: Framing, most: usize) -> Result<Self, BodyError> {
+    /// Returns [`BodyError::TooLong`] if the announced length is greater.
+    pub fn new(framing: Framing, max_bytes: usize) -> Result<Self, BodyError> {
         let state = match framing {
-            Framing::Length(length) if length > most => return Err(BodyError::TooLong),
+            Framing::Length(length) if length > max_bytes => return Err(BodyError::TooLong),
             Framing::Length(0) => State::Done,
             Framing::Length(length) => State::Length(length),
             Framing::Chunked => State::ChunkLine,
@@ -62,12 +62,12 @@
         };
         Ok(Self {
             state,
-            most,
+            max_bytes,
             body: Vec::new(),
         })
     }
 
-    /// Takes what it can from `bytes`; returns whether the body is whole.
+    /// Consumes bytes of the body from `bytes`; returns whether the body is complete.
     ///
     /// # Errors
     ///
@@ -81,8 +81,8 @@
         Ok(true)
     }
 
-    /// Takes the end of the connection in; returns whether the body is whole.
-    pub fn closed(&mut self) -> bool {
+    /// Returns whether the body is complete now that the connection has closed.
+    pub fn is_complete_at_close(&mut self) -> bool {
         matches!(self.state, State::UntilClose | State::Done)
     }
 
@@ -91,12 +91,12 @@
         self.body.len()
     }
 
-    /// Returns the body.
+    /// Returns the bytes of the body.
     pub fn into_body(self) -> Vec<u8> {
         self.body
     }
 
-    /// Takes one step; returns whether more can be done with the bytes at hand.
+    /// Consumes one part of the body; returns whether another can be read from the bytes at hand.
     fn step(&mut self, bytes: &mut BytesMut) -> Result<bool, BodyError> {
         match self.state {
             State::Done => Ok(false),
@@ -126,7 +126,7 @@
 
     fn take(&mut self, bytes: &mut BytesMut, left: usize) -> Result<usize, BodyError> {
         let taken = left.min(bytes.len());
-        if self.body.len() + taken > self.most {
+        if self.body.len() + taken > self.max_bytes {
             return Err(BodyError::TooLong);
         }
         self.body.extend_from_slice(&bytes[..taken]);
@@ -136,7 +136,7 @@
 
     fn line(&mut self, bytes: &mut BytesMut) -> Result<bool, BodyError> {
         let Some(end) = bytes.windows(2).position(|pair| pair == b"\r\n") else {
-            return match bytes.len() > LONGEST_CHUNK_LINE {
+            return match bytes.len() > MAX_CHUNK_LINE_BYTES {
                 true => Err(BodyError::Malformed),
                 false => Ok(false),
             };
--- a/crates/kingcuploft-entry/src/logs.rs
+++ b/crates/kingcuploft-entry/src/logs.rs
@@ -1,26 +1,27 @@
 //! Structured logs on standard output: one JSON object a line.
 //!
-//! A reader that does not read must not stop requests: lines go over a bounded ring to a thread of
-//! their own, and lines that find it full are counted and left out.
+//! Failure: the process that reads the log stops reading, and writes to standard output block. The guard: lines go
+//! through a bounded queue to a thread of their own; lines that find the queue full are counted and dropped, so
+//! requests never wait for the log.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::{Duration, Instant};
 
-/// How many lines wait for the writer at most: some seconds of failures of one VM.
-const RING_LINES: usize = 512;
+/// The most lines that wait for the writer thread: some seconds of failures of one VM.
+const MAX_QUEUED_LINES: usize = 512;
 
-/// How often a process that ends looks whether its lines are written.
-const DRAIN_STEP: Duration = Duration::from_millis(2);
+/// How often [`drain`] checks whether all lines are written.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 static QUEUED: AtomicU64 = AtomicU64::new(0);
 static WRITTEN: AtomicU64 = AtomicU64::new(0);
 
-/// Starts writing logs from this level on.
+/// Starts logging at this level and above.
 pub fn start(level: tracing::Level) {
-    let (ring, lines) = sync_channel(RING_LINES);
+    let (queue, lines) = sync_channel(MAX_QUEUED_LINES);
     let writer = std::thread::Builder::new()
         .name("logs".into())
         .stack_size(64 * 1024);
@@ -35,29 +36,29 @@
         .with_span_list(false)
         .with_max_level(level)
         .with_writer(move || Line {
-            ring: ring.clone(),
+            queue: queue.clone(),
             bytes: Vec::new(),
         });
     let _ = subscriber.try_init();
 }
 
-/// Returns how many lines were left out.
-pub fn left_out() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+/// Returns how many lines were dropped.
+pub fn dropped_lines() -> u64 {
+    DROPPED.load(Ordering::Relaxed)
 }
 
-/// Waits until all lines are written, for so long at most: a process that just ends takes the last lines
-/// with it, among them the one that says that it stopped as planned.
+/// Waits until all lines are written, for at most `within`: a process that just exits loses its last lines, among them
+/// the one that reports the graceful shutdown.
 pub fn drain(within: Duration) {
     let until = Instant::now() + within;
     let is_behind = || WRITTEN.load(Ordering::Acquire) < QUEUED.load(Ordering::Acquire);
     while is_behind() && Instant::now() < until {
-        std::thread::sleep(DRAIN_STEP);
+        std::thread::sleep(DRAIN_POLL_INTERVAL);
     }
 }
 
 struct Line {
-    ring: SyncSender<Vec<u8>>,
+    queue: SyncSender<Vec<u8>>,
     bytes: Vec<u8>,
 }
 
@@ -79,25 +80,25 @@
             return;
         }
         QUEUED.fetch_add(1, Ordering::Release);
-        if self.ring.try_send(line).is_err() {
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+        if self.queue.try_send(line).is_err() {
+            DROPPED.fetch_add(1, Ordering::Relaxed);
             WRITTEN.fetch_add(1, Ordering::Release);
         }
     }
 }
 
 fn write_lines(lines: &Receiver<Vec<u8>>) {
-    let mut told = 0;
+    let mut reported = 0;
     let mut output = std::io::stdout();
     while let Ok(line) = lines.recv() {
         if output.write_all(&line).is_err() {
             return;
         }
         WRITTEN.fetch_add(1, Ordering::Release);
-        let left_out = left_out();
-        if left_out > told {
+        let left_out = dropped_lines();
+        if left_out > reported {
             let line = format!("{{\"event\":\"lines_left_out\",\"count\":{left_out}}}\n");
-            told = left_out;
+            reported = left_out;
             if output.write_all(line.as_bytes()).is_err() {
                 return;
             }
--- /dev/null
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -0,0 +1,124 @@
+//! Updates of the backend servers: applied, forwarded to followers, logged.
+
+use std::time::{Duration, Instant};
+
+use kingcuploft::entry::backend_servers::{BackendServer, Change};
+use kingcuploft::entry::server_table::ServerTable;
+use kingcuploft::world::ids::BackendServerName;
+
+use crate::cold_servers;
+use crate::context::Context;
+use crate::peers::frame::Frame;
+
+/// The most changes that are sent and logged one by one when they come together.
+const MAX_CHANGES_SENT_SINGLY: usize = 4;
+
+/// Applies entries of backend servers, and forwards those that are news: a list repeats what is known, and hundreds of
+/// frames at once exceed a follower's queue.
+pub fn apply_servers(context: &Context, now: Instant, mut servers: Vec<BackendServer>) {
+    context.with_servers(|known| servers.retain(|server| !known.is_known(server)));
+    match &servers[..] {
+        [] => return,
+        [server] => context.followers.send(&Frame::Server(server.clone())),
+        several => {
+            let table = ServerTable::of(several.iter());
+            context.followers.send(&Frame::Servers(table));
+        }
+    }
+    let cold = cold_servers(&servers);
+    let entries = servers.into_iter();
+    let changes: Vec<Change> =
+        context.with_servers(|known| entries.filter_map(|s| known.told(s)).collect());
+    log_changes(&changes);
+    context.apply_server_changes(now, &changes);
+    cold_servers::apply_store_report(context, &cold);
+}
+
+/// Returns which of these servers are cold, and for how much longer.
+fn cold_servers(servers: &[BackendServer]) -> Vec<(BackendServerName, Duration)> {
+    let cold = servers.iter().filter(|server| !server.cold_for.is_zero());
+    cold.map(|server| (server.name.clone(), server.cold_for))
+        .collect()
+}
+
+/// Applies the removal of a backend server's entry, and forwards it.
+pub fn apply_removal(context: &Context, now: Instant, name: &str) {
+    context.followers.send(&Frame::ServerGone(name.to_owned()));
+    if let Some(change) = context.with_servers(|servers| servers.gone(now, name)) {
+        apply_change(context, now, &change);
+    }
+}
+
+/// Applies a complete list of the backend servers, and forwards what is news. `servers` are the readable entries,
+/// `names` the names of all entries.
+///
+/// Load pattern: after an outage every VM learns of hundreds of servers at once. Each is applied alone, but they are
+/// forwarded and logged together: a log line for each takes a small VM longer than all the rest of its start.
+pub fn apply_full_list(
+    context: &Context,
+    now: Instant,
+    servers: Vec<BackendServer>,
+    names: &[String],
+) {
+    let is_news = |server: &BackendServer| context.with_servers(|known| !known.is_known(server));
+    let news: Vec<BackendServer> = servers.iter().filter(|s| is_news(s)).cloned().collect();
+    let cold = cold_servers(&news);
+    let entries = servers.into_iter();
+    let joined =
+        context.with_servers(|known| entries.filter_map(|s| known.told(s)).collect::<Vec<_>>());
+    let present = names.iter().map(String::as_str);
+    let gone = context.with_servers(|known| known.all_told(now, present));
+    let changes: Vec<Change> = joined.into_iter().chain(gone).collect();
+    log_changes(&changes);
+    context.apply_server_changes(now, &changes);
+    cold_servers::apply_store_report(context, &cold);
+    context.set_servers_listed();
+    forward_to_followers(context, &news, &changes);
+}
+
+/// Forwards the outcome of a complete list to the followers: the changes if they are few, or the whole table.
+fn forward_to_followers(context: &Context, news: &[BackendServer], changes: &[Change]) {
+    if news.len() + changes.len() > MAX_CHANGES_SENT_SINGLY {
+        let table = context.with_servers(|servers| ServerTable::of(servers.present()));
+        context.followers.send(&Frame::AllServers(table));
+        return;
+    }
+    for server in news {
+        context.followers.send(&Frame::Server(server.clone()));
+    }
+    for change in changes {
+        if let Change::Left(name) | Change::Lapsed(name) = change {
+            context.followers.send(&Frame::ServerGone(name.to_string()));
+        }
+    }
+}
+
+/// Applies a change of a server, and logs it.
+pub fn apply_change(context: &Context, now: Instant, change: &Change) {
+    log_changes(std::slice::from_ref(change));
+    context.apply_server_changes(now, std::slice::from_ref(change));
+}
+
+/// Logs a line for each of a few changes, or one line with counts for many.
+fn log_changes(changes: &[Change]) {
+    if changes.len() <= MAX_CHANGES_SENT_SINGLY {
+        for change in changes {
+            let (what, server) = (change.label(), change.server());
+            tracing::info!(event = "server", what, %server);
+        }
+        return;
+    }
+    let count = |what| {
+        changes
+            .iter()
+            .filter(|change| change.label() == what)
+            .count()
+    };
+    tracing::info!(
+        event = "servers",
+        joined = count("joined"),
+        updated = count("updated"),
+        left = count("left"),
+        lapsed = count("lapsed")
+    );
+}
--- /dev/null
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -0,0 +1,346 @@
+//! Synchronizes this VM with the platform's store: the configuration, the backend servers, the notices and the
+//! evacuations.
+//!
+//! A VM that reads the store lists each collection once and then watches it. A watch that fails is repeated from its
+//! revision; where the store has compacted its history, the collection is listed anew, and what is not in the list is
+//! removed. A VM that follows another receives the same changes from it. While the store is not available, the VM
+//! serves by its last known state.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use kingcuploft::entry::configuration::{Configuration, ConfigurationVersion};
+use kingcuploft::entry::era::{Era, era_of};
+use kingcuploft::entry::notice::Notice;
+use kingcuploft::entry::zone_record::{MOST_NAMED, ZoneRecord};
+use kingcuploft::planted::{self, Planted};
+
+use crate::clock;
+use crate::cold_servers;
+use crate::context::Context;
+use crate::evacuation;
+use crate::limits;
+use crate::notices;
+use crate::peers::frame::Frame;
+use crate::peers::sync_status::sync_status;
+use crate::rewinds::EraUpdate;
+use crate::server_updates;
+use crate::store::{Changes, Collection, Page, Record, Revision, Store, StoreChange, StoreError};
+use crate::store_access::StoreAccess;
+
+/// How long a watch waits for a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// The same for a watch that is repeated: its answer shows at once up to which revision this VM knows the store.
+const REWATCH_TIMEOUT: Duration = Duration::from_millis(20);
+
+/// How recently bytes of an answer must have arrived for it to count as arriving.
+const RECENT_BYTES_AGE: Duration = Duration::from_millis(250);
+
+/// The step of the backoff after failed calls; random jitter up to the pause itself is added.
+const BACKOFF_STEP: Duration = Duration::from_millis(100);
+
+/// The longest pause: news of a leaving server must arrive within 2 s of the store's return.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+
+/// The pause after a watch that brought changes: changes come in bursts, and a server that leaves must be known within
+/// 2 s.
+const BATCH_PAUSE: Duration = Duration::from_millis(600);
+
+/// The same for collections whose changes are rare and urgent: each tenth of a second may cost another server.
+const URGENT_BATCH_PAUSE: Duration = Duration::from_millis(50);
+
+/// How often the grace periods of lapsed entries are checked.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Keeps this VM's copy of one collection up to date until the process ends.
+pub async fn sync_collection<S: Store>(
+    context: Rc<Context>,
+    store: Rc<S>,
+    store_access: Rc<StoreAccess>,
+    collection: Collection,
+) {
+    let mut backoff = Backoff::default();
+    let mut is_history_gone = false;
+    let mut wait = WATCH_TIMEOUT;
+    loop {
+        store_access.wait_until_open().await;
+        let from = context.position(collection).filter(|_| !is_history_gone);
+        let mut request = std::pin::pin!(list_or_watch(&context, &*store, collection, from, wait));
+        let outcome = loop {
+            tokio::select! {
+                biased;
+                outcome = &mut request => break Some(outcome),
+                () = store_access.wait_until_closed() => break None,
+                () = store_access.wait_for_rewatch() => {
+                    wait = REWATCH_TIMEOUT;
+                    // An answer that is arriving would have to start again.
+                    if !is_arriving(&*store, collection) {
+                        break None;
+                    }
+                }
+            }
+        };
+        let Some(outcome) = outcome else {
+            continue;
+        };
+        match outcome {
+            Ok(revision) => {
+                backoff.answered(&context);
+                is_history_gone = false;
+                wait = WATCH_TIMEOUT;
+                context.set_position(collection, revision);
+                let standing = sync_status(&context, &store_access);
+                context.followers.send(&Frame::Status(standing));
+            }
+            Err(StoreError::HistoryGone) => {
+                tracing::info!(event = "history_gone", collection = collection.label());
+                is_history_gone = true;
+                // A store that compacts its history faster than it is read must not be called without a pause.
+                tokio::time::sleep(BACKOFF_STEP).await;
+            }
+            Err(error) => tokio::time::sleep(backoff.failed(collection, &error)).await,
+        }
+    }
+}
+
+/// Returns whether an answer about a collection is arriving.
+fn is_arriving<S: Store>(store: &S, collection: Collection) -> bool {
+    let last_received = store.last_received_at(collection);
+    last_received.is_some_and(|at| clock::now().saturating_duration_since(at) < RECENT_BYTES_AGE)
+}
+
+async fn list_or_watch<S: Store>(
+    context: &Context,
+    store: &S,
+    collection: Collection,
+    from: Option<Revision>,
+    wait: Duration,
+) -> Result<Revision, StoreError> {
+    match from {
+        None => list_all(context, store, collection).await,
+        Some(revision) => watch(context, store, collection, revision, wait).await,
+    }
+}
+
+/// Returns whether a notice was withdrawn, and is back as the store was restored from an older copy.
+fn is_restored_withdrawal(context: &Context, notice: &Notice) -> bool {
+    context
+        .rewinds
+        .is_restored_withdrawal(clock::now(), &notice.id())
+}
+
+/// Ends the grace periods of lapsed entries when they run out.
+pub async fn run_expiry(context: Rc<Context>) {
+    loop {
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
+        let now = clock::now();
+        let changes = context.with_servers(|servers| servers.expire(now));
+        changes
+            .iter()
+            .for_each(|change| server_updates::apply_change(&context, now, change));
+        evacuation::expire(&context, now);
+        cold_servers::expire(&context, now);
+    }
+}
+
+#[derive(Default)]
+struct Backoff {
+    failures: u32,
+}
+
+impl Backoff {
+    fn answered(&mut self, context: &Context) {
+        if self.failures > 0 {
+            note_store_return(context);
+        }
+        self.failures = 0;
+    }
+
+    fn failed(&mut self, collection: Collection, error: &StoreError) -> Duration {
+        if self.failures == 0 {
+            tracing::warn!(event = "store_call_failed", collection = collection.label(), %error);
+        }
+        self.failures += 1;
+        let pause = BACKOFF_STEP * self.failures.min(8);
+        pause.min(MAX_BACKOFF).mul_f64(1.0 + fastrand::f64())
+    }
+}
+
+async fn list_all<S: Store>(
+    context: &Context,
+    store: &S,
+    collection: Collection,
+) -> Result<Revision, StoreError> {
+    let (mut names, mut servers, mut zones) = (Vec::new(), Vec::new(), Vec::new());
+    let mut after: Option<String> = None;
+    let mut first = None;
+    loop {
+        let Page {
+            records,
+            next,
+            revision,
+        } = store.list(collection, after.as_deref(), false).await?;
+        // The watch that follows starts at the first page's revision and brings what changes between two pages.
+        let first = *first.get_or_insert(revision);
+        if era_of(revision) != era_of(first) {
+            return Err(StoreError::HistoryGone);
+        }
+        note_era(context, era_of(first));
+        for (name, record) in records {
+            match record {
+                Record::BackendServer(server) => servers.push(server),
+                Record::Notice(notice) if is_restored_withdrawal(context, &notice) => {
+                    notices::withdraw(context, notice.id());
+                }
+                Record::Evacuation(zone) => zones.push(zone),
+                other => apply_record(context, other),
+            }
+            names.push(name);
+        }
+        if next.is_none() {
+            match collection {
+                Collection::BackendServers => {
+                    server_updates::apply_full_list(context, clock::now(), servers, &names);
+                }
+                Collection::Notices => notices::apply_stored_ids(context, names.into_iter()),
+                Collection::Evacuations => evacuation::apply_full_list(context, zones.into_iter()),
+                Collection::Configuration | Collection::Zones => {}
+            }
+            return Ok(first);
+        }
+        after = next;
+    }
+}
+
+async fn watch<S: Store>(
+    context: &Context,
+    store: &S,
+    collection: Collection,
+    from: Revision,
+    wait: Duration,
+) -> Result<Revision, StoreError> {
+    let Changes { changes, revision } = store.watch(collection, from, wait).await?;
+    if changes.is_empty() {
+        return Ok(revision);
+    }
+    let mut servers = Vec::new();
+    for change in changes {
+        match change {
+            StoreChange::Written(Record::BackendServer(server)) => servers.push(server),
+            StoreChange::Written(record) => apply_record(context, record),
+            StoreChange::Removed(name) if collection == Collection::BackendServers => {
+                // The entries before this removal may be of the same server.
+                server_updates::apply_servers(context, clock::now(), std::mem::take(&mut servers));
+                server_updates::apply_removal(context, clock::now(), &name);
+            }
+            StoreChange::Removed(id) if collection == Collection::Notices => {
+                notices::apply_withdrawals(context, vec![id]);
+            }
+            StoreChange::Removed(zone) if collection == Collection::Evacuations => {
+                evacuation::apply_end(context, &zone);
+            }
+            StoreChange::Removed(_) => {}
+        }
+    }
+    server_updates::apply_servers(context, clock::now(), servers);
+    context.set_position(collection, revision);
+    let pause = match collection {
+        Collection::Notices | Collection::Evacuations => URGENT_BATCH_PAUSE,
+        Collection::Configuration | Collection::BackendServers | Collection::Zones => BATCH_PAUSE,
+    };
+    tokio::time::sleep(pause).await;
+    Ok(revision)
+}
+
+fn apply_record(context: &Context, record: Record) {
+    match record {
+        Record::Configuration(configuration) => adopt_configuration(context, *configuration),
+        Record::BackendServer(server) => {
+            server_updates::apply_servers(context, clock::now(), vec![server])
+        }
+        Record::Evacuation(zone) => evacuation::apply_begin(context, zone),
+        Record::Notice(notice) => notices::apply_notices(context, vec![notice]),
+        Record::Zone(_) | Record::Other => {}
+        Record::Unreadable(name, why) => {
+            context.metrics.unreadable_entries.inc();
+            tracing::warn!(event = "entry_unreadable", name, why);
+        }
+    }
+}
+
+/// Puts a configuration in force if it is newer, and forwards it to the followers.
+pub fn adopt_configuration(context: &Context, configuration: Configuration) {
+    let (version, routes) = (configuration.version, configuration.route_count());
+    note_configuration_version(context, version);
+    let behind_for = context.active_configuration.stale_for().unwrap_or_default();
+    if context.active_configuration.adopt(configuration) {
+        let behind_ms = behind_for.as_millis() as u64;
+        tracing::info!(event = "configuration_adopted", version, routes, behind_ms);
+        context.followers.send_configuration();
+        cold_servers::apply_configuration(context);
+    }
+}
+
+/// Records that a version of the configuration exists, and forwards that if it is news.
+pub fn note_configuration_version(context: &Context, version: ConfigurationVersion) {
+    if context.active_configuration.note_version(version) {
+        context.followers.send_newer_version(version);
+    }
+}
+
+/// Records that the store answers again, and forwards that if it is news: a follower that has just joined may never
+/// have lost the store, and would keep a leaving server in use for the grace period of a lapsed entry.
+pub fn note_store_return(context: &Context) {
+    let news = context.with_servers(|servers| servers.store_returned(clock::now()));
+    if news {
+        tracing::info!(event = "store_back");
+        context.followers.send(&Frame::StoreReturned);
+    }
+}
+
+/// How many heartbeats a backend server may miss before its entry lapses.
+const HEARTBEATS_UNTIL_LAPSE: u32 = 3;
+
+/// Records an era that the store has reached, and forwards it before all changes of that era.
+pub fn note_era(context: &Context, era: Era) {
+    let now = clock::now();
+    if context.rewinds.observe_era(now, era) == EraUpdate::Known {
+        return;
+    }
+    tracing::warn!(event = "store_rewound", era);
+    context.followers.send_era(&Frame::Era(era));
+    let lapse_after = context.bounds.get().heartbeat * HEARTBEATS_UNTIL_LAPSE + BATCH_PAUSE;
+    context.with_servers(|servers| servers.store_rewound(now, lapse_after));
+    context.evacuations.borrow_mut().store_rewound(now);
+}
+
+/// Applies zone records, and forwards those that are news.
+pub fn apply_zone_records(context: &Context, records: Vec<ZoneRecord>) {
+    let news = context.readers.borrow_mut().told(records);
+    if news.is_empty() {
+        return;
+    }
+    let readers = context.readers.borrow();
+    if let Some(count) = readers.count() {
+        let part = if planted::is_on(Planted::CountsTooFew) {
+            5
+        } else {
+            1
+        };
+        context.vm_count.set((count / part).max(1));
+    }
+    *context.zone_peers.borrow_mut() = zone_peers(context, readers.record(&context.settings.zone));
+    drop(readers);
+    limits::redistribute(context);
+    context.followers.send(&Frame::Zones(news));
+}
+
+/// Returns the addresses of the other VMs of the zone, if the record names all of them.
+fn zone_peers(context: &Context, record: Option<&ZoneRecord>) -> Vec<SocketAddr> {
+    let named_whole = record.filter(|record| record.count as usize <= MOST_NAMED);
+    let vms = named_whole.into_iter().flat_map(|record| &record.vms);
+    let others = vms.filter(|vm| vm.name != context.settings.vm);
+    others.map(|vm| vm.address).collect()
+}
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: sent to a server, its answer checked.
+//! One attempt at a request: sends it to a server, receives the response and validates it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,58 +12,60 @@
 use crate::http::client::{Connection, ReceiveError, Response, SendError};
 use crate::http::headers::write_header;
 use crate::limits;
-use crate::peers::readings;
+use crate::peers::load_reports;
 
-/// The most bytes of an answer that is passed on.
-const MOST_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// The most bytes of a response that is passed on.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// How many answers to other requests are skipped on one connection before it is given up.
-const MOST_SKIPPED: usize = 3;
+/// How many responses to other requests are skipped on one connection before the attempt fails.
+const MAX_SKIPPED_RESPONSES: usize = 3;
 
-/// The status of a server that is not the one that a request is meant for.
-const MISDIRECTED: u16 = 421;
+/// The status by which a server refuses a request that is meant for another server.
+const MISDIRECTED_STATUS: u16 = 421;
 
-/// How one attempt ended, with the answer if there is a whole one.
+/// How one attempt ended, with the response if it is complete.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptOutcome {
     /// How it ended.
     pub end: AttemptEnd,
-    /// The server's whole answer.
+    /// The server's complete response.
     pub response: Option<Response>,
     /// How long it took.
     pub took: Duration,
-    /// What is worth telling of a failure.
+    /// The details of the end, for logs and for the answer to the caller.
     pub detail: &'static str,
 }
 
-impl Ended {
-    fn without_answer(end: AttemptEnd, detail: &'static str, begun: Instant) -> Self {
+impl AttemptOutcome {
+    fn without_answer(end: AttemptEnd, detail: &'static str, started_at: Instant) -> Self {
         Self {
             end,
             response: None,
-            took: clock::since(begun),
+            took: clock::since(started_at),
             detail,
         }
     }
 }
 
-/// Sends a request to a server and receives its answer. Dropping the future cancels the attempt:
-/// its connection closes, and the server drops the work.
+/// Sends a request to a server and receives its response. Dropping the future cancels the attempt: its connection
+/// closes, and the server drops the work.
 pub async fn attempt(
     context: &Rc<Context>,
     upstream: &Rc<Upstream>,
     request: &Request,
     left: Duration,
-) -> Ended {
-    let begun = clock::now();
-    let _in_flight = upstream.sent(begun);
-    readings::tell_sent(context, &upstream.server.name);
-    let ended = tokio::time::timeout(left, run(context, upstream, request, left, begun)).await;
-    let timed_out = || Ended::without_answer(AttemptEnd::TimedOut, "deadline passed", begun);
-    let ended = ended.unwrap_or_else(|_| timed_out());
-    let failed = !matches!(ended.end, AttemptEnd::Succeeded);
-    upstream.ended(clock::now(), failed);
-    ended
+) -> AttemptOutcome {
+    let started_at = clock::now();
+    let _in_flight = upstream.track_in_flight(started_at);
+    load_reports::share_sent(context, &upstream.server.name);
+    let outcome =
+        tokio::time::timeout(left, run(context, upstream, request, left, started_at)).await;
+    let timed_out =
+        || AttemptOutcome::without_answer(AttemptEnd::TimedOut, "deadline passed", started_at);
+    let outcome = outcome.unwrap_or_else(|_| timed_out());
+    let failed = !matches!(outcome.end, AttemptEnd::Succeeded);
+    upstream.record_outcome(clock::now(), failed);
+    outcome
 }
 
 async fn run(
@@ -71,74 +73,86 @@
     upstream: &Rc<Upstream>,
     request: &Request,
     left: Duration,
-    begun: Instant,
-) -> Ended {
+    started_at: Instant,
+) -> AttemptOutcome {
     let Ok(mut connection) = upstream.connect(&*context.network).await else {
-        return Ended::without_answer(AttemptEnd::Unsent, "no connection", begun);
+        return AttemptOutcome::without_answer(AttemptEnd::Unsent, "no connection", started_at);
     };
-    // A new connection may take a second, and the zone may have been evacuated meanwhile.
+    // Opening a connection may take a second, and the zone may have been evacuated meanwhile.
     if !context.takes_work(upstream) {
-        upstream.keep(connection);
-        return Ended::without_answer(AttemptEnd::Unsent, "the server takes no more work", begun);
+        upstream.release(connection);
+        return AttemptOutcome::without_answer(
+            AttemptEnd::Unsent,
+            "the server takes no more work",
+            started_at,
+        );
     }
-    let left = left.saturating_sub(clock::since(begun));
+    let left = left.saturating_sub(clock::since(started_at));
     let bytes = write_request(context, upstream, request, left);
     match connection.send(&bytes).await {
         Ok(()) => {}
-        Err(SendError::Unsent(_)) => {
-            return Ended::without_answer(AttemptEnd::Unsent, "connection was closed", begun);
+        Err(SendError::NothingSent(_)) => {
+            return AttemptOutcome::without_answer(
+                AttemptEnd::Unsent,
+                "connection was closed",
+                started_at,
+            );
         }
-        Err(SendError::Broke(_)) => {
-            return Ended::without_answer(AttemptEnd::Lost, "broke while sending", begun);
+        Err(SendError::PartlySent(_)) => {
+            return AttemptOutcome::without_answer(
+                AttemptEnd::Lost,
+                "broke while sending",
+                started_at,
+            );
         }
     }
-    let received = receive_own(context, &mut connection, request).await;
+    let received = receive_matching(context, &mut connection, request).await;
     let response = match received {
         Ok(response) => response,
-        Err((end, detail)) => return Ended::without_answer(end, detail, begun),
+        Err((end, detail)) => return AttemptOutcome::without_answer(end, detail, started_at),
     };
-    let load = response.head.headers.get(context.vocabulary.load);
-    if let Some(reading) = load.and_then(context.vocabulary.read_load) {
-        upstream.told(clock::now(), reading);
-        readings::tell(context, &upstream.server.name, reading, None);
+    let load = response.head.headers.get(context.wire_names.load);
+    if let Some(reading) = load.and_then(context.wire_names.parse_load) {
+        upstream.record_load_report(clock::now(), reading);
+        load_reports::share_report(context, &upstream.server.name, reading, None);
     }
-    upstream.keep(connection);
-    let (end, detail) = judge(context, &response);
-    if response.head.status != MISDIRECTED {
+    upstream.release(connection);
+    let (end, detail) = classify(context, &response);
+    if response.head.status != MISDIRECTED_STATUS {
         let answer = match end {
-            AttemptEnd::Succeeded => limits::Answer::OfRequest,
-            _ => limits::Answer::Other,
+            AttemptEnd::Succeeded => limits::AnswerKind::OfRequest,
+            _ => limits::AnswerKind::Other,
         };
         let server = &upstream.server.name;
-        limits::heard(context, server, &response.head.headers, answer);
+        limits::apply_header(context, server, &response.head.headers, answer);
     }
-    Ended {
+    AttemptOutcome {
         end,
         response: Some(response),
-        took: clock::since(begun),
+        took: clock::since(started_at),
         detail,
     }
 }
 
-/// Receives the answer that bears the request's id. An answer to another request may come first:
-/// the server gave one answer too many to whoever used the connection before.
-async fn receive_own(
+/// Receives the response with the request's id. A response to another request may come first: the server sent one
+/// response too many to the previous user of the connection.
+async fn receive_matching(
     context: &Context,
     connection: &mut Connection,
     request: &Request,
 ) -> Result<Response, (AttemptEnd, &'static str)> {
-    for _ in 0..MOST_SKIPPED {
-        let received = connection.receive(&request.head.method, MOST_ANSWER_BYTES);
+    for _ in 0..MAX_SKIPPED_RESPONSES {
+        let received = connection.receive(&request.head.method, MAX_RESPONSE_BYTES);
         let response = received.await.map_err(|error| match error {
             ReceiveError::Closed => (AttemptEnd::Lost, "closed without an answer"),
             ReceiveError::Failed(_) => (AttemptEnd::Lost, "connection failed"),
             ReceiveError::Truncated => (AttemptEnd::Broken, "truncated answer"),
             ReceiveError::Malformed => (AttemptEnd::Broken, "malformed answer"),
         })?;
-        let echoed = response.head.headers.get(context.vocabulary.request_id);
+        let echoed = response.head.headers.get(context.wire_names.request_id);
         match (echoed, request.id.as_deref()) {
             (Some(echoed), Some(id)) if echoed != id => {
-                connection.spoil();
+                connection.mark_unusable();
                 tracing::info!(event = "crossed_answer", request = id, answer = echoed);
             }
             _ => return Ok(response),
@@ -147,16 +161,16 @@
     Err((AttemptEnd::Lost, "only answers to other requests"))
 }
 
-fn judge(context: &Context, response: &Response) -> (AttemptEnd, &'static str) {
+fn classify(context: &Context, response: &Response) -> (AttemptEnd, &'static str) {
     let headers = &response.head.headers;
-    let signed = headers.has(context.vocabulary.signature);
-    if headers.has(context.vocabulary.not_run) {
+    let signed = headers.contains(context.wire_names.signature);
+    if headers.contains(context.wire_names.not_run) {
         return (AttemptEnd::NotRun, "server did not run it");
     }
     match response.head.status {
-        MISDIRECTED => (AttemptEnd::NotRun, "another server has the address"),
+        MISDIRECTED_STATUS => (AttemptEnd::NotRun, "another server has the address"),
         200..300 if !signed => (AttemptEnd::Broken, "unsigned answer"),
-        200..300 if headers.has("content-encoding") => (AttemptEnd::Broken, "encoded answer"),
+        200..300 if headers.contains("content-encoding") => (AttemptEnd::Broken, "encoded answer"),
         200..300 => (AttemptEnd::Succeeded, "answered"),
         _ if signed => (AttemptEnd::Failed, "server failed"),
         _ => (AttemptEnd::Broken, "unsigned failure"),
@@ -169,21 +183,25 @@
     request: &Request,
     left: Duration,
 ) -> Vec<u8> {
-    let words = context.vocabulary;
+    let wire_names = context.wire_names;
     let mut out = Vec::with_capacity(512 + request.body.len());
     out.extend_from_slice(request.head.method.as_bytes());
     out.push(b' ');
     out.extend_from_slice(request.head.target.as_bytes());
     out.extend_from_slice(b" HTTP/1.1\r\n");
     for (name, value) in request.head.headers.end_to_end() {
-        let own = [words.deadline_ms, words.meant_for];
+        let own = [wire_names.deadline_ms, wire_names.meant_for];
         if !own.iter().any(|own| name.eq_ignore_ascii_case(own)) {
             write_header(&mut out, name, value);
         }
     }
     let left_ms = left.as_millis().max(1).to_string();
-    write_header(&mut out, words.deadline_ms, left_ms.as_bytes());
-    write_header(&mut out, words.meant_for, upstream.server.name.as_bytes());
+    write_header(&mut out, wire_names.deadline_ms, left_ms.as_bytes());
+    write_header(
+        &mut out,
+        wire_names.meant_for,
+        upstream.server.name.as_bytes(),
+    );
     let bodyless = matches!(
         request.head.method.as_str(),
         "GET" | "HEAD" | "DELETE" | "OPTIONS"
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -1,9 +1,9 @@
-//! The backend servers as this VM deals with them: connections, readings, own requests in flight.
+//! The backend servers as this VM uses them: pooled connections, load reports, probes, and requests in flight.
 
-pub mod after_loss;
+pub mod crash_check;
 pub mod exchange;
 pub mod probe;
-mod silent;
+mod probe_step;
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -15,93 +15,93 @@
 use kingcuploft::world::ids::VmName;
 
 use crate::clock;
-use crate::http::client::{Connection, Counted};
+use crate::http::client::{Connection, ConnectionCount};
 use crate::network::Network;
-use silent::Silent;
+use probe_step::ProbeStep;
 
-/// The most idle connections kept to one server: VMs share a server's connections, and one VM
-/// rarely has more than two requests at one server.
-const MOST_IDLE: usize = 3;
+/// The most idle connections that are pooled for one server: VMs share a server's connections, and one VM rarely has
+/// more than two requests in flight at one server.
+const MAX_IDLE_CONNECTIONS: usize = 3;
 
-/// How long a connection may be idle and still be used, whatever the server says: servers close after 10 s
-/// at all sites, and some forget a connection sooner.
-const LONGEST_IDLE: Duration = Duration::from_secs(9);
+/// How long a connection may be idle and still be reused, whatever the server announces: servers close idle connections
+/// after 10 s at all sites, and some drop them sooner.
+const MAX_IDLE_AGE: Duration = Duration::from_secs(9);
 
-/// How long it is remembered that another VM has sent a request to a server: longer than any reading
-/// is chosen by.
-const SENT_LIFE: Duration = Duration::from_millis(50);
+/// How long a request that another VM has sent to a server is remembered: longer than the greatest age of a load report
+/// by which a server is selected.
+const PEER_SEND_RETENTION: Duration = Duration::from_millis(50);
 
-/// How long after its answer a probe's failure keeps a server from being asked again, first.
-const FIRST_MUTE: Duration = Duration::from_millis(60);
+/// How long a server is not probed after its first failed probe; doubled after each further failure.
+const FIRST_PROBE_BACKOFF: Duration = Duration::from_millis(60);
 
-/// The longest such pause: a server that returns is seen within it.
-const LONGEST_MUTE: Duration = Duration::from_millis(800);
+/// The longest such pause: a server that recovers is noticed within it.
+const MAX_PROBE_BACKOFF: Duration = Duration::from_millis(800);
 
-/// What it takes to hear of a server's load, the least first.
+/// What it costs to learn a server's load, the cheapest first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Trouble {
-    /// Its last reading is fresh.
+pub enum ProbeCost {
+    /// Nothing: the last load report is fresh.
     None,
     /// A probe on an open connection.
     Probe,
-    /// A new connection as well, which takes a millisecond of a slot and a round trip.
+    /// A probe on a new connection, which costs a round trip and takes a slot of the server for a millisecond.
     Connection,
 }
 
-/// One backend server as this VM deals with it.
+/// One backend server as this VM uses it.
 #[derive(Debug)]
 pub struct Upstream {
-    /// What the platform's store says of it.
+    /// The server's entry in the platform's store.
     pub server: BackendServer,
-    /// Whether it is in this VM's zone.
+    /// Whether the server is in this VM's zone.
     pub near: bool,
-    /// Its place in this VM's order of the servers; other VMs order them otherwise.
+    /// The server's place in this VM's order of the servers, which differs between VMs.
     pub rank: u64,
     cold_until: Cell<Instant>,
-    /// Since when and until when it must say first whether it is cold.
-    doubted_at: Cell<Instant>,
-    doubted_until: Cell<Option<Instant>>,
-    idle: RefCell<Vec<Connection>>,
-    open: std::rc::Rc<Cell<usize>>,
-    reading: Cell<Option<(Instant, Reading)>>,
-    asking: Cell<bool>,
-    late: Cell<bool>,
-    mute: Cell<Option<(Instant, Duration)>>,
+    /// From when and until when the server must report whether it is cold before it gets work.
+    cold_report_required_at: Cell<Instant>,
+    cold_report_required_until: Cell<Option<Instant>>,
+    idle_connections: RefCell<Vec<Connection>>,
+    open_connections: std::rc::Rc<Cell<usize>>,
+    last_load_report: Cell<Option<(Instant, Reading)>>,
+    probe_in_flight: Cell<bool>,
+    awaits_late_answer: Cell<bool>,
+    probe_backoff: Cell<Option<(Instant, Duration)>>,
     in_flight: RefCell<Vec<Instant>>,
-    others_sent: RefCell<Vec<Instant>>,
+    peer_sends: RefCell<Vec<Instant>>,
     failures: RefCell<Failures>,
-    suspects: Cell<u32>,
+    running_suspects: Cell<u32>,
 }
 
 impl Upstream {
-    /// Begins to deal with a server.
+    /// Creates the upstream of a server, without connections or load reports.
     pub fn new(server: BackendServer, vm: &VmName, near: bool, now: Instant) -> Self {
         Self {
             rank: rendezvous(vm, &server.name),
             cold_until: Cell::new(now + server.cold_for),
-            doubted_at: Cell::new(now),
-            doubted_until: Cell::new(None),
+            cold_report_required_at: Cell::new(now),
+            cold_report_required_until: Cell::new(None),
             server,
             near,
-            idle: RefCell::default(),
-            open: std::rc::Rc::default(),
-            reading: Cell::new(None),
-            asking: Cell::new(false),
-            late: Cell::new(false),
-            mute: Cell::new(None),
+            idle_connections: RefCell::default(),
+            open_connections: std::rc::Rc::default(),
+            last_load_report: Cell::new(None),
+            probe_in_flight: Cell::new(false),
+            awaits_late_answer: Cell::new(false),
+            probe_backoff: Cell::new(None),
             in_flight: RefCell::default(),
-            others_sent: RefCell::default(),
+            peer_sends: RefCell::default(),
             failures: RefCell::default(),
-            suspects: Cell::new(0),
+            running_suspects: Cell::new(0),
         }
     }
 
-    /// Returns whether a call can have a connection of those that this VM may have.
-    pub fn has_room(&self, share: usize) -> bool {
-        self.open.get() < share || !self.idle.borrow().is_empty()
+    /// Returns whether a call can get a connection, given that this VM may have `share` connections to the server.
+    pub fn has_connection_available(&self, share: usize) -> bool {
+        self.open_connections.get() < share || !self.idle_connections.borrow().is_empty()
     }
 
-    /// Returns a connection: an idle one, or a new one.
+    /// Returns a connection from the pool, or a new one.
     ///
     /// # Errors
     ///
@@ -110,110 +110,121 @@
         if let Some(connection) = self.take_idle() {
             return Ok(connection);
         }
-        let counted = Counted::of(&self.open);
+        let counted = ConnectionCount::increment(&self.open_connections);
         Connection::open_counted(network, self.server.address, counted).await
     }
 
-    /// Takes an idle connection that can be used.
+    /// Takes a reusable connection from the pool.
     fn take_idle(&self) -> Option<Connection> {
         let now = clock::now();
-        let mut idle = self.idle.borrow_mut();
+        let mut idle = self.idle_connections.borrow_mut();
         while let Some(mut connection) = idle.pop() {
-            if connection.is_reusable(now, LONGEST_IDLE) {
+            if connection.is_reusable(now, MAX_IDLE_AGE) {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Keeps a connection for later.
-    pub fn keep(&self, mut connection: Connection) {
-        let mut idle = self.idle.borrow_mut();
-        if idle.len() < MOST_IDLE && connection.is_reusable(clock::now(), LONGEST_IDLE) {
+    /// Returns a connection to the pool, if it can be reused and the pool is not full.
+    pub fn release(&self, mut connection: Connection) {
+        let mut idle = self.idle_connections.borrow_mut();
+        if idle.len() < MAX_IDLE_CONNECTIONS && connection.is_reusable(clock::now(), MAX_IDLE_AGE) {
             idle.push(connection);
         }
     }
 
-    /// Takes in what the server said of its load.
-    pub fn told(&self, now: Instant, reading: Reading) {
-        self.reading.set(Some((now, reading)));
-        if self.mute.take().is_some() {
+    /// Records a load report of the server.
+    pub fn record_load_report(&self, now: Instant, reading: Reading) {
+        self.last_load_report.set(Some((now, reading)));
+        if self.probe_backoff.take().is_some() {
             tracing::info!(event = "server_heard", server = %self.server.name);
         }
     }
 
-    /// Returns the last reading and its age.
-    pub fn reading(&self, now: Instant) -> Option<(Duration, Reading)> {
-        let (at, reading) = self.reading.get()?;
+    /// Returns the last load report and its age.
+    pub fn load_report(&self, now: Instant) -> Option<(Duration, Reading)> {
+        let (at, reading) = self.last_load_report.get()?;
         Some((now.saturating_duration_since(at), reading))
     }
 
-    /// Returns whether the last reading is young enough to choose by.
-    pub fn is_fresh(&self, now: Instant, life: Duration) -> bool {
-        self.reading(now).is_some_and(|(age, _)| age < life)
+    /// Returns whether the last load report is fresh enough to select by.
+    pub fn has_fresh_load_report(&self, now: Instant, max_age: Duration) -> bool {
+        self.load_report(now).is_some_and(|(age, _)| age < max_age)
     }
 
-    /// Returns what it takes to hear of its load.
-    pub fn trouble_to_ask(&self, now: Instant, life: Duration) -> Trouble {
-        match (self.is_fresh(now, life), self.idle.borrow().is_empty()) {
-            (true, _) => Trouble::None,
-            (false, false) => Trouble::Probe,
-            (false, true) => Trouble::Connection,
+    /// Returns what it costs to learn the server's load.
+    pub fn probe_cost(&self, now: Instant, max_age: Duration) -> ProbeCost {
+        match (
+            self.has_fresh_load_report(now, max_age),
+            self.idle_connections.borrow().is_empty(),
+        ) {
+            (true, _) => ProbeCost::None,
+            (false, false) => ProbeCost::Probe,
+            (false, true) => ProbeCost::Connection,
         }
     }
 
-    /// Returns for how long it is cold.
+    /// Returns for how much longer the server is cold.
     pub fn cold_for(&self, now: Instant) -> Duration {
         self.cold_until.get().saturating_duration_since(now)
     }
 
-    /// Takes in until when it is cold.
-    pub fn is_cold_until(&self, until: Instant) {
+    /// Records until when the server is cold.
+    pub fn set_cold_until(&self, until: Instant) {
         self.cold_until.set(until);
-        self.doubted_until.set(None);
+        self.cold_report_required_until.set(None);
     }
 
-    /// Takes in that it is not cold, as it says itself, asked at this moment.
-    pub fn is_not_cold(&self, asked_at: Instant) {
-        if self.doubted_at.get() <= asked_at {
-            self.doubted_until.set(None);
+    /// Records the server's own report that it is not cold. `asked_at` is when it was asked; an answer to an earlier
+    /// question than the last call of [`Self::require_cold_report`] does not count.
+    pub fn set_not_cold(&self, asked_at: Instant) {
+        if self.cold_report_required_at.get() <= asked_at {
+            self.cold_report_required_until.set(None);
         }
     }
 
-    /// Gets no work until it has said whether it is cold, or can't be any more.
-    pub fn doubt(&self, now: Instant, lasts: Duration) {
-        self.doubted_at.set(now);
-        self.doubted_until.set(Some(now + lasts));
-        self.reading.set(None);
+    /// Keeps work from the server until it has reported whether it is cold, or for the time `lasts`, after which it
+    /// can't be cold any more.
+    pub fn require_cold_report(&self, now: Instant, lasts: Duration) {
+        self.cold_report_required_at.set(now);
+        self.cold_report_required_until.set(Some(now + lasts));
+        self.last_load_report.set(None);
     }
 
-    /// Returns whether it must say first whether it is cold.
-    pub fn is_doubted(&self, now: Instant) -> bool {
-        self.doubted_until.get().is_some_and(|until| now < until)
+    /// Returns whether the server must still report whether it is cold.
+    pub fn awaits_cold_report(&self, now: Instant) -> bool {
+        self.cold_report_required_until
+            .get()
+            .is_some_and(|until| now < until)
     }
 
-    /// Returns whether a probe is on its way.
-    pub fn is_asked(&self) -> bool {
-        self.asking.get()
+    /// Returns whether a probe is in flight.
+    pub fn is_probe_in_flight(&self) -> bool {
+        self.probe_in_flight.get()
     }
 
-    /// Returns whether the server did not answer the last probe and is not to be asked yet.
-    pub fn is_mute(&self, now: Instant) -> bool {
-        self.late.get() || self.mute.get().is_some_and(|(until, _)| now < until)
+    /// Returns whether the server did not answer the last probe and must not be probed yet.
+    pub fn is_unresponsive(&self, now: Instant) -> bool {
+        self.awaits_late_answer.get()
+            || self
+                .probe_backoff
+                .get()
+                .is_some_and(|(until, _)| now < until)
     }
 
-    /// Returns whether there is an idle connection.
-    pub fn has_idle(&self) -> bool {
-        !self.idle.borrow().is_empty()
+    /// Returns whether the pool has a connection.
+    pub fn has_idle_connection(&self) -> bool {
+        !self.idle_connections.borrow().is_empty()
     }
 
-    fn probe_failed(&self, now: Instant, step: Silent, took: Duration) {
-        let before = self.mute.get();
-        let pause = before.map_or(FIRST_MUTE, |(_, pause)| pause * 2);
-        let pause = pause.min(LONGEST_MUTE);
+    fn probe_failed(&self, now: Instant, step: ProbeStep, took: Duration) {
+        let before = self.probe_backoff.get();
+        let pause = before.map_or(FIRST_PROBE_BACKOFF, |(_, pause)| pause * 2);
+        let pause = pause.min(MAX_PROBE_BACKOFF);
         if before.is_none() {
-            let heard = self
-                .reading
+            let age = self
+                .last_load_report
                 .get()
                 .map(|(at, _)| now.saturating_duration_since(at));
             tracing::info!(
@@ -221,55 +232,55 @@
                 server = %self.server.name,
                 step = step.label(),
                 took_ms = took.as_millis() as u64,
-                heard_ms = heard.map(|age| age.as_millis() as u64),
+                heard_ms = age.map(|age| age.as_millis() as u64),
                 own = self.in_flight.borrow().len(),
-                connections = self.open.get()
+                connections = self.open_connections.get()
             );
         }
-        self.mute.set(Some((now + pause, pause)));
-        self.reading.set(None);
+        self.probe_backoff.set(Some((now + pause, pause)));
+        self.last_load_report.set(None);
     }
 
-    /// Takes in how a call ended.
-    pub fn ended(&self, now: Instant, failed: bool) {
+    /// Records how a call ended, for the failure rate.
+    pub fn record_outcome(&self, now: Instant, failed: bool) {
         self.failures.borrow_mut().ended(now, failed);
     }
 
-    /// Takes in that another VM of the zone has just sent a request there.
-    pub fn others_sent(&self, now: Instant) {
-        let mut sent = self.others_sent.borrow_mut();
-        sent.retain(|at| now.saturating_duration_since(*at) < SENT_LIFE);
+    /// Records that another VM of the zone has just sent a request to the server.
+    pub fn record_peer_send(&self, now: Instant) {
+        let mut sent = self.peer_sends.borrow_mut();
+        sent.retain(|at| now.saturating_duration_since(*at) < PEER_SEND_RETENTION);
         sent.push(now);
     }
 
-    /// Counts an own request as in flight until the guard is dropped.
-    pub fn sent(self: &std::rc::Rc<Self>, now: Instant) -> InFlight {
+    /// Counts a request of this VM as in flight until the guard is dropped.
+    pub fn track_in_flight(self: &std::rc::Rc<Self>, now: Instant) -> InFlightGuard {
         self.in_flight.borrow_mut().push(now);
-        InFlight {
+        InFlightGuard {
             upstream: self.clone(),
             sent: now,
         }
     }
 
-    /// Counts a request as at the server, under which others ended, until the guard is dropped.
-    pub fn hold_suspect(self: &std::rc::Rc<Self>) -> HoldsSuspect {
-        self.suspects.update(|suspects| suspects + 1);
-        HoldsSuspect(self.clone())
+    /// Counts a suspect request, during which other servers have crashed, as in flight until the guard is dropped.
+    pub fn track_suspect(self: &std::rc::Rc<Self>) -> SuspectGuard {
+        self.running_suspects.update(|count| count + 1);
+        SuspectGuard(self.clone())
     }
 
-    /// Returns whether it runs a request of this VM under which other servers ended.
-    pub fn holds_suspect(&self) -> bool {
-        self.suspects.get() > 0
+    /// Returns whether the server runs a suspect request of this VM.
+    pub fn is_running_suspect(&self) -> bool {
+        self.running_suspects.get() > 0
     }
 
-    /// Returns the server as a request sees it.
-    pub fn candidate(&self, now: Instant, life: Duration, tried: bool) -> Candidate {
-        let reading = self.reading.get();
-        let reading = reading.filter(|(at, _)| now.saturating_duration_since(*at) < life);
+    /// Returns what placement considers of the server.
+    pub fn candidate(&self, now: Instant, max_age: Duration, tried: bool) -> Candidate {
+        let reading = self.last_load_report.get();
+        let reading = reading.filter(|(at, _)| now.saturating_duration_since(*at) < max_age);
         let own = self.in_flight.borrow();
         let unseen = match reading {
             Some((at, _)) => {
-                let others = self.others_sent.borrow();
+                let others = self.peer_sends.borrow();
                 own.iter()
                     .chain(&*others)
                     .filter(|sent| **sent >= at)
@@ -280,7 +291,7 @@
         Candidate {
             near: self.near,
             reading: reading.map(|(_, reading)| reading),
-            asked: self.asking.get(),
+            asked: self.probe_in_flight.get(),
             unseen: unseen as u32,
             own: own.len() as u32,
             slots: self.server.slots,
@@ -291,24 +302,24 @@
     }
 }
 
-/// A request at a server, under which others ended.
+/// Counts a suspect request as in flight at a server.
 #[derive(Debug)]
-pub struct HoldsSuspect(std::rc::Rc<Upstream>);
+pub struct SuspectGuard(std::rc::Rc<Upstream>);
 
-impl Drop for HoldsSuspect {
+impl Drop for SuspectGuard {
     fn drop(&mut self) {
-        self.0.suspects.update(|suspects| suspects - 1);
+        self.0.running_suspects.update(|count| count - 1);
     }
 }
 
-/// An own request in flight at a server.
+/// Counts a request of this VM as in flight at a server.
 #[derive(Debug)]
-pub struct InFlight {
+pub struct InFlightGuard {
     upstream: std::rc::Rc<Upstream>,
     sent: Instant,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut in_flight = self.upstream.in_flight.borrow_mut();
         if let Some(at) = in_flight.iter().position(|sent| *sent == self.sent) {
--- a/crates/kingcuploft-entry/tests/links/fleet.rs
+++ b/crates/kingcuploft-entry/tests/links/fleet.rs
@@ -13,10 +13,10 @@
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::world::ids::VmName;
 use kingcuploft_entry::context::Context;
-use kingcuploft_entry::pulse::Pulse;
 use kingcuploft_entry::run;
 use kingcuploft_entry::settings::{Bounds, EntrySettings};
-use kingcuploft_simulation::words::WORDS;
+use kingcuploft_entry::store_access::StoreAccess;
+use kingcuploft_simulation::header_names::HEADER_NAMES;
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
@@ -101,8 +101,8 @@
     pub(crate) fn power_on(&self, at: usize, all_start: bool) {
         let (entry, mbit) = &self.entries[at];
         let nic = Rc::new(Nic::of(*mbit));
-        let context = Rc::new(Context::new(settings(entry, all_start), WORDS));
-        let pulse = Rc::new(Pulse::default());
+        let context = Rc::new(Context::new(settings(entry, all_start), HEADER_NAMES));
+        let pulse = Rc::new(StoreAccess::default());
         let store = Rc::new(LinkedStore {
             store: TestStore(self.store.0.clone(), self.turned_away[at].clone()),
             nic: nic.clone(),
@@ -117,12 +117,12 @@
             network: self.network.clone(),
             from: at,
         };
-        let _ = context.peer_readings.set(Rc::new(socket));
+        let _ = context.peer_socket.set(Rc::new(socket));
         let (vm, vm_pulse, address) = (context.clone(), pulse.clone(), entry.address);
         let tasks = LocalSet::new();
         let running = tokio::task::spawn_local(async move {
             let joined = async {
-                run::join(&vm, &store, &vm_pulse, address, dialer);
+                run::join_peers(&vm, &store, &vm_pulse, address, dialer);
                 std::future::pending::<()>().await;
             };
             tasks.run_until(joined).await;
@@ -190,20 +190,20 @@
     /// Writes the latest configuration again.
     pub(crate) fn configure_again(&self) {
         let configuration = configuration(self.version, &self.routes);
-        self.store.0.configure(configuration);
+        self.store.0.write_configuration(configuration);
     }
 
     fn configure(&mut self) {
         self.version += 1;
         let configuration = configuration(self.version, &self.routes);
         self.configuration_bytes.set(230 * self.routes.len());
-        self.store.0.configure(configuration);
+        self.store.0.write_configuration(configuration);
     }
 
     /// Returns the version that a VM has in force.
     pub(crate) fn version_at(&self, at: usize) -> Option<u64> {
         let host = self.network.host(at)?;
-        let version = host.context.in_force.version()?;
+        let version = host.context.active_configuration.version()?;
         let before = self.seen.borrow_mut().insert(at, version);
         assert!(before <= Some(version), "VM {at} goes back to {version}");
         Some(version)
--- a/crates/kingcuploft-entry/tests/links/joining.rs
+++ b/crates/kingcuploft-entry/tests/links/joining.rs
@@ -8,17 +8,17 @@
 use kingcuploft::entry::configuration_change::ConfigurationChange;
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft_entry::peers::dial::Dial;
+use kingcuploft_entry::peers::feeder;
 use kingcuploft_entry::peers::follower;
-use kingcuploft_entry::peers::frame::{Frame, Hello, SPEAKS, Standing};
+use kingcuploft_entry::peers::frame::{Frame, Hello, PROTOCOL_VERSION, SyncStatus};
 use kingcuploft_entry::peers::lines::Lines;
-use kingcuploft_entry::peers::reader;
 use kingcuploft_entry::store::Collection;
 use tokio::io::{AsyncWriteExt, ReadHalf, WriteHalf};
 
 use crate::configurations::configuration;
 use crate::fleet::{Fleet, Links, play};
 use crate::network::{Host, address};
-use crate::pipe::{self, End, Nic};
+use crate::pipe::{self, LinkEnd, Nic};
 
 const LINKS: Links = Links {
     large_mbit: 200,
@@ -30,15 +30,15 @@
 
 /// A VM whose frames the test writes and reads.
 struct Script {
-    lines: Lines<ReadHalf<End>>,
-    write: WriteHalf<End>,
+    lines: Lines<ReadHalf<LinkEnd>>,
+    write: WriteHalf<LinkEnd>,
 }
 
 impl Script {
-    fn of(link: End) -> Self {
+    fn of(link: LinkEnd) -> Self {
         let (read, write) = tokio::io::split(link);
         Self {
-            lines: Lines::of(read),
+            lines: Lines::new(read),
             write,
         }
     }
@@ -46,10 +46,10 @@
     /// Joins a VM.
     fn join(host: &Rc<Host>) -> Self {
         let nic = Rc::new(Nic::of(200));
-        let (own, other) = pipe::link(&nic, &host.nic, Duration::ZERO);
+        let (own, other) = pipe::connect(&nic, &host.nic, Duration::ZERO);
         let host = host.clone();
         tokio::task::spawn_local(async move {
-            let _ = reader::answer(&host.context, &host.pulse, other).await;
+            let _ = feeder::handle_connection(&host.context, &host.pulse, other).await;
         });
         Self::of(own)
     }
@@ -86,11 +86,11 @@
         configuration: host.context.position(Collection::Configuration),
         servers: host.context.position(Collection::BackendServers),
         evacuations: host.context.position(Collection::Evacuations),
-        below: 0,
-        version: host.context.in_force.version(),
+        descendants: 0,
+        version: host.context.active_configuration.version(),
         arrived: None,
-        servers_digest: Some(host.context.servers(|servers| servers.digest())),
-        speaks: SPEAKS,
+        servers_digest: Some(host.context.with_servers(|servers| servers.digest())),
+        protocol_version: PROTOCOL_VERSION,
     }
 }
 
@@ -125,7 +125,7 @@
         let (fleet, host) = fleet_of_two().await;
         let hello = hello_like(&host);
         let newer = configuration(2, &fleet.routes[1..]);
-        host.context.in_force.adopt(newer);
+        host.context.active_configuration.adopt(newer);
         let position = host.context.position(Collection::Configuration);
         assert_eq!(hello.configuration, position);
         let mut joins = Script::join(&host);
@@ -198,7 +198,7 @@
         frames.extend(joins.frames().await);
         let versions = frames.iter().filter_map(|frame| match frame {
             Frame::Configuration(configuration) => Some(configuration.version),
-            Frame::Newer(_) | Frame::Part(_) | Frame::Alive => panic!("{frame:?}"),
+            Frame::NewerVersion(_) | Frame::Part(_) | Frame::Alive => panic!("{frame:?}"),
             _ => None,
         });
         assert_eq!(versions.collect::<Vec<_>>(), [1, 2]);
@@ -206,12 +206,12 @@
 }
 
 /// A network in which every VM is the script of a test.
-struct Scripted(std::cell::RefCell<Vec<End>>);
+struct Scripted(std::cell::RefCell<Vec<LinkEnd>>);
 
 impl Dial for Scripted {
-    type Link = End;
+    type Link = LinkEnd;
 
-    async fn dial(&self, _: SocketAddr) -> std::io::Result<End> {
+    async fn dial(&self, _: SocketAddr) -> std::io::Result<LinkEnd> {
         let next = self.0.borrow_mut().pop();
         next.ok_or_else(|| std::io::ErrorKind::ConnectionRefused.into())
     }
@@ -220,7 +220,7 @@
 /// Follows a script as a VM that knows what `host` does; returns the script and the VM's task.
 fn follow(host: &Rc<Host>) -> (Script, tokio::task::JoinHandle<String>) {
     let nic = Rc::new(Nic::of(200));
-    let (own, other) = pipe::link(&nic, &nic, Duration::ZERO);
+    let (own, other) = pipe::connect(&nic, &nic, Duration::ZERO);
     let network = Scripted(vec![own].into());
     let host = host.clone();
     let following = tokio::task::spawn_local(async move {
@@ -240,11 +240,11 @@
 }
 
 fn standing(host: &Host) -> Frame {
-    Frame::Standing(Standing {
+    Frame::Status(SyncStatus {
         configuration: host.context.position(Collection::Configuration),
         servers: host.context.position(Collection::BackendServers),
         evacuations: host.context.position(Collection::Evacuations),
-        store_there: true,
+        store_reachable: true,
         path: vec!["script".into()],
     })
 }
@@ -257,11 +257,11 @@
         let (mut feeder, _following) = follow(&host);
         hello_of(&mut feeder).await;
         feeder.tell(&standing(&host)).await;
-        feeder.tell(&Frame::Told).await;
+        feeder.tell(&Frame::SnapshotEnd).await;
         let whole = configuration(9, &fleet.routes);
         feeder.tell(&Frame::Configuration(Box::new(whole))).await;
         feeder.frames().await;
-        assert_eq!(host.context.in_force.version(), Some(9));
+        assert_eq!(host.context.active_configuration.version(), Some(9));
     });
 }
 
@@ -300,6 +300,6 @@
             feeder.tell(&Frame::Part(Box::new(part))).await;
         }
         feeder.frames().await;
-        assert_eq!(host.context.in_force.version(), Some(8));
+        assert_eq!(host.context.active_configuration.version(), Some(8));
     });
 }
--- a/crates/kingcuploft-entry/tests/links/network.rs
+++ b/crates/kingcuploft-entry/tests/links/network.rs
@@ -10,16 +10,16 @@
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft_entry::context::Context;
 use kingcuploft_entry::peers::dial::Dial;
-use kingcuploft_entry::peers::zone_socket::{Telling, Told};
-use kingcuploft_entry::peers::{reader, readings};
-use kingcuploft_entry::pulse::Pulse;
+use kingcuploft_entry::peers::peer_socket::{PeerMessage, PeerSender};
+use kingcuploft_entry::peers::{feeder, load_reports};
 use kingcuploft_entry::store::{
-    Changes, Collection, Page, Recorded, Recording, Revision, Store, StoreError,
+    Changes, Collection, Page, Revision, Store, StoreError, WriteOutcome, ZoneWrite,
 };
+use kingcuploft_entry::store_access::StoreAccess;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::pipe::{self, End, Nic};
+use crate::pipe::{self, LinkEnd, Nic};
 use crate::store::TestStore;
 
 /// How long bytes take from one VM to another.
@@ -34,7 +34,7 @@
 /// What the network knows of a VM.
 pub(crate) struct Host {
     pub(crate) context: Rc<Context>,
-    pub(crate) pulse: Rc<Pulse>,
+    pub(crate) pulse: Rc<StoreAccess>,
     pub(crate) nic: Rc<Nic>,
     /// Its tasks; none runs after a loss of power.
     pub(crate) tasks: RefCell<Vec<AbortHandle>>,
@@ -73,8 +73,8 @@
     }
 }
 
-impl Telling for Datagrams {
-    fn tell(&self, told: &Told, others: &[SocketAddr]) {
+impl PeerSender for Datagrams {
+    fn send(&self, told: &PeerMessage, others: &[SocketAddr]) {
         for other in others {
             let (network, from, told) = (self.network.clone(), self.from, told.clone());
             let to = usize::from(other.port()) - 1;
@@ -87,7 +87,7 @@
                     return;
                 };
                 if !from_host.nic.is_cut.get() && !host.nic.is_cut.get() {
-                    readings::take(&host.context, &told, address(from));
+                    load_reports::handle_message(&host.context, &told, address(from));
                 }
             });
         }
@@ -100,9 +100,9 @@
 }
 
 impl Dial for Dialer {
-    type Link = End;
+    type Link = LinkEnd;
 
-    async fn dial(&self, address: SocketAddr) -> std::io::Result<End> {
+    async fn dial(&self, address: SocketAddr) -> std::io::Result<LinkEnd> {
         tokio::time::sleep(2 * DELAY).await;
         let to = self.network.host(usize::from(address.port()) - 1);
         let (Some(to), Some(from)) = (to, self.network.host(self.from)) else {
@@ -111,10 +111,10 @@
         while to.nic.is_cut.get() || from.nic.is_cut.get() {
             tokio::time::sleep(10 * DELAY).await;
         }
-        let (own, other) = pipe::link(&from.nic, &to.nic, DELAY);
+        let (own, other) = pipe::connect(&from.nic, &to.nic, DELAY);
         let (context, pulse) = (to.context.clone(), to.pulse.clone());
         let answering = tokio::task::spawn_local(async move {
-            let _ = reader::answer(&context, &pulse, other).await;
+            let _ = feeder::handle_connection(&context, &pulse, other).await;
         });
         to.tasks.borrow_mut().push(answering.abort_handle());
         Ok(own)
@@ -161,34 +161,34 @@
         Ok(page)
     }
 
-    async fn sign_of_life(&self) -> Result<Revision, StoreError> {
-        let revision = self.store.sign_of_life().await?;
+    async fn probe_liveness(&self) -> Result<Revision, StoreError> {
+        let revision = self.store.probe_liveness().await?;
         self.receive(Collection::Zones, 1).await;
         Ok(revision)
     }
 
-    fn heard(&self, _: Collection) -> Option<std::time::Instant> {
+    fn last_received_at(&self, _: Collection) -> Option<std::time::Instant> {
         let now = Instant::now();
         (now < self.receives_until.get()).then(|| now.into_std())
     }
 
-    async fn record_zone(
+    async fn write_zone_record(
         &self,
         record: &ZoneRecord,
-        how: Recording,
-    ) -> Result<Recorded, StoreError> {
+        how: ZoneWrite,
+    ) -> Result<WriteOutcome, StoreError> {
         self.receive(Collection::Zones, 1).await;
-        self.store.record_zone(record, how).await
+        self.store.write_zone_record(record, how).await
     }
 
-    async fn tell(&self, notice: &Notice) -> Result<Recorded, StoreError> {
+    async fn create_notice(&self, notice: &Notice) -> Result<WriteOutcome, StoreError> {
         self.receive(Collection::Notices, 1).await;
-        self.store.tell(notice).await
+        self.store.create_notice(notice).await
     }
 
-    async fn withdraw(&self, id: &str) -> Result<(), StoreError> {
+    async fn delete_notice(&self, id: &str) -> Result<(), StoreError> {
         self.receive(Collection::Notices, 1).await;
-        self.store.withdraw(id).await
+        self.store.delete_notice(id).await
     }
 
     async fn watch(
--- a/crates/kingcuploft-simulation/src/words.rs
+++ b/crates/kingcuploft-simulation/src/header_names.rs
@@ -1,10 +1,10 @@
 //! The names of headers that the world's callers, servers and VMs use.
 
 use kingcuploft::entry::placement::Reading;
-use kingcuploft_entry::settings::Vocabulary;
+use kingcuploft_entry::settings::WireNames;
 
 /// The names.
-pub const WORDS: Vocabulary = Vocabulary {
+pub const HEADER_NAMES: WireNames = WireNames {
     request_id: "x-id",
     deadline_ms: "x-deadline-ms",
     signature: "x-signed",
@@ -14,7 +14,7 @@
     cold_ms: "x-cold-ms",
     not_run: "x-not-run",
     ready_path: "/ready",
-    read_load,
+    parse_load: read_load,
 };
 
 fn read_load(value: &str) -> Option<Reading> {
--- a/crates/kingcuploft-simulation/src/store.rs
+++ b/crates/kingcuploft-simulation/src/store.rs
@@ -11,14 +11,14 @@
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft::world::ids::AvailabilityZone;
 use kingcuploft_entry::store::{
-    Changes, Collection, Page, Record, Recorded, Recording, Revision, Store, StoreChange,
-    StoreError,
+    Changes, Collection, Page, Record, Revision, Store, StoreChange, StoreError, WriteOutcome,
+    ZoneWrite,
 };
 use tokio::sync::Notify;
 
 /// What the store holds, shared with the test.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct StoreState {
     /// The configuration.
     pub configuration: RefCell<Option<Configuration>>,
     /// The servers.
@@ -34,27 +34,27 @@
     /// Writes are refused.
     pub refuses_writes: Cell<bool>,
     /// Watches are answered with "history gone" up to this revision.
-    pub forgotten: Cell<Revision>,
+    pub compacted_until: Cell<Revision>,
     /// Whether the list of the zones is never answered.
-    pub hides_zones: Cell<bool>,
+    pub zone_list_hangs: Cell<bool>,
     /// Calls that watch.
-    pub watches: Cell<u32>,
+    pub watch_calls: Cell<u32>,
     /// Calls that list.
-    pub lists: Cell<u32>,
+    pub list_calls: Cell<u32>,
     /// Calls that write the record of a zone.
-    pub records: Cell<u32>,
+    pub zone_write_calls: Cell<u32>,
     changes: RefCell<Vec<(u64, Collection, StoreChange)>>,
     revision: Cell<u64>,
     /// How often the store came back from a copy.
     era: Cell<Era>,
     /// Whether revisions of other eras are taken for those of this one.
-    pub hides_eras: Cell<bool>,
+    pub ignores_eras: Cell<bool>,
     changed: Notify,
 }
 
 /// A copy of what the store holds.
 #[derive(Debug)]
-pub struct Copy {
+pub struct Snapshot {
     configuration: Option<Configuration>,
     servers: Vec<BackendServer>,
     zones: Vec<ZoneRecord>,
@@ -64,35 +64,38 @@
     revision: u64,
 }
 
-impl Held {
+impl StoreState {
     /// Writes the configuration.
-    pub fn configure(&self, configuration: Configuration) {
+    pub fn write_configuration(&self, configuration: Configuration) {
         *self.configuration.borrow_mut() = Some(configuration.clone());
         let record = Record::Configuration(Box::new(configuration));
-        self.change(Collection::Configuration, StoreChange::Written(record));
+        self.record_change(Collection::Configuration, StoreChange::Written(record));
     }
 
     /// Writes the entry of a backend server.
-    pub fn serve(&self, server: BackendServer) {
+    pub fn write_backend_server(&self, server: BackendServer) {
         let mut servers = self.servers.borrow_mut();
         servers.retain(|known| known.name != server.name);
         servers.push(server.clone());
         drop(servers);
         let record = Record::BackendServer(server);
-        self.change(Collection::BackendServers, StoreChange::Written(record));
+        self.record_change(Collection::BackendServers, StoreChange::Written(record));
     }
 
     /// Removes the entry of a backend server.
-    pub fn remove(&self, name: &str) {
+    pub fn remove_backend_server(&self, name: &str) {
         let mut servers = self.servers.borrow_mut();
         servers.retain(|known| &*known.name != name);
         drop(servers);
-        self.change(Collection::BackendServers, StoreChange::Gone(name.into()));
+        self.record_change(
+            Collection::BackendServers,
+            StoreChange::Removed(name.into()),
+        );
     }
 
     /// Returns a copy.
-    pub fn copy(&self) -> Copy {
-        Copy {
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot {
             configuration: self.configuration.borrow().clone(),
             servers: self.servers.borrow().clone(),
             zones: self.zones.borrow().clone(),
@@ -104,7 +107,7 @@
     }
 
     /// Comes back from a copy: what was written since is gone, and its revisions are given out again.
-    pub fn rewind(&self, copy: Copy) {
+    pub fn rewind(&self, copy: Snapshot) {
         self.configuration.replace(copy.configuration);
         self.servers.replace(copy.servers);
         self.zones.replace(copy.zones);
@@ -127,15 +130,15 @@
     }
 
     /// Returns the moment that the store has reached.
-    fn moment(&self) -> Revision {
-        match self.hides_eras.get() {
+    fn current_revision(&self) -> Revision {
+        match self.ignores_eras.get() {
             true => self.revision.get(),
             false => era::moment(self.era.get(), self.revision.get()),
         }
     }
 
     /// Has a zone evacuated, or takes it back.
-    pub fn evacuate(&self, zone: &str, is_evacuated: bool) {
+    pub fn set_evacuated(&self, zone: &str, is_evacuated: bool) {
         self.evacuations
             .borrow_mut()
             .retain(|known| **known != *zone);
@@ -144,17 +147,17 @@
                 self.evacuations.borrow_mut().push(zone.into());
                 StoreChange::Written(Record::Evacuation(zone.into()))
             }
-            false => StoreChange::Gone(zone.into()),
+            false => StoreChange::Removed(zone.into()),
         };
-        self.change(Collection::Evacuations, change);
+        self.record_change(Collection::Evacuations, change);
     }
 
     /// Moves on to a later moment without a change that anybody watches for.
-    pub fn move_on(&self, by: u64) {
+    pub fn advance_revision(&self, by: u64) {
         self.revision.set(self.revision.get() + by);
     }
 
-    fn change(&self, collection: Collection, change: StoreChange) {
+    fn record_change(&self, collection: Collection, change: StoreChange) {
         let revision = self.revision.get() + 1;
         self.revision.set(revision);
         self.changes
@@ -163,7 +166,7 @@
         self.changed.notify_waiters();
     }
 
-    fn since(&self, collection: Collection, from: u64) -> Vec<StoreChange> {
+    fn changes_since(&self, collection: Collection, from: u64) -> Vec<StoreChange> {
         let changes = self.changes.borrow();
         let newer = changes
             .iter()
@@ -182,23 +185,23 @@
 #[derive(Clone, Debug, Default)]
 pub struct TestStore(
     /// What the store holds.
-    pub Rc<Held>,
+    pub Rc<StoreState>,
     /// Whether the store turns this client away.
     pub Rc<Cell<bool>>,
 );
 
 impl TestStore {
     /// Returns another client of a store.
-    pub fn of(held: &Rc<Held>) -> Self {
+    pub fn client_of(held: &Rc<StoreState>) -> Self {
         Self(held.clone(), Rc::default())
     }
 
     /// Returns another client of the same store, which may be turned away alone.
-    pub fn turning_away(other: &Self) -> Self {
+    pub fn separate_client(other: &Self) -> Self {
         Self(other.0.clone(), Rc::default())
     }
 
-    fn admitted(&self) -> Result<(), StoreError> {
+    fn check_admitted(&self) -> Result<(), StoreError> {
         match self.1.get() {
             true => Err(StoreError::Refused(503)),
             false => Ok(()),
@@ -214,9 +217,9 @@
         _stale: bool,
     ) -> Result<Page, StoreError> {
         let held = &self.0;
-        self.admitted()?;
+        self.check_admitted()?;
         held.hang_if_silent().await;
-        held.lists.set(held.lists.get() + 1);
+        held.list_calls.set(held.list_calls.get() + 1);
         let records = match collection {
             Collection::Configuration => {
                 let configuration = held.configuration.borrow().clone();
@@ -240,7 +243,7 @@
                 records.collect()
             }
             Collection::Zones => {
-                if held.hides_zones.get() {
+                if held.zone_list_hangs.get() {
                     std::future::pending::<()>().await;
                 }
                 let zones = held.zones.borrow().clone().into_iter();
@@ -252,68 +255,70 @@
         Ok(Page {
             records,
             next: None,
-            revision: held.moment(),
+            revision: held.current_revision(),
         })
     }
 
-    async fn sign_of_life(&self) -> Result<Revision, StoreError> {
-        self.admitted()?;
+    async fn probe_liveness(&self) -> Result<Revision, StoreError> {
+        self.check_admitted()?;
         self.0.hang_if_silent().await;
-        Ok(self.0.moment())
+        Ok(self.0.current_revision())
     }
 
-    fn heard(&self, _: Collection) -> Option<std::time::Instant> {
+    fn last_received_at(&self, _: Collection) -> Option<std::time::Instant> {
         None
     }
 
-    async fn record_zone(
+    async fn write_zone_record(
         &self,
         record: &ZoneRecord,
-        how: Recording,
-    ) -> Result<Recorded, StoreError> {
-        self.admitted()?;
+        how: ZoneWrite,
+    ) -> Result<WriteOutcome, StoreError> {
+        self.check_admitted()?;
         self.0.hang_if_silent().await;
-        self.0.records.set(self.0.records.get() + 1);
+        self.0
+            .zone_write_calls
+            .set(self.0.zone_write_calls.get() + 1);
         if self.0.refuses_writes.get() {
             return Err(StoreError::Refused(429));
         }
         let mut zones = self.0.zones.borrow_mut();
         let at = zones.iter().position(|known| known.zone == record.zone);
         match (how, at) {
-            (Recording::Create, Some(_)) => Ok(Recorded::IsThere),
-            (Recording::Replace, None) => Ok(Recorded::IsNotThere),
-            (Recording::Create, None) => {
+            (ZoneWrite::Create, Some(_)) => Ok(WriteOutcome::AlreadyExists),
+            (ZoneWrite::Replace, None) => Ok(WriteOutcome::NotFound),
+            (ZoneWrite::Create, None) => {
                 zones.push(record.clone());
-                Ok(Recorded::Done)
+                Ok(WriteOutcome::Done)
             }
-            (Recording::Replace, Some(at)) => {
+            (ZoneWrite::Replace, Some(at)) => {
                 zones[at] = record.clone();
-                Ok(Recorded::Done)
+                Ok(WriteOutcome::Done)
             }
         }
     }
 
-    async fn tell(&self, notice: &Notice) -> Result<Recorded, StoreError> {
-        self.admitted()?;
+    async fn create_notice(&self, notice: &Notice) -> Result<WriteOutcome, StoreError> {
+        self.check_admitted()?;
         self.0.hang_if_silent().await;
         let mut notices = self.0.notices.borrow_mut();
         if notices.iter().any(|known| known.id() == notice.id()) {
-            return Ok(Recorded::IsThere);
+            return Ok(WriteOutcome::AlreadyExists);
         }
         notices.push(notice.clone());
         drop(notices);
         let record = Record::Notice(notice.clone());
         self.0
-            .change(Collection::Notices, StoreChange::Written(record));
-        Ok(Recorded::Done)
+            .record_change(Collection::Notices, StoreChange::Written(record));
+        Ok(WriteOutcome::Done)
     }
 
-    async fn withdraw(&self, id: &str) -> Result<(), StoreError> {
-        self.admitted()?;
+    async fn delete_notice(&self, id: &str) -> Result<(), StoreError> {
+        self.check_admitted()?;
         self.0.hang_if_silent().await;
         self.0.notices.borrow_mut().retain(|known| known.id() != id);
         self.0
-            .change(Collection::Notices, StoreChange::Gone(id.into()));
+            .record_change(Collection::Notices, StoreChange::Removed(id.into()));
         Ok(())
     }
 
@@ -324,11 +329,12 @@
         wait: Duration,
     ) -> Result<Changes, StoreError> {
         let held = &self.0;
-        self.admitted()?;
+        self.check_admitted()?;
         held.hang_if_silent().await;
-        held.watches.set(held.watches.get() + 1);
+        held.watch_calls.set(held.watch_calls.get() + 1);
         let began = held.era.get();
-        if revision_of(from) < held.forgotten.get() || revision_of(from) > held.revision.get() {
+        if revision_of(from) < held.compacted_until.get() || revision_of(from) > held.revision.get()
+        {
             return Err(StoreError::HistoryGone);
         }
         let until = tokio::time::Instant::now() + wait;
@@ -336,17 +342,17 @@
             let changed = held.changed.notified();
             // A watch that waited through silence hears nothing any more.
             held.hang_if_silent().await;
-            self.admitted()?;
+            self.check_admitted()?;
             // A store that comes back cuts the watches that wait, and one that asks from another era is told so.
             let is_other = held.era.get() != began || era_of(from) != held.era.get();
-            if is_other && !held.hides_eras.get() {
+            if is_other && !held.ignores_eras.get() {
                 return Err(StoreError::HistoryGone);
             }
-            let changes = held.since(collection, revision_of(from));
+            let changes = held.changes_since(collection, revision_of(from));
             if !changes.is_empty() || tokio::time::Instant::now() >= until {
                 return Ok(Changes {
                     changes,
-                    revision: held.moment(),
+                    revision: held.current_revision(),
                 });
             }
             let _ = tokio::time::timeout_at(until, changed).await;
--- a/crates/kingcuploft/src/decisions/claim/seal.rs
+++ b/crates/kingcuploft/src/decisions/claim/seal.rs
@@ -1,9 +1,9 @@
-//! Settled entries leave the head: into segments that never change, and indexes over them.
+//! Sealing: settled entries move out of the head, into segments that never change and indexes over them.
 //!
-//! Without sealing, a head would grow past 1 MB within minutes and be rewritten whole with each
-//! claim. Without indexes, a VM that starts would read every segment of the window. Names belong to
-//! one VM's life, so two VMs that seal at once never write the same object; the head's conditional
-//! update decides which of the two counts, and the other is deleted.
+//! Without sealing, a head would grow past 1 MB within minutes and be rewritten whole with each claim. Without indexes,
+//! a VM that starts would read every segment of the window. Object names belong to one incarnation of a VM, so two VMs
+//! that seal at once never write the same object; the head's conditional update decides which of the two counts, and
+//! the other is deleted.
 
 use std::sync::Arc;
 
@@ -11,22 +11,22 @@
     Entry, Head, Index, IndexRef, IndexedSegment, KeyHash, Segment, SegmentNumber, SegmentRef,
     Version,
 };
-use super::message::{Operation, Precondition, StoreAnswer, Stored, StoredKind};
-use super::partition::{Partition, Time};
-use super::state::{Known, Open, Sealed};
+use super::message::{Operation, Precondition, StoreAnswer, StoredKind, StoredObject};
+use super::partition::{EventContext, Partition};
+use super::state::{KnownHead, OpenCall, SealedKeys};
 
-/// A sealed object that is written, and not yet named by the head.
+/// A sealed object that is written or being written, and not yet named by the head.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Staged {
     name: String,
-    what: What,
+    what: StagedContent,
     expires_ms: u64,
     /// The object's version, once it is written.
     version: Option<Version>,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-enum What {
+enum StagedContent {
     Segment(Arc<Segment>),
     Index(Vec<SegmentNumber>),
 }
@@ -35,14 +35,13 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Garbage {
     name: String,
-    /// The version; `None` where the write had no answer.
+    /// Its version; `None` where the write had no answer.
     version: Option<Version>,
 }
 
-impl Sealed {
-    /// Learns the keys of a segment; a key that was claimed again after its window stays with the
-    /// later segment.
-    pub(super) fn learn(&mut self, segment: SegmentRef, keys: impl Iterator<Item = KeyHash>) {
+impl SealedKeys {
+    /// Adds the keys of a segment; a key that was claimed again after its window stays with the later segment.
+    pub(super) fn add_segment(&mut self, segment: SegmentRef, keys: impl Iterator<Item = KeyHash>) {
         for key in keys {
             let number = self.keys.entry(key).or_default();
             *number = segment.number.max(*number);
@@ -53,14 +52,17 @@
 }
 
 impl Partition {
-    /// Writes a segment or an index where the head has grown; the head names it afterwards. Each
-    /// VM draws its own threshold, so that seldom two seal at once.
-    pub(super) fn stage(&mut self, time: &mut Time<'_>) -> Option<(Open, Operation)> {
+    /// Writes a segment or an index once the head has grown; the next head names it. Each VM draws its own threshold,
+    /// so that two seldom seal at once.
+    pub(super) fn stage(
+        &mut self,
+        context: &mut EventContext<'_>,
+    ) -> Option<(OpenCall, Operation)> {
         if self.staged.is_some() || (self.waiting.is_empty() && self.ends.is_empty()) {
             return None;
         }
         let head = Arc::clone(&self.known.as_ref()?.head);
-        let threshold = 1.0 + time.rng.f64();
+        let threshold = 1.0 + context.rng.f64();
         let bytes = self.settings.seal_bytes as f64 * threshold;
         let segments = self.settings.segments_per_index as f64 * threshold;
         let (what, value, expires_ms) = if head.segments.len() as f64 >= segments {
@@ -70,10 +72,10 @@
         } else {
             return None;
         };
-        self.names += 1;
+        self.sealed_objects_named += 1;
         let name = format!(
             "claims/{:03}/sealed-{:016x}-{}",
-            self.number, self.owner, self.names
+            self.number, self.owner, self.sealed_objects_named
         );
         self.staged = Some(Staged {
             name: name.clone(),
@@ -86,10 +88,10 @@
             value,
             when: Precondition::Absent,
         };
-        Some((Open::Stage, put))
+        Some((OpenCall::WriteSealed, put))
     }
 
-    fn index(&self, head: &Head) -> (What, Stored, u64) {
+    fn index(&self, head: &Head) -> (StagedContent, StoredObject, u64) {
         let numbers: Vec<SegmentNumber> = head.segments.iter().map(|s| s.number).collect();
         let mut segments: Vec<IndexedSegment> = head
             .segments
@@ -105,19 +107,23 @@
             }
         }
         let expires_ms = head.segments.iter().map(|segment| segment.expires_ms).max();
-        let index = Stored::Index(Arc::new(Index { segments }));
-        (What::Index(numbers), index, expires_ms.unwrap_or_default())
+        let index = StoredObject::Index(Arc::new(Index { segments }));
+        (
+            StagedContent::Index(numbers),
+            index,
+            expires_ms.unwrap_or_default(),
+        )
     }
 
-    pub(super) fn stage_closed(&mut self, answer: &StoreAnswer) {
+    pub(super) fn staged_write_ended(&mut self, answer: &StoreAnswer) {
         match (answer, &mut self.staged) {
             (StoreAnswer::Written(version), Some(staged)) => staged.version = Some(*version),
-            _ => self.stage_failed(),
+            _ => self.discard_staged(),
         }
     }
 
-    /// Gives a staged object up; a write without an answer may have left it behind.
-    pub(super) fn stage_failed(&mut self) {
+    /// Discards a staged object; a write without an answer may have left it in the store.
+    pub(super) fn discard_staged(&mut self) {
         if let Some(staged) = self.staged.take() {
             self.garbage.push(Garbage {
                 name: staged.name,
@@ -126,7 +132,7 @@
         }
     }
 
-    /// Names the staged object in a new head, if what it seals is still there.
+    /// Names the staged object in a new head, if the entries that it seals are still there.
     pub(super) fn apply_staged(&mut self, head: &mut Head) {
         let Some(staged) = &self.staged else {
             return;
@@ -141,41 +147,41 @@
             return;
         }
         let applied = staged.version.is_some_and(|version| match &staged.what {
-            What::Segment(segment) => apply_segment(head, staged, version, segment),
-            What::Index(numbers) => apply_index(head, staged, version, numbers),
+            StagedContent::Segment(segment) => apply_segment(head, staged, version, segment),
+            StagedContent::Index(numbers) => apply_index(head, staged, version, numbers),
         });
         if !applied {
-            self.stage_failed();
+            self.discard_staged();
         }
     }
 
-    /// Notes that the head now names the staged object; tells whether there was one.
-    pub(super) fn stage_written(&mut self, known: &Known) -> bool {
+    /// Takes the staged object's keys now that the head names it; returns whether there was one.
+    pub(super) fn staged_object_named(&mut self, known: &KnownHead) -> bool {
         let Some(staged) = self.staged.take() else {
             return false;
         };
         let mut segments = known.head.segments.iter();
         let segment = segments.find(|segment| segment.name == staged.name);
         match (staged.what, segment) {
-            (What::Segment(content), Some(segment)) => {
+            (StagedContent::Segment(content), Some(segment)) => {
                 let keys = content.entries.keys().copied();
-                self.sealed.learn(segment.clone(), keys);
+                self.sealed.add_segment(segment.clone(), keys);
             }
             _ => drop(self.sealed.loaded.insert(staged.name)),
         }
         true
     }
 
-    /// Drops what has expired from a head, and marks its objects for deletion. Only the VM whose
-    /// write drops them deletes them; they are then named by no head.
-    pub(super) fn expire(&mut self, head: &mut Head, unix_ms: u64) {
+    /// Drops what has expired from a new head. The VM whose write takes effect deletes the dropped objects: no head
+    /// names them any more.
+    pub(super) fn drop_expired(&mut self, head: &mut Head, unix_ms: u64) {
         head.entries.retain(|_, entry| entry.expires_ms > unix_ms);
         head.segments.retain(|segment| segment.expires_ms > unix_ms);
         head.indexes.retain(|index| index.expires_ms > unix_ms);
     }
 
-    /// Marks the objects that a newer head of this VM's own does not name any more.
-    pub(super) fn mark_expired(&mut self, before: &Head, after: &Head) {
+    /// Queues the objects for deletion that a newer head, written by this VM, does not name any more.
+    pub(super) fn queue_garbage(&mut self, before: &Head, after: &Head) {
         let indexes = before.indexes.iter();
         for index in indexes.filter(|index| !after.indexes.contains(index)) {
             self.garbage.push(Garbage {
@@ -192,19 +198,19 @@
     }
 
     /// Deletes one object that no head names, when nothing else is to do.
-    pub(super) fn collect_garbage(&mut self) -> Option<(Open, Operation)> {
+    pub(super) fn collect_garbage(&mut self) -> Option<(OpenCall, Operation)> {
         let garbage = self.garbage.last()?;
         let name = garbage.name.clone();
         Some(match garbage.version {
-            Some(version) => (Open::DeleteGarbage, Operation::Delete { name, version }),
+            Some(version) => (OpenCall::DeleteGarbage, Operation::Delete { name, version }),
             None => {
                 let kind = StoredKind::Segment;
-                (Open::FindGarbage, Operation::Get { name, kind })
+                (OpenCall::FindGarbage, Operation::Get { name, kind })
             }
         })
     }
 
-    pub(super) fn garbage_found(&mut self, found: Option<(Version, Stored)>) {
+    pub(super) fn garbage_found(&mut self, found: Option<(Version, StoredObject)>) {
         match (found, self.garbage.last_mut()) {
             (Some((version, _)), Some(garbage)) => garbage.version = Some(version),
             _ => drop(self.garbage.pop()),
@@ -212,8 +218,8 @@
     }
 }
 
-/// Cuts the settled entries off a head; `None` where there is none.
-fn segment(head: &Head) -> Option<(What, Stored, u64)> {
+/// Seals the settled entries of a head; returns `None` where there are none.
+fn segment(head: &Head) -> Option<(StagedContent, StoredObject, u64)> {
     let settled = head
         .entries
         .values()
@@ -224,13 +230,13 @@
     let segment = Arc::new(Segment {
         entries: entries.map(|entry| (entry.key, entry.clone())).collect(),
     });
-    let value = Stored::Segment(Arc::clone(&segment));
-    Some((What::Segment(segment), value, expires_ms))
+    let value = StoredObject::Segment(Arc::clone(&segment));
+    Some((StagedContent::Segment(segment), value, expires_ms))
 }
 
 fn apply_segment(head: &mut Head, staged: &Staged, version: Version, segment: &Segment) -> bool {
-    // Another VM may have sealed the same entries, or a key may have expired and been claimed
-    // anew: then this segment must not take them out of the head.
+    // Another VM may have sealed the same entries, or a key may have expired and been claimed anew: then this segment
+    // must not take them out of the head.
     let mut sealed = segment.entries.iter();
     if !sealed.all(|(key, entry)| head.entries.get(key) == Some(entry)) {
         return false;
--- a/crates/kingcuploftd/src/peer_link/link.rs
+++ b/crates/kingcuploftd/src/peer_link/link.rs
@@ -190,7 +190,7 @@
     let member = answer.get_self().and_then(read_member).map_err(greeting)?;
     let beat = answer.get_beat().and_then(Beat::read).map_err(greeting)?;
     let now = Instant::now();
-    if !node.shared.fleet.membership().heard(now, &member) {
+    if !node.shared.fleet.membership().accept_peer(now, &member) {
         return Err(LinkEnd::Replaced);
     }
     let link = Rc::new(Link {
