--- a/crates/kingcuploft/benches/admission.rs
+++ b/crates/kingcuploft/benches/admission.rs
@@ -1,4 +1,4 @@
-//! What one offer, service or removal costs with 10 to 100,000 requests and callers waiting.
+//! The cost of one offer, dequeue or removal with 10 to 100,000 requests and callers waiting.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use kingcuploft::manifest::Service;
 use kingcuploft::world::contract::Priority;
 
-const WAITING: [u64; 3] = [10, 1_000, 100_000];
+const QUEUE_LENGTHS: [u64; 3] = [10, 1_000, 100_000];
 
 fn main() {
     divan::main();
@@ -40,7 +40,7 @@
     admission
 }
 
-#[divan::bench(args = WAITING)]
+#[divan::bench(args = QUEUE_LENGTHS)]
 fn offer_and_next(bencher: Bencher<'_, '_>, len: u64) {
     let now = Instant::now();
     let mut admission = filled(len, now);
@@ -52,7 +52,7 @@
     });
 }
 
-#[divan::bench(args = WAITING)]
+#[divan::bench(args = QUEUE_LENGTHS)]
 fn offer_and_remove(bencher: Bencher<'_, '_>, len: u64) {
     let now = Instant::now();
     let mut admission = filled(len, now);
@@ -64,8 +64,8 @@
     });
 }
 
-#[divan::bench(args = WAITING)]
-fn look_for_who_is_given_up(bencher: Bencher<'_, '_>, len: u64) {
+#[divan::bench(args = QUEUE_LENGTHS)]
+fn find_request_to_shed(bencher: Bencher<'_, '_>, len: u64) {
     let now = Instant::now();
     let mut admission = filled(len, now);
     bencher.bench_local(|| {
@@ -74,8 +74,8 @@
     });
 }
 
-#[divan::bench(args = WAITING)]
-fn refuse_at_the_door(bencher: Bencher<'_, '_>, len: u64) {
+#[divan::bench(args = QUEUE_LENGTHS)]
+fn refuse_on_arrival(bencher: Bencher<'_, '_>, len: u64) {
     let now = Instant::now();
     let admission = filled(len, now);
     let mut late = waiting(len + 1, now);
--- a/crates/kingcuploft/benches/selection.rs
+++ b/crates/kingcuploft/benches/selection.rs
@@ -1,4 +1,4 @@
-//! What one choice, and one change of the fleet, costs with 11 to 10,000 backend servers.
+//! The cost of one selection, and of one change of the fleet, with 11 to 10,000 backend servers.
 
 use std::time::{Duration, Instant};
 
@@ -50,7 +50,7 @@
 }
 
 #[divan::bench(args = SERVERS)]
-fn fourteen_vms_share_the_probing_anew(bencher: Bencher<'_, '_>, servers: u32) {
+fn reassign_probers_of_fourteen_vms(bencher: Bencher<'_, '_>, servers: u32) {
     let mut measuring = ProbeScheduler::new(&service(servers));
     let live: Vec<VmName> = (0..14).map(|i| format!("entry-{i}").into()).collect();
     let now = Instant::now();
--- a/crates/kingcuploft/tests/admission/differential.rs
+++ b/crates/kingcuploft/tests/admission/differential.rs
@@ -1,4 +1,4 @@
-//! Random histories: the indices give the same answers as the scans of the naive version.
+//! Random histories: the indexes give the same answers as the scans of the naive version.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use kingcuploft::settings::admission::AdmissionSettings;
 use kingcuploft::world::contract::Priority;
 
-use crate::naive::{Naive, Verdict};
+use crate::naive::{Naive, Outcome};
 use crate::{service, waiting};
 
 const CASES: u64 = 400;
@@ -27,11 +27,11 @@
     Ok(waiting)
 }
 
-fn verdict(offer: AdmissionDecision) -> Verdict {
+fn outcome(offer: AdmissionDecision) -> Outcome {
     match offer {
-        AdmissionDecision::Queued => Verdict::Queued,
-        AdmissionDecision::QueuedReplacing(other, _) => Verdict::InsteadOf(other),
-        AdmissionDecision::Refused(refusal) => Verdict::Refused(refusal.reason),
+        AdmissionDecision::Queued => Outcome::Queued,
+        AdmissionDecision::QueuedReplacing(other, _) => Outcome::InsteadOf(other),
+        AdmissionDecision::Refused(refusal) => Outcome::Refused(refusal.reason),
     }
 }
 
@@ -46,7 +46,7 @@
             0..=4 => {
                 last += 1;
                 let waiting = any_waiting(u, last, now)?;
-                let offer = verdict(admission.offer(now, waiting.clone()));
+                let offer = outcome(admission.offer(now, waiting.clone()));
                 assert_eq!(offer, naive.offer(now, waiting));
             }
             5 | 6 => {
--- a/crates/kingcuploft/tests/admission/main.rs
+++ b/crates/kingcuploft/tests/admission/main.rs
@@ -1,9 +1,9 @@
-//! Admission judged on its own: fairness, priorities, deadlines, bounds, and against a naive
-//! version that scans a vector.
+//! Admission on its own: fairness, priorities, deadlines, bounds, and a comparison with a naive version that scans a
+//! vector.
 
 mod differential;
-mod door;
 mod naive;
+mod refusals;
 mod shares;
 
 use std::time::{Duration, Instant};
--- a/crates/kingcuploft/tests/admission/naive.rs
+++ b/crates/kingcuploft/tests/admission/naive.rs
@@ -13,14 +13,14 @@
 struct Item {
     waiting: QueuedRequest,
     priority: usize,
-    place: (u64, u64),
+    position: (u64, u64),
     cost_us: u64,
-    hopeless_at: Instant,
+    latest_start: Instant,
 }
 
-/// What an offer came to.
+/// The decision on an offered request.
 #[derive(Debug, Eq, PartialEq)]
-pub(crate) enum Verdict {
+pub(crate) enum Outcome {
     Queued,
     InsteadOf(RequestId),
     Refused(RefusalReason),
@@ -28,11 +28,11 @@
 
 pub(crate) struct Naive {
     items: Vec<Item>,
-    turns: PriorityScheduler,
-    paces: [DequeueInterval; 3],
+    scheduler: PriorityScheduler,
+    dequeue_intervals: [DequeueInterval; 3],
     times: BTreeMap<RuleName, ServiceTime>,
     next_start: BTreeMap<Caller, u64>,
-    now_us: u64,
+    virtual_time_us: u64,
     arrivals: u64,
 }
 
@@ -40,11 +40,11 @@
     pub(crate) fn new(settings: &AdmissionSettings) -> Self {
         Self {
             items: Vec::new(),
-            turns: PriorityScheduler::new(settings),
-            paces: Default::default(),
+            scheduler: PriorityScheduler::new(settings),
+            dequeue_intervals: Default::default(),
             times: BTreeMap::new(),
             next_start: BTreeMap::new(),
-            now_us: 0,
+            virtual_time_us: 0,
             arrivals: 0,
         }
     }
@@ -58,10 +58,12 @@
     }
 
     fn wait(&self, now: Instant, priority: usize, ahead: usize) -> Duration {
-        self.paces[priority].expected(now).mul_f64(ahead as f64)
+        self.dequeue_intervals[priority]
+            .expected(now)
+            .mul_f64(ahead as f64)
     }
 
-    pub(crate) fn offer(&mut self, now: Instant, waiting: QueuedRequest) -> Verdict {
+    pub(crate) fn offer(&mut self, now: Instant, waiting: QueuedRequest) -> Outcome {
         let priority = priority_scheduler::priority_index(waiting.priority);
         let own = |caller: &Caller| {
             let items = self.in_priority(priority);
@@ -73,45 +75,46 @@
             .collect();
         callers.sort();
         callers.dedup();
-        let (mine, len) = (own(&waiting.caller), self.in_priority(priority).count());
-        let ahead = len.min(((2 * mine + 1) * callers.len()).div_ceil(2));
+        let (own_waiting, len) = (own(&waiting.caller), self.in_priority(priority).count());
+        let ahead = len.min(((2 * own_waiting + 1) * callers.len()).div_ceil(2));
         let wait = self.wait(now, priority, ahead);
         let left = waiting.deadline - now;
-        let stands = self.paces[priority].nonempty_for(now) > Duration::from_millis(300);
-        let too_long = stands && wait > left.mul_f64(0.1);
+        let is_standing =
+            self.dequeue_intervals[priority].nonempty_for(now) > Duration::from_millis(300);
+        let too_long = is_standing && wait > left.mul_f64(0.1);
         if ahead > 0 && (too_long || wait + self.time(&waiting.rule).p90() > left) {
-            return Verdict::Refused(RefusalReason::DeadlineUnreachable);
+            return Outcome::Refused(RefusalReason::DeadlineUnreachable);
         }
         let limit = waiting.queue_limit as usize;
         let share = (waiting.caller_share * f64::from(waiting.queue_limit)) as usize;
-        if len > mine && mine >= share.max(1) {
-            return Verdict::Refused(RefusalReason::CallerShare);
+        if len > own_waiting && own_waiting >= share.max(1) {
+            return Outcome::Refused(RefusalReason::CallerShare);
         }
         let of_rule = self.items.iter().filter(|i| i.waiting.rule == waiting.rule);
-        let mut verdict = Verdict::Queued;
+        let mut outcome = Outcome::Queued;
         if of_rule.count() >= limit {
             let heaviest = callers.into_iter().max_by_key(|c| (own(c), (*c).clone()));
-            let heaviest = heaviest.filter(|c| own(c) > 2 * (mine + 1));
+            let heaviest = heaviest.filter(|c| own(c) > 2 * (own_waiting + 1));
             let last = heaviest.and_then(|caller| {
                 let items = self.in_priority(priority);
                 let items = items.filter(|i| i.waiting.caller == *caller);
-                items.max_by_key(|i| i.place)
+                items.max_by_key(|i| i.position)
             });
             match last.filter(|last| last.waiting.rule == waiting.rule) {
-                None => return Verdict::Refused(RefusalReason::QueueFull),
-                Some(last) => verdict = Verdict::InsteadOf(last.waiting.request),
+                None => return Outcome::Refused(RefusalReason::QueueFull),
+                Some(last) => outcome = Outcome::InsteadOf(last.waiting.request),
             }
         }
-        if let Verdict::InsteadOf(other) = verdict {
+        if let Outcome::InsteadOf(other) = outcome {
             self.remove(other);
         }
         self.push(now, priority, waiting);
-        verdict
+        outcome
     }
 
     fn push(&mut self, now: Instant, priority: usize, waiting: QueuedRequest) {
         if self.in_priority(priority).next().is_none() {
-            self.paces[priority].record_queue_start(now);
+            self.dequeue_intervals[priority].record_queue_start(now);
         }
         self.arrivals += 1;
         let time = self.time(&waiting.rule);
@@ -121,13 +124,13 @@
             .max(1);
         let next = self.next_start.entry(waiting.caller.clone());
         let next = next.or_default();
-        let start = (*next).max(self.now_us);
+        let start = (*next).max(self.virtual_time_us);
         *next = start + cost_us;
         self.items.push(Item {
             priority,
-            place: (start, self.arrivals),
+            position: (start, self.arrivals),
             cost_us,
-            hopeless_at: waiting.deadline - time.median(),
+            latest_start: waiting.deadline - time.median(),
             waiting,
         });
     }
@@ -135,22 +138,22 @@
     /// Returns the next request and whether it is served.
     pub(crate) fn next(&mut self, now: Instant) -> Option<(RequestId, bool)> {
         let waits = |p| self.in_priority(p).next().is_some();
-        let priority = self.turns.next(waits)?;
+        let priority = self.scheduler.next(waits)?;
         let at = (0..self.items.len()).filter(|&i| self.items[i].priority == priority);
-        let at = at.min_by_key(|&i| self.items[i].place)?;
+        let at = at.min_by_key(|&i| self.items[i].position)?;
         let first = &self.items[at];
-        let hopeless = first.hopeless_at <= now && self.items.len() > 1;
+        let hopeless = first.latest_start <= now && self.items.len() > 1;
         if hopeless || first.waiting.deadline <= now {
             let request = first.waiting.request;
             self.remove(request);
             return Some((request, false));
         }
         let item = self.items.remove(at);
-        self.turns.record_served(priority);
-        let first = self.items.iter().map(|i| i.place.0).min();
-        self.now_us = self.now_us.max(first.unwrap_or(item.place.0));
+        self.scheduler.record_served(priority);
+        let first = self.items.iter().map(|i| i.position.0).min();
+        self.virtual_time_us = self.virtual_time_us.max(first.unwrap_or(item.position.0));
         let others_wait = self.in_priority(priority).next().is_some();
-        self.paces[priority].record_dequeue(now, others_wait);
+        self.dequeue_intervals[priority].record_dequeue(now, others_wait);
         Some((item.waiting.request, true))
     }
 
@@ -158,14 +161,14 @@
         let first = self
             .items
             .iter()
-            .min_by_key(|i| (i.hopeless_at, i.waiting.request))?;
-        if first.hopeless_at <= now {
+            .min_by_key(|i| (i.latest_start, i.waiting.request))?;
+        if first.latest_start <= now {
             let request = first.waiting.request;
             self.remove(request);
             return Some(request);
         }
         let late = (0..3).find_map(|priority| {
-            let last = self.in_priority(priority).max_by_key(|i| i.place)?;
+            let last = self.in_priority(priority).max_by_key(|i| i.position)?;
             let ahead = self.in_priority(priority).count() - 1;
             let needed = self.wait(now, priority, ahead) + self.time(&last.waiting.rule).median();
             (needed > last.waiting.deadline - now).then_some(last.waiting.request)
@@ -185,7 +188,7 @@
             *next = next.saturating_sub(item.cost_us);
         }
         if self.in_priority(item.priority).next().is_none() {
-            self.paces[item.priority].reset();
+            self.dequeue_intervals[item.priority].reset();
         }
         true
     }
--- a/crates/kingcuploft/tests/admission/door.rs
+++ b/crates/kingcuploft/tests/admission/refusals.rs
@@ -1,4 +1,4 @@
-//! Who is refused at the door or given up, with which words.
+//! Which requests are refused on arrival or shed from the queue, and with which refusal.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 
 use crate::{service, waiting};
 
-/// An admission whose queue moves once in 100 ms, with `len` requests that wait.
+/// Returns an admission whose queue moves once in 100 ms, with `len` requests that wait.
 fn slow_queue(settings: AdmissionSettings, len: u64) -> (Admission, Instant) {
     let mut admission = Admission::new(&service(settings));
     let mut now = Instant::now();
@@ -33,10 +33,10 @@
     }
 }
 
-/// Twenty requests wait and one is served in 100 ms. A caller with a second left would wait for
-/// its whole deadline and get nothing; it is refused in the same instant and told when to come.
+/// Load pattern: twenty requests wait and one is served in 100 ms. A caller with a second left would wait for its whole
+/// deadline and get no answer; it is refused at once and told when to retry.
 #[test]
-fn a_request_that_can_not_be_answered_in_time_is_refused_at_the_door() {
+fn a_request_that_can_not_be_answered_in_time_is_refused_on_arrival() {
     let (mut admission, now) = slow_queue(AdmissionSettings::default(), 20);
     let late = waiting(100, "squad", Priority::Interactive, now);
     let refusal = refused(admission.offer(now, late));
@@ -57,10 +57,10 @@
     assert_eq!(admission.offer(now, late), AdmissionDecision::Queued);
 }
 
-/// The queue stalls: nothing is served for a second. Who waits at the end can not be answered in
-/// time any more; it is told so now and not at its deadline.
+/// Load pattern: the queue stalls and nothing is served for a second. The last request can not be answered in time any
+/// more; it is refused now and not at its deadline.
 #[test]
-fn who_is_given_up_is_told_at_once() {
+fn a_request_that_became_too_late_is_shed_at_once() {
     let settings = AdmissionSettings {
         standing_wait_share: 1.0,
         ..AdmissionSettings::default()
@@ -76,10 +76,10 @@
     assert!(refusal.retry_after.is_some());
 }
 
-/// A caller repeats a hold many times while the first is being claimed. Beyond a few, duplicates
-/// are refused without a word that nothing ran: the first may be running.
+/// Load pattern: a caller repeats a hold many times while the first is being claimed. Beyond a few, duplicates are
+/// refused without saying that nothing ran: the first may be running.
 #[test]
-fn a_hot_key_is_held_to_its_share_and_never_told_not_run() {
+fn a_hot_key_is_limited_to_its_share_and_never_answered_not_run() {
     let mut admission = Admission::new(&service(AdmissionSettings::default()));
     let now = Instant::now();
     let mut hold = waiting(1, "squad", Priority::Protected, now);
@@ -95,10 +95,10 @@
     assert_eq!(admission.check(now, &hold), AdmissionDecision::Queued);
 }
 
-/// A slow spell makes a rule's answers take longer than its callers allow. Had the door refused
-/// them all, nothing would be measured any more and the rule stay shut for good after the spell.
+/// Failure: a slow spell makes a rule's answers take longer than its callers allow. If admission refused them all,
+/// nothing would be measured any more and the rule would stay refused for good after the spell.
 #[test]
-fn a_slow_spell_does_not_shut_the_door_for_good() {
+fn a_slow_spell_does_not_refuse_requests_for_good() {
     let mut admission = Admission::new(&service(AdmissionSettings::default()));
     let now = Instant::now();
     for _ in 0..100 {
--- a/crates/kingcuploft/tests/admission/shares.rs
+++ b/crates/kingcuploft/tests/admission/shares.rs
@@ -1,4 +1,4 @@
-//! Who is served how much when callers and priorities compete.
+//! How much service callers and priorities get when they compete.
 
 use std::time::{Duration, Instant};
 
@@ -25,8 +25,8 @@
     served.filter(|waiting| &*waiting.caller == caller).count()
 }
 
-/// One office's script sends 40 requests at once, then a squad sends one. The squad is next
-/// but one: the burst's request whose turn it was goes first.
+/// Load pattern: one office's script sends 40 requests at once, then a squad sends one. The squad is served next but
+/// one: the script's request whose turn it was goes first.
 fn place_behind_a_burst(settings: AdmissionSettings) -> usize {
     let mut admission = Admission::new(&service(settings));
     let now = Instant::now();
@@ -47,10 +47,10 @@
     assert_eq!(place_behind_a_burst(unfair()), 40);
 }
 
-/// A script has filled the queue when a squad's request comes. The script's last request makes
-/// room; with no other caller waiting, the script was free to use the whole queue.
+/// Load pattern: a script has filled the queue when a squad's request arrives. The script's last request is evicted for
+/// it; with no other caller waiting, the script was free to use the whole queue.
 #[test]
-fn a_full_queue_makes_room_at_the_hot_callers_cost() {
+fn a_full_queue_evicts_a_request_of_the_hottest_caller() {
     let mut admission = Admission::new(&service(AdmissionSettings::default()));
     let now = Instant::now();
     for request in 0..64 {
@@ -70,7 +70,7 @@
     assert_eq!(refusal.reason, RefusalReason::CallerShare);
 }
 
-/// Long jobs and short ones wait. Callers get slot time in equal parts, not requests.
+/// Load pattern: long jobs and short ones wait. Callers get equal slot time, not equal numbers of requests.
 #[test]
 fn callers_share_slot_time() {
     let mut admission = Admission::new(&service(AdmissionSettings::default()));
@@ -90,8 +90,8 @@
     assert!((2..=3).contains(&long), "{long} long jobs among 22");
 }
 
-/// Reads arrive faster than they can be served, and searches wait. Holds come first, and a search
-/// is still served for every 25 turns or sooner.
+/// Load pattern: reads arrive faster than they can be served, and searches wait. Holds come first, and a search is
+/// still served for every 25 turns or sooner.
 #[test]
 fn protected_goes_first_and_background_is_not_starved() {
     let mut admission = Admission::new(&service(AdmissionSettings::default()));
@@ -122,9 +122,9 @@
     );
 }
 
-/// Every request comes from a caller never seen before. Memory stays bounded.
+/// Load pattern: every request comes from a caller never seen before. Memory stays bounded.
 #[test]
-fn callers_without_number_take_bounded_memory() {
+fn an_unlimited_number_of_callers_takes_bounded_memory() {
     let settings = AdmissionSettings {
         callers_remembered: 100,
         ..AdmissionSettings::default()
--- a/crates/kingcuploft/tests/adoption.rs
+++ b/crates/kingcuploft/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! Adoption: the generation only grows, nothing half applied, explored exhaustively.
+//! Manifest adoption, explored exhaustively: the generation in force only grows, and no manifest is applied in part.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -58,8 +58,8 @@
         let root = &self.roots[accepted.generation as usize - 1];
         let found = accepted.manifest.services.iter();
         let found: Vec<_> = found.map(|s| ServiceObject::new(s).hash).collect();
-        let meant: Vec<_> = root.services.iter().map(|part| part.hash.clone()).collect();
-        found == meant
+        let expected: Vec<_> = root.services.iter().map(|part| part.hash.clone()).collect();
+        found == expected
     }
 }
 
@@ -86,8 +86,8 @@
 
 #[test]
 fn a_replaced_vm_does_not_start_from_an_older_manifest_than_a_peer_has() {
-    // A user would see a service that operators removed an hour ago: a VM is replaced, its first
-    // read of the store is stale, and a peer has already told it of the newer generation.
+    // Failure: a VM is replaced, its first read of the store is stale, and a peer has already announced the newer
+    // generation. Without the guard a user would see a service that operators removed an hour ago.
     let world = World::new();
     let mut adoption = Adoption::default();
     adoption.heard(2);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_corrupt_part_keeps_the_old_manifest_and_is_told() {
+fn a_corrupt_part_keeps_the_old_manifest_and_is_reported() {
     let world = World::new();
     let mut adoption = Adoption::default();
     adoption.root_text(&world.roots[0].text()).unwrap();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_difference_gives_the_whole_root_or_nothing() {
+fn a_delta_gives_the_whole_root_or_nothing() {
     let world = World::new();
     let [first, second, third] = &world.roots[..] else {
         panic!("three roots");
@@ -170,10 +170,10 @@
     assert_eq!(bent.apply(Some(first)), None);
 }
 
-/// Everything that an adoption's next steps depend on.
+/// The state that an adoption's next steps depend on.
 type Key = (u64, u64, usize, u64, Vec<bool>);
 
-/// What an entry VM's adoption does with news, for the real one and for broken ones.
+/// An adoption under test: the real one or one that is broken on purpose.
 trait Machine: Clone {
     fn root(&mut self, root: &Root) -> Option<Accepted>;
     fn service(&mut self, object: &ServiceObject, text: &str) -> Option<Accepted>;
@@ -218,14 +218,14 @@
     }
 }
 
-/// A broken adoption: it takes whatever root it is told last, and skips parts that are missing.
+/// A broken adoption: it takes whatever root it received last, and skips missing parts.
 #[derive(Clone, Default)]
-struct LastTold {
+struct LastReceived {
     root: Option<Root>,
     parts: Vec<ServiceObject>,
 }
 
-impl LastTold {
+impl LastReceived {
     fn take(&self) -> Option<Accepted> {
         let root = self.root.as_ref()?;
         let parts = root.services.iter();
@@ -240,7 +240,7 @@
     }
 }
 
-impl Machine for LastTold {
+impl Machine for LastReceived {
     fn root(&mut self, root: &Root) -> Option<Accepted> {
         self.root = Some(root.clone());
         self.take()
@@ -262,19 +262,20 @@
     }
 }
 
-/// One VM, the newest generation the store has, and what the VM last put in force.
+/// The state of the exploration: one VM, the newest generation in the store, and what the VM last put in force and
+/// heard of.
 #[derive(Clone)]
 struct State<M> {
     machine: M,
     accepted: u64,
     in_force: u64,
-    told: u64,
+    announced: u64,
     key: Key,
 }
 
 impl<M> State<M> {
     fn identity(&self) -> (u64, u64, u64, &Key) {
-        (self.accepted, self.in_force, self.told, &self.key)
+        (self.accepted, self.in_force, self.announced, &self.key)
     }
 }
 
@@ -292,18 +293,17 @@
     }
 }
 
-/// Explores every order of: an apply; a read of any root up to the accepted one (a stale read, a
-/// late watch, a lagging peer); a service object whole, corrupt or of another name; a heartbeat
-/// with any accepted generation; the VM's replacement. Returns the number of states and the kinds
-/// of broken promises.
+/// Explores every order of: an apply; a read of any root up to the accepted one (a stale read, a late watch, a lagging
+/// peer); a service object whole, corrupt or of another name; a heartbeat with any accepted generation; the replacement
+/// of the VM. Returns the number of states and the kinds of violations.
 fn explore<M: Machine + Default>() -> (usize, BTreeSet<&'static str>) {
     let world = World::new();
-    let broken = RefCell::new(BTreeSet::new());
+    let violations = RefCell::new(BTreeSet::new());
     let start = State {
         machine: M::default(),
         accepted: 1,
         in_force: 0,
-        told: 0,
+        announced: 0,
         key: M::default().key(&world),
     };
     let next = |state: &State<M>| {
@@ -311,15 +311,15 @@
         let mut step = |change: &dyn Fn(&mut State<M>) -> Option<Accepted>| {
             let mut next = state.clone();
             if let Some(accepted) = change(&mut next) {
-                let mut broken = broken.borrow_mut();
+                let mut violations = violations.borrow_mut();
                 if accepted.generation < state.in_force {
-                    broken.insert("reverted");
+                    violations.insert("reverted");
                 }
-                if state.in_force == 0 && accepted.generation < state.told {
-                    broken.insert("older than a peer told");
+                if state.in_force == 0 && accepted.generation < state.announced {
+                    violations.insert("older than a peer announced");
                 }
                 if !world.is_whole(&accepted) {
-                    broken.insert("half applied");
+                    violations.insert("half applied");
                 }
                 next.in_force = accepted.generation;
             }
@@ -336,7 +336,7 @@
             step(&|s| s.machine.root(root));
             step(&|s| {
                 s.machine.heard(root.generation);
-                s.told = s.told.max(root.generation);
+                s.announced = s.announced.max(root.generation);
                 None
             });
         }
@@ -348,26 +348,26 @@
         }
         step(&|s| {
             s.machine = M::default();
-            (s.in_force, s.told) = (0, 0);
+            (s.in_force, s.announced) = (0, 0);
             None
         });
         states
     };
     let states = bfs_reach(start, next).count();
-    (states, broken.into_inner())
+    (states, violations.into_inner())
 }
 
 #[test]
-fn no_order_of_news_reverts_or_halves_a_manifest() {
-    let (states, broken) = explore::<Adoption>();
-    assert_eq!(broken, BTreeSet::new());
+fn no_order_of_events_reverts_a_manifest_or_applies_it_in_part() {
+    let (states, violations) = explore::<Adoption>();
+    assert_eq!(violations, BTreeSet::new());
     println!("{states} states explored");
     assert!(states > 100, "{states}");
 }
 
 #[test]
 fn the_exploration_finds_a_broken_adoption() {
-    let (_, broken) = explore::<LastTold>();
-    let all = ["half applied", "older than a peer told", "reverted"];
-    assert_eq!(broken, BTreeSet::from(all));
+    let (_, violations) = explore::<LastReceived>();
+    let all = ["half applied", "older than a peer announced", "reverted"];
+    assert_eq!(violations, BTreeSet::from(all));
 }
--- a/crates/kingcuploft/tests/adoption_pair.rs
+++ b/crates/kingcuploft/tests/adoption_pair.rs
@@ -1,4 +1,5 @@
-//! Two VMs and the store, explored exhaustively: the second knows the manifest by the first alone.
+//! Manifest adoption of two VMs and the store, explored exhaustively: the second VM gets the manifest from the first
+//! alone.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -42,12 +43,12 @@
     }
 }
 
-/// What one VM has, and what it last put in force and was told in this life.
+/// The state of one VM: its adoption, and what it last put in force and heard of in this incarnation.
 #[derive(Clone, Default)]
 struct Vm {
     adoption: Adoption,
     in_force: u64,
-    told: u64,
+    announced: u64,
 }
 
 impl Vm {
@@ -61,7 +62,7 @@
         };
         (
             self.in_force,
-            self.told,
+            self.announced,
             status.in_force,
             status.heard,
             status.missing,
@@ -93,32 +94,32 @@
     }
 }
 
-/// Notes what a step put in force, and which promise that broke.
-fn take(
+/// Records what a step put in force, and which property that violated.
+fn record_step(
     vm: &mut Vm,
     step: Result<AdoptionStep, impl Sized>,
-    broken: &RefCell<BTreeSet<&'static str>>,
+    violations: &RefCell<BTreeSet<&'static str>>,
 ) {
     let Ok(AdoptionStep::InForce(accepted)) = step else {
         return;
     };
-    let mut broken = broken.borrow_mut();
+    let mut violations = violations.borrow_mut();
     if accepted.generation < vm.in_force {
-        broken.insert("reverted");
+        violations.insert("reverted");
     }
-    if vm.in_force == 0 && accepted.generation < vm.told {
-        broken.insert("older than a peer told");
+    if vm.in_force == 0 && accepted.generation < vm.announced {
+        violations.insert("older than a peer announced");
     }
     if accepted.manifest.services.len() != 2 {
-        broken.insert("half applied");
+        violations.insert("half applied");
     }
     vm.in_force = accepted.generation;
 }
 
 #[test]
-fn what_one_vm_passes_on_neither_reverts_nor_halves_another() {
+fn a_peers_manifest_is_never_older_or_applied_in_part() {
     let world = World::new();
-    let broken = RefCell::new(BTreeSet::new());
+    let violations = RefCell::new(BTreeSet::new());
     let reached = RefCell::new(BTreeSet::new());
     let start = State {
         accepted: 1,
@@ -146,23 +147,23 @@
         // The first VM reads the store: any root up to the accepted one, whole or corrupt objects.
         for root in &world.roots[..state.accepted] {
             step(&|s| {
-                let taught = s.first.adoption.root_text(&root.text());
-                take(&mut s.first, taught, &broken);
+                let step_result = s.first.adoption.root_text(&root.text());
+                record_step(&mut s.first, step_result, &violations);
             });
         }
         for object in &world.objects {
             for text in [object.text.as_str(), "{}"] {
                 step(&|s| {
-                    let taught = s.first.adoption.service_text(&object.hash, text);
-                    take(&mut s.first, taught, &broken);
+                    let step_result = s.first.adoption.service_text(&object.hash, text);
+                    record_step(&mut s.first, step_result, &violations);
                 });
             }
         }
-        // The second VM hears the first's heartbeat, asks for the difference, asks for objects.
+        // The second VM gets the first's heartbeat, asks for the delta, and asks for objects.
         step(&|s| {
             let generation = s.first.adoption.generation();
             s.second.adoption.note_generation(generation);
-            s.second.told = s.second.told.max(generation);
+            s.second.announced = s.second.announced.max(generation);
         });
         let since = match state.second.adoption.missing_parts() {
             MissingParts::Root { since, .. } => since,
@@ -171,16 +172,16 @@
         for since in [0, since] {
             step(&|s| {
                 if let Some(delta) = s.first.adoption.delta_since(since) {
-                    let taught = s.second.adoption.root_delta(&delta);
-                    take(&mut s.second, taught, &broken);
+                    let step_result = s.second.adoption.root_delta(&delta);
+                    record_step(&mut s.second, step_result, &violations);
                 }
             });
         }
         for object in &world.objects {
             step(&|s| {
                 if let Some(text) = s.first.adoption.service(&object.hash).cloned() {
-                    let taught = s.second.adoption.service_text(&object.hash, &text);
-                    take(&mut s.second, taught, &broken);
+                    let step_result = s.second.adoption.service_text(&object.hash, &text);
+                    record_step(&mut s.second, step_result, &violations);
                 }
             });
         }
@@ -191,7 +192,7 @@
     };
     let states = bfs_reach(start, next).count();
     println!("{states} states explored");
-    assert_eq!(broken.into_inner(), BTreeSet::new());
+    assert_eq!(violations.into_inner(), BTreeSet::new());
     // Every pair of generations that should be possible was reached.
     let pairs = (0..=2).flat_map(|a| (0..=2).map(move |b| (a, b)));
     assert_eq!(reached.into_inner(), pairs.collect());
--- a/crates/kingcuploft/tests/claim_model/main.rs
+++ b/crates/kingcuploft/tests/claim_model/main.rs
@@ -1,5 +1,5 @@
-//! The claims of one key, explored exhaustively: every order of resends through several VMs, lost
-//! answers, late writes, old reads, give-ups and pauses, over the product's own state machine.
+//! The claims of one key, explored exhaustively: every order of resends through several VMs, lost answers, late writes,
+//! stale reads, timeouts and pauses, over the product's own state machine.
 
 mod model;
 
--- a/crates/kingcuploft/tests/claim_model/model.rs
+++ b/crates/kingcuploft/tests/claim_model/model.rs
@@ -1,4 +1,4 @@
-//! The model: VMs, the store, its faults, and every move that can come next.
+//! The model: VMs, the store, its faults, and every transition that can come next.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,9 +22,9 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum Variant {
     Product,
-    /// A claim whose holder is silent is taken away, as an expired lease would be.
+    /// A claim whose holder is silent is removed, as an expired lease would be.
     LeaseReaped,
-    /// Silence of the store is taken for success, so nothing is read back before sending.
+    /// A missing answer of the store is taken for success, so nothing is read back before sending.
     SentBeforeReadBack,
 }
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Model {
     vms: Vec<Partition>,
-    /// The open call of each VM, not yet at the store.
+    /// The store call in flight of each VM, not yet at the store.
     calls: Vec<Option<Operation>>,
     requests: Vec<Phase>,
     objects: BTreeMap<String, (Version, StoredObject)>,
@@ -52,7 +52,7 @@
     runs: u8,
     answered_by: Option<u8>,
     faults: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -64,7 +64,7 @@
     pub(crate) variant: Variant,
 }
 
-/// One fixed instant: all pauses are zero, so that time adds no states.
+/// The model at one fixed instant: all pauses are zero, so that time adds no states.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct World {
     bounds: Bounds,
@@ -101,7 +101,7 @@
             runs: 0,
             answered_by: None,
             faults: self.bounds.faults,
-            broken: None,
+            violation: None,
         }
     }
 
@@ -109,7 +109,7 @@
         request % self.bounds.vms
     }
 
-    /// Feeds one event to a VM and takes what comes out.
+    /// Passes one event to a VM and applies its outputs.
     fn feed(
         &self,
         model: &mut Model,
@@ -141,7 +141,7 @@
     }
 
     fn successors(&self, model: &Model) -> Vec<Model> {
-        if model.broken.is_some() {
+        if model.violation.is_some() {
             return Vec::new();
         }
         let mut next = Vec::new();
@@ -182,7 +182,7 @@
                     fingerprint: 1,
                     claimant: claimant(request),
                     window: Duration::from_secs(60),
-                    // A tick at any moment gives the claim up.
+                    // A tick at any moment refuses the claim.
                     deadline: self.now,
                 };
                 self.order(&mut after, request, ClaimCommand::Claim(id, claim));
@@ -195,7 +195,7 @@
                 after.requests[request] = Phase::Sent;
                 after.runs += 1;
                 if after.runs > 1 {
-                    after.broken = Some(TWO_RUNS);
+                    after.violation = Some(TWO_RUNS);
                 }
             }
             Phase::Sent => {
@@ -259,22 +259,21 @@
         });
     }
 
-    /// Explores everything, or until two runs are found; returns the number of states and the
-    /// faults.
+    /// Explores all states, or until two runs are found; returns the number of states and the violations.
     pub(crate) fn explore(&self) -> (usize, BTreeSet<&'static str>) {
         let mut states = 0;
         let ends = RefCell::new(BTreeSet::new());
         let mut faults = BTreeSet::new();
         let successors = |model: &Model| {
             let next = self.successors(model);
-            if next.is_empty() && model.broken.is_none() {
-                ends.borrow_mut().extend(model.left_behind());
+            if next.is_empty() && model.violation.is_none() {
+                ends.borrow_mut().extend(model.orphan_claim());
             }
             next
         };
         for model in bfs_reach(self.start(), successors) {
             states += 1;
-            faults.extend(model.broken);
+            faults.extend(model.violation);
             if faults.contains(TWO_RUNS) {
                 break;
             }
@@ -287,7 +286,7 @@
 impl Model {
     fn verdict(&mut self, request: usize, verdict: &Verdict) {
         if self.requests[request] != Phase::Claiming {
-            self.broken = Some("a second verdict");
+            self.violation = Some("a second verdict");
             return;
         }
         self.requests[request] = match verdict {
@@ -295,7 +294,7 @@
             Verdict::Unavailable { .. } | Verdict::Reused | Verdict::Full => Phase::ToldNotRun,
             Verdict::Replay(record) => {
                 if self.answered_by != record.body.first().copied() {
-                    self.broken = Some("a recorded answer changed");
+                    self.violation = Some("a recorded answer changed");
                 }
                 Phase::ToldOther
             }
@@ -335,7 +334,7 @@
         }
     }
 
-    /// What an expired lease would do: the claim is gone, its holder may be paused.
+    /// Does what an expired lease would do: removes the claim, though its holder may be paused.
     fn reaped(&self) -> Option<Self> {
         let head = self.head()?;
         let mut free = Head::clone(head);
@@ -350,9 +349,8 @@
         Some(after)
     }
 
-    /// Where nothing can happen any more, no claim of a caller who was told "not run" may block
-    /// the key.
-    fn left_behind(&self) -> Option<&'static str> {
+    /// Checks a final state: no claim of a caller who was answered "not run" may block the key.
+    fn orphan_claim(&self) -> Option<&'static str> {
         let entry = self.head()?.entries.get(&KEY)?;
         let request = entry.claimant.nonce as usize;
         let told_not_run = self.requests[request] == Phase::ToldNotRun;
--- a/crates/kingcuploft/tests/claims/main.rs
+++ b/crates/kingcuploft/tests/claims/main.rs
@@ -19,9 +19,9 @@
     Verdict::Replay(Arc::new(record(body)))
 }
 
-/// Fourteen VMs claim at the same moment, all over the same object, and each caller resends through
-/// every VM. Writes lose against each other again and again. Each key is held once, everybody is
-/// told in time, and later duplicates get the recorded answer.
+/// Load pattern: fourteen VMs claim at the same moment, all over the same object, and each caller resends through every
+/// VM, so writes conflict again and again. Each key is held once, every claim is decided in time, and later duplicates
+/// get the recorded answer.
 #[test]
 fn a_storm_of_conflicts_holds_each_key_once() {
     let mut world = World::new(14, ClaimSettings::default());
@@ -32,7 +32,7 @@
         }
     }
     world.run(Duration::from_millis(900));
-    assert_eq!(world.verdicts.len(), 140, "somebody was not told in time");
+    assert_eq!(world.verdicts.len(), 140, "a claim was not decided in time");
     for key in 0..10 {
         let holders: Vec<usize> = (0..14)
             .filter(|vm| world.verdicts[&id(*vm, key)] == Verdict::Held)
@@ -50,15 +50,15 @@
     }
 }
 
-/// A partition lives for long: its head is sealed again and again, and segments are put under
-/// indexes. A VM that starts then knows every key of the window from few reads, and answers each
-/// duplicate with its own record. After the window the objects are gone.
+/// Load pattern: a partition lives for long, so its head is sealed again and again, and segments are grouped under
+/// indexes. A VM that starts then knows every key of the window from few reads, and answers each duplicate with its own
+/// record. After the window the objects are deleted.
 #[test]
 fn sealed_keys_are_remembered_for_the_window_and_their_objects_end_with_it() {
     let settings = ClaimSettings {
         seal_bytes: 4_000,
         segments_per_index: 4,
-        // Each claim is looked at 30 ms later, so none may wait for the pace.
+        // Each claim is checked 30 ms later, so none may wait for write pacing.
         fleet_writes_per_s: 1_000_000,
         ..ClaimSettings::default()
     };
@@ -97,10 +97,9 @@
     assert!(during > 20 && after <= 3, "{during} objects, then {after}");
 }
 
-/// A caller claims through a VM whose clock is fast and resends, just before the window ends, through
-/// one whose clock is slow, and the other way round. Time slots cut by each VM's own clock would
-/// put the two claims into different slots. The slack keeps the key until the window is over on
-/// every clock.
+/// Failure: a caller claims through a VM whose clock is fast and resends, just before the window ends, through one
+/// whose clock is slow, and the other way round. Time slots cut by each VM's own clock would put the two claims into
+/// different slots. The clock slack keeps the key until the window is over on every clock.
 #[test]
 fn skewed_clocks_do_not_shorten_the_window() {
     let settings = ClaimSettings::default();
@@ -125,9 +124,8 @@
     }
 }
 
-/// The store goes silent with a claim's write on the way. Its caller is refused as not run while
-/// the write may yet arrive. When the store is back, the claim is found and taken back, so that the
-/// caller's next try runs.
+/// Failure: the store stops answering with a claim's write on the way. The caller is refused with "not run" while the
+/// write may yet arrive. When the store is back, the claim is found and released, so that the caller's next try runs.
 #[test]
 fn a_refused_claim_that_a_late_write_carried_is_taken_back() {
     let mut world = World::new(2, ClaimSettings::default());
@@ -135,13 +133,13 @@
     world.outage = Some(StoreFailure::NoAnswer);
     world.claim(0, 1, 7);
     world.run(Duration::from_millis(1000));
-    let told = world.verdicts.get(&1);
+    let verdict = world.verdicts.get(&1);
     assert!(
-        matches!(told, Some(Verdict::Unavailable { .. })),
-        "{told:?}"
+        matches!(verdict, Some(Verdict::Unavailable { .. })),
+        "{verdict:?}"
     );
     world.outage = None;
-    // The write that had no answer did take effect, as another VM's read would find it.
+    // The write that had no answer did take effect, as another VM's read would find.
     let entry = Entry {
         key: 7,
         fingerprint: 1,
@@ -165,9 +163,8 @@
     assert_eq!(world.verdicts[&2], Verdict::Held);
 }
 
-/// The store is down. Claims are refused at once, in no time at all, with the time of the next
-/// probe; a key that was seen claimed before is not called "not run". The store's return is noticed
-/// without a claim.
+/// Failure: the store is down. Claims are refused at once, with the time of the next probe; a key that was seen claimed
+/// before is not called "not run". The store's return is noticed without a claim.
 #[test]
 fn an_outage_refuses_at_once_and_its_end_is_noticed() {
     let mut world = World::new(2, ClaimSettings::default());
@@ -179,8 +176,11 @@
     world.outage = Some(StoreFailure::Down { retry_after });
     world.claim(1, 3, 9);
     world.run(Duration::from_millis(20));
-    let told = &world.verdicts[&3];
-    assert!(matches!(told, Verdict::Unavailable { .. }), "{told:?}");
+    let verdict = &world.verdicts[&3];
+    assert!(
+        matches!(verdict, Verdict::Unavailable { .. }),
+        "{verdict:?}"
+    );
     world.claim(1, 4, 10);
     assert!(matches!(world.verdicts[&4], Verdict::Unavailable { .. }));
     // Key 7 was claimed through the other VM: whether it ran is not known here.
@@ -193,9 +193,9 @@
     assert_eq!(world.verdicts[&6], Verdict::Held);
 }
 
-/// Many actions of one partition run at once, for so long that their claims fill its object. The
-/// next claim is refused before it would make the object too long for the store, and nobody's
-/// recorded answer is lost without a word: it is kept as "ran".
+/// Load pattern: many actions of one partition run at once, for so long that their claims fill its object. The next
+/// claim is refused before it would make the object too large for the store, and no recorded answer is lost silently:
+/// it is kept as "ran".
 #[test]
 fn a_full_object_refuses_claims_and_shortens_records() {
     let settings = ClaimSettings {
@@ -225,8 +225,8 @@
     assert_eq!(world.verdicts[&101], Verdict::AlreadyRan);
 }
 
-/// A caller uses one key for two different holds. The second is refused and never run, on the VM
-/// that has the first in flight and on another.
+/// Failure: a caller uses one key for two different holds. The second is refused and never run, on the VM that has the
+/// first in flight and on another.
 #[test]
 fn a_key_used_with_another_content_is_refused() {
     let mut world = World::new(2, ClaimSettings::default());
@@ -239,8 +239,8 @@
     assert_eq!(world.verdicts[&3], Verdict::Reused);
 }
 
-/// A VM dies with a claim held. Whether its request was sent is not known, so nobody ever runs the
-/// action again within the window, and every duplicate is told so.
+/// Failure: a VM dies with a claim held. Whether its request was sent is not known, so the action is never run again
+/// within the window, and every duplicate is told so.
 #[test]
 fn a_dead_claimants_key_is_never_taken_over() {
     let mut world = World::new(2, ClaimSettings::default());
@@ -252,7 +252,7 @@
         world.settle();
         assert_eq!(world.verdicts[&id], Verdict::InProgress);
     }
-    // Paused, not dead: its answer is recorded when it resumes.
+    // The VM was paused, not dead: its answer is recorded when it resumes.
     world.answer(0, 1, b"beds");
     world.settle();
     world.claim(1, 5, 7);
@@ -307,10 +307,9 @@
     assert_eq!(back.body, every);
 }
 
-/// Fourteen VMs claim ten actions a second between them. Each VM's copy of the head is old whenever
-/// it writes, so a write without a look at the head loses: the store pays for three writes an action
-/// in place of less than two. (The look was made just after the VM's own write, when it told
-/// nothing, and not just before its next.)
+/// Load pattern: fourteen VMs claim ten actions a second between them. Each VM's copy of the head is stale whenever it
+/// writes, so a write without a read just before it conflicts: the store gets three writes per action instead of less
+/// than two. A read just after the VM's own write, not before its next, does not help.
 #[test]
 fn vms_that_claim_seldom_lose_few_writes() {
     let mut world = World::new(14, ClaimSettings::default());
--- a/crates/kingcuploft/tests/claims/world.rs
+++ b/crates/kingcuploft/tests/claims/world.rs
@@ -1,4 +1,4 @@
-//! Some VMs' partitions over one store, in virtual time.
+//! The partitions of some VMs over one store, in virtual time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -104,7 +104,7 @@
         self.order(vm, ClaimCommand::Acknowledge(id, state));
     }
 
-    /// Lets time pass in steps of 1 ms, each with at most one call of each VM.
+    /// Lets time pass in steps of 1 ms, each with at most one store call of each VM.
     pub(crate) fn run(&mut self, time: Duration) {
         let until = self.elapsed + time;
         while self.elapsed < until {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Lets time pass until every VM has written all.
+    /// Lets time pass until no VM has anything left to write.
     pub(crate) fn settle(&mut self) {
         for _ in 0..20_000 {
             self.step();
@@ -123,7 +123,7 @@
         panic!("the partitions do not settle");
     }
 
-    /// Lets time pass at once.
+    /// Lets time pass in one step.
     pub(crate) fn jump(&mut self, time: Duration) {
         self.elapsed += time;
     }
@@ -207,7 +207,7 @@
     }
 }
 
-/// Returns the length of an object as it stands in the store.
+/// Returns the length of an object as it is stored.
 pub(crate) fn bytes(value: &StoredObject) -> usize {
     let text = match value {
         StoredObject::Head(head) => serde_json::to_string(head.as_ref()),
--- a/crates/kingcuploft/tests/hedge.rs
+++ b/crates/kingcuploft/tests/hedge.rs
@@ -1,4 +1,4 @@
-//! When a lookup's slow first attempt is reason enough for a second.
+//! Hedging: which slow first attempts of a lookup are a reason for a hedge.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     usual
 }
 
-/// A budget that is full, and a backend server whose answers took so long.
+/// Returns a full budget, and a backend server whose answers took these times, in ms.
 fn hedge(answers: &[u64]) -> (Hedge, BackendServerName) {
     let mut hedge = Hedge::new(&HedgeSettings::default());
     for _ in 0..1_000 {
@@ -28,7 +28,7 @@
     (hedge, server)
 }
 
-fn look(calm_for: Option<Duration>) -> AttemptProgress {
+fn progress(calm_for: Option<Duration>) -> AttemptProgress {
     AttemptProgress {
         elapsed: Duration::from_millis(100),
         remaining: Duration::from_millis(900),
@@ -37,26 +37,26 @@
     }
 }
 
-/// A backend server's answers take six times as long as usual, one after the other.
+/// Load pattern: a backend server's answers take six times as long as usual, one after the other.
 #[test]
 fn a_slow_spell_is_a_reason_and_one_long_job_is_none() {
     let (slow, server) = hedge(&[5, 5, 30, 30, 30, 30]);
-    let judged = slow.decide(&server, &look(None));
+    let judged = slow.decide(&server, &progress(None));
     assert_eq!(judged, HedgeDecision::Hedge(HedgeReason::SlowSpell));
     let (steady, server) = hedge(&[5, 5, 5, 120]);
     assert_eq!(
-        steady.decide(&server, &look(None)),
+        steady.decide(&server, &progress(None)),
         HedgeDecision::DoNotHedge
     );
 }
 
-/// Requests have waited for slots just now: the hedge would take one from the next of them.
+/// Load pattern: requests have just waited for slots, so a hedge would take a slot from the next of them.
 #[test]
 fn nothing_is_hedged_shortly_after_requests_waited() {
     let (slow, server) = hedge(&[30; 10]);
-    let just_now = look(Some(Duration::from_millis(10)));
+    let just_now = progress(Some(Duration::from_millis(10)));
     assert_eq!(slow.decide(&server, &just_now), HedgeDecision::DoNotHedge);
-    let long_ago = look(Some(Duration::from_secs(1)));
+    let long_ago = progress(Some(Duration::from_secs(1)));
     let judged = slow.decide(&server, &long_ago);
     assert_eq!(judged, HedgeDecision::Hedge(HedgeReason::SlowSpell));
 }
--- a/crates/kingcuploft/tests/measuring.rs
+++ b/crates/kingcuploft/tests/measuring.rs
@@ -1,4 +1,4 @@
-//! The probe budget, fleet-wide: against a naive prober, and while views of the fleet differ.
+//! The probe budget over the whole fleet: against a naive prober, and while the VMs' views of the fleet differ.
 
 use std::time::{Duration, Instant};
 
@@ -29,10 +29,10 @@
     (0..count).map(|i| format!("entry-{i}").into()).collect()
 }
 
-/// A fleet of measuring VMs in virtual time; returns the share of slot time that probes took.
+/// A fleet of probing VMs in virtual time, and the probes that it sent.
 struct Fleet {
     now: Instant,
-    began: Instant,
+    started_at: Instant,
     nodes: Vec<(VmName, ProbeScheduler)>,
     probes: u64,
 }
@@ -43,7 +43,7 @@
         let nodes = vms(count).into_iter();
         Self {
             now,
-            began: now,
+            started_at: now,
             nodes: nodes
                 .map(|vm| (vm, ProbeScheduler::new(&service())))
                 .collect(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Gives each VM its own view: the one that `view` returns for it.
+    /// Gives each VM the view that `view` returns for it.
     fn views(mut self, view: impl Fn(usize) -> Vec<VmName>) -> Self {
         for (i, (vm, measuring)) in self.nodes.iter_mut().enumerate() {
             measuring.update_members(self.now, vm, &view(i));
@@ -59,7 +59,7 @@
         self
     }
 
-    /// Lets time pass; nobody's replies tell of any server, so every probe that may go goes.
+    /// Lets time pass; no response reports on any server, so every probe that may be sent is sent.
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -74,7 +74,8 @@
     }
 
     fn share(&self) -> f64 {
-        let capacity_ms = (self.now - self.began).as_secs_f64() * 1000.0 * SLOTS * SERVERS as f64;
+        let capacity_ms =
+            (self.now - self.started_at).as_secs_f64() * 1000.0 * SLOTS * SERVERS as f64;
         self.probes as f64 * PROBE_MS / capacity_ms
     }
 }
@@ -88,11 +89,11 @@
         for vm in &live {
             let mut measuring = ProbeScheduler::new(&service());
             measuring.update_members(now, vm, &live);
-            // Far in the future everything was earned and every server is silent.
+            // After this time every budget is full and every server needs a probe.
             for step in 1..400 {
                 let at = now + Duration::from_secs(20 * step);
                 if let Some(server) = measuring.next_probe(at) {
-                    claimed[server] += u64::from(measuring_owner(&live, server) != *vm);
+                    claimed[server] += u64::from(naive_prober(&live, server) != *vm);
                 }
             }
         }
@@ -105,8 +106,8 @@
     .seed(0x5eed_0000_0040);
 }
 
-/// The naive prober: looks at every VM for every server.
-fn measuring_owner(live: &[VmName], server: usize) -> VmName {
+/// The naive prober: compares every VM for every server.
+fn naive_prober(live: &[VmName], server: usize) -> VmName {
     let name = format!("trip-{server}");
     let mut owner = prober(&live[..1], &name).unwrap();
     for vm in &live[1..] {
@@ -130,8 +131,8 @@
     }
 }
 
-/// Half of the VMs have not heard yet that others are gone, or new: two VMs take the same server
-/// for theirs. Each earns half of the budget, so both together stay within it.
+/// Failure: half of the VMs have not learned yet that others are gone, or new, so two VMs count as prober of the same
+/// server. Each earns half of the budget, so both together stay within it.
 #[test]
 fn two_views_of_the_fleet_stay_within_the_budget() {
     let mut fleet = Fleet::new(14).views(|i| match i % 2 {
@@ -142,9 +143,8 @@
     assert!(fleet.share() <= BUDGET_SHARE, "{}", fleet.share());
 }
 
-/// Every VM believes that it is alone, as after a cut of all links: each takes every server for
-/// its own. This is the worst view there is; the page gives the overshoot, and it is bounded by
-/// half of the number of VMs.
+/// Failure: every VM believes that it is alone, as after a cut of all links, so each counts as every server's prober.
+/// This is the worst view there is; the overshoot is bounded by half of the number of VMs.
 #[test]
 fn fourteen_views_overshoot_by_at_most_half_of_the_vms() {
     let names = vms(14);
@@ -156,7 +156,7 @@
     assert!(times > 1.0, "the worst case is not the worst: {times}");
 }
 
-/// A VM is replaced every 5 s. A new one that began with a full bucket would spend it at once.
+/// Failure: a VM is replaced every 5 s. A new VM that started with a full budget would spend it at once.
 #[test]
 fn replaced_vms_spend_nothing_on_top_of_the_budget() {
     let mut fleet = Fleet::new(14).views(|_| vms(14));
--- a/crates/kingcuploft/tests/membership.rs
+++ b/crates/kingcuploft/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership in virtual time: everyone converges, whoever is cut off, paused or replaced.
+//! Fleet membership in virtual time: all views converge, whichever VM is cut off, paused or replaced.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,9 +14,9 @@
     views: Vec<Option<Membership>>,
     cut: Vec<(usize, usize)>,
     links: HashSet<(usize, usize)>,
-    before: HashSet<(usize, usize)>,
-    lines: usize,
-    beats: usize,
+    previous_links: HashSet<(usize, usize)>,
+    gossip_entries: usize,
+    heartbeats: usize,
 }
 
 const BEAT: Duration = Duration::from_secs(2);
@@ -49,9 +49,9 @@
             views: Vec::new(),
             cut: Vec::new(),
             links: HashSet::default(),
-            before: HashSet::default(),
-            lines: 0,
-            beats: 0,
+            previous_links: HashSet::default(),
+            gossip_entries: 0,
+            heartbeats: 0,
         };
         for index in 0..size {
             let mut view = Membership::new(member(index, 1), MembershipSettings::default());
@@ -68,7 +68,7 @@
     /// Lets every VM send one heartbeat to each neighbour.
     fn round(&mut self) {
         self.now += BEAT;
-        self.before = std::mem::take(&mut self.links);
+        self.previous_links = std::mem::take(&mut self.links);
         for from in 0..self.views.len() {
             let Some(view) = &self.views[from] else {
                 continue;
@@ -83,7 +83,7 @@
                 }
             }
         }
-        for (a, b) in self.before.difference(&self.links) {
+        for (a, b) in self.previous_links.difference(&self.links) {
             if let Some(view) = &mut self.views[*a] {
                 view.record_unlinked(&name(*b));
             }
@@ -108,8 +108,8 @@
             let beat = sender.next_heartbeat();
             let own = sender.own().clone();
             let news = sender.next_gossip(4);
-            self.lines += news.len();
-            self.beats += 1;
+            self.gossip_entries += news.len();
+            self.heartbeats += 1;
             let Some(receiver) = &mut self.views[b] else {
                 continue;
             };
@@ -118,15 +118,15 @@
             news.iter()
                 .for_each(|line| receiver.apply_gossip(self.now, line));
         }
-        self.mend(from, to);
+        self.reconcile(from, to);
     }
 
-    /// Reads the whole list of the other end at the start of a link, or where views differ long.
-    fn mend(&mut self, from: usize, to: usize) {
+    /// Reads the whole list of the other end at the start of a link, or where the views have differed for long.
+    fn reconcile(&mut self, from: usize, to: usize) {
         let Some(list) = self.views[to].as_ref().map(|v| (v.digest(), v.members())) else {
             return;
         };
-        let begins = !self.before.contains(&(from, to));
+        let begins = !self.previous_links.contains(&(from, to));
         let Some(view) = &mut self.views[from] else {
             return;
         };
@@ -141,7 +141,7 @@
         (0..count).for_each(|_| self.round());
     }
 
-    /// How many live members each running VM sees, itself included.
+    /// Returns how many live members each running VM sees, itself included.
     fn live(&self) -> Vec<usize> {
         let views = self.views.iter().flatten();
         let live = |view: &Membership| {
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn all_learn_of_all_from_one_address_with_bounded_news() {
+fn all_vms_find_each_other_from_one_address_with_bounded_gossip() {
     for size in [14, 60] {
         let mut fleet = Fleet::new(size);
         let all = |fleet: &Fleet| fleet.live().iter().all(|n| *n == size);
@@ -166,14 +166,13 @@
         });
         println!("{size} VMs know each other after {rounds:?} rounds");
         assert!(rounds.is_some(), "{size}: {:?}", fleet.live());
-        // Once all are known there is nothing to tell: the bytes of a heartbeat do not grow with
-        // the fleet.
+        // Once all are known no gossip is left: the bytes of a heartbeat do not grow with the fleet.
         fleet.rounds(60);
-        fleet.lines = 0;
-        fleet.beats = 0;
+        fleet.gossip_entries = 0;
+        fleet.heartbeats = 0;
         fleet.rounds(10);
-        assert_eq!(fleet.lines, 0, "{size}");
-        let per_vm = fleet.beats as f64 / (size * 10) as f64;
+        assert_eq!(fleet.gossip_entries, 0, "{size}");
+        let per_vm = fleet.heartbeats as f64 / (size * 10) as f64;
         assert!(
             per_vm <= 7.0,
             "{size}: {per_vm} heartbeats sent by a VM in a round"
@@ -182,7 +181,7 @@
 }
 
 #[test]
-fn a_dead_vm_is_noticed_by_all_and_a_later_life_is_taken_back() {
+fn a_dead_vm_is_noticed_by_all_and_its_next_incarnation_is_accepted() {
     let mut fleet = Fleet::new(14);
     fleet.rounds(20);
     fleet.views[5] = None;
@@ -193,15 +192,15 @@
     fleet.views[5] = Some(view);
     fleet.rounds(20);
     assert!(fleet.live().iter().all(|n| *n == 14), "{:?}", fleet.live());
-    // The dead life's late words are not believed.
+    // A late entry of the dead incarnation is rejected.
     let view = fleet.views[1].as_mut().unwrap();
     assert!(!view.accept_peer(fleet.now, &member(5, 1)));
 }
 
 #[test]
-fn one_bad_link_makes_nobody_dead() {
-    // Two VMs do not reach each other while everyone else reaches both. Were each to tell the fleet
-    // that the other is dead, both would be left out.
+fn one_bad_link_marks_no_vm_as_gone() {
+    // Failure: two VMs can not reach each other while all others reach both. Were each to gossip that the other is
+    // dead, both would be left out.
     let mut fleet = Fleet::new(14);
     fleet.rounds(20);
     fleet.cut = (0..14)
@@ -226,7 +225,7 @@
     fleet.rounds(25);
     assert!(fleet.live().iter().all(|n| *n == 8), "{:?}", fleet.live());
     fleet.cut.clear();
-    // The settings' and the VM list's addresses are what finds the other half again.
+    // The addresses of the settings and the VM list find the other half again.
     for _ in 0..12 {
         for view in fleet.views.iter_mut().flatten() {
             view.add_candidates(fleet.now, (0..16).map(address));
@@ -237,7 +236,7 @@
 }
 
 #[test]
-fn a_paused_vm_suspects_nobody_when_it_wakes() {
+fn a_paused_vm_suspects_no_member_when_it_resumes() {
     let mut fleet = Fleet::new(14);
     fleet.rounds(20);
     let mut paused = fleet.views[7].take().unwrap();
@@ -251,7 +250,7 @@
 }
 
 #[test]
-fn a_new_vm_at_an_old_address_ends_the_old_one() {
+fn a_new_vm_at_an_old_address_marks_the_old_one_as_gone() {
     let now = Instant::now();
     let mut view = Membership::new(member(0, 1), MembershipSettings::default());
     view.accept_peer(now, &member(1, 1));
@@ -288,53 +287,53 @@
 
 #[test]
 fn a_member_that_a_peer_does_not_know_is_tried_before_it_is_suspected() {
-    // Fifty VMs start at once, and for minutes some count a live VM as gone: a peer that had not
-    // heard of it yet was believed, and no line of the same beat could take that back.
+    // Failure: fifty VMs start at once, and for minutes some count a live VM as gone. A peer that had not heard of it
+    // yet was believed, and no entry of the same heartbeat could revert that.
     let now = Instant::now();
-    let doubtful = member(1, 1);
-    let doubts = || {
+    let unknown_to_peer = member(1, 1);
+    let unconfirmed = || {
         let mut view = Membership::new(member(0, 1), MembershipSettings::default());
-        view.apply_gossip(now, &doubtful);
+        view.apply_gossip(now, &unknown_to_peer);
         while !view.next_gossip(8).is_empty() {}
         view.reconcile_list(now, &[member(2, 1)]);
         assert!(
-            view.members().contains(&doubtful),
+            view.members().contains(&unknown_to_peer),
             "it still counts as live"
         );
         let mut tried = view.neighbours(now).into_iter();
         assert!(tried.any(|neighbour| neighbour.address == address(1)));
         view
     };
-    let mut view = doubts();
-    let mut heard = doubtful.clone();
+    let mut view = unconfirmed();
+    let mut heard = unknown_to_peer.clone();
     heard.beat = 4;
     assert!(view.accept_peer(now, &heard));
     assert_eq!(
         view.next_gossip(8),
         [heard],
-        "the others are told that it lives"
+        "the others learn that it lives"
     );
-    let mut view = doubts();
+    let mut view = unconfirmed();
     view.record_unreachable(now, address(1));
-    let told = view.next_gossip(8);
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].state, MemberState::Suspect);
+    let gossip = view.next_gossip(8);
+    assert_eq!(gossip.len(), 1);
+    assert_eq!(gossip[0].state, MemberState::Suspect);
 }
 
 #[test]
-fn two_neighbours_that_missed_the_same_line_are_mended_by_a_third() {
-    // Two hundred VMs start at once. Some pairs of neighbours miss the same VM, and each took the
-    // other's equal view for proof that its own was whole: they missed it for minutes.
+fn two_neighbours_that_missed_the_same_entry_are_corrected_by_a_third() {
+    // Failure: two hundred VMs start at once. Some pairs of neighbours miss the same VM, and each took the other's
+    // equal view for proof that its own was complete: they missed it for minutes.
     let settings = MembershipSettings::default();
     let mut view = Membership::new(member(0, 1), settings.clone());
     let mut now = Instant::now();
     let (same, other) = (view.digest(), view.digest() ^ 1);
-    let beats = settings.suspect_ms / settings.beat_ms + 1;
-    let mut mends = 0;
-    for _ in 0..beats {
-        mends += usize::from(view.needs_resync(now, same));
-        mends += usize::from(view.needs_resync(now, other));
+    let heartbeats = settings.suspect_ms / settings.beat_ms + 1;
+    let mut resyncs = 0;
+    for _ in 0..heartbeats {
+        resyncs += usize::from(view.needs_resync(now, same));
+        resyncs += usize::from(view.needs_resync(now, other));
         now += BEAT;
     }
-    assert_eq!(mends, 1);
+    assert_eq!(resyncs, 1);
 }
--- a/crates/kingcuploft/tests/retry.rs
+++ b/crates/kingcuploft/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget: against a naive recount, and in a storm.
+//! The retry budget: against a naive recount, and with no retry left.
 
 use std::time::{Duration, Instant};
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Decides the end of a first attempt with plenty of time left.
+/// Returns the decision after a first attempt with plenty of time left.
 fn decide(retry: &mut Retry, contract: Contract, end: CallEnd) -> RetryDecision {
     let (now, mut rng) = (Instant::now(), fastrand::Rng::with_seed(1));
     let report = report(end);
@@ -44,7 +44,7 @@
     retry.decide(now, &mut rng, &ended)
 }
 
-/// Recounts the budget from the whole history, in tenths.
+/// Recounts the budget from the whole history, in tenths of a token.
 fn recount(history: &[(CallEnd, bool)], settings: &RetrySettings) -> u32 {
     let mut tenths = settings.budget_at_start * 10;
     for (end, retried) in history {
@@ -69,7 +69,7 @@
         let allowed = recount(&history, &settings) > 0;
         let verdict = decide(&mut retry, contract, end);
         let retried = matches!(verdict, RetryDecision::Retry { .. });
-        let may = match (end, contract) {
+        let retryable = match (end, contract) {
             (CallEnd::NeverSent | CallEnd::Refused, _) => true,
             (CallEnd::Broken, contract) => contract == Contract::RetryFreely,
             (CallEnd::Answered { status }, contract) => {
@@ -77,7 +77,7 @@
             }
             _ => false,
         };
-        assert_eq!(retried, may && allowed, "{end:?} under {contract:?}");
+        assert_eq!(retried, retryable && allowed, "{end:?} under {contract:?}");
         history.push((end, retried));
         assert_eq!(retry.budget(), u64::from(recount(&history, &settings)));
     }
@@ -105,10 +105,10 @@
     assert_eq!(verdict, RetryDecision::Answer);
 }
 
-/// Every backend server refuses a lookup twice; the third attempt waits a little, and not as long
-/// as the next caller's.
+/// Load pattern: every backend server refuses a lookup twice. The third attempt waits a little, and not as long as the
+/// next caller's (jitter).
 #[test]
-fn later_attempts_are_spread_in_time() {
+fn later_attempts_are_jittered() {
     let mut retry = Retry::new(&RetrySettings::default());
     let (now, mut rng) = (Instant::now(), fastrand::Rng::with_seed(3));
     let report = report(CallEnd::Refused);
