--- a/crates/kingcuploft-entry/src/budgets.rs
+++ b/crates/kingcuploft-entry/src/budgets.rs
@@ -2,10 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::log_budget::Ordinary;
+use kingcuploft::entry::log_rate_limiter::LogDecision;
 use kingcuploft::entry::probe_budget;
-use kingcuploft::entry::repeat_account::Used;
-use kingcuploft::entry::repeats::Standing;
+use kingcuploft::entry::repeat_account::UsageReport;
+use kingcuploft::entry::repeat_budget::BudgetStatus;
 use kingcuploft::planted::{self, Planted};
 use kingcuploft::world::ids::ServiceName;
 
@@ -48,9 +48,9 @@
     pub fn writes_ordinary_line(&self, now: Instant) -> bool {
         let taken = self.log_budget.borrow_mut().take(now);
         match taken {
-            Ordinary::Write => return true,
-            Ordinary::LeaveOut => {}
-            Ordinary::Tell(count) => tracing::info!(event = "ordinary_left_out", count),
+            LogDecision::Write => return true,
+            LogDecision::LeaveOut => {}
+            LogDecision::Tell(count) => tracing::info!(event = "ordinary_left_out", count),
         }
         self.metrics.ordinary_lines_left_out.inc();
         false
@@ -99,7 +99,7 @@
         room
     }
 
-    fn take_part(&self, now: Instant, service: &ServiceName) -> Standing {
+    fn take_part(&self, now: Instant, service: &ServiceName) -> BudgetStatus {
         let bounds = self.bounds.get().repeats;
         let mut repeats = self.repeats.borrow_mut();
         let standing = repeats.take(now, service, &bounds, self.vms.get());
@@ -110,7 +110,7 @@
     }
 
     /// Returns what others may keep of the budget of repeats for this VM.
-    pub fn repeats_used(&self) -> Used {
+    pub fn repeats_used(&self) -> UsageReport {
         let bounds = self.bounds.get().repeats;
         self.repeats.borrow_mut().used(clock::now(), &bounds)
     }
@@ -121,7 +121,7 @@
     }
 
     /// Goes on with what another VM has kept; returns whether that is news.
-    pub fn recover_repeats(&self, used: &Used) -> bool {
+    pub fn recover_repeats(&self, used: &UsageReport) -> bool {
         self.repeats.borrow_mut().recover(clock::now(), used)
     }
 }
--- a/crates/kingcuploft-entry/src/cold.rs
+++ b/crates/kingcuploft-entry/src/cold.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::configuration::ColdStart;
-use kingcuploft::entry::server_limits::Turned;
+use kingcuploft::entry::server_limits::ColdChange;
 use kingcuploft::world::ids::{AvailabilityZone, BackendServerName, ServiceName};
 
 use crate::clock;
@@ -70,7 +70,7 @@
     let (per_s, chance) = (cold_start.per_s(), fastrand::f64());
     let mut all = context.limits.borrow_mut();
     let turned = all.turned_cold(now, server, per_s, cold_for, part, chance);
-    (turned == Turned::Cold).then(|| (server.clone(), cold_for))
+    (turned == ColdChange::Cold).then(|| (server.clone(), cold_for))
 }
 
 fn log_cold(context: &Context, turned: &[NewlyCold]) {
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -6,19 +6,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use kingcuploft::entry::account_replicas::AccountReplicas;
 use kingcuploft::entry::backend_servers::{BackendServers, Change};
-use kingcuploft::entry::configuration::{Configuration, Dealer, Destination, Route};
+use kingcuploft::entry::caller_timeouts::CallerTimeouts;
+use kingcuploft::entry::configuration::{Configuration, Destination, Route, WeightedSelector};
 use kingcuploft::entry::connections;
 use kingcuploft::entry::evacuations::Evacuations;
-use kingcuploft::entry::last_slot::LastSlot;
-use kingcuploft::entry::log_budget::LogBudget;
-use kingcuploft::entry::patience::Patience;
+use kingcuploft::entry::last_slot_slowdown::LastSlotSlowdown;
+use kingcuploft::entry::log_rate_limiter::LogRateLimiter;
 use kingcuploft::entry::placement::Slot;
 use kingcuploft::entry::probe_budget::ProbeBudget;
 use kingcuploft::entry::quarantine::Quarantine;
 use kingcuploft::entry::readers::Readers;
-use kingcuploft::entry::repeat_copies::RepeatCopies;
-use kingcuploft::entry::repeats::Repeats;
+use kingcuploft::entry::repeat_budget::RepeatBudget;
 use kingcuploft::entry::server_limits::ServerLimits;
 use kingcuploft::entry::service_time::ServiceTime;
 use kingcuploft::entry::vm_entry::VmEntry;
@@ -69,7 +69,7 @@
     /// The socket to the other VMs.
     pub peer_readings: OnceCell<Rc<dyn Telling>>,
     /// What other VMs have used of the budget of repeats.
-    pub repeat_copies: RefCell<RepeatCopies>,
+    pub repeat_copies: RefCell<AccountReplicas>,
     /// Wakes whoever has others keep what this VM has used of it.
     pub repeated: Notify,
     /// Where the other VMs of the zone are.
@@ -116,13 +116,13 @@
     pub(crate) servers: RefCell<BackendServers>,
     servers_listed: Cell<bool>,
     upstreams: RefCell<HashMap<ServiceName, Vec<Rc<Upstream>>>>,
-    dealers: RefCell<HashMap<RuleName, Dealer>>,
+    dealers: RefCell<HashMap<RuleName, WeightedSelector>>,
     service_times: RefCell<HashMap<(RuleName, ServiceName), ServiceTime>>,
-    last_slots: RefCell<HashMap<ServiceName, LastSlot>>,
-    pub(crate) repeats: RefCell<Repeats>,
-    patience: RefCell<HashMap<RuleName, Patience>>,
+    last_slots: RefCell<HashMap<ServiceName, LastSlotSlowdown>>,
+    pub(crate) repeats: RefCell<RepeatBudget>,
+    patience: RefCell<HashMap<RuleName, CallerTimeouts>>,
     pub(crate) probing: RefCell<ProbeBudget>,
-    pub(crate) log_budget: RefCell<LogBudget>,
+    pub(crate) log_budget: RefCell<LogRateLimiter>,
 }
 
 impl Context {
@@ -136,8 +136,8 @@
         let is_first = settings.all_start || settings.peers.is_none();
         let is_first = is_first || planted::is_on(Planted::ForgetsRepeats);
         let repeats = match is_first {
-            true => Repeats::first(),
-            false => Repeats::again(clock::now(), &settings.bounds.repeats),
+            true => RepeatBudget::first(),
+            false => RepeatBudget::again(clock::now(), &settings.bounds.repeats),
         };
         Self {
             vms: Cell::new(VMS_UNCOUNTED),
@@ -346,7 +346,7 @@
         let mut dealers = self.dealers.borrow_mut();
         let dealer = dealers
             .entry(route.name.clone())
-            .or_insert_with(|| Dealer::new(fastrand::f64()));
+            .or_insert_with(|| WeightedSelector::new(fastrand::f64()));
         dealer.deal(&route.destinations).cloned()
     }
 
--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::placement::{Candidate, Reading};
-use kingcuploft::entry::verdict::AttemptEnd;
+use kingcuploft::entry::attempts::AttemptOutcome;
+use kingcuploft::entry::placement::{Candidate, LoadReading};
 
 use super::flight::Flight;
 use super::suspect::Run;
@@ -44,7 +44,7 @@
     upstream: Rc<Upstream>,
     at: Instant,
     left: Duration,
-    reading: Option<(Duration, Reading)>,
+    reading: Option<(Duration, LoadReading)>,
     seen: Candidate,
     open: bool,
 }
@@ -71,7 +71,7 @@
         self.open = false;
         let (flight, context) = (self.flight, self.flight.context);
         context.metrics.attempt(ended.end.label());
-        let succeeded = ended.end == AttemptEnd::Succeeded;
+        let succeeded = ended.end == AttemptOutcome::Succeeded;
         if succeeded && self.seen.reading.is_some() {
             let (slowness, slot) = (self.slowness(), self.seen.slot());
             context.measured(&flight.route, &flight.service, ended.took, slowness, slot);
--- a/crates/kingcuploft-entry/src/edge/choosing.rs
+++ b/crates/kingcuploft-entry/src/edge/choosing.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::asked::asked;
-use kingcuploft::entry::placement::{Candidate, Need, Reach, Step, place};
+use kingcuploft::entry::placement::{Candidate, PlacementNeed, ProbeScope, Step, place};
+use kingcuploft::entry::probe_fanout::asked;
 
 use super::flight::Flight;
 use super::gone::Gone;
@@ -39,7 +39,7 @@
     /// Finds the server for the next attempt.
     pub(super) async fn choose(&mut self, gone: &Gone) -> Chosen {
         let mut look_begun = clock::now();
-        let mut reach = Reach::Near;
+        let mut reach = ProbeScope::Near;
         let mut looks = 0;
         let mut asked_for_turn = false;
         loop {
@@ -111,7 +111,7 @@
 
     /// Returns the servers to choose among: the first of those that answer probes, or of all if none
     /// does; of the other zones those that take the least trouble to ask.
-    pub(super) fn usable(&self, now: Instant, reach: Reach) -> Vec<Rc<Upstream>> {
+    pub(super) fn usable(&self, now: Instant, reach: ProbeScope) -> Vec<Rc<Upstream>> {
         let mut all = self.context.upstreams(&self.service);
         let share = self.context.connection_share(&self.service);
         all.retain(|upstream| upstream.has_room(share));
@@ -146,13 +146,18 @@
         asked.for_each(|upstream| probe::ask(self.context, upstream, health_path));
     }
 
-    pub(super) fn need(&self, now: Instant, look_begun: Instant, reach: Reach) -> Need {
+    pub(super) fn need(
+        &self,
+        now: Instant,
+        look_begun: Instant,
+        reach: ProbeScope,
+    ) -> PlacementNeed {
         let millis = |d: Duration| d.as_secs_f64() * 1000.0;
         let left = |until: Instant| match until >= now {
             true => millis(until - now),
             false => -millis(now - until),
         };
-        Need {
+        PlacementNeed {
             work_ms: self.context.work_ms(&self.route, &self.service),
             target_left_ms: left(self.target),
             deadline_left_ms: left(self.deadline),
--- a/crates/kingcuploft-entry/src/edge/connection.rs
+++ b/crates/kingcuploft-entry/src/edge/connection.rs
@@ -38,7 +38,7 @@
 
 /// The standing of a connection, shared by its reader and its writer.
 #[derive(Debug, Default)]
-struct Standing {
+struct BudgetStatus {
     /// No further request is taken.
     closing: Cell<bool>,
     /// Requests that are not answered.
@@ -47,7 +47,7 @@
     wake: Notify,
 }
 
-impl Standing {
+impl BudgetStatus {
     fn opened(&self) {
         self.open.set(self.open.get() + 1);
     }
@@ -70,10 +70,10 @@
     context.callers.set(context.callers.get() + 1);
     let (reader, writer) = tokio::io::split(stream);
     let (answers, queue) = mpsc::channel(MOST_PIPELINED);
-    let standing = Rc::new(Standing::default());
+    let standing = Rc::new(BudgetStatus::default());
     let writing = write_answers(context.clone(), writer, queue, standing.clone());
     let writing = tokio::task::spawn_local(writing);
-    let mut reading = Reading {
+    let mut reading = LoadReading {
         context: context.clone(),
         reader,
         buffer: BytesMut::new(),
@@ -99,11 +99,11 @@
     Closing,
 }
 
-struct Reading<S> {
+struct LoadReading<S> {
     context: Rc<Context>,
     reader: ReadHalf<S>,
     buffer: BytesMut,
-    standing: Rc<Standing>,
+    standing: Rc<BudgetStatus>,
     answers: mpsc::Sender<oneshot::Receiver<Answer>>,
     gone: Rc<Gone>,
 }
@@ -115,7 +115,7 @@
     Stopping,
 }
 
-impl<S: AsyncRead> Reading<S> {
+impl<S: AsyncRead> LoadReading<S> {
     async fn read_requests(&mut self) -> End {
         loop {
             let limits = self.limits();
@@ -294,7 +294,7 @@
     context: Rc<Context>,
     mut writer: WriteHalf<S>,
     mut queue: mpsc::Receiver<oneshot::Receiver<Answer>>,
-    standing: Rc<Standing>,
+    standing: Rc<BudgetStatus>,
 ) {
     while let Some(pending) = queue.recv().await {
         let Ok(answer) = pending.await else {
--- a/crates/kingcuploft-entry/src/edge/dispatch.rs
+++ b/crates/kingcuploft-entry/src/edge/dispatch.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::verdict::{AttemptEnd, Verdict};
+use kingcuploft::entry::attempts::{AttemptOutcome, NextAction};
 use kingcuploft::world::contract::Contract;
 use tokio::sync::oneshot;
 
@@ -81,7 +81,7 @@
                         // The send that lost may have run; it counts among those that the route
                         // allows.
                         self.attempts.sending();
-                        self.attempts.ended(AttemptEnd::TimedOut);
+                        self.attempts.ended(AttemptOutcome::TimedOut);
                         self.tried.push(other);
                     }
                     ended
@@ -91,20 +91,24 @@
             self.is_trial = false;
             self.turn_at = None;
             match self.attempts.ended(ended.end) {
-                Verdict::Answer => return self.pass_on(ended),
-                Verdict::TryAgain if self.may_try_again(gone, ended.end) => {
-                    self.last_failure = ended.response.filter(|_| ended.end == AttemptEnd::Failed);
+                NextAction::Answer => return self.pass_on(ended),
+                NextAction::TryAgain if self.may_try_again(gone, ended.end) => {
+                    self.last_failure = ended
+                        .response
+                        .filter(|_| ended.end == AttemptOutcome::Failed);
                     self.tried.push(upstream);
                 }
-                Verdict::TryAgain | Verdict::GiveUp if ended.end == AttemptEnd::Failed => {
+                NextAction::TryAgain | NextAction::GiveUp
+                    if ended.end == AttemptOutcome::Failed =>
+                {
                     return self.pass_on(ended);
                 }
-                Verdict::TryAgain | Verdict::GiveUp => return self.give_up(ended.detail),
+                NextAction::TryAgain | NextAction::GiveUp => return self.give_up(ended.detail),
             }
         }
     }
 
-    fn may_try_again(&self, gone: &Gone, end: AttemptEnd) -> bool {
+    fn may_try_again(&self, gone: &Gone, end: AttemptOutcome) -> bool {
         let now = clock::now();
         if now >= self.deadline || gone.is_set() {
             return false;
--- a/crates/kingcuploft-entry/src/edge/flight.rs
+++ b/crates/kingcuploft-entry/src/edge/flight.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use kingcuploft::entry::attempts::Attempts;
 use kingcuploft::entry::configuration::{Configuration, Route};
-use kingcuploft::entry::verdict::Attempts;
 use kingcuploft::world::ids::ServiceName;
 
 use super::answer::Answer;
--- a/crates/kingcuploft-entry/src/edge/limited.rs
+++ b/crates/kingcuploft-entry/src/edge/limited.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::placement::MARGIN;
+use kingcuploft::entry::placement::WORK_MARGIN;
 use kingcuploft::entry::server_limit::Turn;
 
 use super::flight::Flight;
@@ -67,6 +67,6 @@
     pub(super) fn patience(&self) -> Duration {
         let work_ms = self.context.work_ms(&self.route, &self.service);
         let left = self.target.saturating_duration_since(clock::now());
-        left.saturating_sub(Duration::from_secs_f64(work_ms * MARGIN / 1000.0))
+        left.saturating_sub(Duration::from_secs_f64(work_ms * WORK_MARGIN / 1000.0))
     }
 }
--- a/crates/kingcuploft-entry/src/edge/request.rs
+++ b/crates/kingcuploft-entry/src/edge/request.rs
@@ -3,7 +3,7 @@
 use std::cell::OnceCell;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::fingerprint::{Fingerprint, Recurring};
+use kingcuploft::entry::fingerprint::{Fingerprint, RequestIdentity};
 
 use super::room::Held;
 use crate::clock;
@@ -46,7 +46,7 @@
     pub fn fingerprint(&self) -> Fingerprint {
         let headers = &self.head.headers;
         *self.fingerprint.get_or_init(|| {
-            let recurring = Recurring {
+            let recurring = RequestIdentity {
                 method: &self.head.method,
                 host: headers.get("host").unwrap_or_default(),
                 target: &self.head.target,
--- a/crates/kingcuploft-entry/src/edge/second_look.rs
+++ b/crates/kingcuploft-entry/src/edge/second_look.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::placement::{Candidate, Reach, Step, place};
-use kingcuploft::entry::second_look::{self, Look};
-use kingcuploft::entry::verdict::AttemptEnd;
+use kingcuploft::entry::attempts::AttemptOutcome;
+use kingcuploft::entry::hedging::{self, HedgeCheck};
+use kingcuploft::entry::placement::{Candidate, ProbeScope, Step, place};
 
 use super::choosing::AWAIT_STEP;
 use super::flight::Flight;
@@ -38,7 +38,7 @@
         tokio::select! {
             biased;
             ended = &mut first => return (ended, None),
-            () = tokio::time::sleep(second_look::look_after(expected_ms)) => {}
+            () = tokio::time::sleep(hedging::look_after(expected_ms)) => {}
         }
         let second = tokio::select! {
             biased;
@@ -55,7 +55,7 @@
             ended = &mut second => (ended, Rest::First),
         };
         let ended = match (ended.end, rest) {
-            (AttemptEnd::Succeeded, _) => ended,
+            (AttemptOutcome::Succeeded, _) => ended,
             (_, Rest::First) => first.await,
             (_, Rest::Second) => second.await,
         };
@@ -73,17 +73,17 @@
         tokio::time::sleep(SECOND_LOOK_PATIENCE).await;
         let now = clock::now();
         let age = upstream.reading(now).map(|(age, _)| age);
-        let need = self.need(now, now, Reach::Far);
-        let look = Look {
+        let need = self.need(now, now, ProbeScope::Far);
+        let look = HedgeCheck {
             answers: age.is_some_and(|age| age <= now - asked_at + self.context.reading_life()),
             probes_left: self.context.probes_left(),
             left_ms: need.deadline_left_ms,
             work_ms: need.work_ms,
         };
-        if !second_look::wants_second(&look) || !self.attempts.may_send(1) {
+        if !hedging::wants_second(&look) || !self.attempts.may_send(1) {
             return None;
         }
-        let others: Vec<_> = self.usable(now, Reach::Far);
+        let others: Vec<_> = self.usable(now, ProbeScope::Far);
         let others: Vec<_> = others
             .into_iter()
             .filter(|u| !Rc::ptr_eq(u, upstream))
@@ -96,7 +96,7 @@
             .iter()
             .map(|u| u.candidate(now, life, self.is_out(u, now)));
         let candidates: Vec<Candidate> = seen.collect();
-        let need = self.need(now, now, Reach::Near);
+        let need = self.need(now, now, ProbeScope::Near);
         let Step::Send(at) = place(&need, &candidates, fastrand::f64) else {
             return None;
         };
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use kingcuploft::entry::attempts::AttemptOutcome;
 use kingcuploft::entry::fingerprint::Fingerprint;
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::quarantine::{Admission, Quarantine};
-use kingcuploft::entry::verdict::AttemptEnd;
 use kingcuploft::planted::{self, Planted};
 
 use super::flight::Flight;
@@ -68,10 +68,10 @@
     }
 
     /// Takes in how a run ended that began when so many ends in a row were known.
-    pub(super) async fn learn(&self, upstream: &Rc<Upstream>, end: AttemptEnd, known: u32) {
+    pub(super) async fn learn(&self, upstream: &Rc<Upstream>, end: AttemptOutcome, known: u32) {
         match end {
-            AttemptEnd::Succeeded if self.is_suspect() => self.clear(),
-            AttemptEnd::Lost => self.look_after_loss(upstream, known).await,
+            AttemptOutcome::Succeeded if self.is_suspect() => self.clear(),
+            AttemptOutcome::Lost => self.look_after_loss(upstream, known).await,
             _ => {}
         }
     }
--- a/crates/kingcuploft-entry/src/impatience.rs
+++ b/crates/kingcuploft-entry/src/impatience.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::joining;
+use kingcuploft::entry::startup_delay;
 
 use crate::clock;
 use crate::context::Context;
@@ -25,7 +25,7 @@
         let patience = {
             let readers = context.readers.borrow();
             let record = readers.record(&context.settings.zone);
-            joining::patience(&context.settings.vm, record, context.promised.get(), chance)
+            startup_delay::patience(&context.settings.vm, record, context.promised.get(), chance)
         };
         if clock::since(begun) >= patience {
             return pulse.read();
--- a/crates/kingcuploft-entry/src/in_force.rs
+++ b/crates/kingcuploft-entry/src/in_force.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::arriving::{Arrived, Arriving, Taken};
+use kingcuploft::entry::change_assembly::{AssemblyProgress, ChangeAssembler, PartOutcome};
 use kingcuploft::entry::change_log::ChangeLog;
 use kingcuploft::entry::configuration::{Configuration, ConfigurationVersion};
 use kingcuploft::entry::configuration_change::{ChangePart, ConfigurationChange, PartError};
@@ -19,7 +19,7 @@
     current: RefCell<Option<Arc<Configuration>>>,
     adopted: Cell<Option<Instant>>,
     changes: RefCell<ChangeLog>,
-    arriving: RefCell<Arriving>,
+    arriving: RefCell<ChangeAssembler>,
     lacks_whole: Cell<bool>,
     newest: Cell<Option<(ConfigurationVersion, Instant)>>,
     /// Wakes whoever waits for a configuration.
@@ -82,10 +82,10 @@
     /// # Errors
     ///
     /// Returns an error if it can't be read.
-    pub fn take(&self, part: ChangePart) -> Result<Taken, PartError> {
+    pub fn take(&self, part: ChangePart) -> Result<PartOutcome, PartError> {
         let current = self.current();
         let taken = self.arriving.borrow_mut().take(part, current.as_deref())?;
-        if matches!(taken, Taken::OutOfStep) {
+        if matches!(taken, PartOutcome::OutOfStep) {
             self.lacks_whole.set(true);
             self.arriving.borrow_mut().forget();
         }
@@ -98,7 +98,7 @@
     }
 
     /// Returns how much of the next configuration has arrived.
-    pub fn arrived(&self) -> Option<Arrived> {
+    pub fn arrived(&self) -> Option<AssemblyProgress> {
         self.arriving.borrow().arrived()
     }
 
--- a/crates/kingcuploft-entry/src/keeper.rs
+++ b/crates/kingcuploft-entry/src/keeper.rs
@@ -12,7 +12,7 @@
 use kingcuploft::entry::configuration::{Configuration, ConfigurationVersion};
 use kingcuploft::entry::era::{Era, era_of};
 use kingcuploft::entry::notice::Notice;
-use kingcuploft::entry::zone_record::{MOST_NAMED, ZoneRecord};
+use kingcuploft::entry::zone_record::{MAX_NAMED_VMS, ZoneRecord};
 use kingcuploft::planted::{self, Planted};
 
 use crate::clock;
@@ -334,7 +334,7 @@
 
 /// Returns the other VMs of the zone, if the record names them all.
 fn zone_peers(context: &Context, record: Option<&ZoneRecord>) -> Vec<SocketAddr> {
-    let named_whole = record.filter(|record| record.count as usize <= MOST_NAMED);
+    let named_whole = record.filter(|record| record.count as usize <= MAX_NAMED_VMS);
     let vms = named_whole.into_iter().flat_map(|record| &record.vms);
     let others = vms.filter(|vm| vm.name != context.settings.vm);
     others.map(|vm| vm.address).collect()
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::notice::Notice;
-use kingcuploft::entry::server_limit::{self, Part, PerSecond};
-use kingcuploft::entry::server_limits::{LimitNotice, News};
+use kingcuploft::entry::server_limit::{self, LimitShare, PerSecond};
+use kingcuploft::entry::server_limits::{LimitChange, LimitNotice};
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::planted::{self, Planted};
 use kingcuploft::world::ids::{AvailabilityZone, BackendServerName, ServiceName};
@@ -50,13 +50,13 @@
 
 fn take(context: &Context, server: &BackendServerName, per_s: Option<PerSecond>) {
     match news(context, server, per_s) {
-        Some(News::Named(notice)) => tell_all(context, notice),
-        Some(News::Changed { before }) => {
+        Some(LimitChange::Named(notice)) => tell_all(context, notice),
+        Some(LimitChange::Changed { before }) => {
             let per_s = per_s.unwrap_or_default();
             tracing::info!(event = "limit_changed", %server, per_s, before);
             tell_keepers(context, server, per_s, before);
         }
-        Some(News::Ended(id)) => {
+        Some(LimitChange::Ended(id)) => {
             tracing::info!(event = "limit_ended", %server);
             context.rewinds.withdrawn(clock::now(), &id);
             context.notice_writes.send(Write::Withdraw(id));
@@ -65,7 +65,11 @@
     }
 }
 
-fn news(context: &Context, server: &BackendServerName, per_s: Option<PerSecond>) -> Option<News> {
+fn news(
+    context: &Context,
+    server: &BackendServerName,
+    per_s: Option<PerSecond>,
+) -> Option<LimitChange> {
     let part = |per_s| part(context, server, per_s);
     let mut limits = context.limits.borrow_mut();
     limits.heard(clock::now(), server, per_s, part, fastrand::f64())
@@ -101,11 +105,11 @@
 /// Takes in that a server names another limit than before, as another VM has heard.
 pub fn changed(context: &Context, server: &BackendServerName, per_s: PerSecond) {
     match news(context, server, Some(per_s)) {
-        Some(News::Named(notice)) => tell_all(context, notice),
-        Some(News::Changed { before }) => {
+        Some(LimitChange::Named(notice)) => tell_all(context, notice),
+        Some(LimitChange::Changed { before }) => {
             tracing::info!(event = "limit_changed", %server, per_s, before);
         }
-        Some(News::Ended(_)) | None => {}
+        Some(LimitChange::Ended(_)) | None => {}
     }
 }
 
@@ -168,7 +172,7 @@
 /// Returns whether this VM keeps a server's limit, or its part of it.
 pub fn is_kept_here(context: &Context, server: &BackendServerName) -> bool {
     let per_s = context.limits.borrow().per_s(server);
-    per_s.is_some_and(|per_s| matches!(part(context, server, per_s), Part::OneOf(_)))
+    per_s.is_some_and(|per_s| matches!(part(context, server, per_s), LimitShare::OneOf(_)))
 }
 
 /// Returns a VM that keeps a server's limit.
@@ -185,9 +189,9 @@
 }
 
 /// Returns which part of a server's limit this VM uses.
-pub fn part(context: &Context, server: &BackendServerName, per_s: PerSecond) -> Part {
+pub fn part(context: &Context, server: &BackendServerName, per_s: PerSecond) -> LimitShare {
     if context.settings.peers.is_none() {
-        return Part::OneOf(1);
+        return LimitShare::OneOf(1);
     }
     let zone = zone(context, server);
     let records = context.readers.borrow().records();
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -7,7 +7,7 @@
 use kingcuploft::entry::fingerprint::Fingerprint;
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::notice_id::NoticeId;
-use kingcuploft::entry::quarantine::Told;
+use kingcuploft::entry::quarantine::ReportStatus;
 use kingcuploft::utils::HashSet;
 use tokio::sync::mpsc;
 
@@ -109,7 +109,7 @@
     notices.retain(|notice| match notice {
         Notice::Crash(report) => logged(context, report.fingerprint, || {
             let mut quarantine = context.quarantine.borrow_mut();
-            quarantine.told(now, report) == Told::News
+            quarantine.told(now, report) == ReportStatus::News
         }),
         Notice::Limit(notice) => limits::told(context, notice),
     });
--- a/crates/kingcuploft-entry/src/peers/away.rs
+++ b/crates/kingcuploft-entry/src/peers/away.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use kingcuploft::entry::joining;
+use kingcuploft::entry::startup_delay;
 
 use crate::context::Context;
 use crate::pulse::Pulse;
@@ -27,7 +27,7 @@
         let patience = {
             let readers = context.readers.borrow();
             let record = readers.record(&context.settings.zone);
-            joining::ask_after(&context.settings.vm, record, fastrand::f64())
+            startup_delay::ask_after(&context.settings.vm, record, fastrand::f64())
         };
         tokio::time::sleep(patience).await;
         if context.reader_has_store.get() {
--- a/crates/kingcuploft-entry/src/peers/feed.rs
+++ b/crates/kingcuploft-entry/src/peers/feed.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::arriving::Arrived;
+use kingcuploft::entry::change_assembly::AssemblyProgress;
 use kingcuploft::entry::configuration::ConfigurationVersion;
 use kingcuploft::entry::server_table::ServerTable;
 use kingcuploft::planted::{self, Planted};
@@ -37,7 +37,7 @@
     speaks: Release,
     /// The version that the follower has.
     version: Option<ConfigurationVersion>,
-    arrived: Option<Arrived>,
+    arrived: Option<AssemblyProgress>,
 }
 
 impl<'a, W: AsyncWrite + Unpin> Feed<'a, W> {
--- a/crates/kingcuploft-entry/src/peers/follower.rs
+++ b/crates/kingcuploft-entry/src/peers/follower.rs
@@ -3,11 +3,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::arriving::Taken;
 use kingcuploft::entry::backend_servers::BackendServer;
+use kingcuploft::entry::change_assembly::PartOutcome;
 use kingcuploft::entry::configuration::ConfigurationVersion;
 use kingcuploft::entry::configuration_change::ChangePart;
-use kingcuploft::entry::feeding;
+use kingcuploft::entry::dissemination;
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::notice_id::NoticeId;
 use kingcuploft::entry::server_table::ServerTable;
@@ -270,7 +270,7 @@
 
 /// Checks whether the feeder may still be followed.
 fn check(context: &Context, pulse: &Pulse, standing: &Standing) -> Result<(), LinkError> {
-    if feeding::is_circle(&context.settings.vm, &standing.path) {
+    if dissemination::is_circle(&context.settings.vm, &standing.path) {
         return Err(LinkError::Circle);
     }
     let own = Standing {
@@ -345,13 +345,13 @@
     transfer: &mut Transfer,
 ) -> Result<(), LinkError> {
     match context.in_force.take(part)? {
-        Taken::More | Taken::Known => Ok(()),
-        Taken::Whole(configuration) => {
+        PartOutcome::More | PartOutcome::Known => Ok(()),
+        PartOutcome::Whole(configuration) => {
             transfer.end(configuration.version);
             keeper::configuration(context, *configuration);
             Ok(())
         }
-        Taken::OutOfStep => Err(LinkError::OutOfStep),
+        PartOutcome::OutOfStep => Err(LinkError::OutOfStep),
     }
 }
 
--- a/crates/kingcuploft-entry/src/peers/followers.rs
+++ b/crates/kingcuploft-entry/src/peers/followers.rs
@@ -5,7 +5,7 @@
 
 use kingcuploft::entry::configuration::ConfigurationVersion;
 use kingcuploft::entry::configuration_change::ConfigurationChange;
-use kingcuploft::entry::feeding::{self, Admission, Fed};
+use kingcuploft::entry::dissemination::{self, Admission, FollowerLoad};
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::utils::HashMap;
 use kingcuploft::world::ids::{AvailabilityZone, VmName};
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 struct Follower {
     id: FollowerId,
-    fed: Fed,
+    fed: FollowerLoad,
     queue: mpsc::Sender<Outgoing>,
     waiting_bytes: Rc<Cell<usize>>,
 }
@@ -254,7 +254,7 @@
 
     /// Returns how many VMs of a zone are fed at first or second hand.
     pub fn below(&self, zone: &AvailabilityZone) -> u32 {
-        feeding::below(zone, &self.fed())
+        dissemination::below(zone, &self.fed())
     }
 
     /// Returns the VMs of a zone that are fed at first hand.
@@ -288,7 +288,7 @@
         self.all
             .borrow_mut()
             .retain(|follower| follower.fed.vm.name != vm.name);
-        match feeding::admit(&vm, zone, path, &self.fed()) {
+        match dissemination::admit(&vm, zone, path, &self.fed()) {
             Admission::Feed => self.add(vm, below),
             Admission::Elsewhere(at) => self.elsewhere(at),
             Admission::TurnAway => Admitted::TurnedAway,
@@ -301,7 +301,7 @@
         let id = self.next_id.replace(self.next_id.get() + 1);
         let follower = Follower {
             id,
-            fed: Fed {
+            fed: FollowerLoad {
                 vm,
                 below,
                 sent_there: 0,
@@ -344,7 +344,7 @@
         self.changed.notify_waiters();
     }
 
-    fn fed(&self) -> Vec<Fed> {
+    fn fed(&self) -> Vec<FollowerLoad> {
         let all = self.all.borrow();
         all.iter().map(|follower| follower.fed.clone()).collect()
     }
--- a/crates/kingcuploft-entry/src/peers/frame.rs
+++ b/crates/kingcuploft-entry/src/peers/frame.rs
@@ -1,7 +1,7 @@
 //! What the VMs tell each other: one JSON object a line.
 
-use kingcuploft::entry::arriving::Arrived;
 use kingcuploft::entry::backend_servers::BackendServer;
+use kingcuploft::entry::change_assembly::AssemblyProgress;
 use kingcuploft::entry::configuration::{Configuration, ConfigurationVersion};
 use kingcuploft::entry::configuration_change::ChangePart;
 use kingcuploft::entry::era::{Era, era_of};
@@ -87,7 +87,7 @@
     pub version: Option<ConfigurationVersion>,
     /// What has arrived of the next one.
     #[serde(default)]
-    pub arrived: Option<Arrived>,
+    pub arrived: Option<AssemblyProgress>,
     /// The digest of the backend servers that it knows.
     #[serde(default)]
     pub servers_digest: Option<u64>,
--- a/crates/kingcuploft-entry/src/peers/readings.rs
+++ b/crates/kingcuploft-entry/src/peers/readings.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::placement::Reading;
+use kingcuploft::entry::placement::LoadReading;
 use kingcuploft::world::ids::BackendServerName;
 
 use super::repeat_copies;
@@ -36,7 +36,7 @@
 pub fn tell(
     context: &Context,
     server: &BackendServerName,
-    reading: Reading,
+    reading: LoadReading,
     cold_for: Option<Duration>,
 ) {
     let told = Told::Reading {
@@ -90,7 +90,7 @@
             slowness,
             cold_ms,
         } => {
-            let reading = Reading {
+            let reading = LoadReading {
                 running,
                 waiting,
                 slots,
--- a/crates/kingcuploft-entry/src/peers/repeat_copies.rs
+++ b/crates/kingcuploft-entry/src/peers/repeat_copies.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::repeat_account::Used;
-use kingcuploft::entry::repeat_copies::holders;
+use kingcuploft::entry::account_replicas::holders;
+use kingcuploft::entry::repeat_account::UsageReport;
 use kingcuploft::world::ids::VmName;
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -90,7 +90,7 @@
 }
 
 /// Keeps what another VM has used.
-pub fn told(context: &Context, vm: &VmName, used: &Used) {
+pub fn told(context: &Context, vm: &VmName, used: &UsageReport) {
     let mut copies = context.repeat_copies.borrow_mut();
     copies.told(clock::now(), vm.clone(), used.clone());
 }
@@ -104,7 +104,7 @@
 }
 
 /// Takes in what this VM had used before it started.
-pub fn answered(context: &Context, used: &Used, from: SocketAddr) {
+pub fn answered(context: &Context, used: &UsageReport, from: SocketAddr) {
     if context.recover_repeats(used) {
         tracing::info!(
             event = "repeats_recovered",
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kingcuploft::entry::server_limit::{ASK_AGAIN, Turn};
+use kingcuploft::entry::server_limit::{TURN_RETRY_DELAY, Turn};
 use kingcuploft::world::ids::BackendServerName;
 
 use super::zone_socket::Told;
@@ -24,7 +24,7 @@
     }
     let keeper = limits::keeper(context, server);
     let (Some(keeper), Some(socket)) = (keeper, context.peer_readings.get()) else {
-        return Turn::TooLate(ASK_AGAIN);
+        return Turn::TooLate(TURN_RETRY_DELAY);
     };
     let (ask, answer) = context.asked_turns.open();
     let told = Told::AskTurn {
@@ -37,7 +37,7 @@
     context.asked_turns.close(ask);
     match answered {
         Ok(Ok(turn)) => turn,
-        Ok(Err(_)) | Err(_) => Turn::TooLate(ASK_AGAIN),
+        Ok(Err(_)) | Err(_) => Turn::TooLate(TURN_RETRY_DELAY),
     }
 }
 
--- a/crates/kingcuploft-entry/src/peers/zone_socket.rs
+++ b/crates/kingcuploft-entry/src/peers/zone_socket.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use kingcuploft::entry::repeat_account::Used;
+use kingcuploft::entry::repeat_account::UsageReport;
 use kingcuploft::world::ids::{BackendServerName, VmName};
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -63,7 +63,7 @@
         /// The VM.
         vm: VmName,
         /// What it has used.
-        used: Used,
+        used: UsageReport,
     },
     /// A VM that has just started asks what is kept for it.
     AskRepeats {
@@ -73,7 +73,7 @@
     /// The answer to that, if anything is kept.
     KeptRepeats {
         /// What it had used.
-        used: Used,
+        used: UsageReport,
     },
 }
 
--- a/crates/kingcuploft-entry/src/rewinds.rs
+++ b/crates/kingcuploft-entry/src/rewinds.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::era::Era;
-use kingcuploft::entry::evacuations::REWRITTEN_WITHIN;
+use kingcuploft::entry::evacuations::REWRITE_GRACE;
 use kingcuploft::entry::notice_id::NoticeId;
 use kingcuploft::utils::HashMap;
 
@@ -58,7 +58,7 @@
     /// Returns whether what was written since the copy may still be missing in the store.
     pub fn is_recent(&self, now: Instant) -> bool {
         let at = self.at.get();
-        at.is_some_and(|at| now.saturating_duration_since(at) < REWRITTEN_WITHIN)
+        at.is_some_and(|at| now.saturating_duration_since(at) < REWRITE_GRACE)
     }
 
     /// Takes note that a notice holds no longer: a copy may still have it.
--- a/crates/kingcuploft-entry/src/roster/leading.rs
+++ b/crates/kingcuploft-entry/src/roster/leading.rs
@@ -2,7 +2,9 @@
 
 use std::time::Instant;
 
-use kingcuploft::entry::zone_record::{self, SETTLE, Seen, ZoneRecord, handed_over, renewed};
+use kingcuploft::entry::zone_record::{
+    self, SETTLE_TIME, ZoneRecord, ZoneView, handed_over, renewed,
+};
 
 use super::{CATCH_UP, LOOK_EVERY, PAUSE, Roster};
 use crate::clock;
@@ -38,7 +40,7 @@
             return self.claim().await;
         };
         let (followers, zone) = (&self.context.followers, &self.own.zone);
-        let seen = Seen {
+        let seen = ZoneView {
             own: self.own.clone(),
             followers: followers.vms(zone),
             below: followers.below(zone),
@@ -53,7 +55,7 @@
         let mut count = self.count.get();
         let holds = count.holds(clock::now(), old.count, seen.below + 1);
         self.count.set(count);
-        let settled = old.settled || clock::since(begun) >= SETTLE;
+        let settled = old.settled || clock::since(begun) >= SETTLE_TIME;
         // Zones that began together with this one are known before it takes itself for counted.
         if settled && !old.settled && !self.list(Staleness::Allowed).await {
             return;
--- a/crates/kingcuploft-entry/src/roster/mod.rs
+++ b/crates/kingcuploft-entry/src/roster/mod.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::joining;
 use kingcuploft::entry::readers::Source;
+use kingcuploft::entry::startup_delay;
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::{self, ZoneCount, ZoneRecord};
 
@@ -79,7 +79,7 @@
     let impatience = impatience::without_knowledge(context.clone(), pulse.clone());
     let impatience = tokio::task::spawn_local(impatience);
     if context.settings.all_start {
-        tokio::time::sleep(joining::claim_after(&own, fastrand::f64())).await;
+        tokio::time::sleep(startup_delay::claim_after(&own, fastrand::f64())).await;
     }
     roster.learn().await;
     tokio::join!(roster.go_on(), roster.lead());
--- a/crates/kingcuploft-entry/src/settings.rs
+++ b/crates/kingcuploft-entry/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kingcuploft::entry::repeats::RepeatBounds;
+use kingcuploft::entry::repeat_budget::RepeatBounds;
 use kingcuploft::world::ids::{AvailabilityZone, VmName};
 
 /// The settings of one entry VM.
@@ -74,5 +74,5 @@
     /// The path at which the platform asks for readiness.
     pub ready_path: &'static str,
     /// Reads a load header's value.
-    pub read_load: fn(&str) -> Option<kingcuploft::entry::placement::Reading>,
+    pub read_load: fn(&str) -> Option<kingcuploft::entry::placement::LoadReading>,
 }
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::verdict::AttemptEnd;
+use kingcuploft::entry::attempts::AttemptOutcome;
 
 use super::Upstream;
 use crate::clock;
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct Ended {
     /// How it ended.
-    pub end: AttemptEnd,
+    pub end: AttemptOutcome,
     /// The server's whole answer.
     pub response: Option<Response>,
     /// How long it took.
@@ -37,7 +37,7 @@
 }
 
 impl Ended {
-    fn without_answer(end: AttemptEnd, detail: &'static str, begun: Instant) -> Self {
+    fn without_answer(end: AttemptOutcome, detail: &'static str, begun: Instant) -> Self {
         Self {
             end,
             response: None,
@@ -59,9 +59,9 @@
     let _in_flight = upstream.sent(begun);
     readings::tell_sent(context, &upstream.server.name);
     let ended = tokio::time::timeout(left, run(context, upstream, request, left, begun)).await;
-    let timed_out = || Ended::without_answer(AttemptEnd::TimedOut, "deadline passed", begun);
+    let timed_out = || Ended::without_answer(AttemptOutcome::TimedOut, "deadline passed", begun);
     let ended = ended.unwrap_or_else(|_| timed_out());
-    let failed = !matches!(ended.end, AttemptEnd::Succeeded);
+    let failed = !matches!(ended.end, AttemptOutcome::Succeeded);
     upstream.ended(clock::now(), failed);
     ended
 }
@@ -74,22 +74,26 @@
     begun: Instant,
 ) -> Ended {
     let Ok(mut connection) = upstream.connect(&*context.network).await else {
-        return Ended::without_answer(AttemptEnd::Unsent, "no connection", begun);
+        return Ended::without_answer(AttemptOutcome::Unsent, "no connection", begun);
     };
     // A new connection may take a second, and the zone may have been evacuated meanwhile.
     if !context.takes_work(upstream) {
         upstream.keep(connection);
-        return Ended::without_answer(AttemptEnd::Unsent, "the server takes no more work", begun);
+        return Ended::without_answer(
+            AttemptOutcome::Unsent,
+            "the server takes no more work",
+            begun,
+        );
     }
     let left = left.saturating_sub(clock::since(begun));
     let bytes = write_request(context, upstream, request, left);
     match connection.send(&bytes).await {
         Ok(()) => {}
         Err(SendError::Unsent(_)) => {
-            return Ended::without_answer(AttemptEnd::Unsent, "connection was closed", begun);
+            return Ended::without_answer(AttemptOutcome::Unsent, "connection was closed", begun);
         }
         Err(SendError::Broke(_)) => {
-            return Ended::without_answer(AttemptEnd::Lost, "broke while sending", begun);
+            return Ended::without_answer(AttemptOutcome::Lost, "broke while sending", begun);
         }
     }
     let received = receive_own(context, &mut connection, request).await;
@@ -106,7 +110,7 @@
     let (end, detail) = judge(context, &response);
     if response.head.status != MISDIRECTED {
         let answer = match end {
-            AttemptEnd::Succeeded => limits::Answer::OfRequest,
+            AttemptOutcome::Succeeded => limits::Answer::OfRequest,
             _ => limits::Answer::Other,
         };
         let server = &upstream.server.name;
@@ -126,14 +130,14 @@
     context: &Context,
     connection: &mut Connection,
     request: &Request,
-) -> Result<Response, (AttemptEnd, &'static str)> {
+) -> Result<Response, (AttemptOutcome, &'static str)> {
     for _ in 0..MOST_SKIPPED {
         let received = connection.receive(&request.head.method, MOST_ANSWER_BYTES);
         let response = received.await.map_err(|error| match error {
-            ReceiveError::Closed => (AttemptEnd::Lost, "closed without an answer"),
-            ReceiveError::Failed(_) => (AttemptEnd::Lost, "connection failed"),
-            ReceiveError::Truncated => (AttemptEnd::Broken, "truncated answer"),
-            ReceiveError::Malformed => (AttemptEnd::Broken, "malformed answer"),
+            ReceiveError::Closed => (AttemptOutcome::Lost, "closed without an answer"),
+            ReceiveError::Failed(_) => (AttemptOutcome::Lost, "connection failed"),
+            ReceiveError::Truncated => (AttemptOutcome::Broken, "truncated answer"),
+            ReceiveError::Malformed => (AttemptOutcome::Broken, "malformed answer"),
         })?;
         let echoed = response.head.headers.get(context.vocabulary.request_id);
         match (echoed, request.id.as_deref()) {
@@ -144,22 +148,22 @@
             _ => return Ok(response),
         }
     }
-    Err((AttemptEnd::Lost, "only answers to other requests"))
+    Err((AttemptOutcome::Lost, "only answers to other requests"))
 }
 
-fn judge(context: &Context, response: &Response) -> (AttemptEnd, &'static str) {
+fn judge(context: &Context, response: &Response) -> (AttemptOutcome, &'static str) {
     let headers = &response.head.headers;
     let signed = headers.has(context.vocabulary.signature);
     if headers.has(context.vocabulary.not_run) {
-        return (AttemptEnd::NotRun, "server did not run it");
+        return (AttemptOutcome::NotRun, "server did not run it");
     }
     match response.head.status {
-        MISDIRECTED => (AttemptEnd::NotRun, "another server has the address"),
-        200..300 if !signed => (AttemptEnd::Broken, "unsigned answer"),
-        200..300 if headers.has("content-encoding") => (AttemptEnd::Broken, "encoded answer"),
-        200..300 => (AttemptEnd::Succeeded, "answered"),
-        _ if signed => (AttemptEnd::Failed, "server failed"),
-        _ => (AttemptEnd::Broken, "unsigned failure"),
+        MISDIRECTED => (AttemptOutcome::NotRun, "another server has the address"),
+        200..300 if !signed => (AttemptOutcome::Broken, "unsigned answer"),
+        200..300 if headers.has("content-encoding") => (AttemptOutcome::Broken, "encoded answer"),
+        200..300 => (AttemptOutcome::Succeeded, "answered"),
+        _ if signed => (AttemptOutcome::Failed, "server failed"),
+        _ => (AttemptOutcome::Broken, "unsigned failure"),
     }
 }
 
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::backend_servers::BackendServer;
-use kingcuploft::entry::failures::Failures;
-use kingcuploft::entry::placement::{Candidate, Reading};
+use kingcuploft::entry::failure_rate::FailureRate;
+use kingcuploft::entry::placement::{Candidate, LoadReading};
 use kingcuploft::utils::rendezvous::rendezvous;
 use kingcuploft::world::ids::VmName;
 
@@ -63,13 +63,13 @@
     doubted_until: Cell<Option<Instant>>,
     idle: RefCell<Vec<Connection>>,
     open: std::rc::Rc<Cell<usize>>,
-    reading: Cell<Option<(Instant, Reading)>>,
+    reading: Cell<Option<(Instant, LoadReading)>>,
     asking: Cell<bool>,
     late: Cell<bool>,
     mute: Cell<Option<(Instant, Duration)>>,
     in_flight: RefCell<Vec<Instant>>,
     others_sent: RefCell<Vec<Instant>>,
-    failures: RefCell<Failures>,
+    failures: RefCell<FailureRate>,
     suspects: Cell<u32>,
 }
 
@@ -135,7 +135,7 @@
     }
 
     /// Takes in what the server said of its load.
-    pub fn told(&self, now: Instant, reading: Reading) {
+    pub fn told(&self, now: Instant, reading: LoadReading) {
         self.reading.set(Some((now, reading)));
         if self.mute.take().is_some() {
             tracing::info!(event = "server_heard", server = %self.server.name);
@@ -143,7 +143,7 @@
     }
 
     /// Returns the last reading and its age.
-    pub fn reading(&self, now: Instant) -> Option<(Duration, Reading)> {
+    pub fn reading(&self, now: Instant) -> Option<(Duration, LoadReading)> {
         let (at, reading) = self.reading.get()?;
         Some((now.saturating_duration_since(at), reading))
     }
--- a/crates/kingcuploft-entry/tests/entry/following.rs
+++ b/crates/kingcuploft-entry/tests/entry/following.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::repeat_account::Used;
+use kingcuploft::entry::repeat_account::UsageReport;
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft_entry::peers::followers::Followers;
@@ -24,9 +24,9 @@
         ..settings(name)
     };
     let vm = run::start(settings, WORDS, store.clone()).await.unwrap();
-    vm.context.recover_repeats(&Used {
+    vm.context.recover_repeats(&UsageReport {
         heard_ms: 1000,
-        ..Used::default()
+        ..UsageReport::default()
     });
     until(|| vm.context.is_ready()).await;
     vm
--- a/crates/kingcuploft-entry/tests/entry/world.rs
+++ b/crates/kingcuploft-entry/tests/entry/world.rs
@@ -8,7 +8,7 @@
 use kingcuploft::entry::configuration::{
     ColdStart, Configuration, Destination, Limits, Route, Service,
 };
-use kingcuploft::entry::repeats::RepeatBounds;
+use kingcuploft::entry::repeat_budget::RepeatBounds;
 use kingcuploft::utils::HashMap;
 use kingcuploft::world::contract::Contract;
 use kingcuploft_entry::run::{self, Running};
--- a/crates/kingcuploft-entry/tests/links/fleet.rs
+++ b/crates/kingcuploft-entry/tests/links/fleet.rs
@@ -9,7 +9,7 @@
 use fastrand::Rng;
 use kingcuploft::entry::backend_servers::BackendServer;
 use kingcuploft::entry::configuration::Route;
-use kingcuploft::entry::repeats::RepeatBounds;
+use kingcuploft::entry::repeat_budget::RepeatBounds;
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::world::ids::VmName;
 use kingcuploft_entry::context::Context;
--- a/crates/kingcuploft-entry/tests/links/joining.rs
+++ b/crates/kingcuploft-entry/tests/links/joining.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::arriving::Arrived;
+use kingcuploft::entry::change_assembly::AssemblyProgress;
 use kingcuploft::entry::configuration_change::ConfigurationChange;
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft_entry::peers::dial::Dial;
@@ -164,7 +164,7 @@
         fleet.add_routes(1400);
         fleet.in_force(LISTEN).await;
         let mut joins = Script::join(&host);
-        let arrived = Arrived {
+        let arrived = AssemblyProgress {
             from: Some(1),
             to: 2,
             parts: 4,
--- a/crates/kingcuploft-entry/tests/links/repeats.rs
+++ b/crates/kingcuploft-entry/tests/links/repeats.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use kingcuploft::entry::repeats::RepeatBounds;
+use kingcuploft::entry::repeat_budget::RepeatBounds;
 use kingcuploft::world::ids::ServiceName;
 use tokio::time::Instant;
 
--- a/crates/kingcuploft-simulation/src/deployment.rs
+++ b/crates/kingcuploft-simulation/src/deployment.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcuploft::entry::repeats::RepeatBounds;
+use kingcuploft::entry::repeat_budget::RepeatBounds;
 use kingcuploft::world::contract::Contract;
 use serde::Deserialize;
 
--- a/crates/kingcuploft-simulation/src/words.rs
+++ b/crates/kingcuploft-simulation/src/words.rs
@@ -1,6 +1,6 @@
 //! The names of headers that the world's callers, servers and VMs use.
 
-use kingcuploft::entry::placement::Reading;
+use kingcuploft::entry::placement::LoadReading;
 use kingcuploft_entry::settings::Vocabulary;
 
 /// The names.
@@ -17,9 +17,9 @@
     read_load,
 };
 
-fn read_load(value: &str) -> Option<Reading> {
+fn read_load(value: &str) -> Option<LoadReading> {
     let mut figures = value.split(',').map(|figure| figure.parse::<u32>().ok());
-    Some(Reading {
+    Some(LoadReading {
         running: figures.next()??,
         waiting: figures.next()??,
         slots: figures.next()??,
--- a/crates/kingcuploft/src/dispatcher/ending.rs
+++ b/crates/kingcuploft/src/dispatcher/ending.rs
@@ -64,7 +64,7 @@
         let Some(state) = self.services.get_mut(request.service()) else {
             return Some(request);
         };
-        if request.claim == Claim::Asked {
+        if request.claim == Claim::ProbeFanout {
             state.claim_settled(&request.route.rule().name);
         }
         if let Some(key) = request
--- a/crates/kingcuploft/src/dispatcher/mod.rs
+++ b/crates/kingcuploft/src/dispatcher/mod.rs
@@ -281,7 +281,7 @@
             let refusal = Refusal::not_run(RefusalReason::NoSuchService);
             return actions.push(Action::Refuse(id, refusal));
         };
-        let claims = request.claim == Claim::Asked;
+        let claims = request.claim == Claim::ProbeFanout;
         if claims && let Some(refusal) = state.check(now, &waiting) {
             self.explain(now, id, &request, refusal.into());
             return actions.push(Action::Refuse(id, refusal));
@@ -300,7 +300,7 @@
     /// or its deadline passed) is given back, as nothing was sent.
     fn claimed(&mut self, now: Instant, id: RequestId, end: ClaimEnd, actions: &mut Vec<Action>) {
         let asked = self.requests.get_mut(&id);
-        let Some(request) = asked.filter(|request| request.claim == Claim::Asked) else {
+        let Some(request) = asked.filter(|request| request.claim == Claim::ProbeFanout) else {
             if end == ClaimEnd::Held {
                 actions.push(Action::Release(id));
             }
--- a/crates/kingcuploft/src/dispatcher/request.rs
+++ b/crates/kingcuploft/src/dispatcher/request.rs
@@ -43,7 +43,7 @@
     /// None is needed.
     NotNeeded,
     /// It is asked for.
-    Asked,
+    ProbeFanout,
     /// It is held.
     Held,
 }
@@ -59,7 +59,7 @@
             live: Vec::new(),
             tried: Vec::new(),
             claim: if claims {
-                Claim::Asked
+                Claim::ProbeFanout
             } else {
                 Claim::NotNeeded
             },
--- a/crates/kingcuploft/src/entry/repeat_copies.rs
+++ b/crates/kingcuploft/src/entry/account_replicas.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
 
-use super::repeat_account::{Kept, ServiceAccount, Used};
+use super::repeat_account::{AccountSnapshot, ServiceAccount, UsageReport};
 use super::vm_entry::VmEntry;
 use super::zone_record::ZoneRecord;
 use crate::utils::HashMap;
@@ -46,18 +46,18 @@
 struct Copy {
     heard: Instant,
     unknown_until: Instant,
-    accounts: HashMap<ServiceName, Kept>,
+    accounts: HashMap<ServiceName, AccountSnapshot>,
 }
 
 /// The accounts of other VMs.
 #[derive(Debug, Default)]
-pub struct RepeatCopies {
+pub struct AccountReplicas {
     copies: HashMap<VmName, Copy>,
 }
 
-impl RepeatCopies {
+impl AccountReplicas {
     /// Keeps what a VM tells. It is left aside from one that has restarted and does not know what is kept here.
-    pub fn told(&mut self, now: Instant, vm: VmName, used: Used) {
+    pub fn told(&mut self, now: Instant, vm: VmName, used: UsageReport) {
         let unknown_until = now + Duration::from_millis(used.unknown_ms);
         let known = self.copies.get(&vm);
         let knows_less =
@@ -82,7 +82,7 @@
             let account = told.account;
             copy.accounts.insert(
                 told.service,
-                Kept {
+                AccountSnapshot {
                     account,
                     as_of: now,
                 },
@@ -91,7 +91,7 @@
     }
 
     /// Returns what a VM told.
-    pub fn of(&mut self, now: Instant, vm: &VmName) -> Option<Used> {
+    pub fn of(&mut self, now: Instant, vm: &VmName) -> Option<UsageReport> {
         self.forget(now);
         let copy = self.copies.get(vm)?;
         let accounts = copy.accounts.iter().map(|(service, kept)| ServiceAccount {
@@ -100,7 +100,7 @@
             account: kept.account.clone(),
         });
         let unknown_for = copy.unknown_until.saturating_duration_since(now);
-        Some(Used {
+        Some(UsageReport {
             unknown_ms: unknown_for.as_millis() as u64,
             heard_ms: now.saturating_duration_since(copy.heard).as_millis() as u64,
             accounts: accounts.collect(),
--- a/crates/kingcuploft/src/entry/verdict.rs
+++ b/crates/kingcuploft/src/entry/attempts.rs
@@ -10,7 +10,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// A whole answer of the server, successful.
     Succeeded,
     /// A whole answer of the server that reports a failure; it ran.
@@ -27,7 +27,7 @@
     TimedOut,
 }
 
-impl AttemptEnd {
+impl AttemptOutcome {
     /// Returns whether the request may have run in this attempt.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::NotRun | Self::Unsent)
@@ -49,7 +49,7 @@
 
 /// What to do next with a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum NextAction {
     /// Pass the server's answer on.
     Answer,
     /// Send the request to another server, if the budget has room.
@@ -103,15 +103,15 @@
     }
 
     /// Takes the end of an attempt in and says what to do next.
-    pub fn ended(&mut self, end: AttemptEnd) -> Verdict {
+    pub fn ended(&mut self, end: AttemptOutcome) -> NextAction {
         if end.may_have_run() {
             self.ran += 1;
         }
         match end {
-            AttemptEnd::Succeeded => Verdict::Answer,
-            AttemptEnd::Failed if !self.may_send(0) => Verdict::Answer,
-            _ if self.may_send(0) => Verdict::TryAgain,
-            _ => Verdict::GiveUp,
+            AttemptOutcome::Succeeded => NextAction::Answer,
+            AttemptOutcome::Failed if !self.may_send(0) => NextAction::Answer,
+            _ if self.may_send(0) => NextAction::TryAgain,
+            _ => NextAction::GiveUp,
         }
     }
 
--- a/crates/kingcuploft/src/entry/patience.rs
+++ b/crates/kingcuploft/src/entry/caller_timeouts.rs
@@ -19,11 +19,11 @@
 
 /// How long the last callers of a route said that they wait.
 #[derive(Clone, Debug, Default)]
-pub struct Patience {
+pub struct CallerTimeouts {
     told: VecDeque<Duration>,
 }
 
-impl Patience {
+impl CallerTimeouts {
     /// Takes in how long a caller waits; returns how long it has waited before.
     pub fn told(&mut self, patience: Duration) -> Duration {
         let usual = self.usual();
--- a/crates/kingcuploft/src/entry/arriving.rs
+++ b/crates/kingcuploft/src/entry/change_assembly.rs
@@ -10,7 +10,7 @@
 
 /// What has arrived of a change.
 #[derive(Debug, Default)]
-pub struct Arriving {
+pub struct ChangeAssembler {
     begun: Option<Begun>,
 }
 
@@ -22,7 +22,7 @@
 
 /// How much of a change a VM has.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Arrived {
+pub struct AssemblyProgress {
     /// The version that the change begins at; none for one that tells all.
     pub from: Option<ConfigurationVersion>,
     /// The version that it leads to.
@@ -33,7 +33,7 @@
 
 /// What a part brought.
 #[derive(Debug)]
-pub enum Taken {
+pub enum PartOutcome {
     /// More parts follow.
     More,
     /// The configuration is whole.
@@ -44,7 +44,7 @@
     OutOfStep,
 }
 
-impl Arriving {
+impl ChangeAssembler {
     /// Takes a part in, beside the configuration in force.
     ///
     /// # Errors
@@ -54,9 +54,9 @@
         &mut self,
         part: ChangePart,
         current: Option<&Configuration>,
-    ) -> Result<Taken, PartError> {
+    ) -> Result<PartOutcome, PartError> {
         if current.is_some_and(|current| current.version >= part.to) {
-            return Ok(Taken::Known);
+            return Ok(PartOutcome::Known);
         }
         if part.at == 0 {
             self.begun = Some(Begun {
@@ -69,20 +69,22 @@
             (change.from, change.to, begun.parts) == (part.from, part.to, part.at)
         };
         let Some(begun) = self.begun.as_mut().filter(is_next) else {
-            return Ok(Taken::OutOfStep);
+            return Ok(PartOutcome::OutOfStep);
         };
         begun.parts += 1;
         if !begun.change.extend(part)? {
-            return Ok(Taken::More);
+            return Ok(PartOutcome::More);
         }
         let change = self.begun.take().map(|begun| begun.change);
         let whole = change.and_then(|change| change.apply(current));
-        Ok(whole.map_or(Taken::OutOfStep, |whole| Taken::Whole(Box::new(whole))))
+        Ok(whole.map_or(PartOutcome::OutOfStep, |whole| {
+            PartOutcome::Whole(Box::new(whole))
+        }))
     }
 
     /// Returns how much of a change has arrived.
-    pub fn arrived(&self) -> Option<Arrived> {
-        self.begun.as_ref().map(|begun| Arrived {
+    pub fn arrived(&self) -> Option<AssemblyProgress> {
+        self.begun.as_ref().map(|begun| AssemblyProgress {
             from: begun.change.from,
             to: begun.change.to,
             parts: begun.parts,
--- a/crates/kingcuploft/src/entry/configuration.rs
+++ b/crates/kingcuploft/src/entry/configuration.rs
@@ -273,11 +273,11 @@
 /// Load pattern: a VM sees a few requests a second of a route. Drawn at random, the shares of some hundred
 /// requests are far off the weights; a sequence that fills the interval evenly keeps to them.
 #[derive(Clone, Copy, Debug)]
-pub struct Dealer {
+pub struct WeightedSelector {
     at: f64,
 }
 
-impl Dealer {
+impl WeightedSelector {
     /// Begins at a point of the unit interval that differs between VMs.
     pub fn new(from: f64) -> Self {
         Self { at: from.fract() }
--- a/crates/kingcuploft/src/entry/feeding.rs
+++ b/crates/kingcuploft/src/entry/dissemination.rs
@@ -12,14 +12,14 @@
 use crate::world::ids::{AvailabilityZone, VmName};
 
 /// The most VMs that one feeds: a tree of two steps reaches 156, of three 1,884.
-pub const MOST_FED: usize = 12;
+pub const MAX_FOLLOWERS: usize = 12;
 
 /// The most VMs through which news may come.
-pub const MOST_STEPS: usize = 6;
+pub const MAX_DEPTH: usize = 6;
 
 /// A VM that is fed.
 #[derive(Clone, Debug)]
-pub struct Fed {
+pub struct FollowerLoad {
     /// The VM.
     pub vm: VmEntry,
     /// How many VMs are fed through it, as it says.
@@ -41,12 +41,17 @@
 
 /// Decides about a VM that wants to be fed, by those that are, and by the VMs through which this one hears. One of
 /// another zone is fed for its whole zone, and not sent to a smaller VM of this one.
-pub fn admit(comes: &VmEntry, zone: &AvailabilityZone, path: &[VmName], fed: &[Fed]) -> Admission {
-    if path.contains(&comes.name) || path.len() >= MOST_STEPS {
+pub fn admit(
+    comes: &VmEntry,
+    zone: &AvailabilityZone,
+    path: &[VmName],
+    fed: &[FollowerLoad],
+) -> Admission {
+    if path.contains(&comes.name) || path.len() >= MAX_DEPTH {
         return Admission::TurnAway;
     }
-    let of_zone = |fed: &Fed| fed.vm.zone == *zone;
-    let room = fed.iter().filter(|fed| of_zone(fed)).count() < MOST_FED;
+    let of_zone = |fed: &FollowerLoad| fed.vm.zone == *zone;
+    let room = fed.iter().filter(|fed| of_zone(fed)).count() < MAX_FOLLOWERS;
     if room || comes.zone != *zone {
         return Admission::Feed;
     }
@@ -57,7 +62,7 @@
 }
 
 /// Returns how many VMs of its zone are fed by this one, at first or second hand.
-pub fn below(zone: &AvailabilityZone, fed: &[Fed]) -> u32 {
+pub fn below(zone: &AvailabilityZone, fed: &[FollowerLoad]) -> u32 {
     let of_zone = fed.iter().filter(|fed| fed.vm.zone == *zone);
     of_zone.map(|fed| fed.below + 1).sum()
 }
--- a/crates/kingcuploft/src/entry/evacuations.rs
+++ b/crates/kingcuploft/src/entry/evacuations.rs
@@ -12,7 +12,7 @@
 use crate::world::ids::AvailabilityZone;
 
 /// How long an entry may be missing from a store that came back from a copy: the operator writes it again by then.
-pub const REWRITTEN_WITHIN: Duration = Duration::from_secs(10);
+pub const REWRITE_GRACE: Duration = Duration::from_secs(10);
 
 /// What a piece of news changed.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -67,7 +67,7 @@
     pub fn all_told(&mut self, now: Instant, zones: &HashSet<AvailabilityZone>) -> Vec<Change> {
         let begun = zones.iter().filter_map(|zone| self.told(zone.clone()));
         let mut changes: Vec<Change> = begun.collect();
-        let until = self.rewound_at.map(|at| at + REWRITTEN_WITHIN);
+        let until = self.rewound_at.map(|at| at + REWRITE_GRACE);
         let missing = |zone: &&AvailabilityZone| !zones.contains(*zone);
         let missing: Vec<_> = self.zones.keys().filter(missing).cloned().collect();
         for zone in missing {
--- a/crates/kingcuploft/src/entry/failures.rs
+++ b/crates/kingcuploft/src/entry/failure_rate.rs
@@ -15,13 +15,13 @@
 
 /// The recent failures of one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Failures {
+pub struct FailureRate {
     failed: f64,
     calls: f64,
     at: Option<Instant>,
 }
 
-impl Failures {
+impl FailureRate {
     /// Takes the end of a call in.
     pub fn ended(&mut self, now: Instant, failed: bool) {
         let keep = self.fading(now);
--- a/crates/kingcuploft/src/entry/fingerprint.rs
+++ b/crates/kingcuploft/src/entry/fingerprint.rs
@@ -7,7 +7,7 @@
 
 /// The parts of a request that stay the same when it comes again.
 #[derive(Clone, Copy, Debug, Hash)]
-pub struct Recurring<'a> {
+pub struct RequestIdentity<'a> {
     /// Its method.
     pub method: &'a str,
     /// The host that it is for.
@@ -20,7 +20,7 @@
     pub body: &'a [u8],
 }
 
-impl Recurring<'_> {
+impl RequestIdentity<'_> {
     /// Returns the fingerprint.
     pub fn fingerprint(&self) -> Fingerprint {
         let mut hasher = DefaultHasher::new();
--- a/crates/kingcuploft/src/entry/second_look.rs
+++ b/crates/kingcuploft/src/entry/hedging.rs
@@ -19,7 +19,7 @@
 
 /// What the look found.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
+pub struct HedgeCheck {
     /// Whether the server answered a probe just now.
     pub answers: bool,
     /// Which part of the probe budget is there to be used.
@@ -36,7 +36,7 @@
 }
 
 /// Returns whether the lookup should be sent to a second server.
-pub fn wants_second(look: &Look) -> bool {
+pub fn wants_second(look: &HedgeCheck) -> bool {
     let in_time = look.left_ms > look.work_ms;
     in_time && (!look.answers || look.probes_left >= CALM)
 }
--- a/crates/kingcuploft/src/entry/last_slot.rs
+++ b/crates/kingcuploft/src/entry/last_slot_slowdown.rs
@@ -21,12 +21,12 @@
 
 /// What the last slot of a service's servers costs.
 #[derive(Clone, Copy, Debug)]
-pub struct LastSlot {
+pub struct LastSlotSlowdown {
     mean: f64,
     answers: f64,
 }
 
-impl Default for LastSlot {
+impl Default for LastSlotSlowdown {
     fn default() -> Self {
         Self {
             mean: PRIOR,
@@ -35,7 +35,7 @@
     }
 }
 
-impl LastSlot {
+impl LastSlotSlowdown {
     /// Takes in that work on a last slot took this multiple of what it takes on an idle server.
     pub fn measured(&mut self, multiple: f64) {
         self.answers = (self.answers + 1.0).min(MOST_ANSWERS);
--- a/crates/kingcuploft/src/entry/log_budget.rs
+++ b/crates/kingcuploft/src/entry/log_rate_limiter.rs
@@ -18,7 +18,7 @@
 
 /// What becomes of an ordinary line.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ordinary {
+pub enum LogDecision {
     /// It is written.
     Write,
     /// It is left out.
@@ -29,14 +29,14 @@
 
 /// The budget of ordinary lines.
 #[derive(Clone, Copy, Debug)]
-pub struct LogBudget {
+pub struct LogRateLimiter {
     saved: f64,
     at: Option<Instant>,
     left_out: u64,
     told: Option<Instant>,
 }
 
-impl Default for LogBudget {
+impl Default for LogRateLimiter {
     fn default() -> Self {
         Self {
             saved: LINES_PER_S * SAVED_S,
@@ -47,23 +47,23 @@
     }
 }
 
-impl LogBudget {
+impl LogRateLimiter {
     /// Says what becomes of an ordinary line.
-    pub fn take(&mut self, now: Instant) -> Ordinary {
+    pub fn take(&mut self, now: Instant) -> LogDecision {
         let since = self.at.replace(now);
         let passed = since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let earned = LINES_PER_S * passed.as_secs_f64();
         self.saved = (self.saved + earned).min(LINES_PER_S * SAVED_S);
         if self.saved >= 1.0 {
             self.saved -= 1.0;
-            return Ordinary::Write;
+            return LogDecision::Write;
         }
         self.left_out += 1;
         let told = *self.told.get_or_insert(now);
         if now.saturating_duration_since(told) < TELL_EVERY {
-            return Ordinary::LeaveOut;
+            return LogDecision::LeaveOut;
         }
         self.told = Some(now);
-        Ordinary::Tell(std::mem::take(&mut self.left_out))
+        LogDecision::Tell(std::mem::take(&mut self.left_out))
     }
 }
--- a/crates/kingcuploft/src/entry/placement.rs
+++ b/crates/kingcuploft/src/entry/placement.rs
@@ -17,7 +17,7 @@
 
 /// What a backend server said of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reading {
+pub struct LoadReading {
     /// Requests it works on.
     pub running: u32,
     /// Requests that wait at it.
@@ -34,7 +34,7 @@
     /// Whether it is in the own availability zone.
     pub near: bool,
     /// The last reading, if it is young enough to choose by.
-    pub reading: Option<Reading>,
+    pub reading: Option<LoadReading>,
     /// Whether a reading was asked for and has not come.
     pub asked: bool,
     /// Own requests sent there since the reading was taken.
@@ -64,7 +64,7 @@
 
 /// What a request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Need {
+pub struct PlacementNeed {
     /// The work on a server of usual speed, in milliseconds.
     pub work_ms: f64,
     /// The time left until the answer is worth less, in milliseconds; negative if that is over.
@@ -74,7 +74,7 @@
     /// How long readings have been waited for in this look, in milliseconds.
     pub looked_ms: f64,
     /// Which servers were asked.
-    pub reach: Reach,
+    pub reach: ProbeScope,
     /// How many times longer work takes on a server whose last slot it takes.
     pub last_slot: f64,
     /// Which part of the probe budget is there to be used, from 0 to 1.
@@ -85,7 +85,7 @@
 
 /// Which servers are asked for a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reach {
+pub enum ProbeScope {
     /// Those of the own zone.
     Near,
     /// A few of the other zones as well: no near server is good.
@@ -102,7 +102,7 @@
     /// Wait for the readings asked for.
     Await,
     /// Ask more servers.
-    Ask(Reach),
+    Ask(ProbeScope),
     /// All are slow or full: look again after this time.
     LookAgain(Duration),
     /// No server can answer in time. The caller may come back after this time.
@@ -130,7 +130,7 @@
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
 
 /// Work varies by a third around its mean; this multiple of the expected time is met by most.
-pub const MARGIN: f64 = 1.25;
+pub const WORK_MARGIN: f64 = 1.25;
 
 /// The part of the probe budget that must be there to ask the servers of other zones only because the
 /// near ones have but their last slots left: less means overload, where those probes find no idle
@@ -196,7 +196,7 @@
     }
 
     /// Returns when a request that is sent now would begin to run, in milliseconds.
-    fn wait_ms(&self, reading: &Reading, work_ms: f64) -> f64 {
+    fn wait_ms(&self, reading: &LoadReading, work_ms: f64) -> f64 {
         let slots = f64::from(reading.slots.max(1));
         let busy = f64::from(reading.running + reading.waiting + self.unseen);
         line_ms(busy, slots, work_ms * reading.slowness)
@@ -222,7 +222,11 @@
 
 /// Says what to do next with a request. `chance` breaks ties, so that the VMs do not all choose the
 /// same of several equal servers.
-pub fn place(need: &Need, candidates: &[Candidate], mut chance: impl FnMut() -> f64) -> Step {
+pub fn place(
+    need: &PlacementNeed,
+    candidates: &[Candidate],
+    mut chance: impl FnMut() -> f64,
+) -> Step {
     let candidates = &beside_the_best(candidates);
     let best = best(need, candidates, &mut chance);
     if let Some((at, expected_ms)) = best
@@ -235,30 +239,34 @@
     let near_open = candidates.iter().any(|c| c.near && c.asked);
     let far_open = candidates.iter().any(|c| !c.near && c.asked);
     let patience_ms = match need.reach {
-        Reach::Near => NEAR_PATIENCE_MS,
-        Reach::FewFar | Reach::Far => FAR_PATIENCE_MS,
+        ProbeScope::Near => NEAR_PATIENCE_MS,
+        ProbeScope::FewFar | ProbeScope::Far => FAR_PATIENCE_MS,
     };
-    let open = near_open || far_open && need.reach != Reach::Near;
+    let open = near_open || far_open && need.reach != ProbeScope::Near;
     if open && need.looked_ms < patience_ms {
         return Step::Await;
     }
     let one_will_do = best.is_some_and(|best| will_do(need, candidates, best));
     match need.reach {
-        Reach::Near => Step::Ask(Reach::FewFar),
-        Reach::FewFar if !one_will_do => Step::Ask(Reach::Far),
-        Reach::FewFar | Reach::Far => settle(need, candidates, best),
+        ProbeScope::Near => Step::Ask(ProbeScope::FewFar),
+        ProbeScope::FewFar if !one_will_do => Step::Ask(ProbeScope::Far),
+        ProbeScope::FewFar | ProbeScope::Far => settle(need, candidates, best),
     }
 }
 
 /// Returns whether this server has a slot for the request and answers in time, though another may be better.
-fn will_do(need: &Need, candidates: &[Candidate], (at, expected_ms): (usize, f64)) -> bool {
+fn will_do(
+    need: &PlacementNeed,
+    candidates: &[Candidate],
+    (at, expected_ms): (usize, f64),
+) -> bool {
     let known = candidates[at].reading.is_some() && !candidates[at].is_full();
-    known && expected_ms * MARGIN <= need.target_left_ms
+    known && expected_ms * WORK_MARGIN <= need.target_left_ms
 }
 
 /// Returns within which multiple of the work an answer must be expected of a server that is taken without
 /// asking more of them.
-fn good(need: &Need) -> f64 {
+fn good(need: &PlacementNeed) -> f64 {
     match need.probes_left >= CALM {
         true => GOOD,
         false => GOOD.max(need.last_slot + GOOD - 1.0),
@@ -281,8 +289,8 @@
 }
 
 /// Decides when no server is good and no more readings are to come.
-fn settle(need: &Need, candidates: &[Candidate], best: Option<(usize, f64)>) -> Step {
-    let usual_ms = need.work_ms * MARGIN;
+fn settle(need: &PlacementNeed, candidates: &[Candidate], best: Option<(usize, f64)>) -> Step {
+    let usual_ms = need.work_ms * WORK_MARGIN;
     let again_ms = LOOK_AGAIN.as_secs_f64() * 1000.0;
     let Some((at, expected_ms)) = best else {
         return match need.deadline_left_ms > usual_ms + again_ms {
@@ -290,7 +298,7 @@
             false => Step::Refuse(come_back(need, candidates)),
         };
     };
-    let in_time = expected_ms * MARGIN <= need.target_left_ms;
+    let in_time = expected_ms * WORK_MARGIN <= need.target_left_ms;
     if in_time && !candidates[at].is_full() {
         return Step::Send(at);
     }
@@ -314,13 +322,13 @@
 ///
 /// Load pattern: an overload, in which refused callers come back and are late before they begin. Under it they leave last
 /// slots to those that can still be in time.
-fn late_may_take(need: &Need, candidate: &Candidate) -> bool {
+fn late_may_take(need: &PlacementNeed, candidate: &Candidate) -> bool {
     need.probes_left >= CALM || !need.returns || candidate.slot() == Slot::Spare
 }
 
 /// Returns the best of the untried servers that are like this, and when its answer is expected.
 fn best_of(
-    need: &Need,
+    need: &PlacementNeed,
     candidates: &[Candidate],
     is_like: impl Fn(&Candidate) -> bool,
 ) -> Option<(usize, f64)> {
@@ -331,7 +339,7 @@
 }
 
 /// Returns when a slot is likely to be free: at the server whose line ends first.
-fn come_back(need: &Need, candidates: &[Candidate]) -> Duration {
+fn come_back(need: &PlacementNeed, candidates: &[Candidate]) -> Duration {
     let told = candidates.iter().filter_map(|c| Some((c, c.reading?)));
     let waits = told.map(|(c, reading)| c.wait_ms(&reading, need.work_ms));
     match waits.min_by(f64::total_cmp) {
@@ -343,7 +351,7 @@
 }
 
 fn best(
-    need: &Need,
+    need: &PlacementNeed,
     candidates: &[Candidate],
     chance: &mut impl FnMut() -> f64,
 ) -> Option<(usize, f64)> {
--- a/crates/kingcuploft/src/entry/asked.rs
+++ b/crates/kingcuploft/src/entry/probe_fanout.rs
@@ -1,6 +1,6 @@
 //! How many servers are asked for a request.
 
-use super::placement::Reach;
+use super::placement::ProbeScope;
 
 /// How many servers are asked at first: one in four is slow at any moment, and among six there is
 /// nearly always one that is fast and free.
@@ -17,7 +17,7 @@
 
 /// How many servers are asked, of the own zone and of the others.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Asked {
+pub struct ProbeFanout {
     /// Of the own zone.
     pub near: usize,
     /// Of the other zones.
@@ -30,19 +30,19 @@
 /// have room. A zone with more servers than are asked in all must not keep its requests to itself. The
 /// reverse as well: where there are few servers elsewhere, or none, more of the own zone are asked, or a
 /// few VMs would fill six servers each and leave thirty idle.
-pub fn asked(near: usize, far: usize, reach: Reach) -> Asked {
+pub fn asked(near: usize, far: usize, reach: ProbeScope) -> ProbeFanout {
     let first_near = near.min(MOST_ASKED_FIRST);
     let most_far = match (reach, first_near) {
-        (Reach::Far, _) => MOST_ASKED - first_near,
+        (ProbeScope::Far, _) => MOST_ASKED - first_near,
         (_, 0) => MOST_ASKED_FIRST,
-        (Reach::FewFar, _) => FEW_FAR,
-        (Reach::Near, _) => 0,
+        (ProbeScope::FewFar, _) => FEW_FAR,
+        (ProbeScope::Near, _) => 0,
     };
     let far = far.min(most_far);
     let near = match reach {
-        Reach::Far => near.min(MOST_ASKED - far),
-        Reach::FewFar if far == 0 => near.min(MOST_ASKED_FIRST + FEW_FAR),
-        Reach::Near | Reach::FewFar => first_near,
+        ProbeScope::Far => near.min(MOST_ASKED - far),
+        ProbeScope::FewFar if far == 0 => near.min(MOST_ASKED_FIRST + FEW_FAR),
+        ProbeScope::Near | ProbeScope::FewFar => first_near,
     };
-    Asked { near, far }
+    ProbeFanout { near, far }
 }
--- a/crates/kingcuploft/src/entry/quarantine.rs
+++ b/crates/kingcuploft/src/entry/quarantine.rs
@@ -59,7 +59,7 @@
 
 /// Whether a report was there before.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Told {
+pub enum ReportStatus {
     /// It is news.
     News,
     /// It was known.
@@ -202,7 +202,7 @@
     }
 
     /// Takes in a report that the store has.
-    pub fn told(&mut self, now: Instant, report: &CrashReport) -> Told {
+    pub fn told(&mut self, now: Instant, report: &CrashReport) -> ReportStatus {
         self.add(now, report, Source::Store)
     }
 
@@ -257,10 +257,10 @@
         old.map(|report| report.id()).collect()
     }
 
-    fn add(&mut self, now: Instant, report: &CrashReport, source: Source) -> Told {
+    fn add(&mut self, now: Instant, report: &CrashReport, source: Source) -> ReportStatus {
         let is_new = !self.suspects.contains_key(&report.fingerprint);
         if is_new && self.suspects.len() >= MOST_SUSPECTS {
-            return Told::Known;
+            return ReportStatus::Known;
         }
         let suspects = self.suspects.entry(report.fingerprint);
         let suspect = suspects.or_insert_with(|| Suspect {
@@ -278,13 +278,13 @@
                 let most = in_a_row.max(report.in_a_row);
                 suspect.reports.insert(report.of.clone(), (most, kept));
                 match (before, source) {
-                    (Source::Seen, Source::Store) => Told::News,
-                    _ => Told::Known,
+                    (Source::Seen, Source::Store) => ReportStatus::News,
+                    _ => ReportStatus::Known,
                 }
             }
             None => {
                 suspect.last = now;
-                Told::News
+                ReportStatus::News
             }
         }
     }
--- a/crates/kingcuploft/src/entry/repeat_account.rs
+++ b/crates/kingcuploft/src/entry/repeat_account.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::repeats::RepeatBounds;
+use super::repeat_budget::RepeatBounds;
 use crate::world::ids::ServiceName;
 
 /// The steps in which a window is counted.
@@ -29,7 +29,7 @@
     }
 
     /// Adds what was kept of a time before.
-    pub fn add(&mut self, kept: &Kept, now: Instant, bounds: &RepeatBounds) {
+    pub fn add(&mut self, kept: &AccountSnapshot, now: Instant, bounds: &RepeatBounds) {
         for (age, count) in kept.ages(&kept.account.requests, now, bounds) {
             if age <= bounds.window {
                 self.add_requests(age, bounds, count);
@@ -62,14 +62,14 @@
 
 /// An account as of a moment.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct AccountSnapshot {
     /// The account.
     pub account: Account,
     /// The moment.
     pub as_of: Instant,
 }
 
-impl Kept {
+impl AccountSnapshot {
     /// Returns the requests that may still be counted: each is taken for as old as its step allows.
     pub fn requests(&self, now: Instant, bounds: &RepeatBounds) -> usize {
         let ages = self.ages(&self.account.requests, now, bounds);
@@ -100,7 +100,7 @@
 
 /// What one VM has used of the budget of repeats, as it tells others and these tell it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Used {
+pub struct UsageReport {
     /// For how many milliseconds more it matters what it did before, which it does not know.
     pub unknown_ms: u64,
     /// How many milliseconds ago the VM itself last said anything to the one that tells this.
@@ -120,7 +120,7 @@
     pub account: Account,
 }
 
-impl Used {
+impl UsageReport {
     /// Divides this into parts that each name so many services at most; one names none if there are none.
     pub fn parts(mut self, most: usize) -> Vec<Self> {
         let (unknown_ms, heard_ms) = (self.unknown_ms, self.heard_ms);
--- a/crates/kingcuploft/src/entry/repeats.rs
+++ b/crates/kingcuploft/src/entry/repeat_budget.rs
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::repeat_account::{Account, Kept, ServiceAccount, Used};
+use super::repeat_account::{Account, AccountSnapshot, ServiceAccount, UsageReport};
 use crate::utils::HashMap;
 use crate::world::ids::ServiceName;
 
@@ -47,14 +47,14 @@
 
 /// What a VM has used of its part of the budget, and how much that part is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct BudgetStatus {
     /// Repeats of the window.
     pub used: usize,
     /// Repeats allowed in the window.
     pub allowed: f64,
 }
 
-impl Standing {
+impl BudgetStatus {
     /// Returns whether one more repeat is allowed.
     pub fn has_room(&self) -> bool {
         self.used as f64 + 1.0 <= self.allowed
@@ -67,7 +67,7 @@
     requests: VecDeque<Instant>,
     repeats: VecDeque<Instant>,
     /// What this VM did before it restarted.
-    before: Option<Kept>,
+    before: Option<AccountSnapshot>,
 }
 
 impl Counted {
@@ -76,11 +76,11 @@
         forget(&mut self.repeats, now, bounds.repeat_counts_for());
     }
 
-    fn standing(&mut self, now: Instant, bounds: &RepeatBounds, share: f64) -> Standing {
+    fn standing(&mut self, now: Instant, bounds: &RepeatBounds, share: f64) -> BudgetStatus {
         self.forget(now, bounds);
         let before = self.before.as_ref();
         let requests = self.requests.len() + before.map_or(0, |kept| kept.requests(now, bounds));
-        Standing {
+        BudgetStatus {
             used: self.repeats.len() + before.map_or(0, |kept| kept.repeats(now, bounds)),
             allowed: GUARD * (bounds.ratio * requests as f64 + share),
         }
@@ -105,7 +105,7 @@
 
 /// The repeats of one VM.
 #[derive(Debug)]
-pub struct Repeats {
+pub struct RepeatBudget {
     services: HashMap<ServiceName, Counted>,
     /// What is not known of the time before the start; none on a VM that has not run before.
     past: Option<Past>,
@@ -132,7 +132,7 @@
     }
 }
 
-impl Repeats {
+impl RepeatBudget {
     /// Begins on a VM that starts together with all others, for the first time.
     pub fn first() -> Self {
         Self {
@@ -165,7 +165,7 @@
         service: &ServiceName,
         bounds: &RepeatBounds,
         vms: usize,
-    ) -> Standing {
+    ) -> BudgetStatus {
         let share = match self.unknown_for(now).is_zero() {
             true => bounds.allowance / vms.max(1) as f64,
             false => 0.0,
@@ -180,7 +180,7 @@
         service: &ServiceName,
         bounds: &RepeatBounds,
         vms: usize,
-    ) -> Standing {
+    ) -> BudgetStatus {
         let standing = self.standing(now, service, bounds, vms);
         if standing.has_room() {
             self.counted(service).repeats.push_back(now);
@@ -195,7 +195,7 @@
     }
 
     /// Returns what others may keep for this VM: its accounts with services that it repeated requests to.
-    pub fn used(&mut self, now: Instant, bounds: &RepeatBounds) -> Used {
+    pub fn used(&mut self, now: Instant, bounds: &RepeatBounds) -> UsageReport {
         let unknown_ms = self.unknown_for(now).as_millis() as u64;
         let accounts = self.services.iter_mut();
         let accounts = accounts.map(|(service, counted)| ServiceAccount {
@@ -203,7 +203,7 @@
             age_ms: 0,
             account: counted.account(now, bounds),
         });
-        Used {
+        UsageReport {
             unknown_ms,
             heard_ms: 0,
             accounts: accounts.filter(|of| of.account.has_repeats()).collect(),
@@ -211,7 +211,7 @@
     }
 
     /// Goes on with what another VM has kept; returns whether that is news.
-    pub fn recover(&mut self, now: Instant, used: &Used) -> bool {
+    pub fn recover(&mut self, now: Instant, used: &UsageReport) -> bool {
         let ago = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
         let heard = ago(used.heard_ms);
         let Some(past) = self.past.as_mut().filter(|past| past.counts(heard)) else {
@@ -233,7 +233,7 @@
                 .as_ref()
                 .is_none_or(|kept| kept.as_of < as_of);
             if is_newer && as_of <= begun {
-                counted.before = Some(Kept {
+                counted.before = Some(AccountSnapshot {
                     account: told.account.clone(),
                     as_of,
                 });
--- a/crates/kingcuploft/src/entry/server_limit.rs
+++ b/crates/kingcuploft/src/entry/server_limit.rs
@@ -31,14 +31,14 @@
 const MOMENT: Duration = Duration::from_secs(1);
 
 /// When a VM is asked again that does not keep the limit: it may have been told later.
-pub const ASK_AGAIN: Duration = Duration::from_millis(250);
+pub const TURN_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// The longest wait that is told.
 const LONGEST_WAIT: Duration = Duration::from_secs(3600);
 
 /// Which part of a limit a VM uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Part {
+pub enum LimitShare {
     /// It is one of so many that keep it.
     OneOf(usize),
     /// Others keep it; it is one of so many that send a request now and then.
@@ -62,14 +62,14 @@
     zone: &AvailabilityZone,
     per_s: PerSecond,
     records: &[ZoneRecord],
-) -> Part {
+) -> LimitShare {
     if keepers_wanted(per_s) >= vms {
-        return Part::OneOf(vms.max(1));
+        return LimitShare::OneOf(vms.max(1));
     }
     let keepers = keepers(server, zone, per_s, records);
     match keepers.iter().any(|keeper| keeper.name == *vm) {
-        true => Part::OneOf(keepers.len()),
-        false => Part::NowAndThen(vms),
+        true => LimitShare::OneOf(keepers.len()),
+        false => LimitShare::NowAndThen(vms),
     }
 }
 
@@ -100,7 +100,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimit {
     per_s: PerSecond,
-    part: Part,
+    part: LimitShare,
     saved: f64,
     at: Instant,
     /// When the next request may be sent by a VM that does not use the limit.
@@ -109,7 +109,7 @@
 
 impl ServerLimit {
     /// Begins when a limit is heard of; `chance` is from 0 to 1.
-    pub fn new(now: Instant, per_s: PerSecond, part: Part, chance: f64) -> Self {
+    pub fn new(now: Instant, per_s: PerSecond, part: LimitShare, chance: f64) -> Self {
         let mut limit = Self {
             per_s,
             part,
@@ -136,7 +136,7 @@
     }
 
     /// Takes in what the server names now, and which part of it this VM uses.
-    pub fn renew(&mut self, now: Instant, per_s: PerSecond, part: Part) {
+    pub fn renew(&mut self, now: Instant, per_s: PerSecond, part: LimitShare) {
         self.save(now);
         self.per_s = per_s;
         self.part = part;
@@ -145,12 +145,12 @@
     /// Returns when the next request may be sent: at once if that is zero.
     pub fn wait(&mut self, now: Instant, chance: f64) -> Duration {
         match self.part {
-            Part::OneOf(_) => {
+            LimitShare::OneOf(_) => {
                 self.save(now);
                 let missing = (MOST_SAVED - self.saved).max(0.0);
                 Duration::try_from_secs_f64(missing / self.own_per_s()).unwrap_or(LONGEST_WAIT)
             }
-            Part::NowAndThen(_) => {
+            LimitShare::NowAndThen(_) => {
                 if now > self.moment + MOMENT {
                     self.draw(now, chance);
                 }
@@ -161,8 +161,8 @@
 
     /// Gives the next turn to a request that waits so long at most, if this VM keeps the limit.
     pub fn give_turn(&mut self, now: Instant, patience: Duration) -> Turn {
-        let Part::OneOf(_) = self.part else {
-            return Turn::TooLate(ASK_AGAIN);
+        let LimitShare::OneOf(_) = self.part else {
+            return Turn::TooLate(TURN_RETRY_DELAY);
         };
         let wait = self.wait(now, 0.0);
         if wait > patience {
@@ -183,8 +183,8 @@
     fn own_per_s(&self) -> PerSecond {
         let all = self.per_s.max(LEAST_PER_S);
         match self.part {
-            Part::OneOf(users) => all / users.max(1) as f64,
-            Part::NowAndThen(vms) => {
+            LimitShare::OneOf(users) => all / users.max(1) as f64,
+            LimitShare::NowAndThen(vms) => {
                 (TRIES_PER_S + TRIES_OF_LIMIT * self.per_s) / vms.max(1) as f64
             }
         }
@@ -197,7 +197,7 @@
     }
 
     fn draw(&mut self, now: Instant, chance: f64) {
-        let Part::NowAndThen(_) = self.part else {
+        let LimitShare::NowAndThen(_) = self.part else {
             return;
         };
         let pause_s = (0.5 + chance) / self.own_per_s();
--- a/crates/kingcuploft/src/entry/server_limits.rs
+++ b/crates/kingcuploft/src/entry/server_limits.rs
@@ -9,7 +9,7 @@
 use super::limit_notice;
 pub use super::limit_notice::LimitNotice;
 use super::notice_id::NoticeId;
-use super::server_limit::{ASK_AGAIN, Part, PerSecond, ServerLimit, Turn};
+use super::server_limit::{LimitShare, PerSecond, ServerLimit, TURN_RETRY_DELAY, Turn};
 use crate::utils::{HashMap, HashSet};
 use crate::world::ids::BackendServerName;
 
@@ -18,7 +18,7 @@
 
 /// What an answer of a server says that is news.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum LimitChange {
     /// It names a limit for the first time.
     Named(LimitNotice),
     /// It names another than before.
@@ -75,7 +75,7 @@
     }
 
     /// Goes by what limits the server now.
-    fn renew(&mut self, now: Instant, part: impl FnOnce(PerSecond) -> Part) {
+    fn renew(&mut self, now: Instant, part: impl FnOnce(PerSecond) -> LimitShare) {
         if let Some(per_s) = self.per_s() {
             self.limit.renew(now, per_s, part(per_s));
         }
@@ -84,7 +84,7 @@
 
 /// Whether a server turned cold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turned {
+pub enum ColdChange {
     /// It was not known to be cold.
     Cold,
     /// It was, and is for longer or shorter.
@@ -141,9 +141,9 @@
         now: Instant,
         server: &BackendServerName,
         named: Option<PerSecond>,
-        part: impl FnOnce(PerSecond) -> Part,
+        part: impl FnOnce(PerSecond) -> LimitShare,
         chance: f64,
-    ) -> Option<News> {
+    ) -> Option<LimitChange> {
         let Some(per_s) = named else {
             return self.names_none(now, server, part);
         };
@@ -162,8 +162,8 @@
         known.limit.renew(now, takes, part);
         let server = server.clone();
         match before.map(|named| named.per_s) {
-            None => Some(News::Named(LimitNotice { server, per_s })),
-            Some(before) if before != per_s => Some(News::Changed { before }),
+            None => Some(LimitChange::Named(LimitNotice { server, per_s })),
+            Some(before) if before != per_s => Some(LimitChange::Changed { before }),
             Some(_) => None,
         }
     }
@@ -172,8 +172,8 @@
         &mut self,
         now: Instant,
         server: &BackendServerName,
-        part: impl FnOnce(PerSecond) -> Part,
-    ) -> Option<News> {
+        part: impl FnOnce(PerSecond) -> LimitShare,
+    ) -> Option<LimitChange> {
         let known = self.known.get_mut(server)?;
         let named = known.named?;
         if now.saturating_duration_since(named.since) < HOLDS_AT_LEAST {
@@ -181,11 +181,11 @@
         }
         known.named = None;
         self.settle(now, server, part);
-        Some(News::Ended(limit_notice::id(server)))
+        Some(LimitChange::Ended(limit_notice::id(server)))
     }
 
     /// Goes by what still limits a server, or forgets it.
-    fn settle(&mut self, now: Instant, server: &str, part: impl FnOnce(PerSecond) -> Part) {
+    fn settle(&mut self, now: Instant, server: &str, part: impl FnOnce(PerSecond) -> LimitShare) {
         let Some(known) = self.known.get_mut(server) else {
             return;
         };
@@ -206,9 +206,9 @@
         server: &BackendServerName,
         per_s: PerSecond,
         lasts: Duration,
-        part: impl FnOnce(PerSecond) -> Part,
+        part: impl FnOnce(PerSecond) -> LimitShare,
         chance: f64,
-    ) -> Turned {
+    ) -> ColdChange {
         let named = self.known.get(server).and_then(|known| known.named);
         let takes = named.map_or(per_s, |named| named.per_s.min(per_s));
         let part = part(takes);
@@ -225,8 +225,8 @@
         });
         known.limit.renew(now, takes, part);
         match before {
-            None => Turned::Cold,
-            Some(_) => Turned::StillCold,
+            None => ColdChange::Cold,
+            Some(_) => ColdChange::StillCold,
         }
     }
 
@@ -236,7 +236,7 @@
         now: Instant,
         server: &str,
         asked_at: Instant,
-        part: impl FnOnce(PerSecond) -> Part,
+        part: impl FnOnce(PerSecond) -> LimitShare,
     ) -> bool {
         let Some(known) = self.known.get_mut(server) else {
             return false;
@@ -254,7 +254,7 @@
     pub fn end_cold(
         &mut self,
         now: Instant,
-        part: impl Fn(&BackendServerName, PerSecond) -> Part,
+        part: impl Fn(&BackendServerName, PerSecond) -> LimitShare,
     ) -> Vec<BackendServerName> {
         let is_over = |known: &&mut Known| known.cold.is_some_and(|cold| cold.until <= now);
         let mut over = Vec::new();
@@ -271,7 +271,13 @@
     }
 
     /// Takes in a notice that the store has; returns whether it is news. What the server itself has named holds.
-    pub fn told(&mut self, now: Instant, notice: &LimitNotice, part: Part, chance: f64) -> bool {
+    pub fn told(
+        &mut self,
+        now: Instant,
+        notice: &LimitNotice,
+        part: LimitShare,
+        chance: f64,
+    ) -> bool {
         let known = self.known.entry(notice.server.clone());
         let known = known
             .or_insert_with(|| Known::new(now, ServerLimit::new(now, notice.per_s, part, chance)));
@@ -341,7 +347,7 @@
     /// Gives a turn at a server to a request that waits so long at most.
     pub fn give_turn(&mut self, now: Instant, server: &str, patience: Duration) -> Turn {
         let known = self.known.get_mut(server);
-        known.map_or(Turn::TooLate(ASK_AGAIN), |known| {
+        known.map_or(Turn::TooLate(TURN_RETRY_DELAY), |known| {
             known.limit.give_turn(now, patience)
         })
     }
@@ -366,7 +372,7 @@
         // A keeper that has not been told of the limit, or does not answer, gives no turn at all.
         known.turn_at = match after > patience {
             true => now + after,
-            false => now + patience + ASK_AGAIN,
+            false => now + patience + TURN_RETRY_DELAY,
         };
     }
 
@@ -378,7 +384,11 @@
     }
 
     /// Takes in that it may have changed which part of the limits this VM uses.
-    pub fn divide(&mut self, now: Instant, part: impl Fn(&BackendServerName, PerSecond) -> Part) {
+    pub fn divide(
+        &mut self,
+        now: Instant,
+        part: impl Fn(&BackendServerName, PerSecond) -> LimitShare,
+    ) {
         for (server, known) in &mut self.known {
             let per_s = known.limit.per_s();
             known.limit.renew(now, per_s, part(server, per_s));
--- a/crates/kingcuploft/src/entry/service_time.rs
+++ b/crates/kingcuploft/src/entry/service_time.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::last_slot::LastSlot;
+use super::last_slot_slowdown::LastSlotSlowdown;
 use super::placement::Slot;
 
 /// The weight of one answer: the last ten or so count, as a VM sees a few a second.
@@ -32,7 +32,7 @@
         latency: Duration,
         slowness: f64,
         slot: Slot,
-        last_slot: &mut LastSlot,
+        last_slot: &mut LastSlotSlowdown,
     ) {
         let took_ms = latency.as_secs_f64() * 1000.0 / slowness.max(0.5);
         match (slot, self.mean_ms) {
--- a/crates/kingcuploft/src/entry/zone_record.rs
+++ b/crates/kingcuploft/src/entry/zone_record.rs
@@ -17,7 +17,7 @@
 
 /// The most VMs that a record names: the reader, and those that take its place. Zones of up to so many VMs are named
 /// whole.
-pub const MOST_NAMED: usize = 8;
+pub const MAX_NAMED_VMS: usize = 8;
 
 /// How many more a record names that can reach none of the others.
 const MOST_APPENDED: usize = 3;
@@ -30,7 +30,7 @@
 const SHRINK_AFTER: Duration = Duration::from_secs(30);
 
 /// How long after its first record a zone counts as counted: its VMs find it within that time.
-pub const SETTLE: Duration = Duration::from_millis(2000);
+pub const SETTLE_TIME: Duration = Duration::from_millis(2000);
 
 /// The VMs of one zone, as the store holds them.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -71,7 +71,7 @@
 
 /// What the VM that reads for a zone sees of it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ZoneView {
     /// The VM itself.
     pub own: VmEntry,
     /// The VMs that follow it at first hand.
@@ -104,7 +104,7 @@
 
 /// Returns the record that takes the place of `old`, if that would mislead; `count` is what holds now, `settled`
 /// whether the zone's VMs have had time to be counted.
-pub fn renewed(old: &ZoneRecord, seen: &Seen, count: u32, settled: bool) -> Option<ZoneRecord> {
+pub fn renewed(old: &ZoneRecord, seen: &ZoneView, count: u32, settled: bool) -> Option<ZoneRecord> {
     let leads = old.vms.first() == Some(&seen.own);
     // One that nobody follows may be cut off from a reader that is well.
     if !leads && seen.followers.is_empty() && (old.count > 1 || !old.settled) {
@@ -127,17 +127,17 @@
 
 /// Returns whether fewer of the named VMs are there than half of those that could be named, or a VM could be named
 /// beside them.
-fn names_too_few(old: &ZoneRecord, seen: &Seen) -> bool {
+fn names_too_few(old: &ZoneRecord, seen: &ZoneView) -> bool {
     let others = seen.followers.iter();
     let alive = others.filter(|vm| old.names(&vm.name)).count();
-    let could = seen.followers.len().min(MOST_NAMED - 1);
-    let has_room = old.vms.len() < MOST_NAMED && alive < could;
+    let could = seen.followers.len().min(MAX_NAMED_VMS - 1);
+    let has_room = old.vms.len() < MAX_NAMED_VMS && alive < could;
     has_room || 2 * alive < could
 }
 
 /// Returns the VMs that a new record names: the VM itself, those that are named and follow it, then the others by
 /// size; where there is room, also those that are named and not there now, as they may come back.
-fn named(old: &ZoneRecord, seen: &Seen) -> Vec<VmEntry> {
+fn named(old: &ZoneRecord, seen: &ZoneView) -> Vec<VmEntry> {
     let mut vms = vec![seen.own.clone()];
     let (mut kept, mut new): (Vec<_>, Vec<_>) = seen
         .followers
@@ -148,7 +148,7 @@
     new.sort_by_key(order);
     let away = old.vms.iter().cloned();
     for vm in kept.into_iter().chain(new).chain(away) {
-        if vms.len() < MOST_NAMED && !vms.iter().any(|named| named.name == vm.name) {
+        if vms.len() < MAX_NAMED_VMS && !vms.iter().any(|named| named.name == vm.name) {
             vms.push(vm);
         }
     }
@@ -159,7 +159,7 @@
 pub fn taken_over(old: &ZoneRecord, own: &VmEntry) -> ZoneRecord {
     let others = old.vms.iter().filter(|vm| vm.name != own.name);
     let mut vms = vec![own.clone()];
-    vms.extend(others.take(MOST_NAMED - 1).cloned());
+    vms.extend(others.take(MAX_NAMED_VMS - 1).cloned());
     ZoneRecord {
         version: old.version + 1,
         vms,
@@ -170,7 +170,7 @@
 /// Returns the record that also names, last, a VM that can reach none of those that it names, if there is room: others
 /// that can't reach them either find each other so, and those that can are not misled.
 pub fn appended(old: &ZoneRecord, own: &VmEntry) -> Option<ZoneRecord> {
-    if old.names(&own.name) || old.vms.len() >= MOST_NAMED + MOST_APPENDED {
+    if old.names(&own.name) || old.vms.len() >= MAX_NAMED_VMS + MOST_APPENDED {
         return None;
     }
     let mut record = old.clone();
@@ -183,7 +183,7 @@
 ///
 /// Failure: the small VMs of a zone are back first after an outage, and one of them reads. With a tenth of a core and
 /// dozens of followers it misses its heartbeats while it tells them all of hundreds of servers.
-pub fn handed_over(old: &ZoneRecord, seen: &Seen) -> Option<ZoneRecord> {
+pub fn handed_over(old: &ZoneRecord, seen: &ZoneView) -> Option<ZoneRecord> {
     let largest = seen.followers.iter().min_by_key(|vm| order(vm))?;
     if largest.cpu_milli <= seen.own.cpu_milli {
         return None;
--- a/crates/kingcuploft/tests/entry/repeat_copies.rs
+++ b/crates/kingcuploft/tests/entry/account_replicas.rs
@@ -1,9 +1,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::repeat_account::Used;
-use kingcuploft::entry::repeat_copies::{RepeatCopies, holders};
-use kingcuploft::entry::repeats::{RepeatBounds, Repeats};
+use kingcuploft::entry::account_replicas::{AccountReplicas, holders};
+use kingcuploft::entry::repeat_account::UsageReport;
+use kingcuploft::entry::repeat_budget::{RepeatBounds, RepeatBudget};
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft::utils::HashSet;
@@ -34,9 +34,9 @@
 }
 
 /// What a VM has used that has repeated so many requests.
-fn used(repeats: usize, services: &[&str]) -> Used {
+fn used(repeats: usize, services: &[&str]) -> UsageReport {
     let now = Instant::now();
-    let mut of_vm = Repeats::first();
+    let mut of_vm = RepeatBudget::first();
     for service in services {
         for _ in 0..repeats {
             of_vm.take(now, &(*service).into(), &BOUNDS, 1);
@@ -60,7 +60,7 @@
 #[test]
 fn a_vm_that_asks_is_told_what_it_told_and_how_long_ago() {
     let now = Instant::now();
-    let mut copies = RepeatCopies::default();
+    let mut copies = AccountReplicas::default();
     let told = used(3, &["trip"]);
     copies.told(now, "a".into(), told.clone());
     let mut expected = told;
@@ -74,9 +74,9 @@
 #[test]
 fn a_vm_that_knows_less_of_itself_than_is_kept_does_not_overwrite_it() {
     let now = Instant::now();
-    let mut copies = RepeatCopies::default();
+    let mut copies = AccountReplicas::default();
     copies.told(now, "a".into(), used(3, &["trip"]));
-    let mut restarted = Repeats::again(now + SECOND, &BOUNDS);
+    let mut restarted = RepeatBudget::again(now + SECOND, &BOUNDS);
     let nothing = restarted.used(now + SECOND, &BOUNDS);
     copies.told(now + SECOND, "a".into(), nothing.clone());
     let kept = copies.of(now + SECOND, &"a".into()).expect("it is kept");
@@ -94,7 +94,7 @@
     let names: Vec<String> = (0..20).map(|at| format!("service-{at}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let now = Instant::now();
-    let mut copies = RepeatCopies::default();
+    let mut copies = AccountReplicas::default();
     let parts = used(1, &names).parts(8);
     assert_eq!(parts.len(), 3);
     for part in parts {
@@ -110,7 +110,7 @@
 #[test]
 fn a_vm_that_is_gone_is_forgotten() {
     let now = Instant::now();
-    let mut copies = RepeatCopies::default();
+    let mut copies = AccountReplicas::default();
     copies.told(now, "a".into(), used(3, &["trip"]));
     assert_eq!(copies.of(now + 90 * SECOND, &"a".into()), None);
     assert!(copies.is_empty());
--- a/crates/kingcuploft/tests/entry/verdict.rs
+++ b/crates/kingcuploft/tests/entry/attempts.rs
@@ -1,14 +1,14 @@
-use kingcuploft::entry::verdict::{AttemptEnd, Attempts, Verdict};
+use kingcuploft::entry::attempts::{AttemptOutcome, Attempts, NextAction};
 use kingcuploft::world::contract::Contract;
 
-const ENDS: [AttemptEnd; 7] = [
-    AttemptEnd::Succeeded,
-    AttemptEnd::Failed,
-    AttemptEnd::NotRun,
-    AttemptEnd::Unsent,
-    AttemptEnd::Lost,
-    AttemptEnd::Broken,
-    AttemptEnd::TimedOut,
+const ENDS: [AttemptOutcome; 7] = [
+    AttemptOutcome::Succeeded,
+    AttemptOutcome::Failed,
+    AttemptOutcome::NotRun,
+    AttemptOutcome::Unsent,
+    AttemptOutcome::Lost,
+    AttemptOutcome::Broken,
+    AttemptOutcome::TimedOut,
 ];
 
 /// Guards against a booking that runs twice as its answer is lost.
@@ -18,8 +18,8 @@
         let mut attempts = Attempts::new(Contract::AtMostOnce, 3);
         attempts.sending();
         let verdict = attempts.ended(end);
-        let proved = matches!(end, AttemptEnd::NotRun | AttemptEnd::Unsent);
-        assert_eq!(verdict == Verdict::TryAgain, proved, "{end:?}");
+        let proved = matches!(end, AttemptOutcome::NotRun | AttemptOutcome::Unsent);
+        assert_eq!(verdict == NextAction::TryAgain, proved, "{end:?}");
         assert_eq!(attempts.may_send(0), proved, "{end:?}");
         assert!(!attempts.may_send(1), "{end:?}: one is still in flight");
     }
@@ -51,13 +51,13 @@
 #[test]
 fn a_lookup_goes_to_at_most_as_many_servers_as_its_route_allows() {
     let mut attempts = Attempts::new(Contract::RetryFreely, 2);
-    assert_eq!(attempts.ended(AttemptEnd::Lost), Verdict::TryAgain);
-    assert_eq!(attempts.ended(AttemptEnd::Lost), Verdict::GiveUp);
+    assert_eq!(attempts.ended(AttemptOutcome::Lost), NextAction::TryAgain);
+    assert_eq!(attempts.ended(AttemptOutcome::Lost), NextAction::GiveUp);
 }
 
 #[test]
 fn a_server_that_did_not_run_a_request_does_not_use_up_its_attempts() {
     let mut attempts = Attempts::new(Contract::RetryFreely, 1);
-    assert_eq!(attempts.ended(AttemptEnd::NotRun), Verdict::TryAgain);
-    assert_eq!(attempts.ended(AttemptEnd::Failed), Verdict::Answer);
+    assert_eq!(attempts.ended(AttemptOutcome::NotRun), NextAction::TryAgain);
+    assert_eq!(attempts.ended(AttemptOutcome::Failed), NextAction::Answer);
 }
--- a/crates/kingcuploft/tests/entry/patience.rs
+++ b/crates/kingcuploft/tests/entry/caller_timeouts.rs
@@ -1,11 +1,11 @@
 use std::time::Duration;
 
-use kingcuploft::entry::patience::Patience;
+use kingcuploft::entry::caller_timeouts::CallerTimeouts;
 
 const SECOND: Duration = Duration::from_millis(1000);
 
-fn known(count: usize) -> Patience {
-    let mut patience = Patience::default();
+fn known(count: usize) -> CallerTimeouts {
+    let mut patience = CallerTimeouts::default();
     for _ in 0..count {
         assert_eq!(patience.told(SECOND), Duration::ZERO);
     }
--- a/crates/kingcuploft/tests/entry/cold_servers.rs
+++ b/crates/kingcuploft/tests/entry/cold_servers.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use kingcuploft::entry::server_limit::{Part, PerSecond, Turn, keepers, part};
-use kingcuploft::entry::server_limits::{ServerLimits, Turned};
+use kingcuploft::entry::server_limit::{LimitShare, PerSecond, Turn, keepers, part};
+use kingcuploft::entry::server_limits::{ColdChange, ServerLimits};
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft::world::ids::{AvailabilityZone, BackendServerName, VmName};
@@ -88,12 +88,12 @@
         (0..4).map(record).collect()
     }
 
-    fn part(&self, vm: usize, at: usize, per_s: PerSecond, records: &[ZoneRecord]) -> Part {
+    fn part(&self, vm: usize, at: usize, per_s: PerSecond, records: &[ZoneRecord]) -> LimitShare {
         let counted = (self.vms as f64 * self.counted).max(1.0) as usize;
         match self.way {
             Way::Turns => part(&name(vm), counted, &server(at), &zone(0), per_s, records),
-            Way::ByHead | Way::ByHeadSaved => Part::OneOf(counted),
-            Way::Unshared => Part::OneOf(1),
+            Way::ByHead | Way::ByHeadSaved => LimitShare::OneOf(counted),
+            Way::Unshared => LimitShare::OneOf(1),
         }
     }
 
@@ -253,21 +253,24 @@
     let (now, name) = (Instant::now(), server(0));
     let after = |ms| now + Duration::from_millis(ms);
     let lasts = Duration::from_secs(3);
-    let one = |_| Part::OneOf(1);
+    let one = |_| LimitShare::OneOf(1);
     let mut limits = ServerLimits::default();
     let turned = limits.turned_cold(now, &name, PER_S, lasts, one, 0.5);
-    assert_eq!(turned, Turned::Cold);
+    assert_eq!(turned, ColdChange::Cold);
     let again = limits.turned_cold(after(100), &name, PER_S, lasts, one, 0.5);
-    assert_eq!(again, Turned::StillCold);
+    assert_eq!(again, ColdChange::StillCold);
     assert!(limits.wait(after(100), &name, 0.5).is_zero());
     limits.sent(after(100), &name, 0.5);
     assert!(!limits.wait(after(110), &name, 0.5).is_zero());
     assert!(!limits.is_warm(after(120), &name, after(90), one));
-    assert_eq!(limits.end_cold(after(3_000), |_, _| Part::OneOf(1)), []);
+    assert_eq!(
+        limits.end_cold(after(3_000), |_, _| LimitShare::OneOf(1)),
+        []
+    );
     assert!(limits.is_warm(after(3_010), &name, after(3_000), one));
     assert!(limits.is_empty());
     limits.turned_cold(after(4_000), &name, PER_S, lasts, one, 0.5);
-    let ended = limits.end_cold(after(7_000), |_, _| Part::OneOf(1));
+    let ended = limits.end_cold(after(7_000), |_, _| LimitShare::OneOf(1));
     assert_eq!((ended, limits.is_empty()), (vec![name], true));
 }
 
@@ -276,13 +279,13 @@
 fn a_cold_server_that_names_a_limit_goes_by_the_lesser_of_both() {
     let (now, name) = (Instant::now(), server(0));
     let after = |ms| now + Duration::from_millis(ms);
-    let one = |_| Part::OneOf(1);
+    let one = |_| LimitShare::OneOf(1);
     let mut limits = ServerLimits::default();
     limits.heard(now, &name, Some(1.0), one, 0.5);
     limits.turned_cold(now, &name, PER_S, Duration::from_secs(1), one, 0.5);
     assert_eq!(limits.per_s(&name), Some(1.0));
     assert_eq!((limits.len(), limits.cold_count()), (1, 1));
-    limits.end_cold(after(1_000), |_, _| Part::OneOf(1));
+    limits.end_cold(after(1_000), |_, _| LimitShare::OneOf(1));
     assert_eq!((limits.per_s(&name), limits.cold_count()), (Some(1.0), 0));
     limits.turned_cold(after(1_000), &name, 0.5, Duration::from_secs(1), one, 0.5);
     assert_eq!(limits.per_s(&name), Some(0.5));
@@ -294,7 +297,7 @@
 #[test]
 fn vms_that_restart_send_a_cold_server_no_more_than_it_bears() {
     let (vms, per_s, begun) = (20, 20.0, Instant::now());
-    let part = |_| Part::OneOf(vms);
+    let part = |_| LimitShare::OneOf(vms);
     let start = |at: Instant| {
         let mut limits = ServerLimits::begun_at(at);
         limits.turned_cold(at, &server(0), per_s, Duration::from_secs(3), part, 0.5);
--- a/crates/kingcuploft/tests/entry/configuration_change.rs
+++ b/crates/kingcuploft/tests/entry/configuration_change.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use arbtest::arbitrary::Unstructured;
-use kingcuploft::entry::arriving::{Arriving, Taken};
+use kingcuploft::entry::change_assembly::{ChangeAssembler, PartOutcome};
 use kingcuploft::entry::change_log::ChangeLog;
 use kingcuploft::entry::configuration::{Configuration, Destination, Limits, Route, Service};
 use kingcuploft::entry::configuration_change::{ChangePart, ConfigurationChange};
@@ -48,15 +48,15 @@
 }
 
 fn told(parts: Vec<ChangePart>, old: Option<&Configuration>) -> Option<Configuration> {
-    let mut arriving = Arriving::default();
+    let mut arriving = ChangeAssembler::default();
     let mut whole = None;
     for part in parts {
         let line = serde_json::to_string(&part).unwrap();
         let part: ChangePart = serde_json::from_str(&line).unwrap();
         match arriving.take(part, old).unwrap() {
-            Taken::Whole(configuration) => whole = Some(*configuration),
-            Taken::More => {}
-            Taken::Known | Taken::OutOfStep => return None,
+            PartOutcome::Whole(configuration) => whole = Some(*configuration),
+            PartOutcome::More => {}
+            PartOutcome::Known | PartOutcome::OutOfStep => return None,
         }
     }
     whole
--- a/crates/kingcuploft/tests/entry/feeding.rs
+++ b/crates/kingcuploft/tests/entry/dissemination.rs
@@ -1,17 +1,19 @@
-use kingcuploft::entry::feeding::{Admission, Fed, MOST_FED, MOST_STEPS, admit, below, is_circle};
+use kingcuploft::entry::dissemination::{
+    Admission, FollowerLoad, MAX_DEPTH, MAX_FOLLOWERS, admit, below, is_circle,
+};
 use kingcuploft::world::ids::VmName;
 
 use crate::readers::vm;
 
-fn fed(name: &str, below: u32) -> Fed {
-    Fed {
+fn fed(name: &str, below: u32) -> FollowerLoad {
+    FollowerLoad {
         vm: vm(name, 200),
         below,
         sent_there: 0,
     }
 }
 
-fn asks(comes: &str, path: &[VmName], all: &[Fed]) -> Admission {
+fn asks(comes: &str, path: &[VmName], all: &[FollowerLoad]) -> Admission {
     admit(&vm(comes, 200), &"thun".into(), path, all)
 }
 
@@ -22,8 +24,8 @@
 #[test]
 fn a_vm_feeds_a_few_and_names_the_one_that_feeds_least_beyond() {
     let path = names(&["reader"]);
-    let mut all: Vec<Fed> = Vec::new();
-    for at in 0..MOST_FED {
+    let mut all: Vec<FollowerLoad> = Vec::new();
+    for at in 0..MAX_FOLLOWERS {
         assert_eq!(asks("new", &path, &all), Admission::Feed);
         all.push(fed(&format!("vm-{at}"), 3));
     }
@@ -32,7 +34,7 @@
     all[4].sent_there = 5;
     all[6].below = 2;
     assert_eq!(asks("new", &path, &all), Admission::Elsewhere(6));
-    assert_eq!(below(&"thun".into(), &all), MOST_FED as u32 * 4 - 3);
+    assert_eq!(below(&"thun".into(), &all), MAX_FOLLOWERS as u32 * 4 - 3);
 }
 
 /// A feeder loses its own and asks one of those that it feeds. Fed by it, both would tell each other old news for good.
@@ -48,9 +50,7 @@
 
 #[test]
 fn news_comes_through_a_bounded_number_of_vms() {
-    let path: Vec<VmName> = (0..MOST_STEPS)
-        .map(|at| format!("vm-{at}").into())
-        .collect();
+    let path: Vec<VmName> = (0..MAX_DEPTH).map(|at| format!("vm-{at}").into()).collect();
     assert_eq!(asks("new", &path, &[]), Admission::TurnAway);
     assert_eq!(asks("new", &path[1..], &[]), Admission::Feed);
 }
@@ -59,17 +59,17 @@
 #[test]
 fn the_reader_of_another_zone_is_fed_beyond_the_few() {
     let path = names(&["reader"]);
-    let mut all: Vec<Fed> = (0..MOST_FED)
+    let mut all: Vec<FollowerLoad> = (0..MAX_FOLLOWERS)
         .map(|at| fed(&format!("vm-{at}"), 0))
         .collect();
     let mut other = vm("other-reader", 200);
     other.zone = "bern".into();
     assert_eq!(admit(&other, &"thun".into(), &path, &all), Admission::Feed);
-    all.push(Fed {
+    all.push(FollowerLoad {
         vm: other,
         below: 50,
         sent_there: 0,
     });
-    assert_eq!(below(&"thun".into(), &all), MOST_FED as u32);
+    assert_eq!(below(&"thun".into(), &all), MAX_FOLLOWERS as u32);
     assert_eq!(asks("new", &path, &all), Admission::Elsewhere(0));
 }
--- a/crates/kingcuploft/tests/entry/evacuations.rs
+++ b/crates/kingcuploft/tests/entry/evacuations.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::evacuations::{Change, Evacuations, REWRITTEN_WITHIN};
+use kingcuploft::entry::evacuations::{Change, Evacuations, REWRITE_GRACE};
 use kingcuploft::utils::HashSet;
 
 fn listed(zones: &[&str]) -> HashSet<std::sync::Arc<str>> {
@@ -50,10 +50,10 @@
     evacuations.told("a".into());
     evacuations.store_rewound(begun);
     assert_eq!(evacuations.all_told(begun, &listed(&[])), []);
-    assert_eq!(evacuations.expire(begun + REWRITTEN_WITHIN / 2), []);
+    assert_eq!(evacuations.expire(begun + REWRITE_GRACE / 2), []);
     assert!(evacuations.holds("a"));
     assert_eq!(evacuations.told("a".into()), None);
-    assert_eq!(evacuations.expire(begun + REWRITTEN_WITHIN), []);
+    assert_eq!(evacuations.expire(begun + REWRITE_GRACE), []);
     assert_eq!(evacuations.gone("a"), Some(Change::Ended("a".into())));
 }
 
@@ -65,9 +65,9 @@
     evacuations.told("a".into());
     evacuations.store_rewound(begun);
     evacuations.all_told(begun, &listed(&[]));
-    let ended = evacuations.expire(begun + REWRITTEN_WITHIN);
+    let ended = evacuations.expire(begun + REWRITE_GRACE);
     assert_eq!(ended, [Change::Ended("a".into())]);
     evacuations.told("a".into());
-    let later = begun + REWRITTEN_WITHIN + Duration::from_secs(1);
+    let later = begun + REWRITE_GRACE + Duration::from_secs(1);
     assert_eq!(evacuations.all_told(later, &listed(&[])).len(), 1);
 }
--- a/crates/kingcuploft/tests/entry/second_look.rs
+++ b/crates/kingcuploft/tests/entry/hedging.rs
@@ -1,8 +1,8 @@
 use std::time::Duration;
 
-use kingcuploft::entry::second_look::{Look, look_after, wants_second};
+use kingcuploft::entry::hedging::{HedgeCheck, look_after, wants_second};
 
-const CALM: Look = Look {
+const CALM: HedgeCheck = HedgeCheck {
     answers: true,
     probes_left: 0.9,
     left_ms: 300.0,
@@ -19,7 +19,7 @@
 #[test]
 fn a_late_lookup_is_sent_twice_in_calm_only() {
     assert!(wants_second(&CALM));
-    assert!(!wants_second(&Look {
+    assert!(!wants_second(&HedgeCheck {
         probes_left: 0.2,
         ..CALM
     }));
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_silent_server_is_not_waited_for_even_under_overload() {
-    let silent = Look {
+    let silent = HedgeCheck {
         answers: false,
         probes_left: 0.2,
         ..CALM
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_lookup_whose_time_is_over_is_not_sent_again() {
-    assert!(!wants_second(&Look {
+    assert!(!wants_second(&HedgeCheck {
         left_ms: 50.0,
         ..CALM
     }));
--- a/crates/kingcuploft/tests/entry/log_budget.rs
+++ b/crates/kingcuploft/tests/entry/log_rate_limiter.rs
@@ -1,17 +1,17 @@
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::log_budget::{LogBudget, Ordinary};
+use kingcuploft::entry::log_rate_limiter::{LogDecision, LogRateLimiter};
 
 /// Plays lines at an even pace and returns how many were written, and how many were told as left out.
 fn play(per_s: u64, seconds: u64) -> (u64, u64) {
-    let (start, mut budget) = (Instant::now(), LogBudget::default());
+    let (start, mut budget) = (Instant::now(), LogRateLimiter::default());
     let (mut written, mut told) = (0, 0);
     for line in 0..per_s * seconds {
         let now = start + Duration::from_secs_f64(line as f64 / per_s as f64);
         match budget.take(now) {
-            Ordinary::Write => written += 1,
-            Ordinary::LeaveOut => {}
-            Ordinary::Tell(left_out) => told += left_out,
+            LogDecision::Write => written += 1,
+            LogDecision::LeaveOut => {}
+            LogDecision::Tell(left_out) => told += left_out,
         }
     }
     (written, told)
--- a/crates/kingcuploft/tests/entry/main.rs
+++ b/crates/kingcuploft/tests/entry/main.rs
@@ -1,24 +1,24 @@
 //! The decisions of one entry VM, judged by what callers and backend servers would see.
 
-mod asked;
+mod account_replicas;
+mod attempts;
 mod backend_servers;
+mod caller_timeouts;
 mod cold_servers;
 mod configuration;
 mod configuration_change;
 mod connections;
+mod dissemination;
 mod evacuations;
-mod feeding;
-mod log_budget;
-mod patience;
+mod hedging;
+mod log_rate_limiter;
 mod placement;
+mod probe_fanout;
 mod probing;
 mod quarantine;
 mod readers;
-mod repeat_copies;
-mod repeats;
+mod repeat_budget;
 mod rewinds;
-mod second_look;
 mod server_limit;
 mod server_table;
-mod verdict;
 mod zone_record;
--- a/crates/kingcuploft/tests/entry/placement.rs
+++ b/crates/kingcuploft/tests/entry/placement.rs
@@ -1,19 +1,21 @@
 use std::time::Duration;
 
-use kingcuploft::entry::failures::Failures;
-use kingcuploft::entry::last_slot::LastSlot;
-use kingcuploft::entry::placement::{Candidate, Need, Reach, Reading, Slot, Step, place};
+use kingcuploft::entry::failure_rate::FailureRate;
+use kingcuploft::entry::last_slot_slowdown::LastSlotSlowdown;
+use kingcuploft::entry::placement::{
+    Candidate, LoadReading, PlacementNeed, ProbeScope, Slot, Step, place,
+};
 use kingcuploft::entry::service_time::ServiceTime;
 use std::time::Instant;
 
 /// A request with 60 ms of work, 200 ms until its answer is late and 500 ms until nobody waits.
-fn need() -> Need {
-    Need {
+fn need() -> PlacementNeed {
+    PlacementNeed {
         work_ms: 60.0,
         target_left_ms: 200.0,
         deadline_left_ms: 500.0,
         looked_ms: 0.0,
-        reach: Reach::Near,
+        reach: ProbeScope::Near,
         last_slot: 1.35,
         probes_left: 1.0,
         returns: false,
@@ -24,7 +26,7 @@
 fn idle() -> Candidate {
     Candidate {
         near: true,
-        reading: Some(Reading {
+        reading: Some(LoadReading {
             running: 0,
             waiting: 0,
             slots: 2,
@@ -42,7 +44,7 @@
 
 fn with_load(running: u32, waiting: u32, slowness: f64) -> Candidate {
     Candidate {
-        reading: Some(Reading {
+        reading: Some(LoadReading {
             running,
             waiting,
             slots: 2,
@@ -60,7 +62,7 @@
     }
 }
 
-fn step(need: &Need, candidates: &[Candidate]) -> Step {
+fn step(need: &PlacementNeed, candidates: &[Candidate]) -> Step {
     place(need, candidates, || 0.0)
 }
 
@@ -75,8 +77,8 @@
     let servers = [with_load(2, 0, 1.0), with_load(1, 0, 1.0)];
     assert_eq!(
         step(
-            &Need {
-                reach: Reach::Far,
+            &PlacementNeed {
+                reach: ProbeScope::Far,
                 ..need()
             },
             &servers
@@ -104,24 +106,24 @@
 #[test]
 fn more_servers_are_asked_when_no_near_one_is_good() {
     let servers = [with_load(0, 0, 5.0), with_load(2, 1, 1.0)];
-    assert_eq!(step(&need(), &servers), Step::Ask(Reach::FewFar));
-    let few = Need {
-        reach: Reach::FewFar,
+    assert_eq!(step(&need(), &servers), Step::Ask(ProbeScope::FewFar));
+    let few = PlacementNeed {
+        reach: ProbeScope::FewFar,
         ..need()
     };
-    assert_eq!(step(&few, &servers), Step::Ask(Reach::Far));
+    assert_eq!(step(&few, &servers), Step::Ask(ProbeScope::Far));
 }
 
 /// Guards against a request that is sent to a slow server while a faster one may still be in time.
 #[test]
 fn a_request_waits_for_a_fast_server_while_that_can_be_in_time() {
-    let asked = Need {
-        reach: Reach::Far,
+    let asked = PlacementNeed {
+        reach: ProbeScope::Far,
         ..need()
     };
     let slow = [with_load(0, 0, 5.0)];
     assert!(matches!(step(&asked, &slow), Step::LookAgain(_)));
-    let late_anyway = Need {
+    let late_anyway = PlacementNeed {
         target_left_ms: 70.0,
         ..asked
     };
@@ -131,10 +133,10 @@
 /// A caller would wait until its deadline and get nothing: no server can answer before.
 #[test]
 fn a_request_that_no_server_can_answer_in_time_is_refused_at_once() {
-    let hopeless = Need {
+    let hopeless = PlacementNeed {
         target_left_ms: -200.0,
         deadline_left_ms: 70.0,
-        reach: Reach::Far,
+        reach: ProbeScope::Far,
         ..need()
     };
     let refused = |servers: &[Candidate]| matches!(step(&hopeless, servers), Step::Refuse(_));
@@ -145,10 +147,10 @@
 /// Guards against callers that are told to return too soon or too late.
 #[test]
 fn a_refused_caller_is_told_when_the_first_line_ends() {
-    let hopeless = Need {
+    let hopeless = PlacementNeed {
         target_left_ms: -200.0,
         deadline_left_ms: 70.0,
-        reach: Reach::Far,
+        reach: ProbeScope::Far,
         ..need()
     };
     let told_ms = |servers: &[Candidate]| match step(&hopeless, servers) {
@@ -175,7 +177,7 @@
 #[test]
 fn a_server_that_fails_half_of_its_calls_goes_last() {
     let now = Instant::now();
-    let mut failures = Failures::default();
+    let mut failures = FailureRate::default();
     for call in 0..8 {
         failures.ended(now, call % 2 == 0);
     }
@@ -201,8 +203,8 @@
         own: 2,
         ..unread(false)
     };
-    let asked = Need {
-        reach: Reach::Far,
+    let asked = PlacementNeed {
+        reach: ProbeScope::Far,
         looked_ms: 10.0,
         ..need()
     };
@@ -230,8 +232,8 @@
     let naive = share_in_time(|speeds, rng| rng.usize(0..speeds.len()));
     let by_readings = share_in_time(|speeds, _| {
         let servers: Vec<Candidate> = speeds.iter().map(|s| with_load(0, 0, *s)).collect();
-        let asked = Need {
-            reach: Reach::Far,
+        let asked = PlacementNeed {
+            reach: ProbeScope::Far,
             target_left_ms: 70.0,
             ..need()
         };
@@ -246,7 +248,7 @@
 
 #[test]
 fn the_work_of_a_route_is_measured_apart_from_the_servers_speed() {
-    let (mut time, mut last_slot) = (ServiceTime::default(), LastSlot::default());
+    let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let target = Duration::from_millis(200);
     assert!((time.work_ms(target) - 70.0).abs() < 0.1);
     for _ in 0..50 {
@@ -259,8 +261,8 @@
 #[test]
 fn servers_that_all_fail_alike_are_sent_requests_at_once() {
     let failing = |failures| Candidate { failures, ..idle() };
-    let far_asked = Need {
-        reach: Reach::Far,
+    let far_asked = PlacementNeed {
+        reach: ProbeScope::Far,
         looked_ms: 10.0,
         ..need()
     };
@@ -273,14 +275,14 @@
 /// Guards against near last slots that are taken while idle servers stand elsewhere.
 #[test]
 fn a_few_far_servers_are_asked_where_a_near_last_slot_would_do() {
-    let costly = Need {
+    let costly = PlacementNeed {
         last_slot: 1.7,
         ..need()
     };
     let near = with_load(1, 0, 1.0);
-    assert_eq!(step(&costly, &[near]), Step::Ask(Reach::FewFar));
-    let asked = Need {
-        reach: Reach::FewFar,
+    assert_eq!(step(&costly, &[near]), Step::Ask(ProbeScope::FewFar));
+    let asked = PlacementNeed {
+        reach: ProbeScope::FewFar,
         ..costly
     };
     let far_idle = Candidate {
@@ -295,13 +297,13 @@
     assert_eq!(step(&asked, &[near, far_busy]), Step::Send(0));
     let full = with_load(2, 0, 1.0);
     assert_eq!(step(&asked, &[full, far_busy]), Step::Send(1));
-    assert_eq!(step(&asked, &[full]), Step::Ask(Reach::Far));
+    assert_eq!(step(&asked, &[full]), Step::Ask(ProbeScope::Far));
 }
 
 /// While probes are short, those of other zones are kept for requests that find no near server at all.
 #[test]
 fn a_near_last_slot_is_taken_where_probes_are_short() {
-    let short = Need {
+    let short = PlacementNeed {
         last_slot: 1.7,
         probes_left: 0.2,
         ..need()
@@ -311,7 +313,7 @@
 
 #[test]
 fn the_cost_of_a_last_slot_is_learned_from_answers() {
-    let (mut time, mut last_slot) = (ServiceTime::default(), LastSlot::default());
+    let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let answer = Duration::from_millis;
     for _ in 0..40 {
         time.measured(answer(100), 1.0, Slot::Spare, &mut last_slot);
@@ -329,7 +331,7 @@
 /// A service under constant load gives its answers from last slots only: they tell of the work as well.
 #[test]
 fn work_is_learned_from_last_slots_where_there_are_no_others() {
-    let (mut time, mut last_slot) = (ServiceTime::default(), LastSlot::default());
+    let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let answer = Duration::from_millis(300);
     (0..50).for_each(|_| time.measured(answer, 1.0, Slot::Last, &mut last_slot));
     let work_ms = time.work_ms(Duration::from_secs(10));
@@ -339,7 +341,7 @@
 /// Guards against time in a line that is taken for work.
 #[test]
 fn time_in_a_line_is_not_taken_for_work() {
-    let (mut time, mut last_slot) = (ServiceTime::default(), LastSlot::default());
+    let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let answer = Duration::from_millis;
     (0..10).for_each(|_| time.measured(answer(100), 1.0, Slot::Spare, &mut last_slot));
     let before = last_slot.factor();
@@ -351,28 +353,28 @@
 /// Guards against a late caller that takes the slot in which another would be in time.
 #[test]
 fn a_caller_that_returns_late_leaves_last_slots_to_others_under_overload() {
-    let late = Need {
+    let late = PlacementNeed {
         target_left_ms: -20.0,
         deadline_left_ms: 150.0,
         probes_left: 0.1,
         returns: true,
-        reach: Reach::Far,
+        reach: ProbeScope::Far,
         ..need()
     };
     let last = with_load(1, 0, 1.0);
     assert!(matches!(step(&late, &[last]), Step::Refuse(_)));
-    let in_time = Need {
+    let in_time = PlacementNeed {
         target_left_ms: 200.0,
         deadline_left_ms: 500.0,
         ..late
     };
     assert_eq!(step(&in_time, &[last]), Step::Send(0));
     assert_eq!(step(&late, &[last, idle()]), Step::Send(1));
-    let calm = Need {
+    let calm = PlacementNeed {
         probes_left: 1.0,
         ..late
     };
-    let first_attempt = Need {
+    let first_attempt = PlacementNeed {
         returns: false,
         ..late
     };
--- /dev/null
+++ b/crates/kingcuploft/tests/entry/probe_fanout.rs
@@ -0,0 +1,29 @@
+use kingcuploft::entry::placement::ProbeScope;
+use kingcuploft::entry::probe_fanout::asked;
+
+/// Guards against a crowded zone that keeps its requests to itself.
+#[test]
+fn a_zone_with_many_servers_asks_those_of_other_zones_as_well() {
+    let counts = |near, far, reach| {
+        let asked = asked(near, far, reach);
+        (asked.near, asked.far)
+    };
+    assert_eq!(counts(40, 160, ProbeScope::Near), (6, 0));
+    assert_eq!(counts(40, 160, ProbeScope::Far), (6, 10));
+    assert_eq!(counts(3, 8, ProbeScope::Near), (3, 0));
+    assert_eq!(counts(3, 8, ProbeScope::Far), (3, 8));
+    assert_eq!(counts(0, 11, ProbeScope::Near), (0, 6));
+}
+
+/// All servers of a deployment stand in one zone. Six of its thirty would be all that a VM ever uses.
+#[test]
+fn more_near_servers_are_asked_where_there_are_few_elsewhere() {
+    let counts = |near, far, reach| {
+        let asked = asked(near, far, reach);
+        (asked.near, asked.far)
+    };
+    assert_eq!(counts(30, 0, ProbeScope::Near), (6, 0));
+    assert_eq!(counts(30, 0, ProbeScope::FewFar), (9, 0));
+    assert_eq!(counts(30, 0, ProbeScope::Far), (16, 0));
+    assert_eq!(counts(30, 4, ProbeScope::Far), (12, 4));
+}
--- a/crates/kingcuploft/tests/entry/quarantine.rs
+++ b/crates/kingcuploft/tests/entry/quarantine.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::crash_report::CrashReport;
-use kingcuploft::entry::fingerprint::{Fingerprint, Recurring};
-use kingcuploft::entry::quarantine::{Admission, Quarantine, Told};
+use kingcuploft::entry::fingerprint::{Fingerprint, RequestIdentity};
+use kingcuploft::entry::quarantine::{Admission, Quarantine, ReportStatus};
 
 const REQUEST: Fingerprint = 7;
 
@@ -120,8 +120,11 @@
     let (mut one, mut other) = (Vm::new(), Vm::new());
     let reports = [one.crash(), one.crash()];
     for report in &reports {
-        assert_eq!(other.quarantine.told(other.now, report), Told::News);
-        assert_eq!(other.quarantine.told(other.now, report), Told::Known);
+        assert_eq!(other.quarantine.told(other.now, report), ReportStatus::News);
+        assert_eq!(
+            other.quarantine.told(other.now, report),
+            ReportStatus::Known
+        );
     }
     assert!(matches!(other.admit(), Admission::Refuse(_)));
     let ids = one.quarantine.answered(REQUEST);
@@ -169,7 +172,7 @@
 
 #[test]
 fn a_fingerprint_tells_requests_apart_and_is_the_same_under_another_id() {
-    let request = Recurring {
+    let request = RequestIdentity {
         method: "POST",
         host: "a.example",
         target: "/book/a",
@@ -179,23 +182,23 @@
     assert_eq!(request.fingerprint(), request.fingerprint());
     let caller = [Some("somebody"), None];
     let others = [
-        Recurring {
+        RequestIdentity {
             method: "PUT",
             ..request
         },
-        Recurring {
+        RequestIdentity {
             host: "b.example",
             ..request
         },
-        Recurring {
+        RequestIdentity {
             target: "/book/b",
             ..request
         },
-        Recurring {
+        RequestIdentity {
             body: b"two beds",
             ..request
         },
-        Recurring { caller, ..request },
+        RequestIdentity { caller, ..request },
     ];
     for other in others {
         assert_ne!(request.fingerprint(), other.fingerprint(), "{other:?}");
--- a/crates/kingcuploft/tests/entry/repeats.rs
+++ b/crates/kingcuploft/tests/entry/repeat_budget.rs
@@ -1,7 +1,7 @@
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::repeat_account::Used;
-use kingcuploft::entry::repeats::{RepeatBounds, Repeats};
+use kingcuploft::entry::repeat_account::UsageReport;
+use kingcuploft::entry::repeat_budget::{RepeatBounds, RepeatBudget};
 use kingcuploft::world::ids::ServiceName;
 
 const BOUNDS: RepeatBounds = RepeatBounds {
@@ -17,7 +17,7 @@
 }
 
 /// Makes all the repeats that there is room for; returns how many.
-fn use_up(repeats: &mut Repeats, now: Instant, vms: usize) -> usize {
+fn use_up(repeats: &mut RepeatBudget, now: Instant, vms: usize) -> usize {
     let mut made = 0;
     while repeats.take(now, &trip(), &BOUNDS, vms).has_room() {
         made += 1;
@@ -30,7 +30,7 @@
 fn all_vms_together_stay_within_the_budget_while_every_request_fails() {
     let start = Instant::now();
     let vms = 14;
-    let mut fleet: Vec<Repeats> = (0..vms).map(|_| Repeats::first()).collect();
+    let mut fleet: Vec<RepeatBudget> = (0..vms).map(|_| RepeatBudget::first()).collect();
     let mut sent: Vec<(Duration, bool)> = Vec::new();
     let mut rng = fastrand::Rng::with_seed(3);
     for tick in 0..6000 {
@@ -63,7 +63,7 @@
 #[test]
 fn a_vm_that_has_not_counted_the_others_uses_its_own_share_only() {
     let now = Instant::now();
-    let mut repeats = Repeats::first();
+    let mut repeats = RepeatBudget::first();
     assert_eq!(use_up(&mut repeats, now, 1000), 0);
     (0..20).for_each(|_| repeats.arrived(now, &trip()));
     assert_eq!(use_up(&mut repeats, now, 1000), 3);
@@ -73,7 +73,7 @@
 #[test]
 fn room_comes_back_when_the_window_has_passed() {
     let now = Instant::now();
-    let mut repeats = Repeats::first();
+    let mut repeats = RepeatBudget::first();
     assert!(use_up(&mut repeats, now, 14) > 0);
     assert_eq!(use_up(&mut repeats, now + BOUNDS.window, 14), 0);
     assert!(use_up(&mut repeats, now + BOUNDS.window.mul_f64(1.2), 14) > 0);
@@ -83,7 +83,7 @@
 #[test]
 fn a_vm_that_knows_nothing_of_before_leaves_its_part_of_the_allowance_for_a_window() {
     let now = Instant::now();
-    let mut repeats = Repeats::again(now, &BOUNDS);
+    let mut repeats = RepeatBudget::again(now, &BOUNDS);
     assert_eq!(use_up(&mut repeats, now + SECOND, 4), 0);
     (0..20).for_each(|_| repeats.arrived(now + SECOND, &trip()));
     assert_eq!(
@@ -98,7 +98,7 @@
 #[test]
 fn a_vm_that_is_told_what_it_had_used_goes_on_with_the_rest() {
     let start = Instant::now();
-    let mut before = Repeats::first();
+    let mut before = RepeatBudget::first();
     (0..20).for_each(|_| before.arrived(start, &trip()));
     for _ in 0..5 {
         before.take(start, &trip(), &BOUNDS, 4);
@@ -106,7 +106,7 @@
     let used = before.used(start + SECOND, &BOUNDS);
     let now = start + 2 * SECOND;
     let without_restart = use_up(&mut before, now, 4);
-    let mut after = Repeats::again(now, &BOUNDS);
+    let mut after = RepeatBudget::again(now, &BOUNDS);
     let mut told = used;
     told.heard_ms = 1000;
     told.accounts.iter_mut().for_each(|of| of.age_ms = 1000);
@@ -117,12 +117,12 @@
 #[test]
 fn what_is_told_twice_counts_once() {
     let now = Instant::now();
-    let mut before = Repeats::first();
+    let mut before = RepeatBudget::first();
     for _ in 0..3 {
         before.take(now, &trip(), &BOUNDS, 4);
     }
     let used = before.used(now, &BOUNDS);
-    let mut after = Repeats::again(now, &BOUNDS);
+    let mut after = RepeatBudget::again(now, &BOUNDS);
     assert!(after.recover(now, &used));
     assert!(!after.recover(now, &used));
     assert_eq!(after.standing(now, &trip(), &BOUNDS, 4).used, 3);
@@ -132,13 +132,13 @@
 #[test]
 fn a_second_restart_loses_nothing_of_what_was_before_the_first() {
     let start = Instant::now();
-    let mut repeats = Repeats::first();
+    let mut repeats = RepeatBudget::first();
     let used = (0..4)
         .map(|restart| {
             let now = start + SECOND * restart;
             if restart > 0 {
                 let used = repeats.used(now, &BOUNDS);
-                repeats = Repeats::again(now, &BOUNDS);
+                repeats = RepeatBudget::again(now, &BOUNDS);
                 repeats.recover(now, &used);
             }
             use_up(&mut repeats, now, 4)
@@ -154,7 +154,7 @@
 #[test]
 fn what_a_vm_has_said_since_its_start_is_not_added_to_it() {
     let now = Instant::now();
-    let mut repeats = Repeats::again(now, &BOUNDS);
+    let mut repeats = RepeatBudget::again(now, &BOUNDS);
     let later = now + SECOND;
     (0..20).for_each(|_| repeats.arrived(later, &trip()));
     assert_eq!(use_up(&mut repeats, later, 4), 3);
@@ -168,15 +168,15 @@
 #[test]
 fn who_has_long_not_heard_a_vm_does_not_know_that_it_used_nothing() {
     let now = Instant::now();
-    let heard = |heard_ms, unknown_ms| Used {
+    let heard = |heard_ms, unknown_ms| UsageReport {
         unknown_ms,
         heard_ms,
         accounts: Vec::new(),
     };
-    let mut alone = Repeats::again(now, &BOUNDS);
+    let mut alone = RepeatBudget::again(now, &BOUNDS);
     assert!(!alone.recover(now, &heard(20_000, 0)));
     assert!(alone.unknown_for(now) > SECOND);
-    let mut first = Repeats::again(now, &BOUNDS);
+    let mut first = RepeatBudget::again(now, &BOUNDS);
     assert!(first.recover(now, &heard(3_500, 0)));
     assert!(
         first.recover(now, &heard(500, 4_000)),
--- a/crates/kingcuploft/tests/entry/server_limit.rs
+++ b/crates/kingcuploft/tests/entry/server_limit.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::server_limit::{Part, PerSecond, ServerLimit, Turn, keepers, part};
-use kingcuploft::entry::server_limits::{LimitNotice, News, ServerLimits};
+use kingcuploft::entry::server_limit::{LimitShare, PerSecond, ServerLimit, Turn, keepers, part};
+use kingcuploft::entry::server_limits::{LimitChange, LimitNotice, ServerLimits};
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft::world::ids::{AvailabilityZone, BackendServerName, VmName};
@@ -77,7 +77,7 @@
     let mut rng = fastrand::Rng::with_seed(7);
     let (server, zone): (BackendServerName, _) = ("s".into(), "zone-1".into());
     let parts = (0..vms).map(|at| part(&name(at), vms, &server, &zone, per_s, &knows(at)));
-    let parts: Vec<Part> = parts.collect();
+    let parts: Vec<LimitShare> = parts.collect();
     let mut fleet: Vec<ServerLimit> = parts
         .iter()
         .map(|part| ServerLimit::new(begun, per_s, *part, rng.f64()))
@@ -174,7 +174,7 @@
 fn a_vm_that_knows_no_other_does_not_take_a_limit_for_its_own() {
     let server = "s".into();
     let part = part(&name(3), 1000, &server, &"zone-1".into(), 2.0, &[]);
-    assert_eq!(part, Part::NowAndThen(1000));
+    assert_eq!(part, LimitShare::NowAndThen(1000));
 }
 
 /// Guards against a limit that is kept after the server has stopped naming it, and against one dropped for an answer
@@ -186,7 +186,7 @@
     let mut limits = ServerLimits::default();
     let hear = |limits: &mut ServerLimits, after_ms, named| {
         let at = now + Duration::from_millis(after_ms);
-        limits.heard(at, &server, named, |_| Part::OneOf(1), 0.5)
+        limits.heard(at, &server, named, |_| LimitShare::OneOf(1), 0.5)
     };
     let notice = LimitNotice {
         server: server.clone(),
@@ -194,12 +194,15 @@
     };
     assert_eq!(hear(&mut limits, 0, None), None);
     let named = hear(&mut limits, 0, Some(2.0));
-    assert_eq!(named, Some(News::Named(notice.clone())));
+    assert_eq!(named, Some(LimitChange::Named(notice.clone())));
     assert_eq!(hear(&mut limits, 100, None), None);
     let changed = hear(&mut limits, 200, Some(4.0));
-    assert_eq!(changed, Some(News::Changed { before: 2.0 }));
+    assert_eq!(changed, Some(LimitChange::Changed { before: 2.0 }));
     assert_eq!(limits.per_s(&server), Some(4.0));
-    assert_eq!(hear(&mut limits, 900, None), Some(News::Ended(notice.id())));
+    assert_eq!(
+        hear(&mut limits, 900, None),
+        Some(LimitChange::Ended(notice.id()))
+    );
     assert!(limits.is_empty());
 }
 
@@ -211,15 +214,15 @@
         per_s: 1.0,
     };
     let mut limits = ServerLimits::default();
-    assert!(limits.told(now, &notice, Part::NowAndThen(13), 0.5));
-    assert!(!limits.told(now, &notice, Part::NowAndThen(13), 0.5));
+    assert!(limits.told(now, &notice, LimitShare::NowAndThen(13), 0.5));
+    assert!(!limits.told(now, &notice, LimitShare::NowAndThen(13), 0.5));
     assert!(!limits.wait(now, "s", 0.5).is_zero());
     assert!(limits.wait(now, "other", 0.5).is_zero());
     assert!(limits.stored().eq([notice.clone()]));
     assert_eq!(limits.all_told(&[].into_iter().collect()), [notice.id()]);
-    assert!(limits.told(now, &notice, Part::OneOf(1), 0.5));
+    assert!(limits.told(now, &notice, LimitShare::OneOf(1), 0.5));
     assert!(limits.withdrawn(&notice.id()));
-    assert!(limits.told(now, &notice, Part::OneOf(1), 0.5));
+    assert!(limits.told(now, &notice, LimitShare::OneOf(1), 0.5));
     assert_eq!(limits.forget_gone(|_| false), [notice.id()]);
     assert!(limits.is_empty());
 }
@@ -343,10 +346,10 @@
 fn a_limit_that_changes_is_news_once() {
     let (now, name) = (Instant::now(), BackendServerName::from("s"));
     let mut limits = ServerLimits::default();
-    let mut heard = |per_s| limits.heard(now, &name, Some(per_s), |_| Part::OneOf(1), 0.5);
-    assert!(matches!(heard(6.0), Some(News::Named(_))));
+    let mut heard = |per_s| limits.heard(now, &name, Some(per_s), |_| LimitShare::OneOf(1), 0.5);
+    assert!(matches!(heard(6.0), Some(LimitChange::Named(_))));
     assert_eq!(heard(6.0), None);
-    assert_eq!(heard(1.0), Some(News::Changed { before: 6.0 }));
+    assert_eq!(heard(1.0), Some(LimitChange::Changed { before: 6.0 }));
     assert_eq!(heard(1.0), None);
     assert_eq!(limits.per_s(&name), Some(1.0));
 }
--- a/crates/kingcuploft/tests/entry/zone_record.rs
+++ b/crates/kingcuploft/tests/entry/zone_record.rs
@@ -2,7 +2,7 @@
 
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::{
-    MOST_NAMED, Seen, ZoneCount, ZoneRecord, appended, handed_over, renewed, taken_over,
+    MAX_NAMED_VMS, ZoneCount, ZoneRecord, ZoneView, appended, handed_over, renewed, taken_over,
 };
 
 use crate::readers::vm;
@@ -22,9 +22,9 @@
 }
 
 /// What `vm-0` sees, which these follow.
-fn seen(followers: Vec<VmEntry>) -> Seen {
+fn seen(followers: Vec<VmEntry>) -> ZoneView {
     let below = followers.len() as u32;
-    Seen {
+    ZoneView {
         own: vm("vm-0", 200),
         followers,
         below,
@@ -34,7 +34,7 @@
 /// Guards against a call to the store for each VM that restarts.
 #[test]
 fn restarts_of_followers_write_nothing() {
-    let old = record(named(MOST_NAMED), 50);
+    let old = record(named(MAX_NAMED_VMS), 50);
     let all: Vec<VmEntry> = (1..50).map(|at| vm(&format!("vm-{at}"), 200)).collect();
     for away in 0..all.len() {
         let mut left = all.clone();
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_zone_that_has_grown_is_written_at_once() {
-    let old = record(named(MOST_NAMED), 50);
+    let old = record(named(MAX_NAMED_VMS), 50);
     let more: Vec<VmEntry> = (1..60).map(|at| vm(&format!("vm-{at}"), 200)).collect();
     let new = renewed(&old, &seen(more), 60, true).unwrap();
     assert_eq!(new.count, 60);
@@ -89,10 +89,10 @@
 /// More than half of the VMs that a record names are lost for good. Who starts later must find one of those that run.
 #[test]
 fn lost_vms_are_named_no_more() {
-    let old = record(named(MOST_NAMED), 30);
+    let old = record(named(MAX_NAMED_VMS), 30);
     let others: Vec<VmEntry> = (20..40).map(|at| vm(&format!("vm-{at}"), 200)).collect();
     let new = renewed(&old, &seen(others.clone()), 30, true).unwrap();
-    assert_eq!(new.vms.len(), MOST_NAMED);
+    assert_eq!(new.vms.len(), MAX_NAMED_VMS);
     assert!(new.vms[1..].iter().all(|vm| others.contains(vm)));
 }
 
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_vm_that_reaches_nobody_is_named_last_while_there_is_room() {
-    let mut record = record(named(MOST_NAMED), 50);
+    let mut record = record(named(MAX_NAMED_VMS), 50);
     for at in 0..3 {
         record = appended(&record, &vm(&format!("alone-{at}"), 500)).unwrap();
         assert!(record.is_led_by(&"vm-0".into()));
@@ -122,9 +122,9 @@
 
 #[test]
 fn the_vm_that_the_store_answers_reads_in_place_of_the_first() {
-    let old = record(named(MOST_NAMED), 50);
+    let old = record(named(MAX_NAMED_VMS), 50);
     let new = taken_over(&old, &old.vms[4]);
     assert!(new.is_led_by(&"vm-4".into()));
-    assert_eq!(new.vms.len(), MOST_NAMED);
+    assert_eq!(new.vms.len(), MAX_NAMED_VMS);
     assert_eq!(new.vms.iter().filter(|vm| &*vm.name == "vm-4").count(), 1);
 }
--- a/crates/kingcuploft/tests/fleet/fleet.rs
+++ b/crates/kingcuploft/tests/fleet/fleet.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use kingcuploft::entry::failures::Failures;
-use kingcuploft::entry::last_slot::LastSlot;
-use kingcuploft::entry::placement::{Reach, Reading, Slot};
+use kingcuploft::entry::attempts::{AttemptOutcome, Attempts};
+use kingcuploft::entry::failure_rate::FailureRate;
+use kingcuploft::entry::last_slot_slowdown::LastSlotSlowdown;
+use kingcuploft::entry::placement::{LoadReading, ProbeScope, Slot};
 use kingcuploft::entry::probe_budget::ProbeBudget;
-use kingcuploft::entry::repeats::Repeats;
+use kingcuploft::entry::repeat_budget::RepeatBudget;
 use kingcuploft::entry::service_time::ServiceTime;
-use kingcuploft::entry::verdict::{AttemptEnd, Attempts};
 use kingcuploft::world::contract::Contract;
 
 use crate::world::{FAR, Micros, NEAR, Outcome, REDRAW, SERVICE, SLOWNESS, Trouble, World};
@@ -58,10 +58,10 @@
 }
 
 /// The ends of an attempt that a server causes, by their place.
-const ENDS: [AttemptEnd; 3] = [
-    AttemptEnd::Succeeded,
-    AttemptEnd::Failed,
-    AttemptEnd::NotRun,
+const ENDS: [AttemptOutcome; 3] = [
+    AttemptOutcome::Succeeded,
+    AttemptOutcome::Failed,
+    AttemptOutcome::NotRun,
 ];
 
 pub(crate) struct Request {
@@ -74,7 +74,7 @@
     pub(crate) in_flight: u32,
     pub(crate) reached: u32,
     pub(crate) look_begun: Micros,
-    pub(crate) reach: Reach,
+    pub(crate) reach: ProbeScope,
     pub(crate) over: bool,
     /// When it was sent last, and if known how slow the server was then and which slot it took.
     pub(crate) sent: (Micros, Option<(f64, Slot)>),
@@ -97,19 +97,19 @@
 
 #[derive(Clone, Default)]
 pub(crate) struct View {
-    pub(crate) reading: Option<(Micros, Reading)>,
+    pub(crate) reading: Option<(Micros, LoadReading)>,
     pub(crate) asked: bool,
     pub(crate) mute_until: Micros,
     pub(crate) sent: Vec<Micros>,
-    pub(crate) failures: Failures,
+    pub(crate) failures: FailureRate,
 }
 
 pub(crate) struct Vm {
     pub(crate) views: Vec<View>,
     pub(crate) probing: ProbeBudget,
-    pub(crate) repeats: Repeats,
+    pub(crate) repeats: RepeatBudget,
     pub(crate) times: [ServiceTime; 2],
-    pub(crate) last_slot: LastSlot,
+    pub(crate) last_slot: LastSlotSlowdown,
 }
 
 /// Plays a world and returns what callers got.
@@ -146,9 +146,9 @@
         let vm = || Vm {
             views: vec![View::default(); world.servers],
             probing: ProbeBudget::begin(start),
-            repeats: Repeats::first(),
+            repeats: RepeatBudget::first(),
             times: Default::default(),
-            last_slot: LastSlot::default(),
+            last_slot: LastSlotSlowdown::default(),
         };
         Self {
             world,
@@ -231,9 +231,9 @@
         }
     }
 
-    pub(crate) fn reading(&self, server: usize) -> Reading {
+    pub(crate) fn reading(&self, server: usize) -> LoadReading {
         let of = &self.servers[server];
-        Reading {
+        LoadReading {
             running: of.running.len() as u32,
             waiting: of.line.len() as u32,
             slots: self.world.slots,
@@ -257,7 +257,7 @@
             in_flight: 0,
             reached: 0,
             look_begun: self.now,
-            reach: Reach::Near,
+            reach: ProbeScope::Near,
             over: false,
             sent: (self.now, None),
         });
--- a/crates/kingcuploft/tests/fleet/vm.rs
+++ b/crates/kingcuploft/tests/fleet/vm.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use kingcuploft::entry::asked::asked;
-use kingcuploft::entry::placement::{Candidate, Need, Reach, Step, place};
-use kingcuploft::entry::repeats::RepeatBounds;
-use kingcuploft::entry::second_look::{Look, look_after, wants_second};
-use kingcuploft::entry::verdict::{AttemptEnd, Verdict};
+use kingcuploft::entry::attempts::{AttemptOutcome, NextAction};
+use kingcuploft::entry::hedging::{HedgeCheck, look_after, wants_second};
+use kingcuploft::entry::placement::{Candidate, PlacementNeed, ProbeScope, Step, place};
+use kingcuploft::entry::probe_fanout::asked;
+use kingcuploft::entry::repeat_budget::RepeatBounds;
 
 use crate::fleet::{Event, Fleet};
 use crate::world::{
@@ -71,7 +71,7 @@
         self.vms[vm].probing.reading_life().as_micros() as Micros
     }
 
-    fn usable(&self, request: usize, reach: Reach) -> Vec<usize> {
+    fn usable(&self, request: usize, reach: ProbeScope) -> Vec<usize> {
         let of = &self.requests[request];
         let stays = |server: &usize| self.trouble(*server, self.now) != Some(Trouble::Leaves);
         let untried = |server: &usize| !of.tried.contains(server);
@@ -117,11 +117,11 @@
         }
     }
 
-    fn need(&self, request: usize, looked_since: Micros, reach: Reach) -> Need {
+    fn need(&self, request: usize, looked_since: Micros, reach: ProbeScope) -> PlacementNeed {
         let of = &self.requests[request];
         let passed_ms = (self.now - of.arrived) as f64 / 1000.0;
         let target = Duration::from_secs_f64(self.world.target_ms * self.stretch(request) / 1000.0);
-        Need {
+        PlacementNeed {
             work_ms: self.vms[of.vm].times[of.kind].work_ms(target),
             target_left_ms: target.as_secs_f64() * 1000.0 - passed_ms,
             deadline_left_ms: self.deadline_ms(request) - passed_ms,
@@ -247,20 +247,20 @@
         }
     }
 
-    pub(crate) fn answers(&mut self, request: usize, server: usize, end: AttemptEnd) {
+    pub(crate) fn answers(&mut self, request: usize, server: usize, end: AttemptOutcome) {
         let (now, vm) = (self.instant(self.now), self.requests[request].vm);
         let reading = self.reading(server);
         let view = &mut self.vms[vm].views[server];
         view.sent.pop();
         view.reading = Some((self.now, reading));
-        view.failures.ended(now, end != AttemptEnd::Succeeded);
+        view.failures.ended(now, end != AttemptOutcome::Succeeded);
         if self.requests[request].over {
             return;
         }
         let of = &mut self.requests[request];
         of.in_flight -= 1;
         let verdict = of.attempts.ended(end);
-        if end == AttemptEnd::Succeeded {
+        if end == AttemptOutcome::Succeeded {
             let (kind, (sent, seen)) = (of.kind, of.sent);
             let took = Duration::from_micros(self.now - sent);
             let of_vm = &mut self.vms[vm];
@@ -269,7 +269,7 @@
             }
             return self.served(request);
         }
-        let tries = verdict == Verdict::TryAgain && self.take_repeat(vm);
+        let tries = verdict == NextAction::TryAgain && self.take_repeat(vm);
         if tries {
             let of = &mut self.requests[request];
             of.tried.push(server);
@@ -299,7 +299,7 @@
         }
         let (vm, asked_at) = (of.vm, self.now);
         self.ask(vm, server);
-        for other in self.usable(request, Reach::Far) {
+        for other in self.usable(request, ProbeScope::Far) {
             self.ask(vm, other);
         }
         let event = Event::SendSecond {
@@ -317,8 +317,8 @@
         }
         let vm = of.vm;
         let view = &self.vms[vm].views[server];
-        let need = self.need(request, self.now, Reach::Near);
-        let look = Look {
+        let need = self.need(request, self.now, ProbeScope::Near);
+        let look = HedgeCheck {
             answers: view
                 .reading
                 .is_some_and(|(at, _)| at + self.life(vm) >= asked_at),
@@ -329,7 +329,7 @@
         if !wants_second(&look) || !of.attempts.may_send(1) {
             return;
         }
-        let others = self.usable(request, Reach::Far).into_iter();
+        let others = self.usable(request, ProbeScope::Far).into_iter();
         let others: Vec<usize> = others.filter(|other| *other != server).collect();
         let life = self.life(vm) + SECOND_LOOK + AWAIT;
         let seen = others
--- a/crates/kingcuploft/tests/zones/fleet.rs
+++ b/crates/kingcuploft/tests/zones/fleet.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use kingcuploft::entry::joining;
 use kingcuploft::entry::readers::Readers;
+use kingcuploft::entry::startup_delay;
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::{ZoneCount, ZoneRecord};
 use kingcuploft::world::ids::{AvailabilityZone, VmName};
@@ -96,7 +96,8 @@
         };
         for at in 0..fleet.vms.len() {
             let chance = fleet.vms[at].chance;
-            fleet.vms[at].waits_until = now + joining::claim_after(&fleet.vms[at].entry, chance);
+            fleet.vms[at].waits_until =
+                now + startup_delay::claim_after(&fleet.vms[at].entry, chance);
         }
         fleet
     }
--- a/crates/kingcuploft/tests/zones/leading.rs
+++ b/crates/kingcuploft/tests/zones/leading.rs
@@ -1,9 +1,9 @@
 //! How a VM that leads its zone keeps the zone's record.
 
-use kingcuploft::entry::feeding::below;
+use kingcuploft::entry::dissemination::below;
 use kingcuploft::entry::readers::Source;
 use kingcuploft::entry::vm_entry::VmEntry;
-use kingcuploft::entry::zone_record::{SETTLE, Seen, ZoneRecord, handed_over, renewed};
+use kingcuploft::entry::zone_record::{SETTLE_TIME, ZoneRecord, ZoneView, handed_over, renewed};
 
 use crate::fleet::Fleet;
 
@@ -22,7 +22,7 @@
         };
         let fed = self.fed_by(at);
         let followers: Vec<VmEntry> = fed.iter().map(|fed| fed.vm.clone()).collect();
-        let seen = Seen {
+        let seen = ZoneView {
             own: self.vms[at].entry.clone(),
             followers: followers.into_iter().filter(|vm| vm.zone == zone).collect(),
             below: below(&zone, &fed),
@@ -41,7 +41,7 @@
         let holds = self.vms[at]
             .count
             .holds(self.now, old.count, seen.below + 1);
-        let settled = old.settled || self.now.saturating_duration_since(since) >= SETTLE;
+        let settled = old.settled || self.now.saturating_duration_since(since) >= SETTLE_TIME;
         if let Some(record) = renewed(&old, &seen, holds, settled) {
             self.told(at, vec![record]);
         }
--- a/crates/kingcuploft/tests/zones/links.rs
+++ b/crates/kingcuploft/tests/zones/links.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use kingcuploft::entry::feeding::{Admission, Fed, admit, is_circle};
-use kingcuploft::entry::joining;
+use kingcuploft::entry::dissemination::{Admission, FollowerLoad, admit, is_circle};
 use kingcuploft::entry::readers::Source;
+use kingcuploft::entry::startup_delay;
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft::world::ids::VmName;
 
@@ -113,10 +113,10 @@
     }
 
     /// Returns those that a VM feeds.
-    pub(super) fn fed_by(&self, feeder: usize) -> Vec<Fed> {
+    pub(super) fn fed_by(&self, feeder: usize) -> Vec<FollowerLoad> {
         let fed = (0..self.vms.len()).filter(|at| self.vms[*at].up);
         let fed = fed.filter(|at| self.vms[*at].feeder == Some(feeder));
-        let fed = fed.map(|at| Fed {
+        let fed = fed.map(|at| FollowerLoad {
             vm: self.vms[at].entry.clone(),
             below: self.below(at, 0),
             sent_there: 0,
@@ -223,7 +223,7 @@
             return;
         }
         let record = vm.readers.record(&vm.entry.zone);
-        let patience = joining::patience(&vm.entry.name, record, vm.promised, vm.chance);
+        let patience = startup_delay::patience(&vm.entry.name, record, vm.promised, vm.chance);
         if self.now.saturating_duration_since(vm.started) >= patience {
             self.vms[at].reading = true;
         }
