--- a/crates/kingcuploft-entry/src/budgets.rs
+++ b/crates/kingcuploft-entry/src/budgets.rs
@@ -28,7 +28,7 @@
 impl Context {
     /// Counts a request for a service.
     pub fn arrived(&self, now: Instant, service: &ServiceName) {
-        self.repeats.borrow_mut().arrived(now, service);
+        self.repeats.borrow_mut().record_request(now, service);
     }
 
     /// Takes one probe from the budget, if it has room.
@@ -36,21 +36,21 @@
         if planted::is_on(Planted::ProbesUnbounded) {
             return true;
         }
-        let servers = self.servers.borrow().in_use();
+        let servers = self.servers.borrow().in_use_count();
         let bound = self.bounds.get().probes_per_server_s;
         self.probing
             .borrow_mut()
-            .take(now, bound, servers, self.vms.get())
+            .try_take(now, bound, servers, self.vms.get())
     }
 
     /// Returns whether a line that says that all went well is written; tells now and then how many
     /// were not.
     pub fn writes_ordinary_line(&self, now: Instant) -> bool {
-        let taken = self.log_budget.borrow_mut().take(now);
+        let taken = self.log_budget.borrow_mut().admit(now);
         match taken {
             LogDecision::Write => return true,
-            LogDecision::LeaveOut => {}
-            LogDecision::Tell(count) => tracing::info!(event = "ordinary_left_out", count),
+            LogDecision::Drop => {}
+            LogDecision::DropAndReport(count) => tracing::info!(event = "ordinary_left_out", count),
         }
         self.metrics.ordinary_lines_left_out.inc();
         false
@@ -58,22 +58,22 @@
 
     /// Returns which part of the probe budget is there to be used, from 0 to 1.
     pub fn probes_left(&self) -> f64 {
-        self.probing.borrow().fill()
+        self.probing.borrow().remaining_share()
     }
 
     /// Returns which share of its servers a request asks that has looked so often in vain.
     pub fn ask_share(&self, looks: u32) -> f64 {
-        probe_budget::ask_share(self.probes_left(), looks)
+        probe_budget::probe_share(self.probes_left(), looks)
     }
 
     /// Returns how old a reading may be to choose by it.
     pub fn reading_life(&self) -> Duration {
-        self.probing.borrow().reading_life()
+        self.probing.borrow().max_reading_age()
     }
 
     /// Takes one repeat from the budget, if it has room.
     pub fn take_repeat(&self, now: Instant, service: &ServiceName) -> bool {
-        self.take_part(now, service).has_room()
+        self.take_part(now, service).allows_repeat()
     }
 
     /// Takes one repeat from the budget, if it has room, counts it by what was wrong with the first send, and writes what
@@ -81,7 +81,7 @@
     pub fn repeats(&self, wanted: &WantedRepeat<'_>) -> bool {
         let now = clock::now();
         let standing = self.take_part(now, wanted.service);
-        let room = standing.has_room();
+        let room = standing.allows_repeat();
         tracing::info!(
             event = "repeat",
             request = wanted.request,
@@ -102,8 +102,8 @@
     fn take_part(&self, now: Instant, service: &ServiceName) -> BudgetStatus {
         let bounds = self.bounds.get().repeats;
         let mut repeats = self.repeats.borrow_mut();
-        let standing = repeats.take(now, service, &bounds, self.vms.get());
-        if standing.has_room() {
+        let standing = repeats.try_take(now, service, &bounds, self.vms.get());
+        if standing.allows_repeat() {
             self.repeated.notify_one();
         }
         standing
@@ -112,7 +112,7 @@
     /// Returns what others may keep of the budget of repeats for this VM.
     pub fn repeats_used(&self) -> UsageReport {
         let bounds = self.bounds.get().repeats;
-        self.repeats.borrow_mut().used(clock::now(), &bounds)
+        self.repeats.borrow_mut().report(clock::now(), &bounds)
     }
 
     /// Returns for how much longer it matters what this VM used before it started, which nobody has told it.
--- a/crates/kingcuploft-entry/src/cold.rs
+++ b/crates/kingcuploft-entry/src/cold.rs
@@ -36,7 +36,7 @@
     let server = &upstream.server.name;
     let part = |per_s| limits::part(context, server, per_s);
     let mut all = context.limits.borrow_mut();
-    if all.is_warm(clock::now(), server, asked_at, part) {
+    if all.record_warm(clock::now(), server, asked_at, part) {
         log_warm(std::slice::from_ref(server));
     }
 }
@@ -69,7 +69,7 @@
     let part = |per_s| limits::part(context, server, per_s);
     let (per_s, chance) = (cold_start.per_s(), fastrand::f64());
     let mut all = context.limits.borrow_mut();
-    let turned = all.turned_cold(now, server, per_s, cold_for, part, chance);
+    let turned = all.record_cold(now, server, per_s, cold_for, part, chance);
     (turned == ColdChange::Cold).then(|| (server.clone(), cold_for))
 }
 
@@ -99,7 +99,7 @@
         return;
     }
     let part = |server: &BackendServerName, per_s| limits::part(context, server, per_s);
-    let warm = context.limits.borrow_mut().end_cold(now, part);
+    let warm = context.limits.borrow_mut().expire_cold(now, part);
     log_warm(&warm);
 }
 
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -136,8 +136,8 @@
         let is_first = settings.all_start || settings.peers.is_none();
         let is_first = is_first || planted::is_on(Planted::ForgetsRepeats);
         let repeats = match is_first {
-            true => RepeatBudget::first(),
-            false => RepeatBudget::again(clock::now(), &settings.bounds.repeats),
+            true => RepeatBudget::for_first_start(),
+            false => RepeatBudget::after_restart(clock::now(), &settings.bounds.repeats),
         };
         Self {
             vms: Cell::new(VMS_UNCOUNTED),
@@ -166,7 +166,7 @@
             quarantine: RefCell::default(),
             rewinds: Rewinds::default(),
             evacuations: RefCell::default(),
-            limits: RefCell::new(ServerLimits::begun_at(clock::now())),
+            limits: RefCell::new(ServerLimits::started_at(clock::now())),
             asked_turns: AskedTurns::default(),
             notice_writes: NoticeWrites::default(),
             callers: Cell::new(0),
@@ -182,7 +182,7 @@
             last_slots: RefCell::default(),
             repeats: RefCell::new(repeats),
             patience: RefCell::default(),
-            probing: RefCell::new(ProbeBudget::begin(clock::now())),
+            probing: RefCell::new(ProbeBudget::new(clock::now())),
             log_budget: RefCell::default(),
         }
     }
@@ -291,7 +291,7 @@
         let upstreams = self.upstreams.borrow();
         let evacuations = self.evacuations.borrow();
         let of_service = upstreams.get(service).into_iter().flatten();
-        let open = of_service.filter(|upstream| !evacuations.holds(&upstream.server.zone));
+        let open = of_service.filter(|upstream| !evacuations.is_evacuated(&upstream.server.zone));
         open.cloned().collect()
     }
 
@@ -310,13 +310,13 @@
         let upstreams = self.upstreams.borrow();
         let evacuations = self.evacuations.borrow();
         let of_service = upstreams.get(service).filter(|all| !all.is_empty());
-        of_service.is_some_and(|all| all.iter().all(|u| evacuations.holds(&u.server.zone)))
+        of_service.is_some_and(|all| all.iter().all(|u| evacuations.is_evacuated(&u.server.zone)))
     }
 
     /// Returns whether a request may still be sent to a server that was chosen for it.
     pub fn takes_work(&self, upstream: &Upstream) -> bool {
         let server = &upstream.server;
-        let is_open = !self.evacuations.borrow().holds(&server.zone);
+        let is_open = !self.evacuations.borrow().is_evacuated(&server.zone);
         is_open && self.servers.borrow().takes_work(&server.name)
     }
 
@@ -328,7 +328,7 @@
         let service = services.and_then(|services| services.get(service));
         match (service, self.vms.get()) {
             (Some(service), vms) if vms != VMS_UNCOUNTED => {
-                connections::share(service.most_connections, vms)
+                connections::per_vm_limit(service.most_connections, vms)
             }
             _ => usize::MAX,
         }
@@ -347,7 +347,7 @@
         let dealer = dealers
             .entry(route.name.clone())
             .or_insert_with(|| WeightedSelector::new(fastrand::f64()));
-        dealer.deal(&route.destinations).cloned()
+        dealer.select(&route.destinations).cloned()
     }
 
     /// Returns the work of a route at a service on a server of usual speed, in milliseconds.
@@ -381,12 +381,12 @@
         let mut last_slots = self.last_slots.borrow_mut();
         let time = times.entry((route.name.clone(), service.clone()));
         let last_slot = last_slots.entry(service.clone()).or_default();
-        time.or_default().measured(took, slowness, slot, last_slot);
+        time.or_default().record(took, slowness, slot, last_slot);
     }
 
     /// Takes in how long a caller of a route waits; returns how long it has waited before, at earlier attempts.
     pub fn waited_before(&self, route: &Route, patience: Duration) -> Duration {
         let mut all = self.patience.borrow_mut();
-        all.entry(route.name.clone()).or_default().told(patience)
+        all.entry(route.name.clone()).or_default().record(patience)
     }
 }
--- a/crates/kingcuploft-entry/src/edge/choosing.rs
+++ b/crates/kingcuploft-entry/src/edge/choosing.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::placement::{Candidate, PlacementNeed, ProbeScope, Step, place};
-use kingcuploft::entry::probe_fanout::asked;
+use kingcuploft::entry::probe_fanout::probe_fanout;
 
 use super::flight::Flight;
 use super::gone::Gone;
@@ -80,18 +80,18 @@
                     let turn = self.take_turn(gone, self.patience()).await;
                     return turn.map_or(Chosen::Refuse(come_back), Chosen::Upstream);
                 }
-                Step::LookAgain(_) if has_limited && !asked_for_turn => {
+                Step::Recheck(_) if has_limited && !asked_for_turn => {
                     asked_for_turn = true;
                     if let Ok(upstream) = self.take_turn(gone, TURN_SOON).await {
                         return Chosen::Upstream(upstream);
                     }
                 }
-                Step::Ask(further) => reach = further,
-                Step::Await => {
+                Step::Probe(further) => reach = further,
+                Step::AwaitProbes => {
                     let told = self.context.readings.notified();
                     let _ = tokio::time::timeout(AWAIT_STEP, told).await;
                 }
-                Step::LookAgain(after) => {
+                Step::Recheck(after) => {
                     tokio::time::sleep(after).await;
                     look_begun = clock::now();
                     looks += 1;
@@ -127,7 +127,7 @@
             all = apart;
         }
         let (mut near, mut others): (Vec<_>, Vec<_>) = all.into_iter().partition(|u| u.near);
-        let asked = asked(near.len(), others.len(), reach);
+        let asked = probe_fanout(near.len(), others.len(), reach);
         let life = self.context.reading_life();
         others.sort_by_cached_key(|u| u.trouble_to_ask(now, life));
         near.truncate(asked.near);
@@ -161,11 +161,11 @@
             work_ms: self.context.work_ms(&self.route, &self.service),
             target_left_ms: left(self.target),
             deadline_left_ms: left(self.deadline),
-            looked_ms: millis(now - look_begun),
-            reach,
-            last_slot: self.context.last_slot(&self.service),
-            probes_left: self.context.probes_left(),
-            returns: self.returns,
+            probe_wait_ms: millis(now - look_begun),
+            scope: reach,
+            last_slot_slowdown: self.context.last_slot(&self.service),
+            probe_budget_left: self.context.probes_left(),
+            is_caller_retry: self.returns,
         }
     }
 }
--- a/crates/kingcuploft-entry/src/edge/dispatch.rs
+++ b/crates/kingcuploft-entry/src/edge/dispatch.rs
@@ -73,15 +73,15 @@
                 }
                 Chosen::CallerLeft => return self.give_up("the caller left"),
             };
-            self.attempts.sending();
+            self.attempts.record_sent();
             let ended = match self.route.contract {
                 Contract::RetryFreely => {
                     let (ended, other) = self.attempt_with_second_look(&upstream).await;
                     if let Some(other) = other {
                         // The send that lost may have run; it counts among those that the route
                         // allows.
-                        self.attempts.sending();
-                        self.attempts.ended(AttemptOutcome::TimedOut);
+                        self.attempts.record_sent();
+                        self.attempts.record_outcome(AttemptOutcome::TimedOut);
                         self.tried.push(other);
                     }
                     ended
@@ -90,20 +90,18 @@
             };
             self.is_trial = false;
             self.turn_at = None;
-            match self.attempts.ended(ended.end) {
-                NextAction::Answer => return self.pass_on(ended),
-                NextAction::TryAgain if self.may_try_again(gone, ended.end) => {
+            match self.attempts.record_outcome(ended.end) {
+                NextAction::PassOn => return self.pass_on(ended),
+                NextAction::Retry if self.may_try_again(gone, ended.end) => {
                     self.last_failure = ended
                         .response
                         .filter(|_| ended.end == AttemptOutcome::Failed);
                     self.tried.push(upstream);
                 }
-                NextAction::TryAgain | NextAction::GiveUp
-                    if ended.end == AttemptOutcome::Failed =>
-                {
+                NextAction::Retry | NextAction::GiveUp if ended.end == AttemptOutcome::Failed => {
                     return self.pass_on(ended);
                 }
-                NextAction::TryAgain | NextAction::GiveUp => return self.give_up(ended.detail),
+                NextAction::Retry | NextAction::GiveUp => return self.give_up(ended.detail),
             }
         }
     }
@@ -138,7 +136,7 @@
             return Answer::of_server(self.request, response);
         }
         let timed_out = clock::now() >= self.deadline;
-        let status = self.attempts.refusal_status(timed_out);
+        let status = self.attempts.failure_status(timed_out);
         let after = (status == 503).then_some(self.come_back);
         tracing::info!(
             event = "gave_up",
--- a/crates/kingcuploft-entry/src/edge/limited.rs
+++ b/crates/kingcuploft-entry/src/edge/limited.rs
@@ -54,7 +54,7 @@
                 Turn::TooLate(after) => {
                     let (now, server) = (clock::now(), &upstream.server.name);
                     let mut limits = self.context.limits.borrow_mut();
-                    limits.no_turn_before(now, server, after, patience);
+                    limits.defer_turns(now, server, after, patience);
                     soonest = soonest.min(after);
                 }
             }
--- a/crates/kingcuploft-entry/src/edge/second_look.rs
+++ b/crates/kingcuploft-entry/src/edge/second_look.rs
@@ -38,7 +38,7 @@
         tokio::select! {
             biased;
             ended = &mut first => return (ended, None),
-            () = tokio::time::sleep(hedging::look_after(expected_ms)) => {}
+            () = tokio::time::sleep(hedging::hedge_delay(expected_ms)) => {}
         }
         let second = tokio::select! {
             biased;
@@ -75,12 +75,13 @@
         let age = upstream.reading(now).map(|(age, _)| age);
         let need = self.need(now, now, ProbeScope::Far);
         let look = HedgeCheck {
-            answers: age.is_some_and(|age| age <= now - asked_at + self.context.reading_life()),
-            probes_left: self.context.probes_left(),
-            left_ms: need.deadline_left_ms,
+            server_answers: age
+                .is_some_and(|age| age <= now - asked_at + self.context.reading_life()),
+            probe_budget_left: self.context.probes_left(),
+            deadline_left_ms: need.deadline_left_ms,
             work_ms: need.work_ms,
         };
-        if !hedging::wants_second(&look) || !self.attempts.may_send(1) {
+        if !hedging::should_hedge(&look) || !self.attempts.may_send(1) {
             return None;
         }
         let others: Vec<_> = self.usable(now, ProbeScope::Far);
@@ -100,7 +101,7 @@
         let Step::Send(at) = place(&need, &candidates, fastrand::f64) else {
             return None;
         };
-        let after = match look.answers {
+        let after = match look.server_answers {
             true => "late",
             false => "silent",
         };
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -42,7 +42,7 @@
         match admission {
             // A run that hangs must not hold the others back until they are late.
             Admission::Wait if clock::now() < self.target => Clearance::Wait,
-            Admission::Free | Admission::Alone | Admission::Wait => Clearance::Go,
+            Admission::Unrestricted | Admission::Exclusive | Admission::Wait => Clearance::Go,
             Admission::Refuse(after) => Clearance::Refuse(after),
             Admission::Trial(report) => {
                 match self
@@ -55,7 +55,7 @@
                         self.is_trial = true;
                         Clearance::Go
                     }
-                    false => Clearance::Refuse(Quarantine::tried_elsewhere()),
+                    false => Clearance::Refuse(Quarantine::trial_retry_delay()),
                 }
             }
         }
@@ -79,7 +79,7 @@
     fn clear(&self) {
         let fingerprint = self.request.fingerprint();
         let ids = notices::logged(self.context, fingerprint, || {
-            self.context.quarantine.borrow_mut().answered(fingerprint)
+            self.context.quarantine.borrow_mut().clear(fingerprint)
         });
         tracing::info!(
             event = "suspect_cleared",
@@ -99,7 +99,7 @@
         let report = (found == AfterLoss::Ended).then(|| {
             notices::logged(self.context, fingerprint, || {
                 let mut quarantine = self.context.quarantine.borrow_mut();
-                quarantine.server_ended(clock::now(), fingerprint, server, known)
+                quarantine.record_crash(clock::now(), fingerprint, server, known)
             })
         });
         tracing::info!(
@@ -131,7 +131,7 @@
     pub(super) fn begin(flight: &Flight<'a>, upstream: &Rc<Upstream>) -> Self {
         let suspect = flight.is_suspect();
         let fingerprint = suspect.then(|| flight.request.fingerprint());
-        let begins = |fp| flight.context.quarantine.borrow_mut().begins(fp);
+        let begins = |fp| flight.context.quarantine.borrow_mut().record_start(fp);
         Self {
             context: flight.context,
             known: fingerprint.map_or(0, begins),
@@ -144,7 +144,7 @@
 impl Drop for Run<'_> {
     fn drop(&mut self) {
         if let Some(fingerprint) = self.fingerprint {
-            self.context.quarantine.borrow_mut().ends(fingerprint);
+            self.context.quarantine.borrow_mut().record_end(fingerprint);
         }
     }
 }
--- a/crates/kingcuploft-entry/src/evacuation.rs
+++ b/crates/kingcuploft-entry/src/evacuation.rs
@@ -17,14 +17,14 @@
 /// Takes in that a zone is to get nothing, and passes it on.
 pub fn told(context: &Context, zone: AvailabilityZone) {
     take(context, |evacuations| {
-        evacuations.told(zone).into_iter().collect()
+        evacuations.add(zone).into_iter().collect()
     });
 }
 
 /// Takes in that a zone is taken back, and passes it on.
 pub fn gone(context: &Context, zone: &str) {
     take(context, |evacuations| {
-        evacuations.gone(zone).into_iter().collect()
+        evacuations.remove(zone).into_iter().collect()
     });
 }
 
@@ -32,14 +32,14 @@
 pub fn all_told(context: &Context, zones: impl Iterator<Item = AvailabilityZone>) {
     let zones: HashSet<AvailabilityZone> = zones.collect();
     take(context, |evacuations| {
-        evacuations.all_told(clock::now(), &zones)
+        evacuations.sync_with_store(clock::now(), &zones)
     });
 }
 
 /// Takes in which zones are evacuated by the VM that this one follows, and passes on what is news.
 pub fn followed(context: &Context, zones: Vec<AvailabilityZone>) {
     let zones: HashSet<AvailabilityZone> = zones.into_iter().collect();
-    take(context, |evacuations| evacuations.followed(&zones));
+    take(context, |evacuations| evacuations.sync_with_feeder(&zones));
 }
 
 /// Ends evacuations whose entries a store that came back from a copy does not have again in time.
--- a/crates/kingcuploft-entry/src/gauges.rs
+++ b/crates/kingcuploft-entry/src/gauges.rs
@@ -7,7 +7,7 @@
     pub fn metrics_text(&self) -> String {
         let version = self.configuration().map_or(0, |c| c.version);
         self.metrics.configuration.set(version as i64);
-        let servers = self.servers(|servers| servers.in_use());
+        let servers = self.servers(|servers| servers.in_use_count());
         self.metrics.servers.set(servers as i64);
         self.metrics.vms.set(self.vms.get() as i64);
         self.metrics.callers.set(self.callers.get() as i64);
--- a/crates/kingcuploft-entry/src/impatience.rs
+++ b/crates/kingcuploft-entry/src/impatience.rs
@@ -25,7 +25,12 @@
         let patience = {
             let readers = context.readers.borrow();
             let record = readers.record(&context.settings.zone);
-            startup_delay::patience(&context.settings.vm, record, context.promised.get(), chance)
+            startup_delay::store_read_delay(
+                &context.settings.vm,
+                record,
+                context.promised.get(),
+                chance,
+            )
         };
         if clock::since(begun) >= patience {
             return pulse.read();
--- a/crates/kingcuploft-entry/src/in_force.rs
+++ b/crates/kingcuploft-entry/src/in_force.rs
@@ -54,7 +54,7 @@
             return false;
         }
         if let Some(old) = &*current {
-            configuration.share(old);
+            configuration.share_routes(old);
             let change = ConfigurationChange::between(old, &configuration);
             self.changes.borrow_mut().push(change, routes);
         }
@@ -84,10 +84,13 @@
     /// Returns an error if it can't be read.
     pub fn take(&self, part: ChangePart) -> Result<PartOutcome, PartError> {
         let current = self.current();
-        let taken = self.arriving.borrow_mut().take(part, current.as_deref())?;
-        if matches!(taken, PartOutcome::OutOfStep) {
+        let taken = self
+            .arriving
+            .borrow_mut()
+            .add_part(part, current.as_deref())?;
+        if matches!(taken, PartOutcome::Mismatch) {
             self.lacks_whole.set(true);
-            self.arriving.borrow_mut().forget();
+            self.arriving.borrow_mut().reset();
         }
         Ok(taken)
     }
@@ -99,7 +102,7 @@
 
     /// Returns how much of the next configuration has arrived.
     pub fn arrived(&self) -> Option<AssemblyProgress> {
-        self.arriving.borrow().arrived()
+        self.arriving.borrow().progress()
     }
 
     /// Takes in that a version exists; returns whether that is news.
--- a/crates/kingcuploft-entry/src/keeper.rs
+++ b/crates/kingcuploft-entry/src/keeper.rs
@@ -313,12 +313,12 @@
 
 /// Takes in records of zones, and passes them on if one is news.
 pub fn zones(context: &Context, records: Vec<ZoneRecord>) {
-    let news = context.readers.borrow_mut().told(records);
+    let news = context.readers.borrow_mut().update(records);
     if news.is_empty() {
         return;
     }
     let readers = context.readers.borrow();
-    if let Some(count) = readers.count() {
+    if let Some(count) = readers.vm_count() {
         let part = if planted::is_on(Planted::CountsTooFew) {
             5
         } else {
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -72,7 +72,7 @@
 ) -> Option<LimitChange> {
     let part = |per_s| part(context, server, per_s);
     let mut limits = context.limits.borrow_mut();
-    limits.heard(clock::now(), server, per_s, part, fastrand::f64())
+    limits.record_named(clock::now(), server, per_s, part, fastrand::f64())
 }
 
 fn tell_all(context: &Context, notice: LimitNotice) {
@@ -93,7 +93,7 @@
     };
     let records = context.readers.borrow().records();
     let zone = zone(context, server);
-    let keepers = server_limit::keepers(server, &zone, per_s.max(before), &records);
+    let keepers = server_limit::limit_owners(server, &zone, per_s.max(before), &records);
     let others = keepers
         .into_iter()
         .filter(|vm| vm.name != context.settings.vm);
@@ -118,7 +118,7 @@
     let part = part(context, &notice.server, notice.per_s);
     let mut limits = context.limits.borrow_mut();
     let is_known = limits.per_s(&notice.server).is_some();
-    let is_news = limits.told(clock::now(), notice, part, fastrand::f64());
+    let is_news = limits.add_notice(clock::now(), notice, part, fastrand::f64());
     drop(limits);
     if !is_known {
         log_named(context, notice);
@@ -128,7 +128,7 @@
 
 /// Takes in that a notice is withdrawn.
 pub fn withdrawn(context: &Context, id: &str) {
-    let known = context.limits.borrow_mut().withdrawn(id);
+    let known = context.limits.borrow_mut().remove_notice(id);
     if let (true, Some(server)) = (known, LimitNotice::parse_id(id)) {
         tracing::info!(event = "limit_ended", server);
     }
@@ -140,7 +140,10 @@
         return;
     }
     let part = |server: &BackendServerName, per_s| part(context, server, per_s);
-    context.limits.borrow_mut().divide(clock::now(), part);
+    context
+        .limits
+        .borrow_mut()
+        .update_shares(clock::now(), part);
 }
 
 /// Returns when a request may be sent to a server: at once if that is zero.
@@ -155,7 +158,7 @@
 /// Takes note that a request is sent to a server.
 pub fn sent(context: &Context, upstream: &Upstream, now: Instant) {
     let mut limits = context.limits.borrow_mut();
-    limits.sent(now, &upstream.server.name, fastrand::f64());
+    limits.record_sent(now, &upstream.server.name, fastrand::f64());
 }
 
 /// Returns the servers of a service that name limits.
@@ -179,7 +182,7 @@
 pub fn keeper(context: &Context, server: &BackendServerName) -> Option<VmEntry> {
     let per_s = context.limits.borrow().per_s(server)?;
     let records = context.readers.borrow().records();
-    let keepers = server_limit::keepers(server, &zone(context, server), per_s, &records);
+    let keepers = server_limit::limit_owners(server, &zone(context, server), per_s, &records);
     fastrand::choice(keepers).cloned()
 }
 
@@ -196,7 +199,7 @@
     let zone = zone(context, server);
     let records = context.readers.borrow().records();
     let (vm, vms) = (&context.settings.vm, context.vms.get());
-    server_limit::part(vm, vms, server, &zone, per_s, &records)
+    server_limit::limit_share(vm, vms, server, &zone, per_s, &records)
 }
 
 fn log_named(context: &Context, notice: &LimitNotice) {
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -94,9 +94,9 @@
 pub async fn tidy(context: Rc<Context>, pulse: Rc<Pulse>) {
     loop {
         tokio::time::sleep(LOOK_EVERY).await;
-        let mut outdated = context.quarantine.borrow().outdated(clock::now());
+        let mut outdated = context.quarantine.borrow().expired_reports(clock::now());
         let is_in_use = |server: &str| context.servers(|servers| servers.takes_work(server));
-        outdated.extend(context.limits.borrow_mut().forget_gone(is_in_use));
+        outdated.extend(context.limits.borrow_mut().retain_in_use(is_in_use));
         for id in outdated.into_iter().filter(|_| pulse.is_reading()) {
             withdraw(&context, id);
         }
@@ -109,7 +109,7 @@
     notices.retain(|notice| match notice {
         Notice::Crash(report) => logged(context, report.fingerprint, || {
             let mut quarantine = context.quarantine.borrow_mut();
-            quarantine.told(now, report) == ReportStatus::News
+            quarantine.add_report(now, report) == ReportStatus::New
         }),
         Notice::Limit(notice) => limits::told(context, notice),
     });
@@ -141,7 +141,7 @@
         context.rewinds.withdrawn(clock::now(), id);
         match CrashReport::parse_id(id) {
             Some((fingerprint, _)) => logged(context, fingerprint, || {
-                context.quarantine.borrow_mut().withdrawn(id);
+                context.quarantine.borrow_mut().remove_report(id);
             }),
             None => limits::withdrawn(context, id),
         }
@@ -175,8 +175,8 @@
 }
 
 fn take_all(context: &Context, ids: &HashSet<NoticeId>) {
-    context.quarantine.borrow_mut().all_told(ids);
-    context.limits.borrow_mut().all_told(ids);
+    context.quarantine.borrow_mut().remove_missing(ids);
+    context.limits.borrow_mut().remove_missing(ids);
     let all = Frame::AllNotices(stored(context));
     context.followers.tell_notices(&all);
 }
@@ -191,7 +191,7 @@
 pub fn stored(context: &Context) -> Vec<Notice> {
     let quarantine = context.quarantine.borrow();
     let limits = context.limits.borrow();
-    let of_requests = quarantine.stored().map(Notice::Crash);
-    let of_servers = limits.stored().map(Notice::Limit);
+    let of_requests = quarantine.stored_reports().map(Notice::Crash);
+    let of_servers = limits.stored_notices().map(Notice::Limit);
     of_requests.chain(of_servers).collect()
 }
--- a/crates/kingcuploft-entry/src/peers/away.rs
+++ b/crates/kingcuploft-entry/src/peers/away.rs
@@ -27,7 +27,7 @@
         let patience = {
             let readers = context.readers.borrow();
             let record = readers.record(&context.settings.zone);
-            startup_delay::ask_after(&context.settings.vm, record, fastrand::f64())
+            startup_delay::store_fallback_delay(&context.settings.vm, record, fastrand::f64())
         };
         tokio::time::sleep(patience).await;
         if context.reader_has_store.get() {
--- a/crates/kingcuploft-entry/src/peers/feed.rs
+++ b/crates/kingcuploft-entry/src/peers/feed.rs
@@ -223,6 +223,6 @@
 
 /// Writes all backend servers that have entries.
 fn servers(context: &Context) -> Vec<u8> {
-    let table = context.servers(|servers| ServerTable::of(servers.present()));
+    let table = context.servers(|servers| ServerTable::from_servers(servers.present()));
     Frame::AllServers(table).to_line()
 }
--- a/crates/kingcuploft-entry/src/peers/follower.rs
+++ b/crates/kingcuploft-entry/src/peers/follower.rs
@@ -193,7 +193,7 @@
                 }
                 led = true;
                 pulse.leave();
-                context.readers.borrow_mut().answered(&feeder.name);
+                context.readers.borrow_mut().record_answer(&feeder.name);
                 *context.followed.borrow_mut() = Some(feeder.clone());
                 tracing::info!(
                     event = "following",
@@ -270,7 +270,7 @@
 
 /// Checks whether the feeder may still be followed.
 fn check(context: &Context, pulse: &Pulse, standing: &Standing) -> Result<(), LinkError> {
-    if dissemination::is_circle(&context.settings.vm, &standing.path) {
+    if dissemination::has_cycle(&context.settings.vm, &standing.path) {
         return Err(LinkError::Circle);
     }
     let own = Standing {
@@ -345,13 +345,13 @@
     transfer: &mut Transfer,
 ) -> Result<(), LinkError> {
     match context.in_force.take(part)? {
-        PartOutcome::More | PartOutcome::Known => Ok(()),
-        PartOutcome::Whole(configuration) => {
+        PartOutcome::Incomplete | PartOutcome::AlreadyApplied => Ok(()),
+        PartOutcome::Complete(configuration) => {
             transfer.end(configuration.version);
             keeper::configuration(context, *configuration);
             Ok(())
         }
-        PartOutcome::OutOfStep => Err(LinkError::OutOfStep),
+        PartOutcome::Mismatch => Err(LinkError::OutOfStep),
     }
 }
 
--- a/crates/kingcuploft-entry/src/peers/followers.rs
+++ b/crates/kingcuploft-entry/src/peers/followers.rs
@@ -158,7 +158,7 @@
     /// Tells all followers what leads to the configuration in force, first those that tell most others.
     pub fn tell_configuration(&self) {
         let mut all = self.all.borrow_mut();
-        all.sort_by_key(|follower| std::cmp::Reverse(follower.fed.below));
+        all.sort_by_key(|follower| std::cmp::Reverse(follower.fed.descendants));
         drop(all);
         self.tell_all(&Outgoing::Configuration);
     }
@@ -254,7 +254,7 @@
 
     /// Returns how many VMs of a zone are fed at first or second hand.
     pub fn below(&self, zone: &AvailabilityZone) -> u32 {
-        dissemination::below(zone, &self.fed())
+        dissemination::descendants(zone, &self.fed())
     }
 
     /// Returns the VMs of a zone that are fed at first hand.
@@ -289,9 +289,9 @@
             .borrow_mut()
             .retain(|follower| follower.fed.vm.name != vm.name);
         match dissemination::admit(&vm, zone, path, &self.fed()) {
-            Admission::Feed => self.add(vm, below),
-            Admission::Elsewhere(at) => self.elsewhere(at),
-            Admission::TurnAway => Admitted::TurnedAway,
+            Admission::Accept => self.add(vm, below),
+            Admission::Redirect(at) => self.elsewhere(at),
+            Admission::Reject => Admitted::TurnedAway,
         }
     }
 
@@ -303,8 +303,8 @@
             id,
             fed: FollowerLoad {
                 vm,
-                below,
-                sent_there: 0,
+                descendants: below,
+                redirected: 0,
             },
             queue: sender,
             waiting_bytes: waiting_bytes.clone(),
@@ -323,7 +323,7 @@
         let Some(follower) = all.get_mut(at) else {
             return Admitted::TurnedAway;
         };
-        follower.fed.sent_there += 1;
+        follower.fed.redirected += 1;
         Admitted::Elsewhere(follower.fed.vm.clone())
     }
 
@@ -331,8 +331,8 @@
     pub fn has_below(&self, id: FollowerId, below: u32) {
         let mut all = self.all.borrow_mut();
         if let Some(follower) = all.iter_mut().find(|follower| follower.id == id) {
-            follower.fed.below = below;
-            follower.fed.sent_there = 0;
+            follower.fed.descendants = below;
+            follower.fed.redirected = 0;
         }
         drop(all);
         self.changed.notify_waiters();
--- a/crates/kingcuploft-entry/src/peers/repeat_copies.rs
+++ b/crates/kingcuploft-entry/src/peers/repeat_copies.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::account_replicas::holders;
+use kingcuploft::entry::account_replicas::replica_holders;
 use kingcuploft::entry::repeat_account::UsageReport;
 use kingcuploft::world::ids::VmName;
 use tokio::time::{Instant, sleep, sleep_until};
@@ -61,7 +61,7 @@
         let told_at = Instant::now();
         let vm = &context.settings.vm;
         let others = addresses(context);
-        for used in used.parts(MOST_SERVICES) {
+        for used in used.split(MOST_SERVICES) {
             let vm = vm.clone();
             send(context, &Told::Repeats { vm, used }, &others);
         }
@@ -79,7 +79,7 @@
 
 fn addresses(context: &Context) -> Vec<SocketAddr> {
     let records = context.readers.borrow().records();
-    let holders = holders(&context.settings.vm, &records);
+    let holders = replica_holders(&context.settings.vm, &records);
     holders.into_iter().map(|vm| vm.address).collect()
 }
 
@@ -92,13 +92,13 @@
 /// Keeps what another VM has used.
 pub fn told(context: &Context, vm: &VmName, used: &UsageReport) {
     let mut copies = context.repeat_copies.borrow_mut();
-    copies.told(clock::now(), vm.clone(), used.clone());
+    copies.store(clock::now(), vm.clone(), used.clone());
 }
 
 /// Tells a VM that has just started what is kept for it.
 pub fn asked(context: &Context, vm: &VmName, from: SocketAddr) {
-    let kept = context.repeat_copies.borrow_mut().of(clock::now(), vm);
-    for used in kept.into_iter().flat_map(|used| used.parts(MOST_SERVICES)) {
+    let kept = context.repeat_copies.borrow_mut().get(clock::now(), vm);
+    for used in kept.into_iter().flat_map(|used| used.split(MOST_SERVICES)) {
         send(context, &Told::KeptRepeats { used }, &[from]);
     }
 }
--- a/crates/kingcuploft-entry/src/roster/leading.rs
+++ b/crates/kingcuploft-entry/src/roster/leading.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use kingcuploft::entry::zone_record::{
-    self, SETTLE_TIME, ZoneRecord, ZoneView, handed_over, renewed,
+    self, SETTLE_TIME, ZoneRecord, ZoneView, handed_to_larger, refreshed,
 };
 
 use super::{CATCH_UP, LOOK_EVERY, PAUSE, Roster};
@@ -43,9 +43,9 @@
         let seen = ZoneView {
             own: self.own.clone(),
             followers: followers.vms(zone),
-            below: followers.below(zone),
+            descendants: followers.below(zone),
         };
-        if let Some(record) = handed_over(&old, &seen) {
+        if let Some(record) = handed_to_larger(&old, &seen) {
             tracing::info!(event = "reader_hands_over", version = record.version);
             keeper::zones(self.context, vec![record]);
             // What the followers are told last must be on its way before their links end.
@@ -53,14 +53,14 @@
             return followers.let_go();
         }
         let mut count = self.count.get();
-        let holds = count.holds(clock::now(), old.count, seen.below + 1);
+        let holds = count.stable_count(clock::now(), old.count, seen.descendants + 1);
         self.count.set(count);
         let settled = old.settled || clock::since(begun) >= SETTLE_TIME;
         // Zones that began together with this one are known before it takes itself for counted.
         if settled && !old.settled && !self.list(Staleness::Allowed).await {
             return;
         }
-        if let Some(record) = renewed(&old, &seen, holds, settled) {
+        if let Some(record) = refreshed(&old, &seen, holds, settled) {
             keeper::zones(self.context, vec![record]);
         }
         let alone = seen.followers.is_empty() && holds > 1;
@@ -100,7 +100,7 @@
     /// Names this VM in the record beside those that it can't reach.
     pub(super) async fn append(&self) {
         let old = self.record();
-        let record = old.and_then(|old| zone_record::appended(&old, self.own));
+        let record = old.and_then(|old| zone_record::with_unreachable_vm(&old, self.own));
         if let Some(record) = record {
             self.write(record, Recording::Replace).await;
         }
--- a/crates/kingcuploft-entry/src/roster/mod.rs
+++ b/crates/kingcuploft-entry/src/roster/mod.rs
@@ -79,7 +79,7 @@
     let impatience = impatience::without_knowledge(context.clone(), pulse.clone());
     let impatience = tokio::task::spawn_local(impatience);
     if context.settings.all_start {
-        tokio::time::sleep(startup_delay::claim_after(&own, fastrand::f64())).await;
+        tokio::time::sleep(startup_delay::claim_delay(&own, fastrand::f64())).await;
     }
     roster.learn().await;
     tokio::join!(roster.go_on(), roster.lead());
@@ -240,7 +240,7 @@
                 LinkError::Circle => {
                     self.context.metrics.reader_lost(LinkError::Circle.label());
                     let mut readers = self.context.readers.borrow_mut();
-                    readers.hears_through_own(clock::now(), &feeder.name);
+                    readers.record_cycle(clock::now(), &feeder.name);
                     return link;
                 }
                 why => {
@@ -250,7 +250,7 @@
                 }
             }
             let mut readers = self.context.readers.borrow_mut();
-            readers.failed(clock::now(), &feeder.name);
+            readers.record_failure(clock::now(), &feeder.name);
             return link;
         }
         // Each named another: those below will have told how many they feed by then.
@@ -288,13 +288,13 @@
             self.context
                 .readers
                 .borrow_mut()
-                .failed(clock::now(), &feeder.name);
+                .record_failure(clock::now(), &feeder.name);
             return;
         }
         let Some(old) = self.record() else {
             return;
         };
-        let record = zone_record::taken_over(&old, self.own);
+        let record = zone_record::with_leader(&old, self.own);
         tracing::info!(event = "reader_taken_over", version = record.version);
         keeper::zones(self.context, vec![record.clone()]);
         let first = old.vms.first().unwrap_or(feeder);
--- a/crates/kingcuploft-entry/src/server_news.rs
+++ b/crates/kingcuploft-entry/src/server_news.rs
@@ -21,14 +21,14 @@
         [] => return,
         [server] => context.followers.tell(&Frame::Server(server.clone())),
         several => {
-            let table = ServerTable::of(several.iter());
+            let table = ServerTable::from_servers(several.iter());
             context.followers.tell(&Frame::Servers(table));
         }
     }
     let cold = cold_servers(&servers);
     let told = servers.into_iter();
     let changes: Vec<Change> =
-        context.servers(|known| told.filter_map(|s| known.told(s)).collect());
+        context.servers(|known| told.filter_map(|s| known.update(s)).collect());
     log_changes(&changes);
     context.apply_all(now, &changes);
     cold::told(context, &cold);
@@ -44,7 +44,7 @@
 /// Takes in that a backend server's entry is gone, and passes it on.
 pub fn gone(context: &Context, now: Instant, name: &str) {
     context.followers.tell(&Frame::ServerGone(name.to_owned()));
-    if let Some(change) = context.servers(|servers| servers.gone(now, name)) {
+    if let Some(change) = context.servers(|servers| servers.remove(now, name)) {
         apply(context, now, &change);
     }
 }
@@ -58,9 +58,9 @@
     let news: Vec<BackendServer> = servers.iter().filter(|s| is_news(s)).cloned().collect();
     let cold = cold_servers(&news);
     let told = servers.into_iter();
-    let joined = context.servers(|known| told.filter_map(|s| known.told(s)).collect::<Vec<_>>());
+    let joined = context.servers(|known| told.filter_map(|s| known.update(s)).collect::<Vec<_>>());
     let present = names.iter().map(String::as_str);
-    let gone = context.servers(|known| known.all_told(now, present));
+    let gone = context.servers(|known| known.remove_missing(now, present));
     let changes: Vec<Change> = joined.into_iter().chain(gone).collect();
     log_changes(&changes);
     context.apply_all(now, &changes);
@@ -72,7 +72,7 @@
 /// Tells the followers what a list of all servers brought: the few that changed, or all where many did.
 fn pass_on(context: &Context, news: &[BackendServer], changes: &[Change]) {
     if news.len() + changes.len() > MOST_TOLD_ALONE {
-        let table = context.servers(|servers| ServerTable::of(servers.present()));
+        let table = context.servers(|servers| ServerTable::from_servers(servers.present()));
         context.followers.tell(&Frame::AllServers(table));
         return;
     }
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -232,7 +232,7 @@
 
     /// Takes in how a call ended.
     pub fn ended(&self, now: Instant, failed: bool) {
-        self.failures.borrow_mut().ended(now, failed);
+        self.failures.borrow_mut().record(now, failed);
     }
 
     /// Takes in that another VM of the zone has just sent a request there.
@@ -280,12 +280,12 @@
         Candidate {
             near: self.near,
             reading: reading.map(|(_, reading)| reading),
-            asked: self.asking.get(),
-            unseen: unseen as u32,
-            own: own.len() as u32,
+            probe_pending: self.asking.get(),
+            sent_since_reading: unseen as u32,
+            own_in_flight: own.len() as u32,
             slots: self.server.slots,
             cold: now < self.cold_until.get(),
-            failures: self.failures.borrow().share(now),
+            failure_rate: self.failures.borrow().rate(now),
             tried,
         }
     }
--- a/crates/kingcuploft-entry/tests/entry/cold.rs
+++ b/crates/kingcuploft-entry/tests/entry/cold.rs
@@ -80,10 +80,10 @@
         let before = servers[0].seen.borrow().len();
         assert!(before > MOST, "{before}");
         store.0.evacuate("thun", true);
-        until(|| vms[0].context.evacuations.borrow().holds("thun")).await;
+        until(|| vms[0].context.evacuations.borrow().is_evacuated("thun")).await;
         servers[0].cold_ms.set(3_000);
         store.0.evacuate("thun", false);
-        until(|| !vms[0].context.evacuations.borrow().holds("thun")).await;
+        until(|| !vms[0].context.evacuations.borrow().is_evacuated("thun")).await;
         assert_eq!(crowd(&vms).await, CROWD);
         let seen = servers[0].seen.borrow().len() - before;
         assert!(seen <= MOST, "{seen}");
@@ -104,7 +104,7 @@
         until(|| followers(&vms) == FLEET - 1).await;
         server.cold_ms.set(3_000);
         store.0.evacuate("thun", false);
-        let holds = |vm: &Running| vm.context.evacuations.borrow().holds("thun");
+        let holds = |vm: &Running| vm.context.evacuations.borrow().is_evacuated("thun");
         until(|| !vms.iter().any(holds)).await;
         crowd(&vms).await;
         let seen = server.seen.borrow().len();
@@ -120,7 +120,7 @@
         let vms = [start("vm", &store).await];
         for is_evacuated in [true, false] {
             store.0.evacuate("thun", is_evacuated);
-            let holds = || vms[0].context.evacuations.borrow().holds("thun");
+            let holds = || vms[0].context.evacuations.borrow().is_evacuated("thun");
             until(|| holds() == is_evacuated).await;
         }
         assert_eq!(crowd(&vms).await, CROWD);
--- a/crates/kingcuploft-entry/tests/entry/evacuation.rs
+++ b/crates/kingcuploft-entry/tests/entry/evacuation.rs
@@ -46,11 +46,11 @@
         ask(&world, 6).await;
         assert_eq!([seen(0), seen(1)], [6, 0]);
         world.store.evacuate("thun", true);
-        until(|| world.vm.context.evacuations.borrow().holds("thun")).await;
+        until(|| world.vm.context.evacuations.borrow().is_evacuated("thun")).await;
         ask(&world, 6).await;
         assert_eq!([seen(0), seen(1)], [6, 6]);
         world.store.evacuate("thun", false);
-        until(|| !world.vm.context.evacuations.borrow().holds("thun")).await;
+        until(|| !world.vm.context.evacuations.borrow().is_evacuated("thun")).await;
         ask(&world, 6).await;
         assert_eq!([seen(0), seen(1)], [12, 6]);
     });
@@ -63,7 +63,7 @@
         let world = two_zones().await;
         for zone in ["thun", "bern"] {
             world.store.evacuate(zone, true);
-            until(|| world.vm.context.evacuations.borrow().holds(zone)).await;
+            until(|| world.vm.context.evacuations.borrow().is_evacuated(zone)).await;
         }
         let begun = Instant::now();
         let answer = world.ask(&book("b")).await;
@@ -72,7 +72,7 @@
         assert!(answer.has("retry-after: 2"), "{}", answer.head);
         assert_eq!(world.seen(), 0);
         world.store.evacuate("bern", false);
-        until(|| !world.vm.context.evacuations.borrow().holds("bern")).await;
+        until(|| !world.vm.context.evacuations.borrow().is_evacuated("bern")).await;
         assert_eq!(world.ask(&book("c")).await.status, 200);
     });
 }
@@ -86,9 +86,9 @@
         let store = TestStore::of(&world.store);
         let second = run::start(settings("second"), WORDS, store).await.unwrap();
         while !second.context.is_ready() {
-            assert!(!second.context.evacuations.borrow().holds("thun"));
+            assert!(!second.context.evacuations.borrow().is_evacuated("thun"));
             tokio::task::yield_now().await;
         }
-        assert!(second.context.evacuations.borrow().holds("thun"));
+        assert!(second.context.evacuations.borrow().is_evacuated("thun"));
     });
 }
--- a/crates/kingcuploft-entry/tests/links/evacuations.rs
+++ b/crates/kingcuploft-entry/tests/links/evacuations.rs
@@ -22,7 +22,7 @@
     let differs = |at: &usize| {
         let host = fleet.network.host(*at);
         host.is_some_and(|host| {
-            let holds = host.context.evacuations.borrow().holds(zone);
+            let holds = host.context.evacuations.borrow().is_evacuated(zone);
             !host.nic.is_cut.get() && holds != is_evacuated
         })
     };
--- a/crates/kingcuploft-entry/tests/links/interleavings.rs
+++ b/crates/kingcuploft-entry/tests/links/interleavings.rs
@@ -121,7 +121,7 @@
             let host = self.fleet.network.host(at).unwrap();
             let is_used = host.context.all_upstreams().len() == 1;
             assert_eq!(is_used, self.is_there, "server at VM {at} after {acts:?}");
-            let holds = host.context.evacuations.borrow().holds("zone-0");
+            let holds = host.context.evacuations.borrow().is_evacuated("zone-0");
             assert_eq!(
                 holds, self.is_evacuated,
                 "evacuation at VM {at} after {acts:?}"
--- a/crates/kingcuploft-entry/tests/links/notices.rs
+++ b/crates/kingcuploft-entry/tests/links/notices.rs
@@ -53,7 +53,7 @@
         context
             .quarantine
             .borrow_mut()
-            .server_ended(now, 7, &report.of, 0);
+            .record_crash(now, 7, &report.of, 0);
         context
             .notice_writes
             .send(Write::Tell(Notice::Crash(report)));
--- a/crates/kingcuploft-entry/tests/links/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/links/rewinds.rs
@@ -70,7 +70,7 @@
     assert_eq!((uses(&fleet, "old"), uses(&fleet, "young")), (all, all));
     assert_eq!(uses(&fleet, "leaves"), 0);
     let evacuated = |context: &kingcuploft_entry::context::Context| {
-        context.evacuations.borrow().holds("zone-1")
+        context.evacuations.borrow().is_evacuated("zone-1")
     };
     assert_eq!(but(&fleet, evacuated), 0);
     store.0.serve(server("young"));
--- a/crates/kingcuploft/src/entry/account_replicas.rs
+++ b/crates/kingcuploft/src/entry/account_replicas.rs
@@ -25,7 +25,7 @@
 
 /// Returns the VMs that keep the account of this one, spread over the zones, where these records name some VMs. All that
 /// know the same records agree on them.
-pub fn holders(own: &VmName, records: &[ZoneRecord]) -> Vec<VmEntry> {
+pub fn replica_holders(own: &VmName, records: &[ZoneRecord]) -> Vec<VmEntry> {
     let mut ranked = Vec::new();
     for record in records {
         let others = record.vms.iter().filter(|vm| vm.name != *own);
@@ -57,7 +57,7 @@
 
 impl AccountReplicas {
     /// Keeps what a VM tells. It is left aside from one that has restarted and does not know what is kept here.
-    pub fn told(&mut self, now: Instant, vm: VmName, used: UsageReport) {
+    pub fn store(&mut self, now: Instant, vm: VmName, used: UsageReport) {
         let unknown_until = now + Duration::from_millis(used.unknown_ms);
         let known = self.copies.get(&vm);
         let knows_less =
@@ -91,7 +91,7 @@
     }
 
     /// Returns what a VM told.
-    pub fn of(&mut self, now: Instant, vm: &VmName) -> Option<UsageReport> {
+    pub fn get(&mut self, now: Instant, vm: &VmName) -> Option<UsageReport> {
         self.forget(now);
         let copy = self.copies.get(vm)?;
         let accounts = copy.accounts.iter().map(|(service, kept)| ServiceAccount {
--- a/crates/kingcuploft/src/entry/attempts.rs
+++ b/crates/kingcuploft/src/entry/attempts.rs
@@ -51,9 +51,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextAction {
     /// Pass the server's answer on.
-    Answer,
+    PassOn,
     /// Send the request to another server, if the budget has room.
-    TryAgain,
+    Retry,
     /// Answer with an own failure.
     GiveUp,
 }
@@ -79,7 +79,7 @@
     }
 
     /// Counts an attempt that is about to be sent.
-    pub fn sending(&mut self) {
+    pub fn record_sent(&mut self) {
         self.sent += 1;
     }
 
@@ -103,20 +103,20 @@
     }
 
     /// Takes the end of an attempt in and says what to do next.
-    pub fn ended(&mut self, end: AttemptOutcome) -> NextAction {
+    pub fn record_outcome(&mut self, end: AttemptOutcome) -> NextAction {
         if end.may_have_run() {
             self.ran += 1;
         }
         match end {
-            AttemptOutcome::Succeeded => NextAction::Answer,
-            AttemptOutcome::Failed if !self.may_send(0) => NextAction::Answer,
-            _ if self.may_send(0) => NextAction::TryAgain,
+            AttemptOutcome::Succeeded => NextAction::PassOn,
+            AttemptOutcome::Failed if !self.may_send(0) => NextAction::PassOn,
+            _ if self.may_send(0) => NextAction::Retry,
             _ => NextAction::GiveUp,
         }
     }
 
     /// Returns the status of an own failure: a promise that nothing ran only where nothing can have.
-    pub fn refusal_status(&self, timed_out: bool) -> u16 {
+    pub fn failure_status(&self, timed_out: bool) -> u16 {
         let may_have_run = self.may_have_run() && !planted::is_on(Planted::RefusesUntruthfully);
         match (may_have_run, timed_out) {
             (false, _) => 503,
--- a/crates/kingcuploft/src/entry/backend_servers.rs
+++ b/crates/kingcuploft/src/entry/backend_servers.rs
@@ -192,7 +192,7 @@
     }
 
     /// Takes an entry in.
-    pub fn told(&mut self, server: BackendServer) -> Option<Change> {
+    pub fn update(&mut self, server: BackendServer) -> Option<Change> {
         let name = server.name.clone();
         let Some(known) = self.known.get_mut(&name) else {
             let standing = standing_of(&server);
@@ -238,7 +238,7 @@
     }
 
     /// Takes in that an entry is gone.
-    pub fn gone(&mut self, now: Instant, name: &str) -> Option<Change> {
+    pub fn remove(&mut self, now: Instant, name: &str) -> Option<Change> {
         let just_returned = self.has_just_returned(now);
         let known = self.known.get_mut(name)?;
         known.gone_at.get_or_insert(now);
@@ -264,7 +264,7 @@
     }
 
     /// Takes in which entries there are at all; the others are gone.
-    pub fn all_told<'a>(
+    pub fn remove_missing<'a>(
         &mut self,
         now: Instant,
         names: impl Iterator<Item = &'a str>,
@@ -276,7 +276,7 @@
             .collect();
         missing
             .iter()
-            .filter_map(|name| self.gone(now, name))
+            .filter_map(|name| self.remove(now, name))
             .collect()
     }
 
@@ -337,7 +337,7 @@
     }
 
     /// Returns how many servers may be sent work.
-    pub fn in_use(&self) -> usize {
+    pub fn in_use_count(&self) -> usize {
         let standings = self.known.values().map(|known| known.standing);
         standings
             .filter(|s| matches!(s, Standing::InUse | Standing::LapsesAt(_)))
--- a/crates/kingcuploft/src/entry/caller_timeouts.rs
+++ b/crates/kingcuploft/src/entry/caller_timeouts.rs
@@ -25,7 +25,7 @@
 
 impl CallerTimeouts {
     /// Takes in how long a caller waits; returns how long it has waited before.
-    pub fn told(&mut self, patience: Duration) -> Duration {
+    pub fn record(&mut self, patience: Duration) -> Duration {
         let usual = self.usual();
         if self.told.len() >= REMEMBERED {
             self.told.pop_front();
--- a/crates/kingcuploft/src/entry/change_assembly.rs
+++ b/crates/kingcuploft/src/entry/change_assembly.rs
@@ -35,13 +35,13 @@
 #[derive(Debug)]
 pub enum PartOutcome {
     /// More parts follow.
-    More,
+    Incomplete,
     /// The configuration is whole.
-    Whole(Box<Configuration>),
+    Complete(Box<Configuration>),
     /// It is in force already, or a newer one is.
-    Known,
+    AlreadyApplied,
     /// It does not lead on from what this VM has: all has to be told.
-    OutOfStep,
+    Mismatch,
 }
 
 impl ChangeAssembler {
@@ -50,13 +50,13 @@
     /// # Errors
     ///
     /// Returns an error if the part can't be read.
-    pub fn take(
+    pub fn add_part(
         &mut self,
         part: ChangePart,
         current: Option<&Configuration>,
     ) -> Result<PartOutcome, PartError> {
         if current.is_some_and(|current| current.version >= part.to) {
-            return Ok(PartOutcome::Known);
+            return Ok(PartOutcome::AlreadyApplied);
         }
         if part.at == 0 {
             self.begun = Some(Begun {
@@ -69,21 +69,21 @@
             (change.from, change.to, begun.parts) == (part.from, part.to, part.at)
         };
         let Some(begun) = self.begun.as_mut().filter(is_next) else {
-            return Ok(PartOutcome::OutOfStep);
+            return Ok(PartOutcome::Mismatch);
         };
         begun.parts += 1;
         if !begun.change.extend(part)? {
-            return Ok(PartOutcome::More);
+            return Ok(PartOutcome::Incomplete);
         }
         let change = self.begun.take().map(|begun| begun.change);
         let whole = change.and_then(|change| change.apply(current));
-        Ok(whole.map_or(PartOutcome::OutOfStep, |whole| {
-            PartOutcome::Whole(Box::new(whole))
+        Ok(whole.map_or(PartOutcome::Mismatch, |whole| {
+            PartOutcome::Complete(Box::new(whole))
         }))
     }
 
     /// Returns how much of a change has arrived.
-    pub fn arrived(&self) -> Option<AssemblyProgress> {
+    pub fn progress(&self) -> Option<AssemblyProgress> {
         self.begun.as_ref().map(|begun| AssemblyProgress {
             from: begun.change.from,
             to: begun.change.to,
@@ -92,7 +92,7 @@
     }
 
     /// Forgets what has arrived.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         self.begun = None;
     }
 }
--- a/crates/kingcuploft/src/entry/configuration.rs
+++ b/crates/kingcuploft/src/entry/configuration.rs
@@ -192,7 +192,7 @@
     }
 
     /// Takes the routes that another configuration has as well from that one, so that they are kept once.
-    pub fn share(&mut self, other: &Self) {
+    pub fn share_routes(&mut self, other: &Self) {
         let same = self.shared_routes().filter_map(|own| {
             let route = other.route_at(&own.host, &own.path_prefix)?;
             (!Arc::ptr_eq(own, route) && own == route).then(|| route.clone())
@@ -284,7 +284,7 @@
     }
 
     /// Returns the destination of the next request.
-    pub fn deal<'a>(&mut self, destinations: &'a [Destination]) -> Option<&'a Destination> {
+    pub fn select<'a>(&mut self, destinations: &'a [Destination]) -> Option<&'a Destination> {
         let total: u64 = destinations.iter().map(|d| u64::from(d.weight)).sum();
         self.at = (self.at + GOLDEN).fract();
         let mut left = self.at * total as f64;
--- a/crates/kingcuploft/src/entry/configuration_change.rs
+++ b/crates/kingcuploft/src/entry/configuration_change.rs
@@ -89,7 +89,7 @@
 pub enum PartError {
     /// A row names a host or a kind that is not in the table.
     #[error("route {0}: its host or kind is not in the table")]
-    OutOfTable(RuleName),
+    UnknownIndex(RuleName),
 }
 
 impl ConfigurationChange {
@@ -232,7 +232,7 @@
         let Self { hosts, kinds, rows } = self;
         let routes = rows.into_iter().map(|Row(name, host, path_prefix, kind)| {
             let (Some(host), Some(kind)) = (hosts.get(host), kinds.get(kind)) else {
-                return Err(PartError::OutOfTable(name));
+                return Err(PartError::UnknownIndex(name));
             };
             Ok(Arc::new(kind.route(name, host.clone(), path_prefix)))
         });
--- a/crates/kingcuploft/src/entry/connections.rs
+++ b/crates/kingcuploft/src/entry/connections.rs
@@ -12,7 +12,7 @@
 const LEAST: usize = 4;
 
 /// Returns how many connections one of `vms` may have to a server that accepts `most` from all.
-pub fn share(most: u32, vms: usize) -> usize {
+pub fn per_vm_limit(most: u32, vms: usize) -> usize {
     let part = GUARD * f64::from(most) / vms.max(1) as f64;
     (part as usize).max(LEAST)
 }
--- a/crates/kingcuploft/src/entry/dissemination.rs
+++ b/crates/kingcuploft/src/entry/dissemination.rs
@@ -23,20 +23,20 @@
     /// The VM.
     pub vm: VmEntry,
     /// How many VMs are fed through it, as it says.
-    pub below: u32,
+    pub descendants: u32,
     /// How many were sent to it since it said so.
-    pub sent_there: u32,
+    pub redirected: u32,
 }
 
 /// What to do with a VM that wants to be fed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
     /// Feed it.
-    Feed,
+    Accept,
     /// Name it another VM, at this place among those that are fed.
-    Elsewhere(usize),
+    Redirect(usize),
     /// Turn it away: this VM hears through it, or too many are between this VM and the store.
-    TurnAway,
+    Reject,
 }
 
 /// Decides about a VM that wants to be fed, by those that are, and by the VMs through which this one hears. One of
@@ -48,26 +48,26 @@
     fed: &[FollowerLoad],
 ) -> Admission {
     if path.contains(&comes.name) || path.len() >= MAX_DEPTH {
-        return Admission::TurnAway;
+        return Admission::Reject;
     }
     let of_zone = |fed: &FollowerLoad| fed.vm.zone == *zone;
     let room = fed.iter().filter(|fed| of_zone(fed)).count() < MAX_FOLLOWERS;
     if room || comes.zone != *zone {
-        return Admission::Feed;
+        return Admission::Accept;
     }
     let others = fed.iter().enumerate();
     let others = others.filter(|(_, fed)| of_zone(fed) && fed.vm.name != comes.name);
-    let least = others.min_by_key(|(_, fed)| fed.below + fed.sent_there);
-    least.map_or(Admission::Feed, |(at, _)| Admission::Elsewhere(at))
+    let least = others.min_by_key(|(_, fed)| fed.descendants + fed.redirected);
+    least.map_or(Admission::Accept, |(at, _)| Admission::Redirect(at))
 }
 
 /// Returns how many VMs of its zone are fed by this one, at first or second hand.
-pub fn below(zone: &AvailabilityZone, fed: &[FollowerLoad]) -> u32 {
+pub fn descendants(zone: &AvailabilityZone, fed: &[FollowerLoad]) -> u32 {
     let of_zone = fed.iter().filter(|fed| fed.vm.zone == *zone);
-    of_zone.map(|fed| fed.below + 1).sum()
+    of_zone.map(|fed| fed.descendants + 1).sum()
 }
 
 /// Returns whether a VM that hears through these hears through itself.
-pub fn is_circle(own: &VmName, path: &[VmName]) -> bool {
+pub fn has_cycle(own: &VmName, path: &[VmName]) -> bool {
     path.contains(own)
 }
--- a/crates/kingcuploft/src/entry/evacuations.rs
+++ b/crates/kingcuploft/src/entry/evacuations.rs
@@ -40,7 +40,7 @@
 
 impl Evacuations {
     /// Returns whether a zone's servers are to get nothing.
-    pub fn holds(&self, zone: &str) -> bool {
+    pub fn is_evacuated(&self, zone: &str) -> bool {
         !self.zones.is_empty() && self.zones.contains_key(zone)
     }
 
@@ -52,20 +52,24 @@
     }
 
     /// Takes an entry in.
-    pub fn told(&mut self, zone: AvailabilityZone) -> Option<Change> {
+    pub fn add(&mut self, zone: AvailabilityZone) -> Option<Change> {
         let before = self.zones.insert(zone.clone(), Standing::Stored);
         before.is_none().then_some(Change::Begun(zone))
     }
 
     /// Takes in that the operator has removed an entry.
-    pub fn gone(&mut self, zone: &str) -> Option<Change> {
+    pub fn remove(&mut self, zone: &str) -> Option<Change> {
         let (zone, _) = self.zones.remove_entry(zone)?;
         Some(Change::Ended(zone))
     }
 
     /// Takes in all entries that the store has.
-    pub fn all_told(&mut self, now: Instant, zones: &HashSet<AvailabilityZone>) -> Vec<Change> {
-        let begun = zones.iter().filter_map(|zone| self.told(zone.clone()));
+    pub fn sync_with_store(
+        &mut self,
+        now: Instant,
+        zones: &HashSet<AvailabilityZone>,
+    ) -> Vec<Change> {
+        let begun = zones.iter().filter_map(|zone| self.add(zone.clone()));
         let mut changes: Vec<Change> = begun.collect();
         let until = self.rewound_at.map(|at| at + REWRITE_GRACE);
         let missing = |zone: &&AvailabilityZone| !zones.contains(*zone);
@@ -75,19 +79,19 @@
                 Some(until) => {
                     self.zones.insert(zone, Standing::MissingUntil(until));
                 }
-                None => changes.extend(self.gone(&zone)),
+                None => changes.extend(self.remove(&zone)),
             }
         }
         changes
     }
 
     /// Takes in all zones that a VM takes for evacuated which hears of the store first.
-    pub fn followed(&mut self, zones: &HashSet<AvailabilityZone>) -> Vec<Change> {
-        let begun = zones.iter().filter_map(|zone| self.told(zone.clone()));
+    pub fn sync_with_feeder(&mut self, zones: &HashSet<AvailabilityZone>) -> Vec<Change> {
+        let begun = zones.iter().filter_map(|zone| self.add(zone.clone()));
         let mut changes: Vec<Change> = begun.collect();
         let ended = |zone: &&AvailabilityZone| !zones.contains(*zone);
         let ended: Vec<_> = self.zones.keys().filter(ended).cloned().collect();
-        changes.extend(ended.iter().filter_map(|zone| self.gone(zone)));
+        changes.extend(ended.iter().filter_map(|zone| self.remove(zone)));
         changes
     }
 
@@ -102,6 +106,6 @@
             |standing: &Standing| matches!(standing, Standing::MissingUntil(at) if *at <= now);
         let over = self.zones.iter().filter(|(_, standing)| over(standing));
         let over: Vec<_> = over.map(|(zone, _)| zone.clone()).collect();
-        over.iter().filter_map(|zone| self.gone(zone)).collect()
+        over.iter().filter_map(|zone| self.remove(zone)).collect()
     }
 }
--- a/crates/kingcuploft/src/entry/failure_rate.rs
+++ b/crates/kingcuploft/src/entry/failure_rate.rs
@@ -23,7 +23,7 @@
 
 impl FailureRate {
     /// Takes the end of a call in.
-    pub fn ended(&mut self, now: Instant, failed: bool) {
+    pub fn record(&mut self, now: Instant, failed: bool) {
         let keep = self.fading(now);
         self.calls = self.calls * keep + 1.0;
         self.failed = self.failed * keep + f64::from(u8::from(failed));
@@ -31,7 +31,7 @@
     }
 
     /// Returns the share of calls that failed lately, from 0 to 1.
-    pub fn share(&self, now: Instant) -> f64 {
+    pub fn rate(&self, now: Instant) -> f64 {
         let keep = self.fading(now);
         self.failed * keep / (self.calls * keep + PRIOR_CALLS)
     }
--- a/crates/kingcuploft/src/entry/hedging.rs
+++ b/crates/kingcuploft/src/entry/hedging.rs
@@ -21,22 +21,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HedgeCheck {
     /// Whether the server answered a probe just now.
-    pub answers: bool,
+    pub server_answers: bool,
     /// Which part of the probe budget is there to be used.
-    pub probes_left: f64,
+    pub probe_budget_left: f64,
     /// The time left until the deadline, in milliseconds.
-    pub left_ms: f64,
+    pub deadline_left_ms: f64,
     /// The work on a server of usual speed, in milliseconds.
     pub work_ms: f64,
 }
 
 /// Returns when a lookup is looked at that is expected to take so long.
-pub fn look_after(expected_ms: f64) -> Duration {
+pub fn hedge_delay(expected_ms: f64) -> Duration {
     Duration::from_secs_f64(expected_ms.max(0.0) * LOOK_AFTER / 1000.0).max(SHORTEST)
 }
 
 /// Returns whether the lookup should be sent to a second server.
-pub fn wants_second(look: &HedgeCheck) -> bool {
-    let in_time = look.left_ms > look.work_ms;
-    in_time && (!look.answers || look.probes_left >= CALM)
+pub fn should_hedge(look: &HedgeCheck) -> bool {
+    let in_time = look.deadline_left_ms > look.work_ms;
+    in_time && (!look.server_answers || look.probe_budget_left >= CALM)
 }
--- a/crates/kingcuploft/src/entry/last_slot_slowdown.rs
+++ b/crates/kingcuploft/src/entry/last_slot_slowdown.rs
@@ -37,7 +37,7 @@
 
 impl LastSlotSlowdown {
     /// Takes in that work on a last slot took this multiple of what it takes on an idle server.
-    pub fn measured(&mut self, multiple: f64) {
+    pub fn observe(&mut self, multiple: f64) {
         self.answers = (self.answers + 1.0).min(MOST_ANSWERS);
         self.mean += (multiple.clamp(LEAST, MOST) - self.mean) / self.answers;
     }
--- a/crates/kingcuploft/src/entry/log_rate_limiter.rs
+++ b/crates/kingcuploft/src/entry/log_rate_limiter.rs
@@ -22,9 +22,9 @@
     /// It is written.
     Write,
     /// It is left out.
-    LeaveOut,
+    Drop,
     /// It is left out, and a line tells that this many were since the last such line.
-    Tell(u64),
+    DropAndReport(u64),
 }
 
 /// The budget of ordinary lines.
@@ -49,7 +49,7 @@
 
 impl LogRateLimiter {
     /// Says what becomes of an ordinary line.
-    pub fn take(&mut self, now: Instant) -> LogDecision {
+    pub fn admit(&mut self, now: Instant) -> LogDecision {
         let since = self.at.replace(now);
         let passed = since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let earned = LINES_PER_S * passed.as_secs_f64();
@@ -61,9 +61,9 @@
         self.left_out += 1;
         let told = *self.told.get_or_insert(now);
         if now.saturating_duration_since(told) < TELL_EVERY {
-            return LogDecision::LeaveOut;
+            return LogDecision::Drop;
         }
         self.told = Some(now);
-        LogDecision::Tell(std::mem::take(&mut self.left_out))
+        LogDecision::DropAndReport(std::mem::take(&mut self.left_out))
     }
 }
--- a/crates/kingcuploft/src/entry/placement.rs
+++ b/crates/kingcuploft/src/entry/placement.rs
@@ -36,17 +36,17 @@
     /// The last reading, if it is young enough to choose by.
     pub reading: Option<LoadReading>,
     /// Whether a reading was asked for and has not come.
-    pub asked: bool,
+    pub probe_pending: bool,
     /// Own requests sent there since the reading was taken.
-    pub unseen: u32,
+    pub sent_since_reading: u32,
     /// Own requests in flight there.
-    pub own: u32,
+    pub own_in_flight: u32,
     /// How many requests it works on at once.
     pub slots: u32,
     /// Whether it started moments ago and is slow for it.
     pub cold: bool,
     /// The share of recent calls that failed.
-    pub failures: f64,
+    pub failure_rate: f64,
     /// Whether this request was already sent there.
     pub tried: bool,
 }
@@ -59,7 +59,7 @@
     /// One of the last.
     Last,
     /// All are taken: the request waits in the server's line.
-    Taken,
+    Queued,
 }
 
 /// What a request needs.
@@ -72,15 +72,15 @@
     /// The time left until nobody waits for the answer, in milliseconds.
     pub deadline_left_ms: f64,
     /// How long readings have been waited for in this look, in milliseconds.
-    pub looked_ms: f64,
+    pub probe_wait_ms: f64,
     /// Which servers were asked.
-    pub reach: ProbeScope,
+    pub scope: ProbeScope,
     /// How many times longer work takes on a server whose last slot it takes.
-    pub last_slot: f64,
+    pub last_slot_slowdown: f64,
     /// Which part of the probe budget is there to be used, from 0 to 1.
-    pub probes_left: f64,
+    pub probe_budget_left: f64,
     /// Whether its caller comes back after an earlier attempt.
-    pub returns: bool,
+    pub is_caller_retry: bool,
 }
 
 /// Which servers are asked for a request.
@@ -100,11 +100,11 @@
     /// Send it to this candidate.
     Send(usize),
     /// Wait for the readings asked for.
-    Await,
+    AwaitProbes,
     /// Ask more servers.
-    Ask(ProbeScope),
+    Probe(ProbeScope),
     /// All are slow or full: look again after this time.
-    LookAgain(Duration),
+    Recheck(Duration),
     /// No server can answer in time. The caller may come back after this time.
     Refuse(Duration),
 }
@@ -160,7 +160,7 @@
         let busy = self.busy();
         let slowness = self.reading.map_or(MEAN_SLOWNESS, |r| r.slowness);
         let last_slot = match self.slot() {
-            Slot::Last | Slot::Taken => last_slot,
+            Slot::Last | Slot::Queued => last_slot,
             Slot::Spare => 1.0,
         };
         let cold = match self.cold {
@@ -173,14 +173,14 @@
             false => FAR_MS,
         };
         let run_ms = work_ms * slowness * last_slot * cold;
-        (run_ms + wait_ms) * (1.0 + FAILURE * self.failures) + distance_ms
+        (run_ms + wait_ms) * (1.0 + FAILURE * self.failure_rate) + distance_ms
     }
 
     /// Returns which slot a request takes that is sent now.
     pub fn slot(&self) -> Slot {
         let (busy, slots) = (self.busy(), f64::from(self.slots.max(1)));
         match busy + 1.0 {
-            after if after > slots => Slot::Taken,
+            after if after > slots => Slot::Queued,
             // A server of one slot has no other.
             after if busy >= 1.0 && after > LAST_OF * slots => Slot::Last,
             _ => Slot::Spare,
@@ -190,15 +190,15 @@
     /// Returns how many requests the server has, or may have where it has not said.
     fn busy(&self) -> f64 {
         match self.reading {
-            Some(reading) => f64::from(reading.running + reading.waiting + self.unseen),
-            None => f64::from(self.own) + f64::from(self.slots.max(1)) / 2.0,
+            Some(reading) => f64::from(reading.running + reading.waiting + self.sent_since_reading),
+            None => f64::from(self.own_in_flight) + f64::from(self.slots.max(1)) / 2.0,
         }
     }
 
     /// Returns when a request that is sent now would begin to run, in milliseconds.
     fn wait_ms(&self, reading: &LoadReading, work_ms: f64) -> f64 {
         let slots = f64::from(reading.slots.max(1));
-        let busy = f64::from(reading.running + reading.waiting + self.unseen);
+        let busy = f64::from(reading.running + reading.waiting + self.sent_since_reading);
         line_ms(busy, slots, work_ms * reading.slowness)
     }
 
@@ -210,7 +210,7 @@
 
     fn is_full(&self) -> bool {
         let reading = self.reading;
-        reading.is_some_and(|r| r.running + r.waiting + self.unseen >= r.slots.max(1))
+        reading.is_some_and(|r| r.running + r.waiting + self.sent_since_reading >= r.slots.max(1))
     }
 }
 
@@ -236,20 +236,20 @@
     {
         return Step::Send(at);
     }
-    let near_open = candidates.iter().any(|c| c.near && c.asked);
-    let far_open = candidates.iter().any(|c| !c.near && c.asked);
-    let patience_ms = match need.reach {
+    let near_open = candidates.iter().any(|c| c.near && c.probe_pending);
+    let far_open = candidates.iter().any(|c| !c.near && c.probe_pending);
+    let patience_ms = match need.scope {
         ProbeScope::Near => NEAR_PATIENCE_MS,
         ProbeScope::FewFar | ProbeScope::Far => FAR_PATIENCE_MS,
     };
-    let open = near_open || far_open && need.reach != ProbeScope::Near;
-    if open && need.looked_ms < patience_ms {
-        return Step::Await;
+    let open = near_open || far_open && need.scope != ProbeScope::Near;
+    if open && need.probe_wait_ms < patience_ms {
+        return Step::AwaitProbes;
     }
     let one_will_do = best.is_some_and(|best| will_do(need, candidates, best));
-    match need.reach {
-        ProbeScope::Near => Step::Ask(ProbeScope::FewFar),
-        ProbeScope::FewFar if !one_will_do => Step::Ask(ProbeScope::Far),
+    match need.scope {
+        ProbeScope::Near => Step::Probe(ProbeScope::FewFar),
+        ProbeScope::FewFar if !one_will_do => Step::Probe(ProbeScope::Far),
         ProbeScope::FewFar | ProbeScope::Far => settle(need, candidates, best),
     }
 }
@@ -267,9 +267,9 @@
 /// Returns within which multiple of the work an answer must be expected of a server that is taken without
 /// asking more of them.
 fn good(need: &PlacementNeed) -> f64 {
-    match need.probes_left >= CALM {
+    match need.probe_budget_left >= CALM {
         true => GOOD,
-        false => GOOD.max(need.last_slot + GOOD - 1.0),
+        false => GOOD.max(need.last_slot_slowdown + GOOD - 1.0),
     }
 }
 
@@ -280,9 +280,9 @@
 /// over, and be refused untried.
 fn beside_the_best(candidates: &[Candidate]) -> Vec<Candidate> {
     let untried = candidates.iter().filter(|c| !c.tried);
-    let least = untried.map(|c| c.failures).fold(1.0, f64::min);
+    let least = untried.map(|c| c.failure_rate).fold(1.0, f64::min);
     let beside = candidates.iter().map(|c| Candidate {
-        failures: (c.failures - least).max(0.0),
+        failure_rate: (c.failure_rate - least).max(0.0),
         ..*c
     });
     beside.collect()
@@ -294,7 +294,7 @@
     let again_ms = LOOK_AGAIN.as_secs_f64() * 1000.0;
     let Some((at, expected_ms)) = best else {
         return match need.deadline_left_ms > usual_ms + again_ms {
-            true => Step::LookAgain(LOOK_AGAIN),
+            true => Step::Recheck(LOOK_AGAIN),
             false => Step::Refuse(come_back(need, candidates)),
         };
     };
@@ -303,7 +303,7 @@
         return Step::Send(at);
     }
     if need.target_left_ms > usual_ms + again_ms {
-        return Step::LookAgain(LOOK_AGAIN);
+        return Step::Recheck(LOOK_AGAIN);
     }
     let taken = match candidates[at].is_full() || !late_may_take(need, &candidates[at]) {
         true => best_of(need, candidates, |c| {
@@ -313,7 +313,7 @@
     };
     match taken {
         Some((at, expected_ms)) if expected_ms <= need.deadline_left_ms => Step::Send(at),
-        Some(_) if need.deadline_left_ms > usual_ms + again_ms => Step::LookAgain(LOOK_AGAIN),
+        Some(_) if need.deadline_left_ms > usual_ms + again_ms => Step::Recheck(LOOK_AGAIN),
         Some(_) | None => Step::Refuse(come_back(need, candidates)),
     }
 }
@@ -323,7 +323,7 @@
 /// Load pattern: an overload, in which refused callers come back and are late before they begin. Under it they leave last
 /// slots to those that can still be in time.
 fn late_may_take(need: &PlacementNeed, candidate: &Candidate) -> bool {
-    need.probes_left >= CALM || !need.returns || candidate.slot() == Slot::Spare
+    need.probe_budget_left >= CALM || !need.is_caller_retry || candidate.slot() == Slot::Spare
 }
 
 /// Returns the best of the untried servers that are like this, and when its answer is expected.
@@ -334,7 +334,7 @@
 ) -> Option<(usize, f64)> {
     let all = candidates.iter().enumerate();
     let like = all.filter(|(_, candidate)| !candidate.tried && is_like(candidate));
-    let expected = like.map(|(i, c)| (i, c.expected_ms(need.work_ms, need.last_slot)));
+    let expected = like.map(|(i, c)| (i, c.expected_ms(need.work_ms, need.last_slot_slowdown)));
     expected.min_by(|a, b| a.1.total_cmp(&b.1))
 }
 
@@ -357,7 +357,7 @@
 ) -> Option<(usize, f64)> {
     let untried = candidates.iter().enumerate().filter(|(_, c)| !c.tried);
     let costs = untried.map(|(i, candidate)| {
-        let expected_ms = candidate.expected_ms(need.work_ms, need.last_slot);
+        let expected_ms = candidate.expected_ms(need.work_ms, need.last_slot_slowdown);
         (i, expected_ms, expected_ms + chance())
     });
     let best = costs.min_by(|a, b| a.2.total_cmp(&b.2));
--- a/crates/kingcuploft/src/entry/probe_budget.rs
+++ b/crates/kingcuploft/src/entry/probe_budget.rs
@@ -38,7 +38,7 @@
 ///
 /// Load pattern: an overload, in which a hundred requests wait and each asks sixteen servers fifty times a second. The
 /// budget is used up, readings grow old, and a slot that becomes free is seen by ten of them at once.
-pub fn ask_share(probes_left: f64, looks: u32) -> f64 {
+pub fn probe_share(probes_left: f64, looks: u32) -> f64 {
     match looks {
         0 => 1.0,
         _ => (probes_left / ASK_ALL).clamp(LEAST_SHARE, 1.0),
@@ -59,7 +59,7 @@
 
 impl ProbeBudget {
     /// Begins.
-    pub fn begin(now: Instant) -> Self {
+    pub fn new(now: Instant) -> Self {
         Self {
             begun: now,
             saved_s: START_S,
@@ -69,7 +69,7 @@
 
     /// Takes one probe, if there is room: each of `servers` may be asked `bound` times a second by
     /// `vms` together.
-    pub fn take(&mut self, now: Instant, bound: f64, servers: usize, vms: usize) -> bool {
+    pub fn try_take(&mut self, now: Instant, bound: f64, servers: usize, vms: usize) -> bool {
         let per_s = GUARD * bound * servers as f64 / vms.max(1) as f64;
         let passed = now.saturating_duration_since(std::mem::replace(&mut self.at, now));
         self.saved_s = (self.saved_s + passed.as_secs_f64()).min(SAVED_S);
@@ -81,12 +81,12 @@
     }
 
     /// Returns how old a reading may be to choose by it: short while there is room to ask again.
-    pub fn reading_life(&self) -> Duration {
-        SHORTEST_LIFE + (LONGEST_LIFE - SHORTEST_LIFE).mul_f64(1.0 - self.fill())
+    pub fn max_reading_age(&self) -> Duration {
+        SHORTEST_LIFE + (LONGEST_LIFE - SHORTEST_LIFE).mul_f64(1.0 - self.remaining_share())
     }
 
     /// Returns which part of what the VM can have saved is there to be used, from 0 to 1.
-    pub fn fill(&self) -> f64 {
+    pub fn remaining_share(&self) -> f64 {
         let earned = self.at.saturating_duration_since(self.begun);
         let most = (START_S + earned.as_secs_f64()).min(SAVED_S);
         (self.saved_s / most).clamp(0.0, 1.0)
--- a/crates/kingcuploft/src/entry/probe_fanout.rs
+++ b/crates/kingcuploft/src/entry/probe_fanout.rs
@@ -30,7 +30,7 @@
 /// have room. A zone with more servers than are asked in all must not keep its requests to itself. The
 /// reverse as well: where there are few servers elsewhere, or none, more of the own zone are asked, or a
 /// few VMs would fill six servers each and leave thirty idle.
-pub fn asked(near: usize, far: usize, reach: ProbeScope) -> ProbeFanout {
+pub fn probe_fanout(near: usize, far: usize, reach: ProbeScope) -> ProbeFanout {
     let first_near = near.min(MOST_ASKED_FIRST);
     let most_far = match (reach, first_near) {
         (ProbeScope::Far, _) => MOST_ASKED - first_near,
--- a/crates/kingcuploft/src/entry/quarantine.rs
+++ b/crates/kingcuploft/src/entry/quarantine.rs
@@ -46,9 +46,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
     /// It may.
-    Free,
+    Unrestricted,
     /// It may, and no other run of it at this VM meanwhile.
-    Alone,
+    Exclusive,
     /// Another run of it is under way at this VM.
     Wait,
     /// It may be tried by whoever writes this report first.
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportStatus {
     /// It is news.
-    News,
+    New,
     /// It was known.
     Known,
 }
@@ -133,11 +133,11 @@
     /// Says whether a request may be sent now.
     pub fn admit(&self, now: Instant, fingerprint: Fingerprint) -> Admission {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
-            return Admission::Free;
+            return Admission::Unrestricted;
         };
         if !suspect.is_refused() {
             return match suspect.running {
-                0 => Admission::Alone,
+                0 => Admission::Exclusive,
                 _ => Admission::Wait,
             };
         }
@@ -151,12 +151,12 @@
     }
 
     /// Returns when the caller may come back of a request that another VM tries.
-    pub fn tried_elsewhere() -> Duration {
+    pub fn trial_retry_delay() -> Duration {
         TRIAL_UNDER_WAY
     }
 
     /// Takes note that a request begins to run; returns how many servers are known to have ended in a row under it.
-    pub fn begins(&mut self, fingerprint: Fingerprint) -> u32 {
+    pub fn record_start(&mut self, fingerprint: Fingerprint) -> u32 {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return 0;
         };
@@ -165,7 +165,7 @@
     }
 
     /// Takes note that a run has ended, however it did.
-    pub fn ends(&mut self, fingerprint: Fingerprint) {
+    pub fn record_end(&mut self, fingerprint: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.running = suspect.running.saturating_sub(1);
         }
@@ -173,7 +173,7 @@
 
     /// Takes in that a server ended under a run that began when so many ends in a row were known; returns what the others
     /// are to be told.
-    pub fn server_ended(
+    pub fn record_crash(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
@@ -190,7 +190,7 @@
     }
 
     /// Takes in that a request was answered: servers did not end of it. Returns the reports to withdraw.
-    pub fn answered(&mut self, fingerprint: Fingerprint) -> Vec<NoticeId> {
+    pub fn clear(&mut self, fingerprint: Fingerprint) -> Vec<NoticeId> {
         let suspect = self.suspects.remove(&fingerprint);
         let reports = suspect.into_iter().flat_map(|suspect| suspect.reports);
         let ids = reports.map(|(of, (in_a_row, _))| CrashReport {
@@ -202,12 +202,12 @@
     }
 
     /// Takes in a report that the store has.
-    pub fn told(&mut self, now: Instant, report: &CrashReport) -> ReportStatus {
+    pub fn add_report(&mut self, now: Instant, report: &CrashReport) -> ReportStatus {
         self.add(now, report, Source::Store)
     }
 
     /// Takes in that the store no longer has a report; returns whether it was known.
-    pub fn withdrawn(&mut self, id: &str) -> bool {
+    pub fn remove_report(&mut self, id: &str) -> bool {
         let Some((fingerprint, of)) = CrashReport::parse_id(id) else {
             return false;
         };
@@ -222,20 +222,20 @@
     }
 
     /// Takes in all reports that the store has; returns those that it has no longer.
-    pub fn all_told(&mut self, ids: &HashSet<NoticeId>) -> Vec<NoticeId> {
+    pub fn remove_missing(&mut self, ids: &HashSet<NoticeId>) -> Vec<NoticeId> {
         let gone: Vec<NoticeId> = self
-            .stored()
+            .stored_reports()
             .map(|report| report.id())
             .filter(|id| !ids.contains(id))
             .collect();
         for id in &gone {
-            self.withdrawn(id);
+            self.remove_report(id);
         }
         gone
     }
 
     /// Returns the reports that the store has.
-    pub fn stored(&self) -> impl Iterator<Item = CrashReport> {
+    pub fn stored_reports(&self) -> impl Iterator<Item = CrashReport> {
         self.suspects.iter().flat_map(|(fingerprint, suspect)| {
             let reports = suspect.reports.iter();
             let stored = reports.filter(|(_, (_, source))| *source == Source::Store);
@@ -248,8 +248,8 @@
     }
 
     /// Returns the reports of requests that did not come again for so long that they are forgotten.
-    pub fn outdated(&self, now: Instant) -> Vec<NoticeId> {
-        let old = self.stored().filter(|report| {
+    pub fn expired_reports(&self, now: Instant) -> Vec<NoticeId> {
+        let old = self.stored_reports().filter(|report| {
             self.suspects
                 .get(&report.fingerprint)
                 .is_some_and(|suspect| is_old(now, suspect))
@@ -278,13 +278,13 @@
                 let most = in_a_row.max(report.in_a_row);
                 suspect.reports.insert(report.of.clone(), (most, kept));
                 match (before, source) {
-                    (Source::Seen, Source::Store) => ReportStatus::News,
+                    (Source::Seen, Source::Store) => ReportStatus::New,
                     _ => ReportStatus::Known,
                 }
             }
             None => {
                 suspect.last = now;
-                ReportStatus::News
+                ReportStatus::New
             }
         }
     }
--- a/crates/kingcuploft/src/entry/readers.rs
+++ b/crates/kingcuploft/src/entry/readers.rs
@@ -52,7 +52,7 @@
 impl Readers {
     /// Takes records of zones in; returns those that are news. An older one than is known, as a stale list
     /// or another VM may tell, is none.
-    pub fn told(&mut self, mut records: Vec<ZoneRecord>) -> Vec<ZoneRecord> {
+    pub fn update(&mut self, mut records: Vec<ZoneRecord>) -> Vec<ZoneRecord> {
         records.retain(|record| {
             let known = self.zones.get(&record.zone);
             known.is_none_or(|known| known.version < record.version)
@@ -77,25 +77,25 @@
 
     /// Returns how many VMs there are, once those of each known zone have been counted: a VM that takes itself
     /// for one of few takes too much of what all may use together.
-    pub fn count(&self) -> Option<usize> {
+    pub fn vm_count(&self) -> Option<usize> {
         let records = || self.zones.values();
         let counted = !self.zones.is_empty() && records().all(|record| record.settled);
         counted.then(|| records().map(|record| record.count as usize).sum())
     }
 
     /// Takes in that a VM failed as a reader.
-    pub fn failed(&mut self, now: Instant, vm: &VmName) {
+    pub fn record_failure(&mut self, now: Instant, vm: &VmName) {
         self.failed.insert(vm.clone(), now + LEAVE_ALONE);
     }
 
     /// Takes in that a VM hears through this one.
-    pub fn hears_through_own(&mut self, now: Instant, vm: &VmName) {
+    pub fn record_cycle(&mut self, now: Instant, vm: &VmName) {
         let until = now + LEAVE_ALONE_IN_CIRCLE;
         self.failed.insert(vm.clone(), until);
     }
 
     /// Takes in that a VM answers.
-    pub fn answered(&mut self, vm: &VmName) {
+    pub fn record_answer(&mut self, vm: &VmName) {
         self.failed.remove(vm);
     }
 
--- a/crates/kingcuploft/src/entry/repeat_account.rs
+++ b/crates/kingcuploft/src/entry/repeat_account.rs
@@ -36,7 +36,7 @@
             }
         }
         for (age, count) in kept.ages(&kept.account.repeats, now, bounds) {
-            if age <= bounds.repeat_counts_for() {
+            if age <= bounds.repeat_lifetime() {
                 self.add_repeats(age, bounds, count);
             }
         }
@@ -80,7 +80,7 @@
     /// Returns the repeats that must still be counted: each is taken for as young as its step allows.
     pub fn repeats(&self, now: Instant, bounds: &RepeatBounds) -> usize {
         let ages = self.ages(&self.account.repeats, now, bounds);
-        let counted = ages.filter(|(age, _)| *age <= bounds.repeat_counts_for());
+        let counted = ages.filter(|(age, _)| *age <= bounds.repeat_lifetime());
         counted.map(|(_, count)| count as usize).sum()
     }
 
@@ -122,7 +122,7 @@
 
 impl UsageReport {
     /// Divides this into parts that each name so many services at most; one names none if there are none.
-    pub fn parts(mut self, most: usize) -> Vec<Self> {
+    pub fn split(mut self, most: usize) -> Vec<Self> {
         let (unknown_ms, heard_ms) = (self.unknown_ms, self.heard_ms);
         let mut parts = Vec::new();
         while self.accounts.len() > most {
--- a/crates/kingcuploft/src/entry/repeat_budget.rs
+++ b/crates/kingcuploft/src/entry/repeat_budget.rs
@@ -40,7 +40,7 @@
 
 impl RepeatBounds {
     /// Returns for how long a repeat counts: the servers may see it later than the VM.
-    pub fn repeat_counts_for(&self) -> Duration {
+    pub fn repeat_lifetime(&self) -> Duration {
         self.window + self.window / 10
     }
 }
@@ -56,7 +56,7 @@
 
 impl BudgetStatus {
     /// Returns whether one more repeat is allowed.
-    pub fn has_room(&self) -> bool {
+    pub fn allows_repeat(&self) -> bool {
         self.used as f64 + 1.0 <= self.allowed
     }
 }
@@ -73,7 +73,7 @@
 impl Counted {
     fn forget(&mut self, now: Instant, bounds: &RepeatBounds) {
         forget(&mut self.requests, now, bounds.window);
-        forget(&mut self.repeats, now, bounds.repeat_counts_for());
+        forget(&mut self.repeats, now, bounds.repeat_lifetime());
     }
 
     fn standing(&mut self, now: Instant, bounds: &RepeatBounds, share: f64) -> BudgetStatus {
@@ -134,7 +134,7 @@
 
 impl RepeatBudget {
     /// Begins on a VM that starts together with all others, for the first time.
-    pub fn first() -> Self {
+    pub fn for_first_start() -> Self {
         Self {
             services: HashMap::default(),
             past: None,
@@ -142,24 +142,24 @@
     }
 
     /// Begins on a VM that may have run before.
-    pub fn again(now: Instant, bounds: &RepeatBounds) -> Self {
+    pub fn after_restart(now: Instant, bounds: &RepeatBounds) -> Self {
         Self {
             past: Some(Past {
                 begun: now,
-                unknown_until: now + bounds.repeat_counts_for(),
+                unknown_until: now + bounds.repeat_lifetime(),
                 heard: None,
             }),
-            ..Self::first()
+            ..Self::for_first_start()
         }
     }
 
     /// Counts a request.
-    pub fn arrived(&mut self, now: Instant, service: &ServiceName) {
+    pub fn record_request(&mut self, now: Instant, service: &ServiceName) {
         self.counted(service).requests.push_back(now);
     }
 
     /// Returns what is used at a service of the part of one of so many VMs.
-    pub fn standing(
+    pub fn status(
         &mut self,
         now: Instant,
         service: &ServiceName,
@@ -174,15 +174,15 @@
     }
 
     /// Counts a repeat, if one more is allowed; returns what was used before it.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         now: Instant,
         service: &ServiceName,
         bounds: &RepeatBounds,
         vms: usize,
     ) -> BudgetStatus {
-        let standing = self.standing(now, service, bounds, vms);
-        if standing.has_room() {
+        let standing = self.status(now, service, bounds, vms);
+        if standing.allows_repeat() {
             self.counted(service).repeats.push_back(now);
         }
         standing
@@ -195,7 +195,7 @@
     }
 
     /// Returns what others may keep for this VM: its accounts with services that it repeated requests to.
-    pub fn used(&mut self, now: Instant, bounds: &RepeatBounds) -> UsageReport {
+    pub fn report(&mut self, now: Instant, bounds: &RepeatBounds) -> UsageReport {
         let unknown_ms = self.unknown_for(now).as_millis() as u64;
         let accounts = self.services.iter_mut();
         let accounts = accounts.map(|(service, counted)| ServiceAccount {
--- a/crates/kingcuploft/src/entry/server_limit.rs
+++ b/crates/kingcuploft/src/entry/server_limit.rs
@@ -55,7 +55,7 @@
 }
 
 /// Returns which part of a server's limit a VM uses that is one of `vms`, where these records name some of them.
-pub fn part(
+pub fn limit_share(
     vm: &VmName,
     vms: usize,
     server: &BackendServerName,
@@ -66,7 +66,7 @@
     if keepers_wanted(per_s) >= vms {
         return LimitShare::OneOf(vms.max(1));
     }
-    let keepers = keepers(server, zone, per_s, records);
+    let keepers = limit_owners(server, zone, per_s, records);
     match keepers.iter().any(|keeper| keeper.name == *vm) {
         true => LimitShare::OneOf(keepers.len()),
         false => LimitShare::NowAndThen(vms),
@@ -75,7 +75,7 @@
 
 /// Returns the VMs that keep a server's limit: those that come first for it by a hash of both names, of the server's zone
 /// if that has enough.
-pub fn keepers<'a>(
+pub fn limit_owners<'a>(
     server: &BackendServerName,
     zone: &AvailabilityZone,
     per_s: PerSecond,
@@ -122,7 +122,7 @@
     }
 
     /// Begins with what was saved within this time; a request at most.
-    pub fn with_saved(self, within: Duration) -> Self {
+    pub fn with_saved_tokens(self, within: Duration) -> Self {
         let saved = within.as_secs_f64() * self.own_per_s();
         Self {
             saved: saved.min(MOST_SAVED),
@@ -136,7 +136,7 @@
     }
 
     /// Takes in what the server names now, and which part of it this VM uses.
-    pub fn renew(&mut self, now: Instant, per_s: PerSecond, part: LimitShare) {
+    pub fn update(&mut self, now: Instant, per_s: PerSecond, part: LimitShare) {
         self.save(now);
         self.per_s = per_s;
         self.part = part;
@@ -173,7 +173,7 @@
     }
 
     /// Takes note that a request is sent.
-    pub fn sent(&mut self, now: Instant, chance: f64) {
+    pub fn record_sent(&mut self, now: Instant, chance: f64) {
         self.save(now);
         self.saved -= 1.0;
         self.draw(now, chance);
--- a/crates/kingcuploft/src/entry/server_limits.rs
+++ b/crates/kingcuploft/src/entry/server_limits.rs
@@ -77,7 +77,7 @@
     /// Goes by what limits the server now.
     fn renew(&mut self, now: Instant, part: impl FnOnce(PerSecond) -> LimitShare) {
         if let Some(per_s) = self.per_s() {
-            self.limit.renew(now, per_s, part(per_s));
+            self.limit.update(now, per_s, part(per_s));
         }
     }
 }
@@ -101,7 +101,7 @@
 
 impl ServerLimits {
     /// Returns those of a VM that has just begun, and may have run before: it has saved nothing.
-    pub fn begun_at(now: Instant) -> Self {
+    pub fn started_at(now: Instant) -> Self {
         Self {
             begun: Some(now),
             ..Self::default()
@@ -136,7 +136,7 @@
     }
 
     /// Takes in what a server's answer names; `part` says which part of a limit this VM uses.
-    pub fn heard(
+    pub fn record_named(
         &mut self,
         now: Instant,
         server: &BackendServerName,
@@ -159,7 +159,7 @@
             since: before.map_or(now, |named| named.since),
             is_stored: before.is_some_and(|named| named.is_stored),
         });
-        known.limit.renew(now, takes, part);
+        known.limit.update(now, takes, part);
         let server = server.clone();
         match before.map(|named| named.per_s) {
             None => Some(LimitChange::Named(LimitNotice { server, per_s })),
@@ -200,7 +200,7 @@
     /// Takes in that a server is cold for so long, and bears so much meanwhile.
     ///
     /// Its slots are free at first, so the VMs that keep the limit have saved a request each.
-    pub fn turned_cold(
+    pub fn record_cold(
         &mut self,
         now: Instant,
         server: &BackendServerName,
@@ -216,14 +216,14 @@
         let known = self.known.entry(server.clone());
         let known = known.or_insert_with(|| {
             let limit = ServerLimit::new(now, takes, part, chance);
-            Known::new(now, limit.with_saved(up_for))
+            Known::new(now, limit.with_saved_tokens(up_for))
         });
         let before = known.cold.replace(Cold {
             per_s,
             noted: now,
             until: now + lasts,
         });
-        known.limit.renew(now, takes, part);
+        known.limit.update(now, takes, part);
         match before {
             None => ColdChange::Cold,
             Some(_) => ColdChange::StillCold,
@@ -231,7 +231,7 @@
     }
 
     /// Takes in that a server, asked at this moment, said that it is not cold; returns whether it was known to be.
-    pub fn is_warm(
+    pub fn record_warm(
         &mut self,
         now: Instant,
         server: &str,
@@ -251,7 +251,7 @@
     }
 
     /// Ends the limits of servers that are cold no longer; returns these.
-    pub fn end_cold(
+    pub fn expire_cold(
         &mut self,
         now: Instant,
         part: impl Fn(&BackendServerName, PerSecond) -> LimitShare,
@@ -271,7 +271,7 @@
     }
 
     /// Takes in a notice that the store has; returns whether it is news. What the server itself has named holds.
-    pub fn told(
+    pub fn add_notice(
         &mut self,
         now: Instant,
         notice: &LimitNotice,
@@ -294,7 +294,7 @@
     }
 
     /// Takes in that the store no longer has a notice; returns whether it was known.
-    pub fn withdrawn(&mut self, id: &str) -> bool {
+    pub fn remove_notice(&mut self, id: &str) -> bool {
         let Some(server) = LimitNotice::parse_id(id) else {
             return false;
         };
@@ -310,17 +310,17 @@
     }
 
     /// Takes in all notices that the store has; returns those that it has no longer.
-    pub fn all_told(&mut self, ids: &HashSet<NoticeId>) -> Vec<NoticeId> {
-        let stored = self.stored().map(|notice| notice.id());
+    pub fn remove_missing(&mut self, ids: &HashSet<NoticeId>) -> Vec<NoticeId> {
+        let stored = self.stored_notices().map(|notice| notice.id());
         let gone: Vec<NoticeId> = stored.filter(|id| !ids.contains(id)).collect();
         for id in &gone {
-            self.withdrawn(id);
+            self.remove_notice(id);
         }
         gone
     }
 
     /// Returns the notices that the store has.
-    pub fn stored(&self) -> impl Iterator<Item = LimitNotice> {
+    pub fn stored_notices(&self) -> impl Iterator<Item = LimitNotice> {
         self.known.iter().filter_map(|(server, known)| {
             let named = known.named.filter(|named| named.is_stored)?;
             Some(LimitNotice {
@@ -331,8 +331,10 @@
     }
 
     /// Forgets servers that are not in use; returns the notices that the store has of them.
-    pub fn forget_gone(&mut self, is_in_use: impl Fn(&str) -> bool) -> Vec<NoticeId> {
-        let stored = self.stored().filter(|notice| !is_in_use(&notice.server));
+    pub fn retain_in_use(&mut self, is_in_use: impl Fn(&str) -> bool) -> Vec<NoticeId> {
+        let stored = self
+            .stored_notices()
+            .filter(|notice| !is_in_use(&notice.server));
         let gone = stored.map(|notice| notice.id()).collect();
         self.known.retain(|server, _| is_in_use(server));
         gone
@@ -359,13 +361,7 @@
     }
 
     /// Takes in that the next turn at a server is after this time, which was too late for a request that waits so long.
-    pub fn no_turn_before(
-        &mut self,
-        now: Instant,
-        server: &str,
-        after: Duration,
-        patience: Duration,
-    ) {
+    pub fn defer_turns(&mut self, now: Instant, server: &str, after: Duration, patience: Duration) {
         let Some(known) = self.known.get_mut(server) else {
             return;
         };
@@ -377,21 +373,21 @@
     }
 
     /// Takes note that a request is sent to a server.
-    pub fn sent(&mut self, now: Instant, server: &str, chance: f64) {
+    pub fn record_sent(&mut self, now: Instant, server: &str, chance: f64) {
         if let Some(known) = self.known.get_mut(server) {
-            known.limit.sent(now, chance);
+            known.limit.record_sent(now, chance);
         }
     }
 
     /// Takes in that it may have changed which part of the limits this VM uses.
-    pub fn divide(
+    pub fn update_shares(
         &mut self,
         now: Instant,
         part: impl Fn(&BackendServerName, PerSecond) -> LimitShare,
     ) {
         for (server, known) in &mut self.known {
             let per_s = known.limit.per_s();
-            known.limit.renew(now, per_s, part(server, per_s));
+            known.limit.update(now, per_s, part(server, per_s));
         }
     }
 }
--- a/crates/kingcuploft/src/entry/server_table.rs
+++ b/crates/kingcuploft/src/entry/server_table.rs
@@ -38,12 +38,12 @@
 pub enum TableError {
     /// A row names a service or zone that is not in the lists.
     #[error("server {0}: its service or zone is not in the table")]
-    OutOfList(BackendServerName),
+    UnknownIndex(BackendServerName),
 }
 
 impl ServerTable {
     /// Builds the table of these servers.
-    pub fn of<'a>(servers: impl Iterator<Item = &'a BackendServer>) -> Self {
+    pub fn from_servers<'a>(servers: impl Iterator<Item = &'a BackendServer>) -> Self {
         let mut table = Self::default();
         for server in servers {
             let service = place(&mut table.services, &server.service);
@@ -76,7 +76,7 @@
         let servers = rows.into_iter().map(|row| {
             let Row(name, service, zone, address, slots, draining, cold_ms, started_at) = row;
             let (Some(service), Some(zone)) = (services.get(service), zones.get(zone)) else {
-                return Err(TableError::OutOfList(name));
+                return Err(TableError::UnknownIndex(name));
             };
             Ok(BackendServer {
                 name,
--- a/crates/kingcuploft/src/entry/service_time.rs
+++ b/crates/kingcuploft/src/entry/service_time.rs
@@ -27,7 +27,7 @@
     /// An answer from a last slot tells what that costs once the work is known, and of the work itself only
     /// as long as nothing else does. One that waited in a line tells of the line: taken for work, it makes
     /// an overloaded VM believe that nothing can be answered in time.
-    pub fn measured(
+    pub fn record(
         &mut self,
         latency: Duration,
         slowness: f64,
@@ -41,10 +41,10 @@
                 self.add(took_ms);
             }
             (Slot::Last, Some(mean)) if self.spare >= ENOUGH => {
-                last_slot.measured(took_ms / mean.max(0.1));
+                last_slot.observe(took_ms / mean.max(0.1));
             }
             (Slot::Last, _) if self.spare == 0 => self.add(took_ms / last_slot.factor()),
-            (Slot::Last | Slot::Taken, _) => {}
+            (Slot::Last | Slot::Queued, _) => {}
         }
     }
 
--- a/crates/kingcuploft/src/entry/startup_delay.rs
+++ b/crates/kingcuploft/src/entry/startup_delay.rs
@@ -46,7 +46,7 @@
 const CLAIM_SPREAD: Duration = Duration::from_millis(400);
 
 /// Returns how long a VM that knows nothing waits for others before it asks the store; `chance` is from 0 to 1.
-pub fn patience(
+pub fn store_read_delay(
     own: &VmName,
     record: Option<&ZoneRecord>,
     promised: bool,
@@ -63,7 +63,7 @@
 }
 
 /// Returns how long a VM waits, whose reader has lost the store, before it asks the store itself.
-pub fn ask_after(own: &VmName, record: Option<&ZoneRecord>, chance: f64) -> Duration {
+pub fn store_fallback_delay(own: &VmName, record: Option<&ZoneRecord>, chance: f64) -> Duration {
     let place = record.and_then(|record| record.vms.iter().position(|vm| vm.name == *own));
     match place {
         Some(place) => ASK_FOR_EACH * place as u32,
@@ -72,7 +72,7 @@
 }
 
 /// Returns how long a VM waits before it makes itself its zone's reader when all start for the first time.
-pub fn claim_after(own: &VmEntry, chance: f64) -> Duration {
+pub fn claim_delay(own: &VmEntry, chance: f64) -> Duration {
     let cores = f64::from(own.cpu_milli.max(1)) / 1000.0;
     let by_size = CLAIM_A_CORE.div_f64(cores);
     by_size.min(LATEST_CLAIM) + CLAIM_SPREAD.mul_f64(chance)
--- a/crates/kingcuploft/src/entry/zone_record.rs
+++ b/crates/kingcuploft/src/entry/zone_record.rs
@@ -77,7 +77,7 @@
     /// The VMs that follow it at first hand.
     pub followers: Vec<VmEntry>,
     /// How many VMs follow it at first or second hand.
-    pub below: u32,
+    pub descendants: u32,
 }
 
 /// The count of a zone's VMs, which grows at once and shrinks late.
@@ -88,7 +88,7 @@
 
 impl ZoneCount {
     /// Returns the count that holds, of the recorded and the one that is seen.
-    pub fn holds(&mut self, now: Instant, recorded: u32, seen: u32) -> u32 {
+    pub fn stable_count(&mut self, now: Instant, recorded: u32, seen: u32) -> u32 {
         if seen >= recorded {
             self.lower_since = None;
             return seen;
@@ -104,7 +104,12 @@
 
 /// Returns the record that takes the place of `old`, if that would mislead; `count` is what holds now, `settled`
 /// whether the zone's VMs have had time to be counted.
-pub fn renewed(old: &ZoneRecord, seen: &ZoneView, count: u32, settled: bool) -> Option<ZoneRecord> {
+pub fn refreshed(
+    old: &ZoneRecord,
+    seen: &ZoneView,
+    count: u32,
+    settled: bool,
+) -> Option<ZoneRecord> {
     let leads = old.vms.first() == Some(&seen.own);
     // One that nobody follows may be cut off from a reader that is well.
     if !leads && seen.followers.is_empty() && (old.count > 1 || !old.settled) {
@@ -145,7 +150,7 @@
         .cloned()
         .partition(|vm| old.names(&vm.name));
     kept.sort_by_key(|vm| old.vms.iter().position(|named| named.name == vm.name));
-    new.sort_by_key(order);
+    new.sort_by_key(reader_rank);
     let away = old.vms.iter().cloned();
     for vm in kept.into_iter().chain(new).chain(away) {
         if vms.len() < MAX_NAMED_VMS && !vms.iter().any(|named| named.name == vm.name) {
@@ -156,7 +161,7 @@
 }
 
 /// Returns the record by which a VM reads in place of the first.
-pub fn taken_over(old: &ZoneRecord, own: &VmEntry) -> ZoneRecord {
+pub fn with_leader(old: &ZoneRecord, own: &VmEntry) -> ZoneRecord {
     let others = old.vms.iter().filter(|vm| vm.name != own.name);
     let mut vms = vec![own.clone()];
     vms.extend(others.take(MAX_NAMED_VMS - 1).cloned());
@@ -169,7 +174,7 @@
 
 /// Returns the record that also names, last, a VM that can reach none of those that it names, if there is room: others
 /// that can't reach them either find each other so, and those that can are not misled.
-pub fn appended(old: &ZoneRecord, own: &VmEntry) -> Option<ZoneRecord> {
+pub fn with_unreachable_vm(old: &ZoneRecord, own: &VmEntry) -> Option<ZoneRecord> {
     if old.names(&own.name) || old.vms.len() >= MAX_NAMED_VMS + MOST_APPENDED {
         return None;
     }
@@ -183,16 +188,16 @@
 ///
 /// Failure: the small VMs of a zone are back first after an outage, and one of them reads. With a tenth of a core and
 /// dozens of followers it misses its heartbeats while it tells them all of hundreds of servers.
-pub fn handed_over(old: &ZoneRecord, seen: &ZoneView) -> Option<ZoneRecord> {
-    let largest = seen.followers.iter().min_by_key(|vm| order(vm))?;
+pub fn handed_to_larger(old: &ZoneRecord, seen: &ZoneView) -> Option<ZoneRecord> {
+    let largest = seen.followers.iter().min_by_key(|vm| reader_rank(vm))?;
     if largest.cpu_milli <= seen.own.cpu_milli {
         return None;
     }
-    Some(taken_over(old, largest))
+    Some(with_leader(old, largest))
 }
 
 /// Returns a VM's place in the order of those that may read. The largest come first.
-pub fn order(vm: &VmEntry) -> (Reverse<u32>, u64) {
+pub fn reader_rank(vm: &VmEntry) -> (Reverse<u32>, u64) {
     let mut hasher = FxHasher::default();
     vm.name.hash(&mut hasher);
     (Reverse(vm.cpu_milli), hasher.finish())
--- a/crates/kingcuploft/tests/entry/account_replicas.rs
+++ b/crates/kingcuploft/tests/entry/account_replicas.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::account_replicas::{AccountReplicas, holders};
+use kingcuploft::entry::account_replicas::{AccountReplicas, replica_holders};
 use kingcuploft::entry::repeat_account::UsageReport;
 use kingcuploft::entry::repeat_budget::{RepeatBounds, RepeatBudget};
 use kingcuploft::entry::vm_entry::VmEntry;
@@ -36,25 +36,25 @@
 /// What a VM has used that has repeated so many requests.
 fn used(repeats: usize, services: &[&str]) -> UsageReport {
     let now = Instant::now();
-    let mut of_vm = RepeatBudget::first();
+    let mut of_vm = RepeatBudget::for_first_start();
     for service in services {
         for _ in 0..repeats {
-            of_vm.take(now, &(*service).into(), &BOUNDS, 1);
+            of_vm.try_take(now, &(*service).into(), &BOUNDS, 1);
         }
     }
-    of_vm.used(now, &BOUNDS)
+    of_vm.report(now, &BOUNDS)
 }
 
 #[test]
 fn the_account_of_a_vm_is_kept_by_others_in_all_zones() {
     let records = [record(0, 6), record(1, 5), record(2, 5), record(3, 3)];
     let own = "vm-0-2".into();
-    let kept_by = holders(&own, &records);
+    let kept_by = replica_holders(&own, &records);
     let zones: HashSet<_> = kept_by.iter().map(|vm| vm.zone.clone()).collect();
     let names: HashSet<_> = kept_by.iter().map(|vm| vm.name.clone()).collect();
     assert_eq!((kept_by.len(), zones.len(), names.len()), (6, 4, 6));
     assert!(!names.contains(&own));
-    assert_eq!(holders(&own, &records), kept_by);
+    assert_eq!(replica_holders(&own, &records), kept_by);
 }
 
 #[test]
@@ -62,12 +62,12 @@
     let now = Instant::now();
     let mut copies = AccountReplicas::default();
     let told = used(3, &["trip"]);
-    copies.told(now, "a".into(), told.clone());
+    copies.store(now, "a".into(), told.clone());
     let mut expected = told;
     expected.accounts[0].age_ms = 2000;
     expected.heard_ms = 2000;
-    assert_eq!(copies.of(now + 2 * SECOND, &"a".into()), Some(expected));
-    assert_eq!(copies.of(now, &"b".into()), None);
+    assert_eq!(copies.get(now + 2 * SECOND, &"a".into()), Some(expected));
+    assert_eq!(copies.get(now, &"b".into()), None);
 }
 
 /// Guards against a VM that has restarted and overwrites what it is about to ask for.
@@ -75,16 +75,16 @@
 fn a_vm_that_knows_less_of_itself_than_is_kept_does_not_overwrite_it() {
     let now = Instant::now();
     let mut copies = AccountReplicas::default();
-    copies.told(now, "a".into(), used(3, &["trip"]));
-    let mut restarted = RepeatBudget::again(now + SECOND, &BOUNDS);
-    let nothing = restarted.used(now + SECOND, &BOUNDS);
-    copies.told(now + SECOND, "a".into(), nothing.clone());
-    let kept = copies.of(now + SECOND, &"a".into()).expect("it is kept");
+    copies.store(now, "a".into(), used(3, &["trip"]));
+    let mut restarted = RepeatBudget::after_restart(now + SECOND, &BOUNDS);
+    let nothing = restarted.report(now + SECOND, &BOUNDS);
+    copies.store(now + SECOND, "a".into(), nothing.clone());
+    let kept = copies.get(now + SECOND, &"a".into()).expect("it is kept");
     assert_eq!(kept.unknown_ms, 0);
     assert!(kept.accounts[0].account.has_repeats());
-    copies.told(now, "b".into(), nothing);
+    copies.store(now, "b".into(), nothing);
     let new = copies
-        .of(now + SECOND, &"b".into())
+        .get(now + SECOND, &"b".into())
         .expect("it is kept as well");
     assert!(new.unknown_ms > 0, "a VM that is new goes on not knowing");
 }
@@ -95,15 +95,15 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let now = Instant::now();
     let mut copies = AccountReplicas::default();
-    let parts = used(1, &names).parts(8);
+    let parts = used(1, &names).split(8);
     assert_eq!(parts.len(), 3);
     for part in parts {
         assert!(part.accounts.len() <= 8);
-        copies.told(now, "a".into(), part);
+        copies.store(now, "a".into(), part);
     }
-    let kept = copies.of(now, &"a".into()).expect("it is kept");
+    let kept = copies.get(now, &"a".into()).expect("it is kept");
     assert_eq!(kept.accounts.len(), 20);
-    let nothing = used(0, &[]).parts(8);
+    let nothing = used(0, &[]).split(8);
     assert_eq!(nothing.len(), 1, "a VM that used nothing says so");
 }
 
@@ -111,7 +111,7 @@
 fn a_vm_that_is_gone_is_forgotten() {
     let now = Instant::now();
     let mut copies = AccountReplicas::default();
-    copies.told(now, "a".into(), used(3, &["trip"]));
-    assert_eq!(copies.of(now + 90 * SECOND, &"a".into()), None);
+    copies.store(now, "a".into(), used(3, &["trip"]));
+    assert_eq!(copies.get(now + 90 * SECOND, &"a".into()), None);
     assert!(copies.is_empty());
 }
--- a/crates/kingcuploft/tests/entry/attempts.rs
+++ b/crates/kingcuploft/tests/entry/attempts.rs
@@ -16,10 +16,10 @@
 fn a_protected_request_is_sent_again_only_on_proof_that_it_did_not_run() {
     for end in ENDS {
         let mut attempts = Attempts::new(Contract::AtMostOnce, 3);
-        attempts.sending();
-        let verdict = attempts.ended(end);
+        attempts.record_sent();
+        let verdict = attempts.record_outcome(end);
         let proved = matches!(end, AttemptOutcome::NotRun | AttemptOutcome::Unsent);
-        assert_eq!(verdict == NextAction::TryAgain, proved, "{end:?}");
+        assert_eq!(verdict == NextAction::Retry, proved, "{end:?}");
         assert_eq!(attempts.may_send(0), proved, "{end:?}");
         assert!(!attempts.may_send(1), "{end:?}: one is still in flight");
     }
@@ -37,12 +37,12 @@
         let mut may_have_run = false;
         for _ in 0..u.int_in_range(0..=4)? {
             let end = *u.choose(&ENDS)?;
-            attempts.sending();
+            attempts.record_sent();
             may_have_run |= end.may_have_run();
-            attempts.ended(end);
+            attempts.record_outcome(end);
         }
         let timed_out = u.arbitrary()?;
-        let status = attempts.refusal_status(timed_out);
+        let status = attempts.failure_status(timed_out);
         assert_eq!(status == 503, !may_have_run);
         Ok(())
     });
@@ -51,13 +51,25 @@
 #[test]
 fn a_lookup_goes_to_at_most_as_many_servers_as_its_route_allows() {
     let mut attempts = Attempts::new(Contract::RetryFreely, 2);
-    assert_eq!(attempts.ended(AttemptOutcome::Lost), NextAction::TryAgain);
-    assert_eq!(attempts.ended(AttemptOutcome::Lost), NextAction::GiveUp);
+    assert_eq!(
+        attempts.record_outcome(AttemptOutcome::Lost),
+        NextAction::Retry
+    );
+    assert_eq!(
+        attempts.record_outcome(AttemptOutcome::Lost),
+        NextAction::GiveUp
+    );
 }
 
 #[test]
 fn a_server_that_did_not_run_a_request_does_not_use_up_its_attempts() {
     let mut attempts = Attempts::new(Contract::RetryFreely, 1);
-    assert_eq!(attempts.ended(AttemptOutcome::NotRun), NextAction::TryAgain);
-    assert_eq!(attempts.ended(AttemptOutcome::Failed), NextAction::Answer);
+    assert_eq!(
+        attempts.record_outcome(AttemptOutcome::NotRun),
+        NextAction::Retry
+    );
+    assert_eq!(
+        attempts.record_outcome(AttemptOutcome::Failed),
+        NextAction::PassOn
+    );
 }
--- a/crates/kingcuploft/tests/entry/cold_servers.rs
+++ b/crates/kingcuploft/tests/entry/cold_servers.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use kingcuploft::entry::server_limit::{LimitShare, PerSecond, Turn, keepers, part};
+use kingcuploft::entry::server_limit::{LimitShare, PerSecond, Turn, limit_owners, limit_share};
 use kingcuploft::entry::server_limits::{ColdChange, ServerLimits};
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::ZoneRecord;
@@ -63,7 +63,7 @@
 }
 
 fn keepers_of(at: usize, records: &[ZoneRecord]) -> Vec<usize> {
-    let keepers = keepers(&server(at), &zone(0), PER_S, records).into_iter();
+    let keepers = limit_owners(&server(at), &zone(0), PER_S, records).into_iter();
     keepers.map(|vm| vm.name[3..].parse().unwrap()).collect()
 }
 
@@ -91,7 +91,7 @@
     fn part(&self, vm: usize, at: usize, per_s: PerSecond, records: &[ZoneRecord]) -> LimitShare {
         let counted = (self.vms as f64 * self.counted).max(1.0) as usize;
         match self.way {
-            Way::Turns => part(&name(vm), counted, &server(at), &zone(0), per_s, records),
+            Way::Turns => limit_share(&name(vm), counted, &server(at), &zone(0), per_s, records),
             Way::ByHead | Way::ByHeadSaved => LimitShare::OneOf(counted),
             Way::Unshared => LimitShare::OneOf(1),
         }
@@ -111,10 +111,10 @@
                 let part = |per_s| self.part(vm, at, per_s, &records);
                 match self.way {
                     Way::ByHead => {
-                        limits.heard(begun, &server(at), Some(PER_S), part, rng.f64());
+                        limits.record_named(begun, &server(at), Some(PER_S), part, rng.f64());
                     }
                     Way::Turns | Way::ByHeadSaved | Way::Unshared => {
-                        limits.turned_cold(begun, &server(at), PER_S, lasts, part, rng.f64());
+                        limits.record_cold(begun, &server(at), PER_S, lasts, part, rng.f64());
                     }
                 }
             }
@@ -148,7 +148,7 @@
         let mut all = (0..self.servers).map(|at| (begin + at) % self.servers);
         let own = all.find(|at| fleet[vm].wait(now, &server(*at), 0.5).is_zero());
         if let Some(at) = own {
-            fleet[vm].sent(now, &server(at), rng.f64());
+            fleet[vm].record_sent(now, &server(at), rng.f64());
             return Some((at, 0));
         }
         if self.way != Way::Turns {
@@ -255,22 +255,22 @@
     let lasts = Duration::from_secs(3);
     let one = |_| LimitShare::OneOf(1);
     let mut limits = ServerLimits::default();
-    let turned = limits.turned_cold(now, &name, PER_S, lasts, one, 0.5);
+    let turned = limits.record_cold(now, &name, PER_S, lasts, one, 0.5);
     assert_eq!(turned, ColdChange::Cold);
-    let again = limits.turned_cold(after(100), &name, PER_S, lasts, one, 0.5);
+    let again = limits.record_cold(after(100), &name, PER_S, lasts, one, 0.5);
     assert_eq!(again, ColdChange::StillCold);
     assert!(limits.wait(after(100), &name, 0.5).is_zero());
-    limits.sent(after(100), &name, 0.5);
+    limits.record_sent(after(100), &name, 0.5);
     assert!(!limits.wait(after(110), &name, 0.5).is_zero());
-    assert!(!limits.is_warm(after(120), &name, after(90), one));
+    assert!(!limits.record_warm(after(120), &name, after(90), one));
     assert_eq!(
-        limits.end_cold(after(3_000), |_, _| LimitShare::OneOf(1)),
+        limits.expire_cold(after(3_000), |_, _| LimitShare::OneOf(1)),
         []
     );
-    assert!(limits.is_warm(after(3_010), &name, after(3_000), one));
+    assert!(limits.record_warm(after(3_010), &name, after(3_000), one));
     assert!(limits.is_empty());
-    limits.turned_cold(after(4_000), &name, PER_S, lasts, one, 0.5);
-    let ended = limits.end_cold(after(7_000), |_, _| LimitShare::OneOf(1));
+    limits.record_cold(after(4_000), &name, PER_S, lasts, one, 0.5);
+    let ended = limits.expire_cold(after(7_000), |_, _| LimitShare::OneOf(1));
     assert_eq!((ended, limits.is_empty()), (vec![name], true));
 }
 
@@ -281,15 +281,19 @@
     let after = |ms| now + Duration::from_millis(ms);
     let one = |_| LimitShare::OneOf(1);
     let mut limits = ServerLimits::default();
-    limits.heard(now, &name, Some(1.0), one, 0.5);
-    limits.turned_cold(now, &name, PER_S, Duration::from_secs(1), one, 0.5);
+    limits.record_named(now, &name, Some(1.0), one, 0.5);
+    limits.record_cold(now, &name, PER_S, Duration::from_secs(1), one, 0.5);
     assert_eq!(limits.per_s(&name), Some(1.0));
     assert_eq!((limits.len(), limits.cold_count()), (1, 1));
-    limits.end_cold(after(1_000), |_, _| LimitShare::OneOf(1));
+    limits.expire_cold(after(1_000), |_, _| LimitShare::OneOf(1));
     assert_eq!((limits.per_s(&name), limits.cold_count()), (Some(1.0), 0));
-    limits.turned_cold(after(1_000), &name, 0.5, Duration::from_secs(1), one, 0.5);
+    limits.record_cold(after(1_000), &name, 0.5, Duration::from_secs(1), one, 0.5);
     assert_eq!(limits.per_s(&name), Some(0.5));
-    assert!(limits.heard(after(1_100), &name, None, one, 0.5).is_some());
+    assert!(
+        limits
+            .record_named(after(1_100), &name, None, one, 0.5)
+            .is_some()
+    );
     assert_eq!((limits.per_s(&name), limits.len()), (Some(0.5), 0));
 }
 
@@ -299,13 +303,13 @@
     let (vms, per_s, begun) = (20, 20.0, Instant::now());
     let part = |_| LimitShare::OneOf(vms);
     let start = |at: Instant| {
-        let mut limits = ServerLimits::begun_at(at);
-        limits.turned_cold(at, &server(0), per_s, Duration::from_secs(3), part, 0.5);
+        let mut limits = ServerLimits::started_at(at);
+        limits.record_cold(at, &server(0), per_s, Duration::from_secs(3), part, 0.5);
         limits
     };
     let mut fleet: Vec<ServerLimits> = vec![ServerLimits::default(); vms];
     for limits in &mut fleet {
-        limits.turned_cold(begun, &server(0), per_s, Duration::from_secs(3), part, 0.5);
+        limits.record_cold(begun, &server(0), per_s, Duration::from_secs(3), part, 0.5);
     }
     let mut sent = 0;
     for step in 0..SECOND as u32 {
@@ -318,7 +322,7 @@
         }
         for limits in &mut fleet {
             if limits.wait(now, &server(0), 0.5).is_zero() {
-                limits.sent(now, &server(0), 0.5);
+                limits.record_sent(now, &server(0), 0.5);
                 sent += 1;
             }
         }
--- a/crates/kingcuploft/tests/entry/configuration.rs
+++ b/crates/kingcuploft/tests/entry/configuration.rs
@@ -64,7 +64,7 @@
     for start in [0.0, 0.31, 0.77] {
         let (destinations, mut dealer) =
             ([to("old", 90), to("new", 10)], WeightedSelector::new(start));
-        let dealt = (0..300).filter_map(|_| dealer.deal(&destinations));
+        let dealt = (0..300).filter_map(|_| dealer.select(&destinations));
         let new = dealt.filter(|d| &*d.service == "new").count();
         assert!((27..=33).contains(&new), "{new} of 300 from {start}");
     }
@@ -73,9 +73,9 @@
 #[test]
 fn a_destination_without_weight_gets_nothing() {
     let (destinations, mut dealer) = ([to("old", 1), to("new", 0)], WeightedSelector::new(0.9));
-    let all_old = (0..50).all(|_| dealer.deal(&destinations) == Some(&destinations[0]));
+    let all_old = (0..50).all(|_| dealer.select(&destinations) == Some(&destinations[0]));
     assert!(all_old);
-    assert_eq!(dealer.deal(&[to("none", 0)]), None);
+    assert_eq!(dealer.select(&[to("none", 0)]), None);
 }
 
 #[test]
--- a/crates/kingcuploft/tests/entry/configuration_change.rs
+++ b/crates/kingcuploft/tests/entry/configuration_change.rs
@@ -53,10 +53,10 @@
     for part in parts {
         let line = serde_json::to_string(&part).unwrap();
         let part: ChangePart = serde_json::from_str(&line).unwrap();
-        match arriving.take(part, old).unwrap() {
-            PartOutcome::Whole(configuration) => whole = Some(*configuration),
-            PartOutcome::More => {}
-            PartOutcome::Known | PartOutcome::OutOfStep => return None,
+        match arriving.add_part(part, old).unwrap() {
+            PartOutcome::Complete(configuration) => whole = Some(*configuration),
+            PartOutcome::Incomplete => {}
+            PartOutcome::AlreadyApplied | PartOutcome::Mismatch => return None,
         }
     }
     whole
--- a/crates/kingcuploft/tests/entry/connections.rs
+++ b/crates/kingcuploft/tests/entry/connections.rs
@@ -1,10 +1,10 @@
-use kingcuploft::entry::connections::share;
+use kingcuploft::entry::connections::per_vm_limit;
 
 /// A server hangs and all VMs have as many connections to it as they may: it must not reset any.
 #[test]
 fn all_vms_together_stay_below_what_a_server_accepts() {
     for (most, vms) in [(220, 14), (1040, 120), (1200, 144), (100, 1)] {
-        let together = share(most, vms) * vms;
+        let together = per_vm_limit(most, vms) * vms;
         assert!(
             together <= most as usize * 8 / 10,
             "{most} by {vms}: {together}"
@@ -15,5 +15,5 @@
 
 #[test]
 fn a_vm_among_hundreds_can_still_send_and_ask() {
-    assert_eq!(share(220, 300), 4);
+    assert_eq!(per_vm_limit(220, 300), 4);
 }
--- a/crates/kingcuploft/tests/entry/dissemination.rs
+++ b/crates/kingcuploft/tests/entry/dissemination.rs
@@ -1,5 +1,5 @@
 use kingcuploft::entry::dissemination::{
-    Admission, FollowerLoad, MAX_DEPTH, MAX_FOLLOWERS, admit, below, is_circle,
+    Admission, FollowerLoad, MAX_DEPTH, MAX_FOLLOWERS, admit, descendants, has_cycle,
 };
 use kingcuploft::world::ids::VmName;
 
@@ -8,8 +8,8 @@
 fn fed(name: &str, below: u32) -> FollowerLoad {
     FollowerLoad {
         vm: vm(name, 200),
-        below,
-        sent_there: 0,
+        descendants: below,
+        redirected: 0,
     }
 }
 
@@ -26,15 +26,18 @@
     let path = names(&["reader"]);
     let mut all: Vec<FollowerLoad> = Vec::new();
     for at in 0..MAX_FOLLOWERS {
-        assert_eq!(asks("new", &path, &all), Admission::Feed);
+        assert_eq!(asks("new", &path, &all), Admission::Accept);
         all.push(fed(&format!("vm-{at}"), 3));
     }
-    all[4].below = 1;
-    assert_eq!(asks("new", &path, &all), Admission::Elsewhere(4));
-    all[4].sent_there = 5;
-    all[6].below = 2;
-    assert_eq!(asks("new", &path, &all), Admission::Elsewhere(6));
-    assert_eq!(below(&"thun".into(), &all), MAX_FOLLOWERS as u32 * 4 - 3);
+    all[4].descendants = 1;
+    assert_eq!(asks("new", &path, &all), Admission::Redirect(4));
+    all[4].redirected = 5;
+    all[6].descendants = 2;
+    assert_eq!(asks("new", &path, &all), Admission::Redirect(6));
+    assert_eq!(
+        descendants(&"thun".into(), &all),
+        MAX_FOLLOWERS as u32 * 4 - 3
+    );
 }
 
 /// A feeder loses its own and asks one of those that it feeds. Fed by it, both would tell each other old news for good.
@@ -42,17 +45,17 @@
 fn a_vm_does_not_feed_one_through_which_it_hears() {
     let path = names(&["reader", "middle", "leaf"]);
     for above in ["reader", "middle"] {
-        assert_eq!(asks(above, &path, &[]), Admission::TurnAway);
+        assert_eq!(asks(above, &path, &[]), Admission::Reject);
     }
-    assert!(is_circle(&"middle".into(), &path));
-    assert!(!is_circle(&"other".into(), &path));
+    assert!(has_cycle(&"middle".into(), &path));
+    assert!(!has_cycle(&"other".into(), &path));
 }
 
 #[test]
 fn news_comes_through_a_bounded_number_of_vms() {
     let path: Vec<VmName> = (0..MAX_DEPTH).map(|at| format!("vm-{at}").into()).collect();
-    assert_eq!(asks("new", &path, &[]), Admission::TurnAway);
-    assert_eq!(asks("new", &path[1..], &[]), Admission::Feed);
+    assert_eq!(asks("new", &path, &[]), Admission::Reject);
+    assert_eq!(asks("new", &path[1..], &[]), Admission::Accept);
 }
 
 /// Guards against a zone that hears nothing as the reader of another feeds enough already.
@@ -64,12 +67,15 @@
         .collect();
     let mut other = vm("other-reader", 200);
     other.zone = "bern".into();
-    assert_eq!(admit(&other, &"thun".into(), &path, &all), Admission::Feed);
+    assert_eq!(
+        admit(&other, &"thun".into(), &path, &all),
+        Admission::Accept
+    );
     all.push(FollowerLoad {
         vm: other,
-        below: 50,
-        sent_there: 0,
+        descendants: 50,
+        redirected: 0,
     });
-    assert_eq!(below(&"thun".into(), &all), MAX_FOLLOWERS as u32);
-    assert_eq!(asks("new", &path, &all), Admission::Elsewhere(0));
+    assert_eq!(descendants(&"thun".into(), &all), MAX_FOLLOWERS as u32);
+    assert_eq!(asks("new", &path, &all), Admission::Redirect(0));
 }
--- a/crates/kingcuploft/tests/entry/log_rate_limiter.rs
+++ b/crates/kingcuploft/tests/entry/log_rate_limiter.rs
@@ -8,10 +8,10 @@
     let (mut written, mut told) = (0, 0);
     for line in 0..per_s * seconds {
         let now = start + Duration::from_secs_f64(line as f64 / per_s as f64);
-        match budget.take(now) {
+        match budget.admit(now) {
             LogDecision::Write => written += 1,
-            LogDecision::LeaveOut => {}
-            LogDecision::Tell(left_out) => told += left_out,
+            LogDecision::Drop => {}
+            LogDecision::DropAndReport(left_out) => told += left_out,
         }
     }
     (written, told)
--- a/crates/kingcuploft/tests/entry/placement.rs
+++ b/crates/kingcuploft/tests/entry/placement.rs
@@ -14,11 +14,11 @@
         work_ms: 60.0,
         target_left_ms: 200.0,
         deadline_left_ms: 500.0,
-        looked_ms: 0.0,
-        reach: ProbeScope::Near,
-        last_slot: 1.35,
-        probes_left: 1.0,
-        returns: false,
+        probe_wait_ms: 0.0,
+        scope: ProbeScope::Near,
+        last_slot_slowdown: 1.35,
+        probe_budget_left: 1.0,
+        is_caller_retry: false,
     }
 }
 
@@ -32,12 +32,12 @@
             slots: 2,
             slowness: 1.0,
         }),
-        asked: false,
-        unseen: 0,
-        own: 0,
+        probe_pending: false,
+        sent_since_reading: 0,
+        own_in_flight: 0,
         slots: 2,
         cold: false,
-        failures: 0.0,
+        failure_rate: 0.0,
         tried: false,
     }
 }
@@ -57,7 +57,7 @@
 fn unread(asked: bool) -> Candidate {
     Candidate {
         reading: None,
-        asked,
+        probe_pending: asked,
         ..idle()
     }
 }
@@ -78,7 +78,7 @@
     assert_eq!(
         step(
             &PlacementNeed {
-                reach: ProbeScope::Far,
+                scope: ProbeScope::Far,
                 ..need()
             },
             &servers
@@ -91,7 +91,7 @@
 #[test]
 fn an_own_request_that_the_reading_does_not_count_counts() {
     let sent_to = Candidate {
-        unseen: 2,
+        sent_since_reading: 2,
         ..idle()
     };
     assert_eq!(step(&need(), &[sent_to, idle()]), Step::Send(1));
@@ -100,29 +100,29 @@
 #[test]
 fn a_reading_that_is_on_its_way_is_waited_for() {
     let servers = [with_load(0, 0, 5.0), unread(true)];
-    assert_eq!(step(&need(), &servers), Step::Await);
+    assert_eq!(step(&need(), &servers), Step::AwaitProbes);
 }
 
 #[test]
 fn more_servers_are_asked_when_no_near_one_is_good() {
     let servers = [with_load(0, 0, 5.0), with_load(2, 1, 1.0)];
-    assert_eq!(step(&need(), &servers), Step::Ask(ProbeScope::FewFar));
+    assert_eq!(step(&need(), &servers), Step::Probe(ProbeScope::FewFar));
     let few = PlacementNeed {
-        reach: ProbeScope::FewFar,
+        scope: ProbeScope::FewFar,
         ..need()
     };
-    assert_eq!(step(&few, &servers), Step::Ask(ProbeScope::Far));
+    assert_eq!(step(&few, &servers), Step::Probe(ProbeScope::Far));
 }
 
 /// Guards against a request that is sent to a slow server while a faster one may still be in time.
 #[test]
 fn a_request_waits_for_a_fast_server_while_that_can_be_in_time() {
     let asked = PlacementNeed {
-        reach: ProbeScope::Far,
+        scope: ProbeScope::Far,
         ..need()
     };
     let slow = [with_load(0, 0, 5.0)];
-    assert!(matches!(step(&asked, &slow), Step::LookAgain(_)));
+    assert!(matches!(step(&asked, &slow), Step::Recheck(_)));
     let late_anyway = PlacementNeed {
         target_left_ms: 70.0,
         ..asked
@@ -136,7 +136,7 @@
     let hopeless = PlacementNeed {
         target_left_ms: -200.0,
         deadline_left_ms: 70.0,
-        reach: ProbeScope::Far,
+        scope: ProbeScope::Far,
         ..need()
     };
     let refused = |servers: &[Candidate]| matches!(step(&hopeless, servers), Step::Refuse(_));
@@ -150,7 +150,7 @@
     let hopeless = PlacementNeed {
         target_left_ms: -200.0,
         deadline_left_ms: 70.0,
-        reach: ProbeScope::Far,
+        scope: ProbeScope::Far,
         ..need()
     };
     let told_ms = |servers: &[Candidate]| match step(&hopeless, servers) {
@@ -179,16 +179,16 @@
     let now = Instant::now();
     let mut failures = FailureRate::default();
     for call in 0..8 {
-        failures.ended(now, call % 2 == 0);
+        failures.record(now, call % 2 == 0);
     }
     let grey = Candidate {
-        failures: failures.share(now),
+        failure_rate: failures.rate(now),
         ..idle()
     };
     assert_eq!(step(&need(), &[grey, with_load(1, 0, 1.0)]), Step::Send(1));
     let later = now + Duration::from_secs(20);
     let mended = Candidate {
-        failures: failures.share(later),
+        failure_rate: failures.rate(later),
         ..idle()
     };
     assert_eq!(
@@ -200,12 +200,12 @@
 #[test]
 fn without_readings_the_server_with_fewest_own_requests_gets_it() {
     let busy = Candidate {
-        own: 2,
+        own_in_flight: 2,
         ..unread(false)
     };
     let asked = PlacementNeed {
-        reach: ProbeScope::Far,
-        looked_ms: 10.0,
+        scope: ProbeScope::Far,
+        probe_wait_ms: 10.0,
         ..need()
     };
     assert_eq!(step(&asked, &[busy, unread(false)]), Step::Send(1));
@@ -233,7 +233,7 @@
     let by_readings = share_in_time(|speeds, _| {
         let servers: Vec<Candidate> = speeds.iter().map(|s| with_load(0, 0, *s)).collect();
         let asked = PlacementNeed {
-            reach: ProbeScope::Far,
+            scope: ProbeScope::Far,
             target_left_ms: 70.0,
             ..need()
         };
@@ -252,7 +252,7 @@
     let target = Duration::from_millis(200);
     assert!((time.work_ms(target) - 70.0).abs() < 0.1);
     for _ in 0..50 {
-        time.measured(Duration::from_millis(300), 5.0, Slot::Spare, &mut last_slot);
+        time.record(Duration::from_millis(300), 5.0, Slot::Spare, &mut last_slot);
     }
     assert!((time.work_ms(target) - 60.0).abs() < 0.1);
 }
@@ -260,10 +260,13 @@
 /// Guards against requests that wait, untried, for a better server where all fail alike.
 #[test]
 fn servers_that_all_fail_alike_are_sent_requests_at_once() {
-    let failing = |failures| Candidate { failures, ..idle() };
+    let failing = |failures| Candidate {
+        failure_rate: failures,
+        ..idle()
+    };
     let far_asked = PlacementNeed {
-        reach: ProbeScope::Far,
-        looked_ms: 10.0,
+        scope: ProbeScope::Far,
+        probe_wait_ms: 10.0,
         ..need()
     };
     let servers = [failing(0.6), failing(0.5), failing(0.55)];
@@ -276,13 +279,13 @@
 #[test]
 fn a_few_far_servers_are_asked_where_a_near_last_slot_would_do() {
     let costly = PlacementNeed {
-        last_slot: 1.7,
+        last_slot_slowdown: 1.7,
         ..need()
     };
     let near = with_load(1, 0, 1.0);
-    assert_eq!(step(&costly, &[near]), Step::Ask(ProbeScope::FewFar));
+    assert_eq!(step(&costly, &[near]), Step::Probe(ProbeScope::FewFar));
     let asked = PlacementNeed {
-        reach: ProbeScope::FewFar,
+        scope: ProbeScope::FewFar,
         ..costly
     };
     let far_idle = Candidate {
@@ -297,15 +300,15 @@
     assert_eq!(step(&asked, &[near, far_busy]), Step::Send(0));
     let full = with_load(2, 0, 1.0);
     assert_eq!(step(&asked, &[full, far_busy]), Step::Send(1));
-    assert_eq!(step(&asked, &[full]), Step::Ask(ProbeScope::Far));
+    assert_eq!(step(&asked, &[full]), Step::Probe(ProbeScope::Far));
 }
 
 /// While probes are short, those of other zones are kept for requests that find no near server at all.
 #[test]
 fn a_near_last_slot_is_taken_where_probes_are_short() {
     let short = PlacementNeed {
-        last_slot: 1.7,
-        probes_left: 0.2,
+        last_slot_slowdown: 1.7,
+        probe_budget_left: 0.2,
         ..need()
     };
     assert_eq!(step(&short, &[with_load(1, 0, 1.0)]), Step::Send(0));
@@ -316,12 +319,12 @@
     let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let answer = Duration::from_millis;
     for _ in 0..40 {
-        time.measured(answer(100), 1.0, Slot::Spare, &mut last_slot);
-        time.measured(answer(100), 1.0, Slot::Last, &mut last_slot);
+        time.record(answer(100), 1.0, Slot::Spare, &mut last_slot);
+        time.record(answer(100), 1.0, Slot::Last, &mut last_slot);
     }
     assert!(last_slot.factor() < 1.1, "{last_slot:?}");
     for _ in 0..100 {
-        time.measured(answer(170), 1.0, Slot::Last, &mut last_slot);
+        time.record(answer(170), 1.0, Slot::Last, &mut last_slot);
     }
     assert!((last_slot.factor() - 1.7).abs() < 0.1, "{last_slot:?}");
     let work_ms = time.work_ms(answer(1000));
@@ -333,7 +336,7 @@
 fn work_is_learned_from_last_slots_where_there_are_no_others() {
     let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let answer = Duration::from_millis(300);
-    (0..50).for_each(|_| time.measured(answer, 1.0, Slot::Last, &mut last_slot));
+    (0..50).for_each(|_| time.record(answer, 1.0, Slot::Last, &mut last_slot));
     let work_ms = time.work_ms(Duration::from_secs(10));
     assert!((150.0..=300.0).contains(&work_ms), "{work_ms}");
 }
@@ -343,9 +346,9 @@
 fn time_in_a_line_is_not_taken_for_work() {
     let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let answer = Duration::from_millis;
-    (0..10).for_each(|_| time.measured(answer(100), 1.0, Slot::Spare, &mut last_slot));
+    (0..10).for_each(|_| time.record(answer(100), 1.0, Slot::Spare, &mut last_slot));
     let before = last_slot.factor();
-    (0..50).for_each(|_| time.measured(answer(900), 1.0, Slot::Taken, &mut last_slot));
+    (0..50).for_each(|_| time.record(answer(900), 1.0, Slot::Queued, &mut last_slot));
     assert!((time.work_ms(answer(1000)) - 100.0).abs() < 1.0);
     assert!((last_slot.factor() - before).abs() < 0.01);
 }
@@ -356,9 +359,9 @@
     let late = PlacementNeed {
         target_left_ms: -20.0,
         deadline_left_ms: 150.0,
-        probes_left: 0.1,
-        returns: true,
-        reach: ProbeScope::Far,
+        probe_budget_left: 0.1,
+        is_caller_retry: true,
+        scope: ProbeScope::Far,
         ..need()
     };
     let last = with_load(1, 0, 1.0);
@@ -371,11 +374,11 @@
     assert_eq!(step(&in_time, &[last]), Step::Send(0));
     assert_eq!(step(&late, &[last, idle()]), Step::Send(1));
     let calm = PlacementNeed {
-        probes_left: 1.0,
+        probe_budget_left: 1.0,
         ..late
     };
     let first_attempt = PlacementNeed {
-        returns: false,
+        is_caller_retry: false,
         ..late
     };
     for need in [calm, first_attempt] {
--- a/crates/kingcuploft/tests/entry/probe_fanout.rs
+++ b/crates/kingcuploft/tests/entry/probe_fanout.rs
@@ -1,11 +1,11 @@
 use kingcuploft::entry::placement::ProbeScope;
-use kingcuploft::entry::probe_fanout::asked;
+use kingcuploft::entry::probe_fanout::probe_fanout;
 
 /// Guards against a crowded zone that keeps its requests to itself.
 #[test]
 fn a_zone_with_many_servers_asks_those_of_other_zones_as_well() {
     let counts = |near, far, reach| {
-        let asked = asked(near, far, reach);
+        let asked = probe_fanout(near, far, reach);
         (asked.near, asked.far)
     };
     assert_eq!(counts(40, 160, ProbeScope::Near), (6, 0));
@@ -19,7 +19,7 @@
 #[test]
 fn more_near_servers_are_asked_where_there_are_few_elsewhere() {
     let counts = |near, far, reach| {
-        let asked = asked(near, far, reach);
+        let asked = probe_fanout(near, far, reach);
         (asked.near, asked.far)
     };
     assert_eq!(counts(30, 0, ProbeScope::Near), (6, 0));
--- a/crates/kingcuploft/tests/entry/quarantine.rs
+++ b/crates/kingcuploft/tests/entry/quarantine.rs
@@ -35,7 +35,7 @@
 
     /// Runs the request at a server that ends under it.
     fn crash(&mut self) -> CrashReport {
-        let known = self.quarantine.begins(REQUEST);
+        let known = self.quarantine.record_start(REQUEST);
         self.crash_of_run(known)
     }
 
@@ -43,8 +43,8 @@
         self.ends += 1;
         let server: Arc<str> = format!("s{}", self.ends).into();
         let now = self.now;
-        self.quarantine.ends(REQUEST);
-        self.quarantine.server_ended(now, REQUEST, &server, known)
+        self.quarantine.record_end(REQUEST);
+        self.quarantine.record_crash(now, REQUEST, &server, known)
     }
 
     /// Tries the request, and its server ends; returns whether it could be tried.
@@ -52,7 +52,7 @@
         let Admission::Trial(trial) = self.admit() else {
             return false;
         };
-        self.quarantine.told(self.now, &trial);
+        self.quarantine.add_report(self.now, &trial);
         self.crash();
         true
     }
@@ -61,33 +61,38 @@
 #[test]
 fn a_request_is_refused_once_two_servers_ended_in_a_row_under_it() {
     let mut vm = Vm::new();
-    assert_eq!(vm.admit(), Admission::Free);
+    assert_eq!(vm.admit(), Admission::Unrestricted);
     vm.crash();
-    assert_eq!(vm.admit(), Admission::Alone);
+    assert_eq!(vm.admit(), Admission::Exclusive);
     vm.crash();
     assert_eq!(vm.admit(), Admission::Refuse(Duration::from_secs(15)));
-    assert_eq!(vm.quarantine.admit(vm.now, REQUEST + 1), Admission::Free);
+    assert_eq!(
+        vm.quarantine.admit(vm.now, REQUEST + 1),
+        Admission::Unrestricted
+    );
 }
 
 /// Guards against a popular request refused for servers that end together for another reason.
 #[test]
 fn servers_that_end_together_count_once() {
     let mut vm = Vm::new();
-    let runs: Vec<u32> = (0..5).map(|_| vm.quarantine.begins(REQUEST)).collect();
+    let runs: Vec<u32> = (0..5)
+        .map(|_| vm.quarantine.record_start(REQUEST))
+        .collect();
     for known in runs {
         vm.crash_of_run(known);
     }
-    assert_eq!(vm.admit(), Admission::Alone);
+    assert_eq!(vm.admit(), Admission::Exclusive);
 }
 
 #[test]
 fn a_suspect_runs_alone_and_an_answer_clears_it() {
     let mut vm = Vm::new();
     let report = vm.crash();
-    vm.quarantine.begins(REQUEST);
+    vm.quarantine.record_start(REQUEST);
     assert_eq!(vm.admit(), Admission::Wait);
-    assert_eq!(vm.quarantine.answered(REQUEST), [report.id()]);
-    assert_eq!(vm.admit(), Admission::Free);
+    assert_eq!(vm.quarantine.clear(REQUEST), [report.id()]);
+    assert_eq!(vm.admit(), Admission::Unrestricted);
 }
 
 /// Guards against more than three servers lost to one request after it is known, and against one refused for good.
@@ -106,13 +111,13 @@
     let Admission::Trial(trial) = vm.admit() else {
         panic!("{:?}", vm.admit());
     };
-    vm.quarantine.told(vm.now, &trial);
+    vm.quarantine.add_report(vm.now, &trial);
     assert!(
         matches!(vm.admit(), Admission::Refuse(_)),
         "another VM tries"
     );
-    vm.quarantine.answered(REQUEST);
-    assert_eq!(vm.admit(), Admission::Free);
+    vm.quarantine.clear(REQUEST);
+    assert_eq!(vm.admit(), Admission::Unrestricted);
 }
 
 #[test]
@@ -120,16 +125,19 @@
     let (mut one, mut other) = (Vm::new(), Vm::new());
     let reports = [one.crash(), one.crash()];
     for report in &reports {
-        assert_eq!(other.quarantine.told(other.now, report), ReportStatus::News);
         assert_eq!(
-            other.quarantine.told(other.now, report),
+            other.quarantine.add_report(other.now, report),
+            ReportStatus::New
+        );
+        assert_eq!(
+            other.quarantine.add_report(other.now, report),
             ReportStatus::Known
         );
     }
     assert!(matches!(other.admit(), Admission::Refuse(_)));
-    let ids = one.quarantine.answered(REQUEST);
-    assert!(ids.iter().all(|id| other.quarantine.withdrawn(id)));
-    assert_eq!(other.admit(), Admission::Free);
+    let ids = one.quarantine.clear(REQUEST);
+    assert!(ids.iter().all(|id| other.quarantine.remove_report(id)));
+    assert_eq!(other.admit(), Admission::Unrestricted);
 }
 
 /// Guards against reports that are kept for good by a VM that missed their withdrawal.
@@ -137,10 +145,10 @@
 fn reports_that_the_store_has_no_longer_are_forgotten_and_new_ones_are_not() {
     let (mut one, mut other) = (Vm::new(), Vm::new());
     let report = other.crash();
-    one.quarantine.told(one.now, &report);
+    one.quarantine.add_report(one.now, &report);
     one.ends = 1;
     one.crash();
-    let gone = one.quarantine.all_told(&[].into_iter().collect());
+    let gone = one.quarantine.remove_missing(&[].into_iter().collect());
     assert_eq!(gone, [report.id()]);
     assert!(one.quarantine.is_suspect(REQUEST), "its own is on its way");
 }
@@ -149,13 +157,13 @@
 fn a_suspect_that_does_not_come_again_is_forgotten_and_a_refused_request_is_kept() {
     let mut vm = Vm::new();
     let report = vm.crash();
-    vm.quarantine.told(vm.now, &report);
+    vm.quarantine.add_report(vm.now, &report);
     vm.after(Duration::from_secs(61));
-    assert_eq!(vm.quarantine.outdated(vm.now), [report.id()]);
+    assert_eq!(vm.quarantine.expired_reports(vm.now), [report.id()]);
     let report = vm.crash();
-    vm.quarantine.told(vm.now, &report);
+    vm.quarantine.add_report(vm.now, &report);
     vm.after(Duration::from_secs(3600));
-    assert!(vm.quarantine.outdated(vm.now).is_empty());
+    assert!(vm.quarantine.expired_reports(vm.now).is_empty());
 }
 
 /// Guards against a memory that grows with the requests that servers end under.
@@ -164,7 +172,7 @@
     let mut vm = Vm::new();
     let server: Arc<str> = "s".into();
     for fingerprint in 0..20_000 {
-        vm.quarantine.server_ended(vm.now, fingerprint, &server, 0);
+        vm.quarantine.record_crash(vm.now, fingerprint, &server, 0);
     }
     let suspects = (0..20_000).filter(|fp| vm.quarantine.is_suspect(*fp));
     assert_eq!(suspects.count(), 16 * 1024);
--- a/crates/kingcuploft/tests/entry/readers.rs
+++ b/crates/kingcuploft/tests/entry/readers.rs
@@ -25,7 +25,10 @@
 
 fn readers() -> Readers {
     let mut readers = Readers::default();
-    assert_eq!(readers.told(vec![record(3, &["first", "second"])]).len(), 1);
+    assert_eq!(
+        readers.update(vec![record(3, &["first", "second"])]).len(),
+        1
+    );
     readers
 }
 
@@ -47,15 +50,15 @@
 #[test]
 fn a_reader_that_failed_is_left_alone_for_a_while() {
     let (mut readers, now) = (readers(), Instant::now());
-    readers.failed(now, &"first".into());
+    readers.record_failure(now, &"first".into());
     assert_eq!(source(&readers, now, "second"), Source::Store);
     let second = Source::Reader(vm("second", 200));
     assert_eq!(source(&readers, now, "third"), second);
     let later = now + Duration::from_secs(6);
     let first = Source::Reader(vm("first", 200));
     assert_eq!(source(&readers, later, "third"), first);
-    readers.failed(later, &"first".into());
-    readers.answered(&"first".into());
+    readers.record_failure(later, &"first".into());
+    readers.record_answer(&"first".into());
     assert_eq!(source(&readers, later, "third"), first);
 }
 
@@ -63,8 +66,8 @@
 #[test]
 fn a_vm_that_reaches_nobody_reads_for_itself_alone() {
     let (mut readers, now) = (readers(), Instant::now());
-    readers.failed(now, &"first".into());
-    readers.failed(now, &"second".into());
+    readers.record_failure(now, &"first".into());
+    readers.record_failure(now, &"second".into());
     assert_eq!(source(&readers, now, "third"), Source::StoreAlone);
 }
 
@@ -78,10 +81,10 @@
 #[test]
 fn an_older_record_is_no_news() {
     let mut readers = readers();
-    assert_eq!(readers.told(vec![record(2, &["gone"])]), vec![]);
-    let other = readers.told(vec![record(3, &["other"])]);
+    assert_eq!(readers.update(vec![record(2, &["gone"])]), vec![]);
+    let other = readers.update(vec![record(3, &["other"])]);
     assert_eq!(other, vec![], "the first of two that are as new stays");
-    assert_eq!(readers.told(vec![record(4, &["second"])]).len(), 1);
+    assert_eq!(readers.update(vec![record(4, &["second"])]).len(), 1);
     let kept = readers.record(&"thun".into()).unwrap();
     assert!(kept.is_led_by(&"second".into()));
 }
@@ -90,27 +93,27 @@
 #[test]
 fn vms_are_counted_once_every_known_zone_is() {
     let mut readers = readers();
-    assert_eq!(readers.count(), Some(50));
+    assert_eq!(readers.vm_count(), Some(50));
     let begun = ZoneRecord {
         zone: "bern".into(),
         settled: false,
         ..record(1, &["new"])
     };
-    readers.told(vec![begun.clone()]);
-    assert_eq!(readers.count(), None);
-    readers.told(vec![ZoneRecord {
+    readers.update(vec![begun.clone()]);
+    assert_eq!(readers.vm_count(), None);
+    readers.update(vec![ZoneRecord {
         version: 2,
         count: 7,
         settled: true,
         ..begun
     }]);
-    assert_eq!(readers.count(), Some(57));
+    assert_eq!(readers.vm_count(), Some(57));
 }
 
 fn zones() -> Readers {
     let mut readers = readers();
     for (zone, cpu_milli) in [("bern", 500), ("basel", 500), ("far", 900)] {
-        readers.told(vec![ZoneRecord {
+        readers.update(vec![ZoneRecord {
             zone: zone.into(),
             vms: ["reads", "second"]
                 .map(|name| vm(&format!("{zone}-{name}"), cpu_milli))
@@ -144,11 +147,11 @@
         "first",
         "not over its zone's reader"
     );
-    readers.failed(now, &"basel-reads".into());
+    readers.record_failure(now, &"basel-reads".into());
     assert_eq!(source(&readers, "first", "thun"), "basel-second");
     assert_eq!(source(&readers, "bern-reads", "bern"), "basel-second");
     assert_eq!(source(&readers, "basel-second", "basel"), "Store");
-    readers.failed(now, &"basel-second".into());
+    readers.record_failure(now, &"basel-second".into());
     assert_eq!(
         source(&readers, "first", "thun"),
         "bern-reads",
--- a/crates/kingcuploft/tests/entry/repeat_budget.rs
+++ b/crates/kingcuploft/tests/entry/repeat_budget.rs
@@ -19,7 +19,7 @@
 /// Makes all the repeats that there is room for; returns how many.
 fn use_up(repeats: &mut RepeatBudget, now: Instant, vms: usize) -> usize {
     let mut made = 0;
-    while repeats.take(now, &trip(), &BOUNDS, vms).has_room() {
+    while repeats.try_take(now, &trip(), &BOUNDS, vms).allows_repeat() {
         made += 1;
     }
     made
@@ -30,14 +30,14 @@
 fn all_vms_together_stay_within_the_budget_while_every_request_fails() {
     let start = Instant::now();
     let vms = 14;
-    let mut fleet: Vec<RepeatBudget> = (0..vms).map(|_| RepeatBudget::first()).collect();
+    let mut fleet: Vec<RepeatBudget> = (0..vms).map(|_| RepeatBudget::for_first_start()).collect();
     let mut sent: Vec<(Duration, bool)> = Vec::new();
     let mut rng = fastrand::Rng::with_seed(3);
     for tick in 0..6000 {
         let at = Duration::from_millis(tick * 5);
         let vm = rng.usize(0..vms).min(rng.usize(0..vms));
         let now = start + at;
-        fleet[vm].arrived(now, &trip());
+        fleet[vm].record_request(now, &trip());
         sent.push((at, false));
         let made = use_up(&mut fleet[vm], now, vms);
         sent.extend((0..made).map(|_| (at, true)));
@@ -63,17 +63,17 @@
 #[test]
 fn a_vm_that_has_not_counted_the_others_uses_its_own_share_only() {
     let now = Instant::now();
-    let mut repeats = RepeatBudget::first();
+    let mut repeats = RepeatBudget::for_first_start();
     assert_eq!(use_up(&mut repeats, now, 1000), 0);
-    (0..20).for_each(|_| repeats.arrived(now, &trip()));
+    (0..20).for_each(|_| repeats.record_request(now, &trip()));
     assert_eq!(use_up(&mut repeats, now, 1000), 3);
-    assert_eq!(repeats.standing(now, &trip(), &BOUNDS, 1000).used, 3);
+    assert_eq!(repeats.status(now, &trip(), &BOUNDS, 1000).used, 3);
 }
 
 #[test]
 fn room_comes_back_when_the_window_has_passed() {
     let now = Instant::now();
-    let mut repeats = RepeatBudget::first();
+    let mut repeats = RepeatBudget::for_first_start();
     assert!(use_up(&mut repeats, now, 14) > 0);
     assert_eq!(use_up(&mut repeats, now + BOUNDS.window, 14), 0);
     assert!(use_up(&mut repeats, now + BOUNDS.window.mul_f64(1.2), 14) > 0);
@@ -83,9 +83,9 @@
 #[test]
 fn a_vm_that_knows_nothing_of_before_leaves_its_part_of_the_allowance_for_a_window() {
     let now = Instant::now();
-    let mut repeats = RepeatBudget::again(now, &BOUNDS);
+    let mut repeats = RepeatBudget::after_restart(now, &BOUNDS);
     assert_eq!(use_up(&mut repeats, now + SECOND, 4), 0);
-    (0..20).for_each(|_| repeats.arrived(now + SECOND, &trip()));
+    (0..20).for_each(|_| repeats.record_request(now + SECOND, &trip()));
     assert_eq!(
         use_up(&mut repeats, now + SECOND, 4),
         3,
@@ -98,15 +98,15 @@
 #[test]
 fn a_vm_that_is_told_what_it_had_used_goes_on_with_the_rest() {
     let start = Instant::now();
-    let mut before = RepeatBudget::first();
-    (0..20).for_each(|_| before.arrived(start, &trip()));
+    let mut before = RepeatBudget::for_first_start();
+    (0..20).for_each(|_| before.record_request(start, &trip()));
     for _ in 0..5 {
-        before.take(start, &trip(), &BOUNDS, 4);
+        before.try_take(start, &trip(), &BOUNDS, 4);
     }
-    let used = before.used(start + SECOND, &BOUNDS);
+    let used = before.report(start + SECOND, &BOUNDS);
     let now = start + 2 * SECOND;
     let without_restart = use_up(&mut before, now, 4);
-    let mut after = RepeatBudget::again(now, &BOUNDS);
+    let mut after = RepeatBudget::after_restart(now, &BOUNDS);
     let mut told = used;
     told.heard_ms = 1000;
     told.accounts.iter_mut().for_each(|of| of.age_ms = 1000);
@@ -117,28 +117,28 @@
 #[test]
 fn what_is_told_twice_counts_once() {
     let now = Instant::now();
-    let mut before = RepeatBudget::first();
+    let mut before = RepeatBudget::for_first_start();
     for _ in 0..3 {
-        before.take(now, &trip(), &BOUNDS, 4);
+        before.try_take(now, &trip(), &BOUNDS, 4);
     }
-    let used = before.used(now, &BOUNDS);
-    let mut after = RepeatBudget::again(now, &BOUNDS);
+    let used = before.report(now, &BOUNDS);
+    let mut after = RepeatBudget::after_restart(now, &BOUNDS);
     assert!(after.recover(now, &used));
     assert!(!after.recover(now, &used));
-    assert_eq!(after.standing(now, &trip(), &BOUNDS, 4).used, 3);
+    assert_eq!(after.status(now, &trip(), &BOUNDS, 4).used, 3);
 }
 
 /// Guards against a VM that restarts twice and knows only what it did since the first time.
 #[test]
 fn a_second_restart_loses_nothing_of_what_was_before_the_first() {
     let start = Instant::now();
-    let mut repeats = RepeatBudget::first();
+    let mut repeats = RepeatBudget::for_first_start();
     let used = (0..4)
         .map(|restart| {
             let now = start + SECOND * restart;
             if restart > 0 {
-                let used = repeats.used(now, &BOUNDS);
-                repeats = RepeatBudget::again(now, &BOUNDS);
+                let used = repeats.report(now, &BOUNDS);
+                repeats = RepeatBudget::after_restart(now, &BOUNDS);
                 repeats.recover(now, &used);
             }
             use_up(&mut repeats, now, 4)
@@ -154,14 +154,14 @@
 #[test]
 fn what_a_vm_has_said_since_its_start_is_not_added_to_it() {
     let now = Instant::now();
-    let mut repeats = RepeatBudget::again(now, &BOUNDS);
+    let mut repeats = RepeatBudget::after_restart(now, &BOUNDS);
     let later = now + SECOND;
-    (0..20).for_each(|_| repeats.arrived(later, &trip()));
+    (0..20).for_each(|_| repeats.record_request(later, &trip()));
     assert_eq!(use_up(&mut repeats, later, 4), 3);
-    let own = repeats.used(later, &BOUNDS);
+    let own = repeats.report(later, &BOUNDS);
     assert!(!repeats.recover(later, &own));
     assert_eq!(use_up(&mut repeats, later, 4), 0);
-    assert_eq!(repeats.standing(later, &trip(), &BOUNDS, 4).used, 3);
+    assert_eq!(repeats.status(later, &trip(), &BOUNDS, 4).used, 3);
 }
 
 /// Guards against one that had been cut off, and says that nothing was used as it has heard nothing.
@@ -173,10 +173,10 @@
         heard_ms,
         accounts: Vec::new(),
     };
-    let mut alone = RepeatBudget::again(now, &BOUNDS);
+    let mut alone = RepeatBudget::after_restart(now, &BOUNDS);
     assert!(!alone.recover(now, &heard(20_000, 0)));
     assert!(alone.unknown_for(now) > SECOND);
-    let mut first = RepeatBudget::again(now, &BOUNDS);
+    let mut first = RepeatBudget::after_restart(now, &BOUNDS);
     assert!(first.recover(now, &heard(3_500, 0)));
     assert!(
         first.recover(now, &heard(500, 4_000)),
--- a/crates/kingcuploft/tests/entry/rewinds.rs
+++ b/crates/kingcuploft/tests/entry/rewinds.rs
@@ -39,12 +39,12 @@
 fn a_server_whose_entry_the_copy_lacks_is_used_until_it_had_time_to_write_again() {
     let now = Instant::now();
     let mut servers = BackendServers::default();
-    servers.told(server("young", false));
+    servers.update(server("young", false));
     servers.store_rewound(now, LAPSES);
-    let lapsed = servers.all_told(now, std::iter::empty());
+    let lapsed = servers.remove_missing(now, std::iter::empty());
     assert_eq!(lapsed, [Change::Lapsed("young".into())]);
     assert!(servers.takes_work("young"));
-    servers.told(server("young", false));
+    servers.update(server("young", false));
     assert_eq!(servers.expire(now + LAPSES), []);
     assert!(servers.takes_work("young"));
 }
@@ -53,9 +53,9 @@
 fn a_server_that_does_not_write_again_is_gone() {
     let now = Instant::now();
     let mut servers = BackendServers::default();
-    servers.told(server("lost", false));
+    servers.update(server("lost", false));
     servers.store_rewound(now, LAPSES);
-    servers.all_told(now, std::iter::empty());
+    servers.remove_missing(now, std::iter::empty());
     let changes = servers.expire(now + LAPSE_GRACE);
     assert_eq!(changes, [Change::Left("lost".into())]);
 }
@@ -66,15 +66,15 @@
     let now = Instant::now();
     let mut servers = BackendServers::default();
     for name in ["ended", "lapsed"] {
-        servers.told(server(name, false));
-        servers.gone(now, name);
+        servers.update(server(name, false));
+        servers.remove(now, name);
     }
     servers.store_rewound(now, LAPSES);
     for name in ["ended", "lapsed"] {
-        assert_eq!(servers.told(server(name, false)), None);
+        assert_eq!(servers.update(server(name, false)), None);
         assert!(!servers.takes_work(name));
     }
-    assert_eq!(servers.gone(now + LAPSES / 2, "ended"), None);
+    assert_eq!(servers.remove(now + LAPSES / 2, "ended"), None);
     let changes = servers.expire(now + LAPSES);
     assert_eq!(changes, [Change::Joined("lapsed".into())]);
     assert!(servers.takes_work("lapsed") && !servers.takes_work("ended"));
@@ -85,10 +85,10 @@
 fn a_leaving_server_stays_out_whatever_the_copy_says() {
     let now = Instant::now();
     let mut servers = BackendServers::default();
-    servers.told(server("s", false));
-    servers.told(server("s", true));
+    servers.update(server("s", false));
+    servers.update(server("s", true));
     servers.store_rewound(now, LAPSES);
-    assert_eq!(servers.told(server("s", false)), None);
+    assert_eq!(servers.update(server("s", false)), None);
     servers.expire(now + 2 * LAPSES);
     assert!(!servers.takes_work("s"));
 }
@@ -101,9 +101,9 @@
         started_at: Some(at),
         ..server("s", false)
     };
-    servers.told(born(1));
-    servers.gone(now, "s");
+    servers.update(born(1));
+    servers.remove(now, "s");
     servers.store_rewound(now, LAPSES);
-    assert_eq!(servers.told(born(1)), None);
-    assert_eq!(servers.told(born(2)), Some(Change::Joined("s".into())));
+    assert_eq!(servers.update(born(1)), None);
+    assert_eq!(servers.update(born(2)), Some(Change::Joined("s".into())));
 }
--- a/crates/kingcuploft/tests/entry/server_limit.rs
+++ b/crates/kingcuploft/tests/entry/server_limit.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::server_limit::{LimitShare, PerSecond, ServerLimit, Turn, keepers, part};
+use kingcuploft::entry::server_limit::{
+    LimitShare, PerSecond, ServerLimit, Turn, limit_owners, limit_share,
+};
 use kingcuploft::entry::server_limits::{LimitChange, LimitNotice, ServerLimits};
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::ZoneRecord;
@@ -76,7 +78,7 @@
     let begun = Instant::now();
     let mut rng = fastrand::Rng::with_seed(7);
     let (server, zone): (BackendServerName, _) = ("s".into(), "zone-1".into());
-    let parts = (0..vms).map(|at| part(&name(at), vms, &server, &zone, per_s, &knows(at)));
+    let parts = (0..vms).map(|at| limit_share(&name(at), vms, &server, &zone, per_s, &knows(at)));
     let parts: Vec<LimitShare> = parts.collect();
     let mut fleet: Vec<ServerLimit> = parts
         .iter()
@@ -90,7 +92,7 @@
         }
         for limit in &mut fleet {
             while limit.wait(now, rng.f64()).is_zero() {
-                limit.sent(now, rng.f64());
+                limit.record_sent(now, rng.f64());
                 *sent += 1;
             }
         }
@@ -173,7 +175,7 @@
 #[test]
 fn a_vm_that_knows_no_other_does_not_take_a_limit_for_its_own() {
     let server = "s".into();
-    let part = part(&name(3), 1000, &server, &"zone-1".into(), 2.0, &[]);
+    let part = limit_share(&name(3), 1000, &server, &"zone-1".into(), 2.0, &[]);
     assert_eq!(part, LimitShare::NowAndThen(1000));
 }
 
@@ -186,7 +188,7 @@
     let mut limits = ServerLimits::default();
     let hear = |limits: &mut ServerLimits, after_ms, named| {
         let at = now + Duration::from_millis(after_ms);
-        limits.heard(at, &server, named, |_| LimitShare::OneOf(1), 0.5)
+        limits.record_named(at, &server, named, |_| LimitShare::OneOf(1), 0.5)
     };
     let notice = LimitNotice {
         server: server.clone(),
@@ -214,16 +216,19 @@
         per_s: 1.0,
     };
     let mut limits = ServerLimits::default();
-    assert!(limits.told(now, &notice, LimitShare::NowAndThen(13), 0.5));
-    assert!(!limits.told(now, &notice, LimitShare::NowAndThen(13), 0.5));
+    assert!(limits.add_notice(now, &notice, LimitShare::NowAndThen(13), 0.5));
+    assert!(!limits.add_notice(now, &notice, LimitShare::NowAndThen(13), 0.5));
     assert!(!limits.wait(now, "s", 0.5).is_zero());
     assert!(limits.wait(now, "other", 0.5).is_zero());
-    assert!(limits.stored().eq([notice.clone()]));
-    assert_eq!(limits.all_told(&[].into_iter().collect()), [notice.id()]);
-    assert!(limits.told(now, &notice, LimitShare::OneOf(1), 0.5));
-    assert!(limits.withdrawn(&notice.id()));
-    assert!(limits.told(now, &notice, LimitShare::OneOf(1), 0.5));
-    assert_eq!(limits.forget_gone(|_| false), [notice.id()]);
+    assert!(limits.stored_notices().eq([notice.clone()]));
+    assert_eq!(
+        limits.remove_missing(&[].into_iter().collect()),
+        [notice.id()]
+    );
+    assert!(limits.add_notice(now, &notice, LimitShare::OneOf(1), 0.5));
+    assert!(limits.remove_notice(&notice.id()));
+    assert!(limits.add_notice(now, &notice, LimitShare::OneOf(1), 0.5));
+    assert_eq!(limits.retain_in_use(|_| false), [notice.id()]);
     assert!(limits.is_empty());
 }
 
@@ -242,7 +247,7 @@
         let records = records(self.vms);
         let limit = |vm: usize, server: usize, chance: f64| {
             let (server, zone) = (server_name(server), zone_of(server));
-            let part = part(&name(vm), self.vms, &server, &zone, self.per_s, &records);
+            let part = limit_share(&name(vm), self.vms, &server, &zone, self.per_s, &records);
             ServerLimit::new(begun, self.per_s, part, chance)
         };
         let of_vm = |vm| {
@@ -259,7 +264,7 @@
         let at = |vm: &VmEntry| vm.name.strip_prefix("vm-").unwrap().parse().unwrap();
         let keepers = |server| {
             let (name, zone) = (server_name(server), zone_of(server));
-            let keepers = keepers(&name, &zone, self.per_s, &records);
+            let keepers = limit_owners(&name, &zone, self.per_s, &records);
             keepers.into_iter().map(at).collect()
         };
         (0..self.servers).map(keepers).collect()
@@ -280,7 +285,7 @@
                         .iter_mut()
                         .position(|l| l.wait(now, 0.5).is_zero());
                     if let Some(server) = own {
-                        fleet[vm][server].sent(now, rng.f64());
+                        fleet[vm][server].record_sent(now, rng.f64());
                         sent[server][step] += 1;
                         continue;
                     }
@@ -346,7 +351,8 @@
 fn a_limit_that_changes_is_news_once() {
     let (now, name) = (Instant::now(), BackendServerName::from("s"));
     let mut limits = ServerLimits::default();
-    let mut heard = |per_s| limits.heard(now, &name, Some(per_s), |_| LimitShare::OneOf(1), 0.5);
+    let mut heard =
+        |per_s| limits.record_named(now, &name, Some(per_s), |_| LimitShare::OneOf(1), 0.5);
     assert!(matches!(heard(6.0), Some(LimitChange::Named(_))));
     assert_eq!(heard(6.0), None);
     assert_eq!(heard(1.0), Some(LimitChange::Changed { before: 6.0 }));
--- a/crates/kingcuploft/tests/entry/server_table.rs
+++ b/crates/kingcuploft/tests/entry/server_table.rs
@@ -20,7 +20,7 @@
 #[test]
 fn a_table_tells_each_server_as_it_is() {
     let servers = servers(30);
-    let line = serde_json::to_vec(&ServerTable::of(servers.iter())).unwrap();
+    let line = serde_json::to_vec(&ServerTable::from_servers(servers.iter())).unwrap();
     let table: ServerTable = serde_json::from_slice(&line).unwrap();
     assert_eq!(table.servers().unwrap(), servers);
 }
--- a/crates/kingcuploft/tests/fleet/fleet.rs
+++ b/crates/kingcuploft/tests/fleet/fleet.rs
@@ -145,8 +145,8 @@
         let start = Instant::now();
         let vm = || Vm {
             views: vec![View::default(); world.servers],
-            probing: ProbeBudget::begin(start),
-            repeats: RepeatBudget::first(),
+            probing: ProbeBudget::new(start),
+            repeats: RepeatBudget::for_first_start(),
             times: Default::default(),
             last_slot: LastSlotSlowdown::default(),
         };
@@ -264,7 +264,7 @@
         self.outcome.requests += 1;
         self.outcome.short_requests += u32::from(!long);
         let now = self.instant(self.now);
-        self.vms[vm].repeats.arrived(now, &SERVICE.into());
+        self.vms[vm].repeats.record_request(now, &SERVICE.into());
         self.at(self.now, Event::Choose(request));
         let deadline = self.now + micros(self.deadline_ms(request));
         self.at(deadline, Event::Deadline(request));
--- a/crates/kingcuploft/tests/fleet/vm.rs
+++ b/crates/kingcuploft/tests/fleet/vm.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use kingcuploft::entry::attempts::{AttemptOutcome, NextAction};
-use kingcuploft::entry::hedging::{HedgeCheck, look_after, wants_second};
+use kingcuploft::entry::hedging::{HedgeCheck, hedge_delay, should_hedge};
 use kingcuploft::entry::placement::{Candidate, PlacementNeed, ProbeScope, Step, place};
-use kingcuploft::entry::probe_fanout::asked;
+use kingcuploft::entry::probe_fanout::probe_fanout;
 use kingcuploft::entry::repeat_budget::RepeatBounds;
 
 use crate::fleet::{Event, Fleet};
@@ -57,7 +57,7 @@
         if view.asked || fresh || now < view.mute_until {
             return;
         }
-        let room = of_vm.probing.take(instant, PROBES_PER_S, servers, vms);
+        let room = of_vm.probing.try_take(instant, PROBES_PER_S, servers, vms);
         if !room && self.world.parts.probe_budget {
             return;
         }
@@ -68,7 +68,7 @@
     }
 
     fn life(&self, vm: usize) -> Micros {
-        self.vms[vm].probing.reading_life().as_micros() as Micros
+        self.vms[vm].probing.max_reading_age().as_micros() as Micros
     }
 
     fn usable(&self, request: usize, reach: ProbeScope) -> Vec<usize> {
@@ -81,7 +81,7 @@
         let all = if audible.is_empty() { all } else { audible };
         let is_near = |server: &usize| self.link(of.vm, *server) == NEAR;
         let (mut near, mut others): (Vec<usize>, Vec<usize>) = all.into_iter().partition(is_near);
-        let asked = asked(near.len(), others.len(), reach);
+        let asked = probe_fanout(near.len(), others.len(), reach);
         // Each VM has its own order of the servers.
         let (first_near, first_far) = (of.vm, of.vm * 5);
         let (near_len, far_len) = (near.len().max(1), others.len().max(1));
@@ -104,13 +104,13 @@
         Candidate {
             near: self.link(of.vm, server) == NEAR,
             reading: reading.map(|(_, reading)| reading),
-            asked: view.asked,
-            unseen: unseen as u32,
-            own: view.sent.len() as u32,
+            probe_pending: view.asked,
+            sent_since_reading: unseen as u32,
+            own_in_flight: view.sent.len() as u32,
             slots: self.world.slots,
             cold: false,
-            failures: match self.world.parts.avoids_failing {
-                true => view.failures.share(self.instant(self.now)),
+            failure_rate: match self.world.parts.avoids_failing {
+                true => view.failures.rate(self.instant(self.now)),
                 false => 0.0,
             },
             tried: of.tried.contains(&server),
@@ -125,11 +125,11 @@
             work_ms: self.vms[of.vm].times[of.kind].work_ms(target),
             target_left_ms: target.as_secs_f64() * 1000.0 - passed_ms,
             deadline_left_ms: self.deadline_ms(request) - passed_ms,
-            looked_ms: (self.now - looked_since) as f64 / 1000.0,
-            reach,
-            last_slot: self.last_slot(of.vm),
-            probes_left: self.vms[of.vm].probing.fill(),
-            returns: false,
+            probe_wait_ms: (self.now - looked_since) as f64 / 1000.0,
+            scope: reach,
+            last_slot_slowdown: self.last_slot(of.vm),
+            probe_budget_left: self.vms[of.vm].probing.remaining_share(),
+            is_caller_retry: false,
         }
     }
 
@@ -201,15 +201,15 @@
         let step = place(&need, &candidates, || self.rng.f64());
         match step {
             Step::Send(at) => self.send(request, servers[at]),
-            Step::Ask(further) => {
+            Step::Probe(further) => {
                 self.requests[request].reach = further;
                 self.at(self.now, Event::Choose(request));
             }
-            Step::Await => self.at(self.now + AWAIT, Event::Choose(request)),
-            Step::LookAgain(_) | Step::Refuse(_) if !self.world.parts.waits => {
+            Step::AwaitProbes => self.at(self.now + AWAIT, Event::Choose(request)),
+            Step::Recheck(_) | Step::Refuse(_) if !self.world.parts.waits => {
                 self.choose_naively(request);
             }
-            Step::LookAgain(after) => {
+            Step::Recheck(after) => {
                 let again = self.now + after.as_micros() as Micros;
                 self.requests[request].look_begun = again;
                 self.at(again, Event::Choose(request));
@@ -236,13 +236,13 @@
                 .expected_ms(work_ms, last_slot)
         };
         let of = &mut self.requests[request];
-        of.attempts.sending();
+        of.attempts.record_sent();
         of.in_flight += 1;
         self.vms[vm].views[server].sent.push(now);
         let link = self.link(vm, server);
         self.at(now + link, Event::Reaches { request, server });
         if self.world.parts.second_look && self.requests[request].in_flight == 1 {
-            let look = now + look_after(expected_ms).as_micros() as Micros;
+            let look = now + hedge_delay(expected_ms).as_micros() as Micros;
             self.at(look, Event::LookAgain { request, server });
         }
     }
@@ -253,23 +253,23 @@
         let view = &mut self.vms[vm].views[server];
         view.sent.pop();
         view.reading = Some((self.now, reading));
-        view.failures.ended(now, end != AttemptOutcome::Succeeded);
+        view.failures.record(now, end != AttemptOutcome::Succeeded);
         if self.requests[request].over {
             return;
         }
         let of = &mut self.requests[request];
         of.in_flight -= 1;
-        let verdict = of.attempts.ended(end);
+        let verdict = of.attempts.record_outcome(end);
         if end == AttemptOutcome::Succeeded {
             let (kind, (sent, seen)) = (of.kind, of.sent);
             let took = Duration::from_micros(self.now - sent);
             let of_vm = &mut self.vms[vm];
             if let Some((slowness, slot)) = seen {
-                of_vm.times[kind].measured(took, slowness, slot, &mut of_vm.last_slot);
+                of_vm.times[kind].record(took, slowness, slot, &mut of_vm.last_slot);
             }
             return self.served(request);
         }
-        let tries = verdict == NextAction::TryAgain && self.take_repeat(vm);
+        let tries = verdict == NextAction::Retry && self.take_repeat(vm);
         if tries {
             let of = &mut self.requests[request];
             of.tried.push(server);
@@ -288,8 +288,8 @@
         };
         let (now, vms) = (self.instant(self.now), self.believed());
         let repeats = &mut self.vms[vm].repeats;
-        let standing = repeats.take(now, &SERVICE.into(), &bounds, vms);
-        standing.has_room()
+        let standing = repeats.try_take(now, &SERVICE.into(), &bounds, vms);
+        standing.allows_repeat()
     }
 
     pub(crate) fn look_again(&mut self, request: usize, server: usize) {
@@ -319,14 +319,14 @@
         let view = &self.vms[vm].views[server];
         let need = self.need(request, self.now, ProbeScope::Near);
         let look = HedgeCheck {
-            answers: view
+            server_answers: view
                 .reading
                 .is_some_and(|(at, _)| at + self.life(vm) >= asked_at),
-            probes_left: self.vms[vm].probing.fill(),
-            left_ms: need.deadline_left_ms,
+            probe_budget_left: self.vms[vm].probing.remaining_share(),
+            deadline_left_ms: need.deadline_left_ms,
             work_ms: need.work_ms,
         };
-        if !wants_second(&look) || !of.attempts.may_send(1) {
+        if !should_hedge(&look) || !of.attempts.may_send(1) {
             return;
         }
         let others = self.usable(request, ProbeScope::Far).into_iter();
--- a/crates/kingcuploft/tests/zones/fleet.rs
+++ b/crates/kingcuploft/tests/zones/fleet.rs
@@ -97,7 +97,7 @@
         for at in 0..fleet.vms.len() {
             let chance = fleet.vms[at].chance;
             fleet.vms[at].waits_until =
-                now + startup_delay::claim_after(&fleet.vms[at].entry, chance);
+                now + startup_delay::claim_delay(&fleet.vms[at].entry, chance);
         }
         fleet
     }
--- a/crates/kingcuploft/tests/zones/leading.rs
+++ b/crates/kingcuploft/tests/zones/leading.rs
@@ -1,9 +1,11 @@
 //! How a VM that leads its zone keeps the zone's record.
 
-use kingcuploft::entry::dissemination::below;
+use kingcuploft::entry::dissemination::descendants;
 use kingcuploft::entry::readers::Source;
 use kingcuploft::entry::vm_entry::VmEntry;
-use kingcuploft::entry::zone_record::{SETTLE_TIME, ZoneRecord, ZoneView, handed_over, renewed};
+use kingcuploft::entry::zone_record::{
+    SETTLE_TIME, ZoneRecord, ZoneView, handed_to_larger, refreshed,
+};
 
 use crate::fleet::Fleet;
 
@@ -25,9 +27,9 @@
         let seen = ZoneView {
             own: self.vms[at].entry.clone(),
             followers: followers.into_iter().filter(|vm| vm.zone == zone).collect(),
-            below: below(&zone, &fed),
+            descendants: descendants(&zone, &fed),
         };
-        if let Some(record) = handed_over(&old, &seen) {
+        if let Some(record) = handed_to_larger(&old, &seen) {
             self.told(at, vec![record.clone()]);
             for fed in 0..self.vms.len() {
                 if self.vms[fed].feeder == Some(at) {
@@ -40,9 +42,9 @@
         }
         let holds = self.vms[at]
             .count
-            .holds(self.now, old.count, seen.below + 1);
+            .stable_count(self.now, old.count, seen.descendants + 1);
         let settled = old.settled || self.now.saturating_duration_since(since) >= SETTLE_TIME;
-        if let Some(record) = renewed(&old, &seen, holds, settled) {
+        if let Some(record) = refreshed(&old, &seen, holds, settled) {
             self.told(at, vec![record]);
         }
         let alone = seen.followers.is_empty() && holds > 1;
--- a/crates/kingcuploft/tests/zones/links.rs
+++ b/crates/kingcuploft/tests/zones/links.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcuploft::entry::dissemination::{Admission, FollowerLoad, admit, is_circle};
+use kingcuploft::entry::dissemination::{Admission, FollowerLoad, admit, has_cycle};
 use kingcuploft::entry::readers::Source;
 use kingcuploft::entry::startup_delay;
 use kingcuploft::entry::zone_record::ZoneRecord;
@@ -85,27 +85,27 @@
                 };
                 self.vms[at].waits_until = self.now + Duration::from_millis(patience);
                 let now = self.now;
-                return self.vms[at].readers.failed(now, &name);
+                return self.vms[at].readers.record_failure(now, &name);
             };
             let mut path = self.vms[to].path.clone();
             path.push(self.vms[to].entry.name.clone());
             let (fed, zone) = (self.fed_by(to), self.vms[to].entry.zone.clone());
             let is_behind = self.vms[to].version < self.vms[at].version;
             match admit(&self.vms[at].entry, &zone, &path, &fed) {
-                Admission::Feed if is_behind => {
+                Admission::Accept if is_behind => {
                     self.vms[at].reading = true;
                     self.vms[at].waits_until = self.now + Duration::from_millis(170);
                     return;
                 }
-                Admission::Feed => {
+                Admission::Accept => {
                     self.vms[at].feeder = Some(to);
                     self.vms[at].silent_steps = 0;
                     return;
                 }
-                Admission::Elsewhere(place) => name = fed[place].vm.name.clone(),
-                Admission::TurnAway => {
+                Admission::Redirect(place) => name = fed[place].vm.name.clone(),
+                Admission::Reject => {
                     let now = self.now;
-                    return self.vms[at].readers.failed(now, &name);
+                    return self.vms[at].readers.record_failure(now, &name);
                 }
             }
         }
@@ -118,8 +118,8 @@
         let fed = fed.filter(|at| self.vms[*at].feeder == Some(feeder));
         let fed = fed.map(|at| FollowerLoad {
             vm: self.vms[at].entry.clone(),
-            below: self.below(at, 0),
-            sent_there: 0,
+            descendants: self.below(at, 0),
+            redirected: 0,
         });
         fed.collect()
     }
@@ -157,7 +157,7 @@
         }
         let mut path = self.vms[feeder].path.clone();
         path.push(self.vms[feeder].entry.name.clone());
-        if is_circle(&self.vms[at].entry.name, &path) {
+        if has_cycle(&self.vms[at].entry.name, &path) {
             return self.leave(at, feeder);
         }
         let (version, news) = (self.vms[feeder].version, self.vms[feeder].news);
@@ -193,7 +193,7 @@
     }
 
     pub(super) fn told(&mut self, at: usize, records: Vec<ZoneRecord>) {
-        let news = self.vms[at].readers.told(records);
+        let news = self.vms[at].readers.update(records);
         self.vms[at].news += u64::from(!news.is_empty());
     }
 
@@ -203,7 +203,7 @@
         vm.feeder = None;
         vm.path.clear();
         vm.promised = false;
-        vm.readers.failed(now, &name);
+        vm.readers.record_failure(now, &name);
     }
 
     pub(super) fn know(&mut self, at: usize, version: u64) {
@@ -223,7 +223,8 @@
             return;
         }
         let record = vm.readers.record(&vm.entry.zone);
-        let patience = startup_delay::patience(&vm.entry.name, record, vm.promised, vm.chance);
+        let patience =
+            startup_delay::store_read_delay(&vm.entry.name, record, vm.promised, vm.chance);
         if self.now.saturating_duration_since(vm.started) >= patience {
             self.vms[at].reading = true;
         }
