--- a/crates/kingcuploft-entry/src/impatience.rs
+++ b/crates/kingcuploft-entry/src/store_fallback.rs
@@ -7,15 +7,15 @@
 
 use crate::clock;
 use crate::context::Context;
-use crate::pulse::Pulse;
+use crate::store_access::StoreAccess;
 
 /// How often a VM looks whether it has knowledge.
-const KNOWLEDGE_STEP: Duration = Duration::from_millis(10);
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Has a VM that knows nothing read the store once it has waited for others for too long.
 ///
 /// Where all start together nobody calls yet, and the others are waited for.
-pub(crate) async fn without_knowledge(context: Rc<Context>, pulse: Rc<Pulse>) {
+pub(crate) async fn read_store_if_uninformed(context: Rc<Context>, store_access: Rc<StoreAccess>) {
     let begun = clock::now();
     let chance = fastrand::f64();
     if context.settings.all_start {
@@ -28,13 +28,13 @@
             startup_delay::store_read_delay(
                 &context.settings.vm,
                 record,
-                context.promised.get(),
+                context.feed_promised.get(),
                 chance,
             )
         };
         if clock::since(begun) >= patience {
-            return pulse.read();
+            return store_access.start_reading();
         }
-        tokio::time::sleep(KNOWLEDGE_STEP).await;
+        tokio::time::sleep(READINESS_POLL_INTERVAL).await;
     }
 }
--- a/crates/kingcuploft-entry/src/keeper.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -16,64 +16,64 @@
 use kingcuploft::planted::{self, Planted};
 
 use crate::clock;
-use crate::cold;
+use crate::cold_servers;
 use crate::context::Context;
 use crate::evacuation;
 use crate::limits;
 use crate::notices;
 use crate::peers::frame::Frame;
-use crate::peers::standing::standing;
-use crate::pulse::Pulse;
-use crate::rewinds::Heard;
-use crate::server_news;
+use crate::peers::sync_status::sync_status;
+use crate::rewinds::EraUpdate;
+use crate::server_updates;
 use crate::store::{Changes, Collection, Page, Record, Revision, Store, StoreChange, StoreError};
+use crate::store_access::StoreAccess;
 
 /// How long a watch waits for a change.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The same for one that is asked again: it tells at once up to which moment this VM knows the store.
-const SHORT_WAIT: Duration = Duration::from_millis(20);
+const REWATCH_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// How lately bytes have come of an answer that is arriving.
-const ARRIVING: Duration = Duration::from_millis(250);
+const RECENT_BYTES_AGE: Duration = Duration::from_millis(250);
 
 /// The pause after a failed call; jitter up to the same is added.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const BACKOFF_STEP: Duration = Duration::from_millis(100);
 
 /// The longest pause: news of a leaving server must arrive within 2 s of the store's return.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
 /// The pause between two watches that brought something: changes come in bursts, and a server that
 /// leaves must be known within 2 s.
-const GATHER: Duration = Duration::from_millis(600);
+const BATCH_PAUSE: Duration = Duration::from_millis(600);
 
 /// The same for what is rare and urgent: each tenth of a second may cost another server.
-const GATHER_RARE: Duration = Duration::from_millis(50);
+const URGENT_BATCH_PAUSE: Duration = Duration::from_millis(50);
 
 /// How often graces of lapsed entries are looked at.
-const EXPIRE_EVERY: Duration = Duration::from_millis(100);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Follows one collection until the process ends.
-pub async fn follow<S: Store>(
+pub async fn sync_collection<S: Store>(
     context: Rc<Context>,
     store: Rc<S>,
-    pulse: Rc<Pulse>,
+    store_access: Rc<StoreAccess>,
     collection: Collection,
 ) {
-    let mut pauses = Pauses::default();
+    let mut backoff = Backoff::default();
     let mut forgotten = false;
-    let mut wait = WATCH_WAIT;
+    let mut wait = WATCH_TIMEOUT;
     loop {
-        pulse.open().await;
+        store_access.wait_until_open().await;
         let from = context.position(collection).filter(|_| !forgotten);
-        let mut asking = std::pin::pin!(next(&context, &*store, collection, from, wait));
-        let told = loop {
+        let mut request = std::pin::pin!(list_or_watch(&context, &*store, collection, from, wait));
+        let outcome = loop {
             tokio::select! {
                 biased;
-                told = &mut asking => break Some(told),
-                () = pulse.shut() => break None,
-                () = pulse.again() => {
-                    wait = SHORT_WAIT;
+                outcome = &mut request => break Some(outcome),
+                () = store_access.wait_until_closed() => break None,
+                () = store_access.wait_for_rewatch() => {
+                    wait = REWATCH_TIMEOUT;
                     // An answer that arrives would have to begin anew.
                     if !is_arriving(&*store, collection) {
                         break None;
@@ -81,36 +81,36 @@
                 }
             }
         };
-        let Some(told) = told else {
+        let Some(outcome) = outcome else {
             continue;
         };
-        match told {
+        match outcome {
             Ok(revision) => {
-                pauses.answered(&context);
+                backoff.answered(&context);
                 forgotten = false;
-                wait = WATCH_WAIT;
+                wait = WATCH_TIMEOUT;
                 context.set_position(collection, revision);
-                let standing = standing(&context, &pulse);
-                context.followers.tell(&Frame::Standing(standing));
+                let standing = sync_status(&context, &store_access);
+                context.followers.send(&Frame::Status(standing));
             }
             Err(StoreError::HistoryGone) => {
                 tracing::info!(event = "history_gone", collection = collection.label());
                 forgotten = true;
                 // A store that forgets faster than it is read must not be asked without a pause.
-                tokio::time::sleep(FIRST_PAUSE).await;
+                tokio::time::sleep(BACKOFF_STEP).await;
             }
-            Err(error) => tokio::time::sleep(pauses.failed(collection, &error)).await,
+            Err(error) => tokio::time::sleep(backoff.failed(collection, &error)).await,
         }
     }
 }
 
 /// Returns whether an answer about a collection is arriving.
 fn is_arriving<S: Store>(store: &S, collection: Collection) -> bool {
-    let heard = store.heard(collection);
-    heard.is_some_and(|at| clock::now().saturating_duration_since(at) < ARRIVING)
+    let heard = store.last_received_at(collection);
+    heard.is_some_and(|at| clock::now().saturating_duration_since(at) < RECENT_BYTES_AGE)
 }
 
-async fn next<S: Store>(
+async fn list_or_watch<S: Store>(
     context: &Context,
     store: &S,
     collection: Collection,
@@ -124,33 +124,35 @@
 }
 
 /// Returns whether a notice was withdrawn, and a store that came back from a copy has it again.
-fn brought_back(context: &Context, notice: &Notice) -> bool {
-    context.rewinds.brought_back(clock::now(), &notice.id())
+fn is_restored_withdrawal(context: &Context, notice: &Notice) -> bool {
+    context
+        .rewinds
+        .is_restored_withdrawal(clock::now(), &notice.id())
 }
 
 /// Ends the graces of lapsed entries as they run out.
-pub async fn expire(context: Rc<Context>) {
+pub async fn run_expiry(context: Rc<Context>) {
     loop {
-        tokio::time::sleep(EXPIRE_EVERY).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         let now = clock::now();
-        let changes = context.servers(|servers| servers.expire(now));
+        let changes = context.with_servers(|servers| servers.expire(now));
         changes
             .iter()
-            .for_each(|change| server_news::apply(&context, now, change));
+            .for_each(|change| server_updates::apply_change(&context, now, change));
         evacuation::expire(&context, now);
-        cold::expire(&context, now);
+        cold_servers::expire(&context, now);
     }
 }
 
 #[derive(Default)]
-struct Pauses {
+struct Backoff {
     failures: u32,
 }
 
-impl Pauses {
+impl Backoff {
     fn answered(&mut self, context: &Context) {
         if self.failures > 0 {
-            store_returned(context);
+            note_store_return(context);
         }
         self.failures = 0;
     }
@@ -160,8 +162,8 @@
             tracing::warn!(event = "store_call_failed", collection = collection.label(), %error);
         }
         self.failures += 1;
-        let pause = FIRST_PAUSE * self.failures.min(8);
-        pause.min(LONGEST_PAUSE).mul_f64(1.0 + fastrand::f64())
+        let pause = BACKOFF_STEP * self.failures.min(8);
+        pause.min(MAX_BACKOFF).mul_f64(1.0 + fastrand::f64())
     }
 }
 
@@ -184,25 +186,25 @@
         if era_of(revision) != era_of(first) {
             return Err(StoreError::HistoryGone);
         }
-        era(context, era_of(first));
+        note_era(context, era_of(first));
         for (name, record) in records {
             match record {
                 Record::BackendServer(server) => servers.push(server),
-                Record::Notice(notice) if brought_back(context, &notice) => {
+                Record::Notice(notice) if is_restored_withdrawal(context, &notice) => {
                     notices::withdraw(context, notice.id());
                 }
                 Record::Evacuation(zone) => zones.push(zone),
-                other => written(context, other),
+                other => apply_record(context, other),
             }
             names.push(name);
         }
         if next.is_none() {
             match collection {
                 Collection::BackendServers => {
-                    server_news::all_told(context, clock::now(), servers, &names);
+                    server_updates::apply_full_list(context, clock::now(), servers, &names);
                 }
-                Collection::Notices => notices::all_told(context, names.into_iter()),
-                Collection::Evacuations => evacuation::all_told(context, zones.into_iter()),
+                Collection::Notices => notices::apply_stored_ids(context, names.into_iter()),
+                Collection::Evacuations => evacuation::apply_full_list(context, zones.into_iter()),
                 Collection::Configuration | Collection::Zones => {}
             }
             return Ok(first);
@@ -225,38 +227,40 @@
     let mut servers = Vec::new();
     for change in changes {
         match change {
-            StoreChange::Written(Record::BackendServer(told)) => servers.push(told),
-            StoreChange::Written(record) => written(context, record),
-            StoreChange::Gone(name) if collection == Collection::BackendServers => {
+            StoreChange::Written(Record::BackendServer(server)) => servers.push(server),
+            StoreChange::Written(record) => apply_record(context, record),
+            StoreChange::Removed(name) if collection == Collection::BackendServers => {
                 // What came before this may be of the same server.
-                server_news::told(context, clock::now(), std::mem::take(&mut servers));
-                server_news::gone(context, clock::now(), &name);
+                server_updates::apply_servers(context, clock::now(), std::mem::take(&mut servers));
+                server_updates::apply_removal(context, clock::now(), &name);
             }
-            StoreChange::Gone(id) if collection == Collection::Notices => {
-                notices::withdrawn(context, vec![id]);
+            StoreChange::Removed(id) if collection == Collection::Notices => {
+                notices::apply_withdrawals(context, vec![id]);
             }
-            StoreChange::Gone(zone) if collection == Collection::Evacuations => {
-                evacuation::gone(context, &zone);
+            StoreChange::Removed(zone) if collection == Collection::Evacuations => {
+                evacuation::apply_end(context, &zone);
             }
-            StoreChange::Gone(_) => {}
+            StoreChange::Removed(_) => {}
         }
     }
-    server_news::told(context, clock::now(), servers);
+    server_updates::apply_servers(context, clock::now(), servers);
     context.set_position(collection, revision);
-    let gather = match collection {
-        Collection::Notices | Collection::Evacuations => GATHER_RARE,
-        Collection::Configuration | Collection::BackendServers | Collection::Zones => GATHER,
+    let pause = match collection {
+        Collection::Notices | Collection::Evacuations => URGENT_BATCH_PAUSE,
+        Collection::Configuration | Collection::BackendServers | Collection::Zones => BATCH_PAUSE,
     };
-    tokio::time::sleep(gather).await;
+    tokio::time::sleep(pause).await;
     Ok(revision)
 }
 
-fn written(context: &Context, record: Record) {
+fn apply_record(context: &Context, record: Record) {
     match record {
-        Record::Configuration(told) => configuration(context, *told),
-        Record::BackendServer(told) => server_news::told(context, clock::now(), vec![told]),
-        Record::Evacuation(zone) => evacuation::told(context, zone),
-        Record::Notice(notice) => notices::told(context, vec![notice]),
+        Record::Configuration(configuration) => adopt_configuration(context, *configuration),
+        Record::BackendServer(server) => {
+            server_updates::apply_servers(context, clock::now(), vec![server])
+        }
+        Record::Evacuation(zone) => evacuation::apply_begin(context, zone),
+        Record::Notice(notice) => notices::apply_notices(context, vec![notice]),
         Record::Zone(_) | Record::Other => {}
         Record::Unreadable(name, why) => {
             context.metrics.unreadable_entries.inc();
@@ -266,53 +270,53 @@
 }
 
 /// Takes a configuration in and passes it on.
-pub fn configuration(context: &Context, configuration: Configuration) {
+pub fn adopt_configuration(context: &Context, configuration: Configuration) {
     let (version, routes) = (configuration.version, configuration.route_count());
-    configuration_exists(context, version);
-    let behind_for = context.in_force.behind_for().unwrap_or_default();
-    if context.in_force.adopt(configuration) {
+    note_configuration_version(context, version);
+    let behind_for = context.active_configuration.stale_for().unwrap_or_default();
+    if context.active_configuration.adopt(configuration) {
         let behind_ms = behind_for.as_millis() as u64;
         tracing::info!(event = "configuration_adopted", version, routes, behind_ms);
-        context.followers.tell_configuration();
-        cold::configured(context);
+        context.followers.send_configuration();
+        cold_servers::apply_configuration(context);
     }
 }
 
 /// Takes in that a version of the configuration exists, and passes it on if it is news.
-pub fn configuration_exists(context: &Context, version: ConfigurationVersion) {
-    if context.in_force.exists(version) {
-        context.followers.tell_newer(version);
+pub fn note_configuration_version(context: &Context, version: ConfigurationVersion) {
+    if context.active_configuration.note_version(version) {
+        context.followers.send_newer_version(version);
     }
 }
 
 /// Takes in that the store answers again, and passes it on if it is news: a follower that has just joined
 /// may never have lost the store, and would keep a leaving server in use for the grace of a lapsed one.
-pub fn store_returned(context: &Context) {
-    let news = context.servers(|servers| servers.store_returned(clock::now()));
+pub fn note_store_return(context: &Context) {
+    let news = context.with_servers(|servers| servers.store_returned(clock::now()));
     if news {
         tracing::info!(event = "store_back");
-        context.followers.tell(&Frame::StoreReturned);
+        context.followers.send(&Frame::StoreReturned);
     }
 }
 
 /// How many heartbeats a backend server's entry outlasts.
-const LAPSES_AFTER: u32 = 3;
+const HEARTBEATS_UNTIL_LAPSE: u32 = 3;
 
 /// Takes in an era that the store has reached, and passes it on before all that is told of it.
-pub fn era(context: &Context, era: Era) {
+pub fn note_era(context: &Context, era: Era) {
     let now = clock::now();
-    if context.rewinds.heard(now, era) == Heard::Known {
+    if context.rewinds.observe_era(now, era) == EraUpdate::Known {
         return;
     }
     tracing::warn!(event = "store_rewound", era);
-    context.followers.tell_era(&Frame::Era(era));
-    let lapse_after = context.bounds.get().heartbeat * LAPSES_AFTER + GATHER;
-    context.servers(|servers| servers.store_rewound(now, lapse_after));
+    context.followers.send_era(&Frame::Era(era));
+    let lapse_after = context.bounds.get().heartbeat * HEARTBEATS_UNTIL_LAPSE + BATCH_PAUSE;
+    context.with_servers(|servers| servers.store_rewound(now, lapse_after));
     context.evacuations.borrow_mut().store_rewound(now);
 }
 
 /// Takes in records of zones, and passes them on if one is news.
-pub fn zones(context: &Context, records: Vec<ZoneRecord>) {
+pub fn apply_zone_records(context: &Context, records: Vec<ZoneRecord>) {
     let news = context.readers.borrow_mut().update(records);
     if news.is_empty() {
         return;
@@ -324,12 +328,12 @@
         } else {
             1
         };
-        context.vms.set((count / part).max(1));
+        context.vm_count.set((count / part).max(1));
     }
     *context.zone_peers.borrow_mut() = zone_peers(context, readers.record(&context.settings.zone));
     drop(readers);
-    limits::divide(context);
-    context.followers.tell(&Frame::Zones(news));
+    limits::redistribute(context);
+    context.followers.send(&Frame::Zones(news));
 }
 
 /// Returns the other VMs of the zone, if the record names them all.
--- a/crates/kingcuploft-entry/tests/links/notices.rs
+++ b/crates/kingcuploft-entry/tests/links/notices.rs
@@ -7,15 +7,15 @@
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft_entry::context::Context;
-use kingcuploft_entry::notice_writes::Write;
+use kingcuploft_entry::notice_writes::NoticeWrite;
 use kingcuploft_entry::notices;
-use kingcuploft_entry::pulse::Pulse;
-use kingcuploft_entry::sign_of_life;
+use kingcuploft_entry::store_access::StoreAccess;
+use kingcuploft_entry::store_liveness;
 
 use crate::fleet::{play, settings};
 use crate::network::address;
 use crate::store::TestStore;
-use kingcuploft_simulation::words::WORDS;
+use kingcuploft_simulation::header_names::HEADER_NAMES;
 
 /// Longer than any write is tried for.
 const OUTAGE: Duration = Duration::from_secs(120);
@@ -34,13 +34,13 @@
             address: address(0),
             cpu_milli: 200,
         };
-        let context = Rc::new(Context::new(settings(&vm, false), WORDS));
-        let pulse = Rc::new(Pulse::default());
-        let waiting = context.notice_writes.open();
+        let context = Rc::new(Context::new(settings(&vm, false), HEADER_NAMES));
+        let pulse = Rc::new(StoreAccess::default());
+        let waiting = context.notice_writes.open_queue();
         let client = Rc::new(store.clone());
-        let feeling = sign_of_life::watch_over(context.clone(), client.clone(), pulse.clone());
+        let feeling = store_liveness::monitor(context.clone(), client.clone(), pulse.clone());
         tokio::task::spawn_local(feeling);
-        let writing = notices::write(context.clone(), client, pulse, waiting);
+        let writing = notices::write_to_store(context.clone(), client, pulse, waiting);
         tokio::task::spawn_local(writing);
         store.1.set(true);
         tokio::time::sleep(Duration::from_secs(1)).await;
@@ -56,7 +56,7 @@
             .record_crash(now, 7, &report.of, 0);
         context
             .notice_writes
-            .send(Write::Tell(Notice::Crash(report)));
+            .send(NoticeWrite::Create(Notice::Crash(report)));
         tokio::time::sleep(OUTAGE).await;
         store.1.set(false);
         tokio::time::sleep(IN_TOUCH).await;
--- a/crates/kingcuploft-simulation/src/words.rs
+++ b/crates/kingcuploft-simulation/src/header_names.rs
@@ -1,10 +1,10 @@
 //! The names of headers that the world's callers, servers and VMs use.
 
 use kingcuploft::entry::placement::LoadReading;
-use kingcuploft_entry::settings::Vocabulary;
+use kingcuploft_entry::settings::WireNames;
 
 /// The names.
-pub const WORDS: Vocabulary = Vocabulary {
+pub const HEADER_NAMES: WireNames = WireNames {
     request_id: "x-id",
     deadline_ms: "x-deadline-ms",
     signature: "x-signed",
--- a/crates/kingcuploft-simulation/src/link.rs
+++ b/crates/kingcuploft-simulation/src/link.rs
@@ -20,7 +20,7 @@
 const SEGMENT_BYTES: usize = 4 * 1024;
 
 /// How often a link that is cut is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A VM's own link: what it sends leaves one segment after the other, and so does what arrives.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     /// Nothing leaves or arrives.
     pub is_cut: Cell<bool>,
     /// Its VM has lost power for good; one that comes back has another link.
-    pub is_dark: Cell<bool>,
+    pub is_powered_off: Cell<bool>,
 }
 
 impl Nic {
@@ -45,24 +45,24 @@
             receives_until: Cell::new(Instant::now()),
             sent_bytes: Cell::new(0),
             is_cut: Cell::new(false),
-            is_dark: Cell::new(false),
+            is_powered_off: Cell::new(false),
         }
     }
 
-    fn takes(&self, bytes: usize) -> Duration {
+    fn transmission_time(&self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.bytes_per_s)
     }
 
     fn send(&self, bytes: usize) -> Instant {
         self.sent_bytes.set(self.sent_bytes.get() + bytes);
-        let left = self.sends_until.get().max(Instant::now()) + self.takes(bytes);
+        let left = self.sends_until.get().max(Instant::now()) + self.transmission_time(bytes);
         self.sends_until.set(left);
         left
     }
 
     /// Returns when bytes that reach this VM's link at a moment have passed it.
     pub fn receive(&self, bytes: usize, at: Instant) -> Instant {
-        let arrived = self.receives_until.get().max(at) + self.takes(bytes);
+        let arrived = self.receives_until.get().max(at) + self.transmission_time(bytes);
         self.receives_until.set(arrived);
         arrived
     }
@@ -75,8 +75,8 @@
     delay: Duration,
     segments: RefCell<VecDeque<(Instant, Vec<u8>)>>,
     unread_bytes: Cell<usize>,
-    ended: Cell<bool>,
-    abandoned: Cell<bool>,
+    write_closed: Cell<bool>,
+    read_closed: Cell<bool>,
     reader: RefCell<Option<Waker>>,
     writer: RefCell<Option<Waker>>,
 }
@@ -89,15 +89,15 @@
             delay,
             segments: RefCell::default(),
             unread_bytes: Cell::new(0),
-            ended: Cell::new(false),
-            abandoned: Cell::new(false),
+            write_closed: Cell::new(false),
+            read_closed: Cell::new(false),
             reader: RefCell::default(),
             writer: RefCell::default(),
         })
     }
 
     fn is_cut(&self) -> bool {
-        let stops = |nic: &Nic| nic.is_cut.get() || nic.is_dark.get();
+        let stops = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
         stops(&self.from) || stops(&self.to)
     }
 
@@ -110,16 +110,16 @@
 
 /// One end of a link.
 #[derive(Debug)]
-pub struct End {
+pub struct LinkEnd {
     incoming: Rc<Pipe>,
     outgoing: Rc<Pipe>,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 /// Opens a link between two VMs.
-pub fn link(a: &Rc<Nic>, b: &Rc<Nic>, delay: Duration) -> (End, End) {
+pub fn connect(a: &Rc<Nic>, b: &Rc<Nic>, delay: Duration) -> (LinkEnd, LinkEnd) {
     let (there, back) = (Pipe::new(a, b, delay), Pipe::new(b, a, delay));
-    let end = |incoming: &Rc<Pipe>, outgoing: &Rc<Pipe>| End {
+    let end = |incoming: &Rc<Pipe>, outgoing: &Rc<Pipe>| LinkEnd {
         incoming: incoming.clone(),
         outgoing: outgoing.clone(),
         timer: None,
@@ -127,8 +127,8 @@
     (end(&back, &there), end(&there, &back))
 }
 
-impl End {
-    fn wait_until(&mut self, moment: Instant, context: &mut Context<'_>) {
+impl LinkEnd {
+    fn wake_at(&mut self, moment: Instant, context: &mut Context<'_>) {
         let mut timer = Box::pin(tokio::time::sleep_until(moment));
         if timer.as_mut().poll(context).is_ready() {
             context.waker().wake_by_ref();
@@ -137,7 +137,7 @@
     }
 }
 
-impl AsyncRead for End {
+impl AsyncRead for LinkEnd {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -146,18 +146,18 @@
         let pipe = self.incoming.clone();
         let now = Instant::now();
         if pipe.is_cut() {
-            self.wait_until(now + LOOK_AGAIN, context);
+            self.wake_at(now + CUT_POLL_INTERVAL, context);
             return Poll::Pending;
         }
         let mut segments = pipe.segments.borrow_mut();
         match segments.front_mut() {
-            None if pipe.ended.get() => Poll::Ready(Ok(())),
+            None if pipe.write_closed.get() => Poll::Ready(Ok(())),
             None => {
                 *pipe.reader.borrow_mut() = Some(context.waker().clone());
                 Poll::Pending
             }
             Some((arrives, _)) if *arrives > now => {
-                self.wait_until(*arrives, context);
+                self.wake_at(*arrives, context);
                 Poll::Pending
             }
             Some((_, bytes)) => {
@@ -175,14 +175,14 @@
     }
 }
 
-impl AsyncWrite for End {
+impl AsyncWrite for LinkEnd {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let pipe = &self.outgoing;
-        if pipe.abandoned.get() {
+        if pipe.read_closed.get() {
             return Poll::Ready(Err(Error::from(ErrorKind::BrokenPipe)));
         }
         let room = WINDOW_BYTES - pipe.unread_bytes.get();
@@ -205,17 +205,17 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        self.outgoing.ended.set(true);
+        self.outgoing.write_closed.set(true);
         Pipe::wake(&self.outgoing.reader);
         Poll::Ready(Ok(()))
     }
 }
 
-impl Link for End {
+impl Link for LinkEnd {
     fn try_read(&mut self, bytes: &mut [u8]) -> std::io::Result<usize> {
         let pipe = &self.incoming;
         let mut segments = pipe.segments.borrow_mut();
-        if segments.is_empty() && pipe.ended.get() {
+        if segments.is_empty() && pipe.write_closed.get() {
             return Ok(0);
         }
         let blocked = Err(Error::from(ErrorKind::WouldBlock));
@@ -236,14 +236,14 @@
     }
 }
 
-impl Drop for End {
+impl Drop for LinkEnd {
     fn drop(&mut self) {
         // Nobody hears of the end of what has no power.
-        if self.outgoing.from.is_dark.get() {
+        if self.outgoing.from.is_powered_off.get() {
             return;
         }
-        self.outgoing.ended.set(true);
-        self.incoming.abandoned.set(true);
+        self.outgoing.write_closed.set(true);
+        self.incoming.read_closed.set(true);
         Pipe::wake(&self.outgoing.reader);
         Pipe::wake(&self.incoming.writer);
     }
--- a/crates/kingcuploft-simulation/src/log.rs
+++ b/crates/kingcuploft-simulation/src/log.rs
@@ -7,33 +7,33 @@
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::FormatTime;
 
-use crate::seen::VmIndex;
+use crate::history::VmIndex;
 
 thread_local! {
     static VM: Cell<Option<VmIndex>> = const { Cell::new(None) };
-    static BEGUN: Cell<Option<Instant>> = const { Cell::new(None) };
+    static STARTED_AT: Cell<Option<Instant>> = const { Cell::new(None) };
     static LINES: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
 }
 
 /// Names the VM whose lines are written until this is dropped.
-pub struct Named(Option<VmIndex>);
+pub struct VmScope(Option<VmIndex>);
 
-impl Drop for Named {
+impl Drop for VmScope {
     fn drop(&mut self) {
         VM.set(self.0);
     }
 }
 
 /// Names the VM whose lines are written from now on.
-pub fn name(vm: VmIndex) -> Named {
-    Named(VM.replace(Some(vm)))
+pub fn enter_vm(vm: VmIndex) -> VmScope {
+    VmScope(VM.replace(Some(vm)))
 }
 
 struct VirtualTime;
 
 impl FormatTime for VirtualTime {
     fn format_time(&self, writer: &mut Writer<'_>) -> std::fmt::Result {
-        let passed = BEGUN.get().map(|begun| Instant::now() - begun);
+        let passed = STARTED_AT.get().map(|begun| Instant::now() - begun);
         write!(writer, "{:.4}", passed.unwrap_or_default().as_secs_f64())
     }
 }
@@ -66,7 +66,7 @@
 }
 
 /// Plays something and returns the lines that were written meanwhile on this thread.
-pub fn collected<T>(play: impl FnOnce() -> T) -> (T, Vec<u8>) {
+pub fn capture<T>(play: impl FnOnce() -> T) -> (T, Vec<u8>) {
     LINES.with_borrow_mut(Vec::clear);
     let subscriber = tracing_subscriber::fmt()
         .json()
@@ -82,6 +82,6 @@
 }
 
 /// Counts the time of lines from now on.
-pub fn begin() {
-    BEGUN.set(Some(Instant::now()));
+pub fn start_clock() {
+    STARTED_AT.set(Some(Instant::now()));
 }
--- a/crates/kingcuploft-simulation/src/plot.rs
+++ b/crates/kingcuploft-simulation/src/plot.rs
@@ -5,10 +5,10 @@
 use plotters::prelude::*;
 
 use crate::rules::Rule;
-use crate::search::Found;
+use crate::search::SearchResult;
 
 /// What is drawn of a bound that is far exceeded.
-const MOST: f64 = 2.0;
+const MAX_PLOTTED_USAGE: f64 = 2.0;
 
 /// Why a plot could not be drawn.
 #[derive(Debug, thiserror::Error)]
@@ -20,7 +20,7 @@
 /// # Errors
 ///
 /// Returns an error if the file can't be written.
-pub fn draw(found: &Found, file: &Path) -> Result<(), PlotError> {
+pub fn draw(found: &SearchResult, file: &Path) -> Result<(), PlotError> {
     let fault = |error: &dyn std::fmt::Display| PlotError(error.to_string());
     let area = SVGBackend::new(file, (960, 480)).into_drawing_area();
     area.fill(&WHITE).map_err(|e| fault(&e))?;
@@ -33,7 +33,7 @@
             "the nearest distance of each rule; broken above 1",
             ("sans-serif", 14),
         )
-        .build_cartesian_2d(0.0..days, 0.0..MOST)
+        .build_cartesian_2d(0.0..days, 0.0..MAX_PLOTTED_USAGE)
         .map_err(|e| fault(&e))?;
     let mut mesh = chart.configure_mesh();
     let mesh = mesh.x_desc("days played").y_desc("used of what is allowed");
@@ -50,12 +50,12 @@
     area.present().map_err(|e| fault(&e))
 }
 
-fn steps(found: &Found, rule: Rule) -> Vec<(f64, f64)> {
+fn steps(found: &SearchResult, rule: Rule) -> Vec<(f64, f64)> {
     let mut steps = vec![(0.0, 0.0)];
     let mut last = 0.0;
     let of_rule = found.course.iter().filter(|(_, other, _)| *other == rule);
     for (days, _, used) in of_rule {
-        let (days, used) = (*days as f64, used.min(MOST));
+        let (days, used) = (*days as f64, used.min(MAX_PLOTTED_USAGE));
         steps.extend([(days, last), (days, used)]);
         last = used;
     }
--- a/crates/kingcuploft-simulation/src/store_client.rs
+++ b/crates/kingcuploft-simulation/src/store_client.rs
@@ -6,20 +6,20 @@
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft_entry::store::{
-    Changes, Collection, Page, Recorded, Recording, Revision, Store, StoreError,
+    Changes, Collection, Page, Revision, Store, StoreError, WriteOutcome, ZoneWrite,
 };
 
 use crate::network::Host;
 use crate::store::TestStore;
 
 /// How long an answer takes.
-const DELAY: Duration = Duration::from_millis(4);
+const ROUND_TRIP: Duration = Duration::from_millis(4);
 
 /// How long an answer is waited for beyond what was asked for.
-const PATIENCE: Duration = Duration::from_secs(2);
+const EXTRA_WAIT: Duration = Duration::from_secs(2);
 
 /// How often a VM that is cut off tries again.
-const TRY_AGAIN: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The store, over a host's link.
 #[derive(Debug)]
@@ -40,20 +40,20 @@
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         let calling = async {
-            self.reached().await;
-            tokio::time::sleep(DELAY / 2).await;
+            self.wait_until_connected().await;
+            tokio::time::sleep(ROUND_TRIP / 2).await;
             let answer = call.await;
-            tokio::time::sleep(DELAY / 2).await;
-            self.reached().await;
+            tokio::time::sleep(ROUND_TRIP / 2).await;
+            self.wait_until_connected().await;
             answer
         };
-        let called = tokio::time::timeout(wait + PATIENCE, calling).await;
+        let called = tokio::time::timeout(wait + EXTRA_WAIT, calling).await;
         called.map_err(|_| StoreError::NoAnswer("timeout".into()))?
     }
 
-    async fn reached(&self) {
+    async fn wait_until_connected(&self) {
         while self.host.is_cut_off() {
-            tokio::time::sleep(TRY_AGAIN).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 }
@@ -69,29 +69,31 @@
         self.call(Duration::ZERO, call).await
     }
 
-    async fn sign_of_life(&self) -> Result<Revision, StoreError> {
-        self.call(Duration::ZERO, self.store.sign_of_life()).await
+    async fn probe_liveness(&self) -> Result<Revision, StoreError> {
+        self.call(Duration::ZERO, self.store.probe_liveness()).await
     }
 
-    fn heard(&self, _: Collection) -> Option<Instant> {
+    fn last_received_at(&self, _: Collection) -> Option<Instant> {
         None
     }
 
-    async fn record_zone(
+    async fn write_zone_record(
         &self,
         record: &ZoneRecord,
-        how: Recording,
-    ) -> Result<Recorded, StoreError> {
-        let call = self.store.record_zone(record, how);
+        how: ZoneWrite,
+    ) -> Result<WriteOutcome, StoreError> {
+        let call = self.store.write_zone_record(record, how);
         self.call(Duration::ZERO, call).await
     }
 
-    async fn tell(&self, notice: &Notice) -> Result<Recorded, StoreError> {
-        self.call(Duration::ZERO, self.store.tell(notice)).await
+    async fn create_notice(&self, notice: &Notice) -> Result<WriteOutcome, StoreError> {
+        self.call(Duration::ZERO, self.store.create_notice(notice))
+            .await
     }
 
-    async fn withdraw(&self, id: &str) -> Result<(), StoreError> {
-        self.call(Duration::ZERO, self.store.withdraw(id)).await
+    async fn delete_notice(&self, id: &str) -> Result<(), StoreError> {
+        self.call(Duration::ZERO, self.store.delete_notice(id))
+            .await
     }
 
     async fn watch(
--- a/crates/kingcuploft/src/dispatcher/mod.rs
+++ b/crates/kingcuploft/src/dispatcher/mod.rs
@@ -19,7 +19,7 @@
 
 use std::time::Instant;
 
-use crate::decisions::admission::{Offer, Waiting};
+use crate::decisions::admission::{AdmissionDecision, QueuedRequest};
 use crate::decisions::hedge::HedgeStep;
 use crate::decisions::retry::RetryReason;
 use crate::manifest::Accepted;
@@ -281,7 +281,7 @@
             let refusal = Refusal::not_run(RefusalReason::NoSuchService);
             return actions.push(Action::Refuse(id, refusal));
         };
-        let claims = request.claim == Claim::ProbeFanout;
+        let claims = request.claim == Claim::Asked;
         if claims && let Some(refusal) = state.check(now, &waiting) {
             self.explain(now, id, &request, refusal.into());
             return actions.push(Action::Refuse(id, refusal));
@@ -300,7 +300,7 @@
     /// or its deadline passed) is given back, as nothing was sent.
     fn claimed(&mut self, now: Instant, id: RequestId, end: ClaimEnd, actions: &mut Vec<Action>) {
         let asked = self.requests.get_mut(&id);
-        let Some(request) = asked.filter(|request| request.claim == Claim::ProbeFanout) else {
+        let Some(request) = asked.filter(|request| request.claim == Claim::Asked) else {
             if end == ClaimEnd::Held {
                 actions.push(Action::Release(id));
             }
@@ -323,17 +323,19 @@
     }
 
     /// Queues a request whose claim, if it needs one, is held.
-    fn enqueue(&mut self, now: Instant, waiting: Waiting, actions: &mut Vec<Action>) {
+    fn enqueue(&mut self, now: Instant, waiting: QueuedRequest, actions: &mut Vec<Action>) {
         let id = waiting.request;
         let service = self.requests[&id].service();
         let offer = match self.services.get_mut(service) {
             Some(state) => state.offer(now, waiting),
-            None => Offer::Refused(Refusal::not_run(RefusalReason::NoSuchService)),
+            None => AdmissionDecision::Refused(Refusal::not_run(RefusalReason::NoSuchService)),
         };
         match offer {
-            Offer::Queued => {}
-            Offer::QueuedInsteadOf(other, refusal) => self.refuse(other, refusal, actions),
-            Offer::Refused(refusal) => self.refuse(id, refusal, actions),
+            AdmissionDecision::Queued => {}
+            AdmissionDecision::QueuedReplacing(other, refusal) => {
+                self.refuse(other, refusal, actions)
+            }
+            AdmissionDecision::Refused(refusal) => self.refuse(id, refusal, actions),
         }
     }
 
--- a/crates/kingcuploft/src/dispatcher/request.rs
+++ b/crates/kingcuploft/src/dispatcher/request.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use super::Arrival;
-use crate::decisions::admission::Waiting;
+use crate::decisions::admission::QueuedRequest;
 use crate::decisions::retry::RetryReason;
 use crate::manifest::routing::Route;
 use crate::world::backend_server::CallEnd;
@@ -43,7 +43,7 @@
     /// None is needed.
     NotNeeded,
     /// It is asked for.
-    ProbeFanout,
+    Asked,
     /// It is held.
     Held,
 }
@@ -59,7 +59,7 @@
             live: Vec::new(),
             tried: Vec::new(),
             claim: if claims {
-                Claim::ProbeFanout
+                Claim::Asked
             } else {
                 Claim::NotNeeded
             },
@@ -81,9 +81,9 @@
     }
 
     /// Returns what the queue needs to know of the request.
-    pub(super) fn waiting(&self, id: RequestId) -> Waiting {
+    pub(super) fn waiting(&self, id: RequestId) -> QueuedRequest {
         let rule = self.route.rule();
-        Waiting {
+        QueuedRequest {
             request: id,
             rule: rule.name.clone(),
             priority: rule.priority,
--- a/crates/kingcuploft/src/entry/attempts.rs
+++ b/crates/kingcuploft/src/entry/attempts.rs
@@ -10,7 +10,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AttemptOutcome {
+pub enum AttemptEnd {
     /// A whole answer of the server, successful.
     Succeeded,
     /// A whole answer of the server that reports a failure; it ran.
@@ -27,7 +27,7 @@
     TimedOut,
 }
 
-impl AttemptOutcome {
+impl AttemptEnd {
     /// Returns whether the request may have run in this attempt.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::NotRun | Self::Unsent)
@@ -103,13 +103,13 @@
     }
 
     /// Takes the end of an attempt in and says what to do next.
-    pub fn record_outcome(&mut self, end: AttemptOutcome) -> NextAction {
+    pub fn record_outcome(&mut self, end: AttemptEnd) -> NextAction {
         if end.may_have_run() {
             self.ran += 1;
         }
         match end {
-            AttemptOutcome::Succeeded => NextAction::PassOn,
-            AttemptOutcome::Failed if !self.may_send(0) => NextAction::PassOn,
+            AttemptEnd::Succeeded => NextAction::PassOn,
+            AttemptEnd::Failed if !self.may_send(0) => NextAction::PassOn,
             _ if self.may_send(0) => NextAction::Retry,
             _ => NextAction::GiveUp,
         }
--- a/crates/kingcuploft/tests/fleet/fleet.rs
+++ b/crates/kingcuploft/tests/fleet/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use kingcuploft::entry::attempts::{AttemptOutcome, Attempts};
+use kingcuploft::entry::attempts::{AttemptEnd, Attempts};
 use kingcuploft::entry::failure_rate::FailureRate;
 use kingcuploft::entry::last_slot_slowdown::LastSlotSlowdown;
 use kingcuploft::entry::placement::{LoadReading, ProbeScope, Slot};
@@ -58,10 +58,10 @@
 }
 
 /// The ends of an attempt that a server causes, by their place.
-const ENDS: [AttemptOutcome; 3] = [
-    AttemptOutcome::Succeeded,
-    AttemptOutcome::Failed,
-    AttemptOutcome::NotRun,
+const ENDS: [AttemptEnd; 3] = [
+    AttemptEnd::Succeeded,
+    AttemptEnd::Failed,
+    AttemptEnd::NotRun,
 ];
 
 pub(crate) struct Request {
--- a/crates/kingcuploft/tests/fleet/vm.rs
+++ b/crates/kingcuploft/tests/fleet/vm.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcuploft::entry::attempts::{AttemptOutcome, NextAction};
+use kingcuploft::entry::attempts::{AttemptEnd, NextAction};
 use kingcuploft::entry::hedging::{HedgeCheck, hedge_delay, should_hedge};
 use kingcuploft::entry::placement::{Candidate, PlacementNeed, ProbeScope, Step, place};
 use kingcuploft::entry::probe_fanout::probe_fanout;
@@ -247,20 +247,20 @@
         }
     }
 
-    pub(crate) fn answers(&mut self, request: usize, server: usize, end: AttemptOutcome) {
+    pub(crate) fn answers(&mut self, request: usize, server: usize, end: AttemptEnd) {
         let (now, vm) = (self.instant(self.now), self.requests[request].vm);
         let reading = self.reading(server);
         let view = &mut self.vms[vm].views[server];
         view.sent.pop();
         view.reading = Some((self.now, reading));
-        view.failures.record(now, end != AttemptOutcome::Succeeded);
+        view.failures.record(now, end != AttemptEnd::Succeeded);
         if self.requests[request].over {
             return;
         }
         let of = &mut self.requests[request];
         of.in_flight -= 1;
         let verdict = of.attempts.record_outcome(end);
-        if end == AttemptOutcome::Succeeded {
+        if end == AttemptEnd::Succeeded {
             let (kind, (sent, seen)) = (of.kind, of.sent);
             let took = Duration::from_micros(self.now - sent);
             let of_vm = &mut self.vms[vm];
