--- a/crates/kingcuploft-entry/src/edge/limited_servers.rs
+++ b/crates/kingcuploft-entry/src/edge/limited_servers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::placement::MARGIN;
+use kingcuploft::entry::placement::WORK_MARGIN;
 use kingcuploft::entry::server_limit::Turn;
 
 use super::active_request::ActiveRequest;
@@ -59,7 +59,7 @@
                 Turn::TooLate(after) => {
                     let (now, server) = (clock::now(), &upstream.server.name);
                     let mut limits = self.context.limits.borrow_mut();
-                    limits.no_turn_before(now, server, after, patience);
+                    limits.defer_turns(now, server, after, patience);
                     earliest = earliest.min(after);
                 }
             }
@@ -73,6 +73,6 @@
     pub(super) fn remaining_wait(&self) -> Duration {
         let work_ms = self.context.work_ms(&self.route, &self.service);
         let left = self.target.saturating_duration_since(clock::now());
-        left.saturating_sub(Duration::from_secs_f64(work_ms * MARGIN / 1000.0))
+        left.saturating_sub(Duration::from_secs_f64(work_ms * WORK_MARGIN / 1000.0))
     }
 }
--- a/crates/kingcuploft-entry/src/edge/selection.rs
+++ b/crates/kingcuploft-entry/src/edge/selection.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::asked::asked;
-use kingcuploft::entry::placement::{Candidate, Need, Reach, Step, place};
+use kingcuploft::entry::placement::{Candidate, PlacementNeed, ProbeScope, Step, place};
+use kingcuploft::entry::probe_fanout::probe_fanout;
 
 use super::active_request::ActiveRequest;
 use super::caller_disconnect::CallerDisconnect;
@@ -40,7 +40,7 @@
     /// Selects the server for the next attempt.
     pub(super) async fn select_upstream(&mut self, disconnect: &CallerDisconnect) -> Selection {
         let mut search_began = clock::now();
-        let mut reach = Reach::Near;
+        let mut reach = ProbeScope::Near;
         let mut rounds = 0;
         let mut asked_for_turn = false;
         loop {
@@ -82,18 +82,18 @@
                     let turn = self.take_turn(disconnect, self.remaining_wait()).await;
                     return turn.map_or(Selection::Refuse(retry_after), Selection::Upstream);
                 }
-                Step::LookAgain(_) if has_limited && !asked_for_turn => {
+                Step::Recheck(_) if has_limited && !asked_for_turn => {
                     asked_for_turn = true;
                     if let Ok(upstream) = self.take_turn(disconnect, OPTIONAL_TURN_WAIT).await {
                         return Selection::Upstream(upstream);
                     }
                 }
-                Step::Ask(further) => reach = further,
-                Step::Await => {
+                Step::Probe(further) => reach = further,
+                Step::AwaitProbes => {
                     let notified = self.context.load_report_received.notified();
                     let _ = tokio::time::timeout(LOAD_REPORT_POLL_INTERVAL, notified).await;
                 }
-                Step::LookAgain(after) => {
+                Step::Recheck(after) => {
                     tokio::time::sleep(after).await;
                     search_began = clock::now();
                     rounds += 1;
@@ -116,7 +116,7 @@
 
     /// Returns the servers to select from. Of the own zone these are the first in this VM's order that answer probes,
     /// or of all servers if none does; of the other zones those that are cheapest to probe.
-    pub(super) fn candidate_upstreams(&self, now: Instant, reach: Reach) -> Vec<Rc<Upstream>> {
+    pub(super) fn candidate_upstreams(&self, now: Instant, reach: ProbeScope) -> Vec<Rc<Upstream>> {
         let mut all = self.context.upstreams(&self.service);
         let share = self.context.connection_share(&self.service);
         all.retain(|upstream| upstream.has_connection_available(share));
@@ -135,7 +135,7 @@
             all = without_suspect;
         }
         let (mut near, mut others): (Vec<_>, Vec<_>) = all.into_iter().partition(|u| u.near);
-        let asked = asked(near.len(), others.len(), reach);
+        let asked = probe_fanout(near.len(), others.len(), reach);
         let max_age = self.context.max_load_report_age();
         others.sort_by_cached_key(|u| u.probe_cost(now, max_age));
         near.truncate(asked.near);
@@ -154,21 +154,26 @@
         asked.for_each(|upstream| probe::start(self.context, upstream, health_path));
     }
 
-    pub(super) fn need(&self, now: Instant, search_began: Instant, reach: Reach) -> Need {
+    pub(super) fn need(
+        &self,
+        now: Instant,
+        search_began: Instant,
+        reach: ProbeScope,
+    ) -> PlacementNeed {
         let millis = |d: Duration| d.as_secs_f64() * 1000.0;
         let left = |until: Instant| match until >= now {
             true => millis(until - now),
             false => -millis(now - until),
         };
-        Need {
+        PlacementNeed {
             work_ms: self.context.work_ms(&self.route, &self.service),
             target_left_ms: left(self.target),
             deadline_left_ms: left(self.deadline),
-            looked_ms: millis(now - search_began),
-            reach,
-            last_slot: self.context.last_slot_factor(&self.service),
-            probes_left: self.context.probe_budget_left(),
-            returns: self.is_returning,
+            probe_wait_ms: millis(now - search_began),
+            scope: reach,
+            last_slot_slowdown: self.context.last_slot_factor(&self.service),
+            probe_budget_left: self.context.probe_budget_left(),
+            is_caller_retry: self.is_returning,
         }
     }
 }
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use kingcuploft::entry::attempts::AttemptEnd;
 use kingcuploft::entry::fingerprint::Fingerprint;
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::quarantine::{Admission, Quarantine};
-use kingcuploft::entry::verdict::AttemptEnd;
 use kingcuploft::planted::{self, Planted};
 
 use super::active_request::ActiveRequest;
@@ -43,7 +43,9 @@
         match admission {
             // A run that hangs must not delay the others beyond the target latency.
             Admission::Wait if clock::now() < self.target => QuarantineDecision::Wait,
-            Admission::Free | Admission::Alone | Admission::Wait => QuarantineDecision::Send,
+            Admission::Unrestricted | Admission::Exclusive | Admission::Wait => {
+                QuarantineDecision::Send
+            }
             Admission::Refuse(after) => QuarantineDecision::Refuse(after),
             Admission::Trial(report) => {
                 match self
@@ -56,7 +58,7 @@
                         self.is_trial = true;
                         QuarantineDecision::Send
                     }
-                    false => QuarantineDecision::Refuse(Quarantine::tried_elsewhere()),
+                    false => QuarantineDecision::Refuse(Quarantine::trial_retry_delay()),
                 }
             }
         }
@@ -85,7 +87,7 @@
     fn clear_suspicion(&self) {
         let fingerprint = self.request.fingerprint();
         let ids = notices::log_quarantine_change(self.context, fingerprint, || {
-            self.context.quarantine.borrow_mut().answered(fingerprint)
+            self.context.quarantine.borrow_mut().clear(fingerprint)
         });
         tracing::info!(
             event = "suspect_cleared",
@@ -105,7 +107,7 @@
         let report = (found == CrashCheck::Ended).then(|| {
             notices::log_quarantine_change(self.context, fingerprint, || {
                 let mut quarantine = self.context.quarantine.borrow_mut();
-                quarantine.server_ended(clock::now(), fingerprint, server, known)
+                quarantine.record_crash(clock::now(), fingerprint, server, known)
             })
         });
         tracing::info!(
@@ -137,7 +139,7 @@
     pub(super) fn begin(active: &ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
         let suspect = active.is_suspect();
         let fingerprint = suspect.then(|| active.request.fingerprint());
-        let begins = |fp| active.context.quarantine.borrow_mut().begins(fp);
+        let begins = |fp| active.context.quarantine.borrow_mut().record_start(fp);
         Self {
             context: active.context,
             known_ends: fingerprint.map_or(0, begins),
@@ -150,7 +152,7 @@
 impl Drop for SuspectRun<'_> {
     fn drop(&mut self) {
         if let Some(fingerprint) = self.fingerprint {
-            self.context.quarantine.borrow_mut().ends(fingerprint);
+            self.context.quarantine.borrow_mut().record_end(fingerprint);
         }
     }
 }
--- a/crates/kingcuploft-entry/src/peers/feed.rs
+++ b/crates/kingcuploft-entry/src/peers/feed.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::arriving::Arrived;
+use kingcuploft::entry::change_assembly::AssemblyProgress;
 use kingcuploft::entry::configuration::ConfigurationVersion;
 use kingcuploft::entry::server_table::ServerTable;
 use kingcuploft::planted::{self, Planted};
@@ -42,7 +42,7 @@
     protocol_version: ProtocolVersion,
     /// The version of the configuration that the follower has.
     version: Option<ConfigurationVersion>,
-    arrived: Option<Arrived>,
+    arrived: Option<AssemblyProgress>,
 }
 
 impl<'a, W: AsyncWrite + Unpin> Feed<'a, W> {
@@ -244,6 +244,6 @@
 
 /// Encodes the entries of all backend servers.
 fn all_servers_line(context: &Context) -> Vec<u8> {
-    let table = context.with_servers(|servers| ServerTable::of(servers.present()));
+    let table = context.with_servers(|servers| ServerTable::from_servers(servers.present()));
     Frame::AllServers(table).to_line()
 }
--- a/crates/kingcuploft-entry/src/peers/followers.rs
+++ b/crates/kingcuploft-entry/src/peers/followers.rs
@@ -5,7 +5,7 @@
 
 use kingcuploft::entry::configuration::ConfigurationVersion;
 use kingcuploft::entry::configuration_change::ConfigurationChange;
-use kingcuploft::entry::feeding::{self, Admission, Fed};
+use kingcuploft::entry::dissemination::{self, Admission, FollowerLoad};
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::utils::HashMap;
 use kingcuploft::world::ids::{AvailabilityZone, VmName};
@@ -81,7 +81,7 @@
 #[derive(Debug)]
 struct Follower {
     id: FollowerId,
-    fed: Fed,
+    fed: FollowerLoad,
     queue: mpsc::Sender<Outgoing>,
     queued_bytes: Rc<Cell<usize>>,
 }
@@ -164,7 +164,7 @@
     /// Sends the latest configuration to all followers, first to those through which most others are fed.
     pub fn send_configuration(&self) {
         let mut all = self.all.borrow_mut();
-        all.sort_by_key(|follower| std::cmp::Reverse(follower.fed.below));
+        all.sort_by_key(|follower| std::cmp::Reverse(follower.fed.descendants));
         drop(all);
         self.enqueue_all(&Outgoing::Configuration);
     }
@@ -261,7 +261,7 @@
 
     /// Returns how many VMs of a zone are fed through this one, at first or second hand.
     pub fn descendants(&self, zone: &AvailabilityZone) -> u32 {
-        feeding::below(zone, &self.fed())
+        dissemination::descendants(zone, &self.fed())
     }
 
     /// Returns the followers that are VMs of a zone.
@@ -295,10 +295,10 @@
         self.all
             .borrow_mut()
             .retain(|follower| follower.fed.vm.name != vm.name);
-        match feeding::admit(&vm, zone, path, &self.fed()) {
-            Admission::Feed => self.add(vm, below),
-            Admission::Elsewhere(at) => self.redirect(at),
-            Admission::TurnAway => Admitted::Rejected,
+        match dissemination::admit(&vm, zone, path, &self.fed()) {
+            Admission::Accept => self.add(vm, below),
+            Admission::Redirect(at) => self.redirect(at),
+            Admission::Reject => Admitted::Rejected,
         }
     }
 
@@ -308,10 +308,10 @@
         let id = self.next_id.replace(self.next_id.get() + 1);
         let follower = Follower {
             id,
-            fed: Fed {
+            fed: FollowerLoad {
                 vm,
-                below,
-                sent_there: 0,
+                descendants: below,
+                redirected: 0,
             },
             queue: sender,
             queued_bytes: queued_bytes.clone(),
@@ -330,7 +330,7 @@
         let Some(follower) = all.get_mut(at) else {
             return Admitted::Rejected;
         };
-        follower.fed.sent_there += 1;
+        follower.fed.redirected += 1;
         Admitted::Redirected(follower.fed.vm.clone())
     }
 
@@ -338,8 +338,8 @@
     pub fn set_descendants(&self, id: FollowerId, below: u32) {
         let mut all = self.all.borrow_mut();
         if let Some(follower) = all.iter_mut().find(|follower| follower.id == id) {
-            follower.fed.below = below;
-            follower.fed.sent_there = 0;
+            follower.fed.descendants = below;
+            follower.fed.redirected = 0;
         }
         drop(all);
         self.changed.notify_waiters();
@@ -351,7 +351,7 @@
         self.changed.notify_waiters();
     }
 
-    fn fed(&self) -> Vec<Fed> {
+    fn fed(&self) -> Vec<FollowerLoad> {
         let all = self.all.borrow();
         all.iter().map(|follower| follower.fed.clone()).collect()
     }
--- a/crates/kingcuploft-entry/src/peers/frame.rs
+++ b/crates/kingcuploft-entry/src/peers/frame.rs
@@ -1,8 +1,8 @@
 //! The protocol of the links between VMs: frames, each a JSON object on a line of its own. Names that are sent are wire
 //! text; where the code uses another name, a serde attribute keeps the one on the wire.
 
-use kingcuploft::entry::arriving::Arrived;
 use kingcuploft::entry::backend_servers::BackendServer;
+use kingcuploft::entry::change_assembly::AssemblyProgress;
 use kingcuploft::entry::configuration::{Configuration, ConfigurationVersion};
 use kingcuploft::entry::configuration_change::ChangePart;
 use kingcuploft::entry::era::{Era, era_of};
@@ -98,7 +98,7 @@
     pub version: Option<ConfigurationVersion>,
     /// Which parts of the next configuration have arrived.
     #[serde(default)]
-    pub arrived: Option<Arrived>,
+    pub arrived: Option<AssemblyProgress>,
     /// A digest of the backend servers that it knows.
     #[serde(default)]
     pub servers_digest: Option<u64>,
--- a/crates/kingcuploft/src/entry/feeding.rs
+++ b/crates/kingcuploft/src/entry/dissemination.rs
@@ -12,57 +12,62 @@
 use crate::world::ids::{AvailabilityZone, VmName};
 
 /// The most VMs that one feeds: a tree of two steps reaches 156, of three 1,884.
-pub const MOST_FED: usize = 12;
+pub const MAX_FOLLOWERS: usize = 12;
 
 /// The most VMs through which news may come.
-pub const MOST_STEPS: usize = 6;
+pub const MAX_DEPTH: usize = 6;
 
 /// A VM that is fed.
 #[derive(Clone, Debug)]
-pub struct Fed {
+pub struct FollowerLoad {
     /// The VM.
     pub vm: VmEntry,
     /// How many VMs are fed through it, as it says.
-    pub below: u32,
+    pub descendants: u32,
     /// How many were sent to it since it said so.
-    pub sent_there: u32,
+    pub redirected: u32,
 }
 
 /// What to do with a VM that wants to be fed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
     /// Feed it.
-    Feed,
+    Accept,
     /// Name it another VM, at this place among those that are fed.
-    Elsewhere(usize),
+    Redirect(usize),
     /// Turn it away: this VM hears through it, or too many are between this VM and the store.
-    TurnAway,
+    Reject,
 }
 
 /// Decides about a VM that wants to be fed, by those that are, and by the VMs through which this one hears. One of
 /// another zone is fed for its whole zone, and not sent to a smaller VM of this one.
-pub fn admit(comes: &VmEntry, zone: &AvailabilityZone, path: &[VmName], fed: &[Fed]) -> Admission {
-    if path.contains(&comes.name) || path.len() >= MOST_STEPS {
-        return Admission::TurnAway;
+pub fn admit(
+    comes: &VmEntry,
+    zone: &AvailabilityZone,
+    path: &[VmName],
+    fed: &[FollowerLoad],
+) -> Admission {
+    if path.contains(&comes.name) || path.len() >= MAX_DEPTH {
+        return Admission::Reject;
     }
-    let of_zone = |fed: &Fed| fed.vm.zone == *zone;
-    let room = fed.iter().filter(|fed| of_zone(fed)).count() < MOST_FED;
+    let of_zone = |fed: &FollowerLoad| fed.vm.zone == *zone;
+    let room = fed.iter().filter(|fed| of_zone(fed)).count() < MAX_FOLLOWERS;
     if room || comes.zone != *zone {
-        return Admission::Feed;
+        return Admission::Accept;
     }
     let others = fed.iter().enumerate();
     let others = others.filter(|(_, fed)| of_zone(fed) && fed.vm.name != comes.name);
-    let least = others.min_by_key(|(_, fed)| fed.below + fed.sent_there);
-    least.map_or(Admission::Feed, |(at, _)| Admission::Elsewhere(at))
+    let least = others.min_by_key(|(_, fed)| fed.descendants + fed.redirected);
+    least.map_or(Admission::Accept, |(at, _)| Admission::Redirect(at))
 }
 
 /// Returns how many VMs of its zone are fed by this one, at first or second hand.
-pub fn below(zone: &AvailabilityZone, fed: &[Fed]) -> u32 {
+pub fn descendants(zone: &AvailabilityZone, fed: &[FollowerLoad]) -> u32 {
     let of_zone = fed.iter().filter(|fed| fed.vm.zone == *zone);
-    of_zone.map(|fed| fed.below + 1).sum()
+    of_zone.map(|fed| fed.descendants + 1).sum()
 }
 
 /// Returns whether a VM that hears through these hears through itself.
-pub fn is_circle(own: &VmName, path: &[VmName]) -> bool {
+pub fn has_cycle(own: &VmName, path: &[VmName]) -> bool {
     path.contains(own)
 }
--- a/crates/kingcuploft/src/entry/repeats.rs
+++ b/crates/kingcuploft/src/entry/repeat_budget.rs
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::repeat_account::{Account, Kept, ServiceAccount, Used};
+use super::repeat_account::{Account, AccountSnapshot, ServiceAccount, UsageReport};
 use crate::utils::HashMap;
 use crate::world::ids::ServiceName;
 
@@ -40,23 +40,23 @@
 
 impl RepeatBounds {
     /// Returns for how long a repeat counts: the servers may see it later than the VM.
-    pub fn repeat_counts_for(&self) -> Duration {
+    pub fn repeat_lifetime(&self) -> Duration {
         self.window + self.window / 10
     }
 }
 
 /// What a VM has used of its part of the budget, and how much that part is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct BudgetStatus {
     /// Repeats of the window.
     pub used: usize,
     /// Repeats allowed in the window.
     pub allowed: f64,
 }
 
-impl Standing {
+impl BudgetStatus {
     /// Returns whether one more repeat is allowed.
-    pub fn has_room(&self) -> bool {
+    pub fn allows_repeat(&self) -> bool {
         self.used as f64 + 1.0 <= self.allowed
     }
 }
@@ -67,20 +67,20 @@
     requests: VecDeque<Instant>,
     repeats: VecDeque<Instant>,
     /// What this VM did before it restarted.
-    before: Option<Kept>,
+    before: Option<AccountSnapshot>,
 }
 
 impl Counted {
     fn forget(&mut self, now: Instant, bounds: &RepeatBounds) {
         forget(&mut self.requests, now, bounds.window);
-        forget(&mut self.repeats, now, bounds.repeat_counts_for());
+        forget(&mut self.repeats, now, bounds.repeat_lifetime());
     }
 
-    fn standing(&mut self, now: Instant, bounds: &RepeatBounds, share: f64) -> Standing {
+    fn standing(&mut self, now: Instant, bounds: &RepeatBounds, share: f64) -> BudgetStatus {
         self.forget(now, bounds);
         let before = self.before.as_ref();
         let requests = self.requests.len() + before.map_or(0, |kept| kept.requests(now, bounds));
-        Standing {
+        BudgetStatus {
             used: self.repeats.len() + before.map_or(0, |kept| kept.repeats(now, bounds)),
             allowed: GUARD * (bounds.ratio * requests as f64 + share),
         }
@@ -105,7 +105,7 @@
 
 /// The repeats of one VM.
 #[derive(Debug)]
-pub struct Repeats {
+pub struct RepeatBudget {
     services: HashMap<ServiceName, Counted>,
     /// What is not known of the time before the start; none on a VM that has not run before.
     past: Option<Past>,
@@ -132,9 +132,9 @@
     }
 }
 
-impl Repeats {
+impl RepeatBudget {
     /// Begins on a VM that starts together with all others, for the first time.
-    pub fn first() -> Self {
+    pub fn for_first_start() -> Self {
         Self {
             services: HashMap::default(),
             past: None,
@@ -142,30 +142,30 @@
     }
 
     /// Begins on a VM that may have run before.
-    pub fn again(now: Instant, bounds: &RepeatBounds) -> Self {
+    pub fn after_restart(now: Instant, bounds: &RepeatBounds) -> Self {
         Self {
             past: Some(Past {
                 begun: now,
-                unknown_until: now + bounds.repeat_counts_for(),
+                unknown_until: now + bounds.repeat_lifetime(),
                 heard: None,
             }),
-            ..Self::first()
+            ..Self::for_first_start()
         }
     }
 
     /// Counts a request.
-    pub fn arrived(&mut self, now: Instant, service: &ServiceName) {
+    pub fn record_request(&mut self, now: Instant, service: &ServiceName) {
         self.counted(service).requests.push_back(now);
     }
 
     /// Returns what is used at a service of the part of one of so many VMs.
-    pub fn standing(
+    pub fn status(
         &mut self,
         now: Instant,
         service: &ServiceName,
         bounds: &RepeatBounds,
         vms: usize,
-    ) -> Standing {
+    ) -> BudgetStatus {
         let share = match self.unknown_for(now).is_zero() {
             true => bounds.allowance / vms.max(1) as f64,
             false => 0.0,
@@ -174,15 +174,15 @@
     }
 
     /// Counts a repeat, if one more is allowed; returns what was used before it.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         now: Instant,
         service: &ServiceName,
         bounds: &RepeatBounds,
         vms: usize,
-    ) -> Standing {
-        let standing = self.standing(now, service, bounds, vms);
-        if standing.has_room() {
+    ) -> BudgetStatus {
+        let standing = self.status(now, service, bounds, vms);
+        if standing.allows_repeat() {
             self.counted(service).repeats.push_back(now);
         }
         standing
@@ -195,7 +195,7 @@
     }
 
     /// Returns what others may keep for this VM: its accounts with services that it repeated requests to.
-    pub fn used(&mut self, now: Instant, bounds: &RepeatBounds) -> Used {
+    pub fn report(&mut self, now: Instant, bounds: &RepeatBounds) -> UsageReport {
         let unknown_ms = self.unknown_for(now).as_millis() as u64;
         let accounts = self.services.iter_mut();
         let accounts = accounts.map(|(service, counted)| ServiceAccount {
@@ -203,7 +203,7 @@
             age_ms: 0,
             account: counted.account(now, bounds),
         });
-        Used {
+        UsageReport {
             unknown_ms,
             heard_ms: 0,
             accounts: accounts.filter(|of| of.account.has_repeats()).collect(),
@@ -211,7 +211,7 @@
     }
 
     /// Goes on with what another VM has kept; returns whether that is news.
-    pub fn recover(&mut self, now: Instant, used: &Used) -> bool {
+    pub fn recover(&mut self, now: Instant, used: &UsageReport) -> bool {
         let ago = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
         let heard = ago(used.heard_ms);
         let Some(past) = self.past.as_mut().filter(|past| past.counts(heard)) else {
@@ -233,7 +233,7 @@
                 .as_ref()
                 .is_none_or(|kept| kept.as_of < as_of);
             if is_newer && as_of <= begun {
-                counted.before = Some(Kept {
+                counted.before = Some(AccountSnapshot {
                     account: told.account.clone(),
                     as_of,
                 });
--- a/crates/kingcuploft/src/entry/server_limits.rs
+++ b/crates/kingcuploft/src/entry/server_limits.rs
@@ -9,7 +9,7 @@
 use super::limit_notice;
 pub use super::limit_notice::LimitNotice;
 use super::notice_id::NoticeId;
-use super::server_limit::{ASK_AGAIN, Part, PerSecond, ServerLimit, Turn};
+use super::server_limit::{LimitShare, PerSecond, ServerLimit, TURN_RETRY_DELAY, Turn};
 use crate::utils::{HashMap, HashSet};
 use crate::world::ids::BackendServerName;
 
@@ -18,7 +18,7 @@
 
 /// What an answer of a server says that is news.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum LimitChange {
     /// It names a limit for the first time.
     Named(LimitNotice),
     /// It names another than before.
@@ -75,16 +75,16 @@
     }
 
     /// Goes by what limits the server now.
-    fn renew(&mut self, now: Instant, part: impl FnOnce(PerSecond) -> Part) {
+    fn renew(&mut self, now: Instant, part: impl FnOnce(PerSecond) -> LimitShare) {
         if let Some(per_s) = self.per_s() {
-            self.limit.renew(now, per_s, part(per_s));
+            self.limit.update(now, per_s, part(per_s));
         }
     }
 }
 
 /// Whether a server turned cold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turned {
+pub enum ColdChange {
     /// It was not known to be cold.
     Cold,
     /// It was, and is for longer or shorter.
@@ -101,7 +101,7 @@
 
 impl ServerLimits {
     /// Returns those of a VM that has just begun, and may have run before: it has saved nothing.
-    pub fn begun_at(now: Instant) -> Self {
+    pub fn started_at(now: Instant) -> Self {
         Self {
             begun: Some(now),
             ..Self::default()
@@ -136,14 +136,14 @@
     }
 
     /// Takes in what a server's answer names; `part` says which part of a limit this VM uses.
-    pub fn heard(
+    pub fn record_named(
         &mut self,
         now: Instant,
         server: &BackendServerName,
         named: Option<PerSecond>,
-        part: impl FnOnce(PerSecond) -> Part,
+        part: impl FnOnce(PerSecond) -> LimitShare,
         chance: f64,
-    ) -> Option<News> {
+    ) -> Option<LimitChange> {
         let Some(per_s) = named else {
             return self.names_none(now, server, part);
         };
@@ -159,11 +159,11 @@
             since: before.map_or(now, |named| named.since),
             is_stored: before.is_some_and(|named| named.is_stored),
         });
-        known.limit.renew(now, takes, part);
+        known.limit.update(now, takes, part);
         let server = server.clone();
         match before.map(|named| named.per_s) {
-            None => Some(News::Named(LimitNotice { server, per_s })),
-            Some(before) if before != per_s => Some(News::Changed { before }),
+            None => Some(LimitChange::Named(LimitNotice { server, per_s })),
+            Some(before) if before != per_s => Some(LimitChange::Changed { before }),
             Some(_) => None,
         }
     }
@@ -172,8 +172,8 @@
         &mut self,
         now: Instant,
         server: &BackendServerName,
-        part: impl FnOnce(PerSecond) -> Part,
-    ) -> Option<News> {
+        part: impl FnOnce(PerSecond) -> LimitShare,
+    ) -> Option<LimitChange> {
         let known = self.known.get_mut(server)?;
         let named = known.named?;
         if now.saturating_duration_since(named.since) < HOLDS_AT_LEAST {
@@ -181,11 +181,11 @@
         }
         known.named = None;
         self.settle(now, server, part);
-        Some(News::Ended(limit_notice::id(server)))
+        Some(LimitChange::Ended(limit_notice::id(server)))
     }
 
     /// Goes by what still limits a server, or forgets it.
-    fn settle(&mut self, now: Instant, server: &str, part: impl FnOnce(PerSecond) -> Part) {
+    fn settle(&mut self, now: Instant, server: &str, part: impl FnOnce(PerSecond) -> LimitShare) {
         let Some(known) = self.known.get_mut(server) else {
             return;
         };
@@ -200,15 +200,15 @@
     /// Takes in that a server is cold for so long, and bears so much meanwhile.
     ///
     /// Its slots are free at first, so the VMs that keep the limit have saved a request each.
-    pub fn turned_cold(
+    pub fn record_cold(
         &mut self,
         now: Instant,
         server: &BackendServerName,
         per_s: PerSecond,
         lasts: Duration,
-        part: impl FnOnce(PerSecond) -> Part,
+        part: impl FnOnce(PerSecond) -> LimitShare,
         chance: f64,
-    ) -> Turned {
+    ) -> ColdChange {
         let named = self.known.get(server).and_then(|known| known.named);
         let takes = named.map_or(per_s, |named| named.per_s.min(per_s));
         let part = part(takes);
@@ -216,27 +216,27 @@
         let known = self.known.entry(server.clone());
         let known = known.or_insert_with(|| {
             let limit = ServerLimit::new(now, takes, part, chance);
-            Known::new(now, limit.with_saved(up_for))
+            Known::new(now, limit.with_saved_tokens(up_for))
         });
         let before = known.cold.replace(Cold {
             per_s,
             noted: now,
             until: now + lasts,
         });
-        known.limit.renew(now, takes, part);
+        known.limit.update(now, takes, part);
         match before {
-            None => Turned::Cold,
-            Some(_) => Turned::StillCold,
+            None => ColdChange::Cold,
+            Some(_) => ColdChange::StillCold,
         }
     }
 
     /// Takes in that a server, asked at this moment, said that it is not cold; returns whether it was known to be.
-    pub fn is_warm(
+    pub fn record_warm(
         &mut self,
         now: Instant,
         server: &str,
         asked_at: Instant,
-        part: impl FnOnce(PerSecond) -> Part,
+        part: impl FnOnce(PerSecond) -> LimitShare,
     ) -> bool {
         let Some(known) = self.known.get_mut(server) else {
             return false;
@@ -251,10 +251,10 @@
     }
 
     /// Ends the limits of servers that are cold no longer; returns these.
-    pub fn end_cold(
+    pub fn expire_cold(
         &mut self,
         now: Instant,
-        part: impl Fn(&BackendServerName, PerSecond) -> Part,
+        part: impl Fn(&BackendServerName, PerSecond) -> LimitShare,
     ) -> Vec<BackendServerName> {
         let is_over = |known: &&mut Known| known.cold.is_some_and(|cold| cold.until <= now);
         let mut over = Vec::new();
@@ -271,7 +271,13 @@
     }
 
     /// Takes in a notice that the store has; returns whether it is news. What the server itself has named holds.
-    pub fn told(&mut self, now: Instant, notice: &LimitNotice, part: Part, chance: f64) -> bool {
+    pub fn add_notice(
+        &mut self,
+        now: Instant,
+        notice: &LimitNotice,
+        part: LimitShare,
+        chance: f64,
+    ) -> bool {
         let known = self.known.entry(notice.server.clone());
         let known = known
             .or_insert_with(|| Known::new(now, ServerLimit::new(now, notice.per_s, part, chance)));
@@ -288,7 +294,7 @@
     }
 
     /// Takes in that the store no longer has a notice; returns whether it was known.
-    pub fn withdrawn(&mut self, id: &str) -> bool {
+    pub fn remove_notice(&mut self, id: &str) -> bool {
         let Some(server) = LimitNotice::parse_id(id) else {
             return false;
         };
@@ -304,17 +310,17 @@
     }
 
     /// Takes in all notices that the store has; returns those that it has no longer.
-    pub fn all_told(&mut self, ids: &HashSet<NoticeId>) -> Vec<NoticeId> {
-        let stored = self.stored().map(|notice| notice.id());
+    pub fn remove_missing(&mut self, ids: &HashSet<NoticeId>) -> Vec<NoticeId> {
+        let stored = self.stored_notices().map(|notice| notice.id());
         let gone: Vec<NoticeId> = stored.filter(|id| !ids.contains(id)).collect();
         for id in &gone {
-            self.withdrawn(id);
+            self.remove_notice(id);
         }
         gone
     }
 
     /// Returns the notices that the store has.
-    pub fn stored(&self) -> impl Iterator<Item = LimitNotice> {
+    pub fn stored_notices(&self) -> impl Iterator<Item = LimitNotice> {
         self.known.iter().filter_map(|(server, known)| {
             let named = known.named.filter(|named| named.is_stored)?;
             Some(LimitNotice {
@@ -325,8 +331,10 @@
     }
 
     /// Forgets servers that are not in use; returns the notices that the store has of them.
-    pub fn forget_gone(&mut self, is_in_use: impl Fn(&str) -> bool) -> Vec<NoticeId> {
-        let stored = self.stored().filter(|notice| !is_in_use(&notice.server));
+    pub fn retain_in_use(&mut self, is_in_use: impl Fn(&str) -> bool) -> Vec<NoticeId> {
+        let stored = self
+            .stored_notices()
+            .filter(|notice| !is_in_use(&notice.server));
         let gone = stored.map(|notice| notice.id()).collect();
         self.known.retain(|server, _| is_in_use(server));
         gone
@@ -341,7 +349,7 @@
     /// Gives a turn at a server to a request that waits so long at most.
     pub fn give_turn(&mut self, now: Instant, server: &str, patience: Duration) -> Turn {
         let known = self.known.get_mut(server);
-        known.map_or(Turn::TooLate(ASK_AGAIN), |known| {
+        known.map_or(Turn::TooLate(TURN_RETRY_DELAY), |known| {
             known.limit.give_turn(now, patience)
         })
     }
@@ -353,35 +361,33 @@
     }
 
     /// Takes in that the next turn at a server is after this time, which was too late for a request that waits so long.
-    pub fn no_turn_before(
-        &mut self,
-        now: Instant,
-        server: &str,
-        after: Duration,
-        patience: Duration,
-    ) {
+    pub fn defer_turns(&mut self, now: Instant, server: &str, after: Duration, patience: Duration) {
         let Some(known) = self.known.get_mut(server) else {
             return;
         };
         // A keeper that has not been told of the limit, or does not answer, gives no turn at all.
         known.turn_at = match after > patience {
             true => now + after,
-            false => now + patience + ASK_AGAIN,
+            false => now + patience + TURN_RETRY_DELAY,
         };
     }
 
     /// Takes note that a request is sent to a server.
-    pub fn sent(&mut self, now: Instant, server: &str, chance: f64) {
+    pub fn record_sent(&mut self, now: Instant, server: &str, chance: f64) {
         if let Some(known) = self.known.get_mut(server) {
-            known.limit.sent(now, chance);
+            known.limit.record_sent(now, chance);
         }
     }
 
     /// Takes in that it may have changed which part of the limits this VM uses.
-    pub fn divide(&mut self, now: Instant, part: impl Fn(&BackendServerName, PerSecond) -> Part) {
+    pub fn update_shares(
+        &mut self,
+        now: Instant,
+        part: impl Fn(&BackendServerName, PerSecond) -> LimitShare,
+    ) {
         for (server, known) in &mut self.known {
             let per_s = known.limit.per_s();
-            known.limit.renew(now, per_s, part(server, per_s));
+            known.limit.update(now, per_s, part(server, per_s));
         }
     }
 }
