--- a/crates/kingcuploft/tests/zones/fleet.rs
+++ b/crates/kingcuploft/tests/zones/fleet.rs
@@ -1,4 +1,4 @@
-//! The VMs, the store and the links between them, played in steps of ten milliseconds.
+//! A simulated fleet: VMs, the store and the links between them, in virtual time, in steps of ten milliseconds.
 
 use std::time::{Duration, Instant};
 
@@ -9,39 +9,39 @@
 use kingcuploft::entry::zone_record::{ZoneCount, ZoneRecord};
 use kingcuploft::world::ids::{AvailabilityZone, VmName};
 
-/// The time that one step plays.
+/// The virtual time of one step.
 pub(crate) const STEP: Duration = Duration::from_millis(10);
 
-/// How many steps pass between two looks at the zone's record.
-pub(super) const LOOK_STEPS: u64 = 50;
+/// How many steps pass between two checks of the zone's record.
+pub(super) const RECORD_CHECK_STEPS: u64 = 50;
 
-/// How many steps the store's stale lists are behind.
+/// How many steps the store's stale lists lag.
 pub(super) const STALE_STEPS: usize = 80;
 
 /// One VM.
 pub(crate) struct Vm {
     pub(super) entry: VmEntry,
     pub(crate) up: bool,
-    /// The group of those that reach each other and, in group 0, the store.
+    /// The partition: VMs of the same group reach each other; those of group 0 also reach the store.
     pub(crate) group: u32,
     pub(super) started: Instant,
     pub(super) readers: Readers,
-    /// How often it learned of another record.
-    pub(super) news: u64,
-    /// Whom it heard last, and how much that knew.
-    pub(super) heard: Option<(usize, u64)>,
-    pub(super) told: bool,
-    pub(super) chance: f64,
-    pub(super) promised: bool,
+    /// How often it took a changed record.
+    pub(super) record_changes: u64,
+    /// The feeder it last took records from, and that feeder's `record_changes` then.
+    pub(super) last_heard: Option<(usize, u64)>,
+    pub(super) has_asked: bool,
+    pub(super) jitter: f64,
+    pub(super) feed_promised: bool,
     pub(crate) reading: bool,
     pub(crate) feeder: Option<usize>,
     pub(super) path: Vec<VmName>,
     pub(super) silent_steps: u32,
-    pub(super) unfed_steps: u32,
-    pub(super) waits_until: Instant,
+    pub(super) steps_without_feeder: u32,
+    pub(super) idle_until: Instant,
     pub(crate) version: Option<u64>,
-    pub(super) led_since: Option<Instant>,
-    pub(super) stored: u64,
+    pub(super) leading_since: Option<Instant>,
+    pub(super) stored_version: u64,
     pub(super) count: ZoneCount,
 }
 
@@ -49,22 +49,22 @@
 pub(crate) struct Fleet {
     pub(crate) vms: Vec<Vm>,
     pub(crate) now: Instant,
-    pub(super) begun: Instant,
+    pub(super) started_at: Instant,
     pub(super) step: u64,
     pub(super) rng: Rng,
     pub(super) seeds: Vec<usize>,
     /// The version of the configuration that the store holds.
     pub(crate) version: u64,
     pub(super) records: Vec<ZoneRecord>,
-    /// What stale lists show, the newest last.
-    pub(super) older: Vec<Vec<ZoneRecord>>,
-    /// Calls to the store, a stale list as a tenth.
+    /// The records as stale lists show them, oldest first.
+    pub(super) record_history: Vec<Vec<ZoneRecord>>,
+    /// Calls to the store; a stale list counts as a tenth.
     pub(crate) calls: f64,
-    pub(super) all_start: bool,
+    pub(super) first_start: bool,
 }
 
 impl Fleet {
-    /// Builds a fleet of these zones, in each of which three VMs are larger, and starts it for the first time.
+    /// Creates a fleet of these zones, in each of which three VMs are larger, and starts it for the first time.
     pub(crate) fn start(seed: u64, zones: &[usize]) -> Self {
         let mut rng = Rng::with_seed(seed);
         let now = Instant::now();
@@ -84,50 +84,50 @@
         let mut fleet = Self {
             vms,
             now,
-            begun: now,
+            started_at: now,
             step: 0,
             rng,
             seeds,
             version: 1,
             records: Vec::new(),
-            older: Vec::new(),
+            record_history: Vec::new(),
             calls: 0.0,
-            all_start: true,
+            first_start: true,
         };
         for at in 0..fleet.vms.len() {
-            let chance = fleet.vms[at].chance;
-            fleet.vms[at].waits_until =
-                now + startup_delay::claim_delay(&fleet.vms[at].entry, chance);
+            let jitter = fleet.vms[at].jitter;
+            fleet.vms[at].idle_until =
+                now + startup_delay::claim_delay(&fleet.vms[at].entry, jitter);
         }
         fleet
     }
 
-    /// Plays for so long.
-    pub(crate) fn play(&mut self, time: Duration) {
+    /// Runs the fleet for this time.
+    pub(crate) fn run(&mut self, time: Duration) {
         for _ in 0..time.as_millis() / STEP.as_millis() {
             self.now += STEP;
             self.step += 1;
-            self.older.push(self.records.clone());
-            if self.older.len() > 2 * STALE_STEPS {
-                self.older.drain(..STALE_STEPS);
+            self.record_history.push(self.records.clone());
+            if self.record_history.len() > 2 * STALE_STEPS {
+                self.record_history.drain(..STALE_STEPS);
             }
             for at in 0..self.vms.len() {
                 if self.vms[at].up {
-                    self.act(at);
+                    self.step_vm(at);
                 }
             }
         }
-        self.all_start = false;
+        self.first_start = false;
     }
 
-    /// Has these VMs start anew, knowing nothing, within a tenth of a second.
+    /// Restarts these VMs, without any state, within a tenth of a second.
     pub(crate) fn restart(&mut self, which: impl Fn(usize) -> bool) {
         for at in (0..self.vms.len()).filter(|at| which(*at)) {
             let entry = self.vms[at].entry.clone();
             let group = self.vms[at].group;
             let jitter = Duration::from_millis(self.rng.u64(0..100));
             let mut vm = Vm::new(entry, self.now + jitter, self.rng.f64());
-            vm.waits_until = self.now + jitter;
+            vm.idle_until = self.now + jitter;
             vm.group = group;
             self.vms[at] = vm;
         }
@@ -145,38 +145,38 @@
         self.vms.iter().position(|vm| vm.entry.name == *name)
     }
 
-    fn act(&mut self, at: usize) {
-        if self.now < self.vms[at].waits_until {
+    fn step_vm(&mut self, at: usize) {
+        if self.now < self.vms[at].idle_until {
             return;
         }
-        if !self.vms[at].told {
-            self.learn(at);
+        if !self.vms[at].has_asked {
+            self.ask_for_records(at);
         }
         match self.vms[at].feeder {
-            Some(feeder) => self.hear(at, feeder),
-            None => self.look(at),
+            Some(feeder) => self.receive(at, feeder),
+            None => self.find_feeder(at),
         }
-        self.lose_patience(at);
+        self.read_without_feeder(at);
         if self.vms[at].reading && self.reaches_store(at) {
             if self.vms[at].version.is_none() {
                 self.calls += 3.0;
             }
-            self.know(at, self.version);
+            self.set_version(at, self.version);
         }
-        if self.step.is_multiple_of(LOOK_STEPS) {
-            self.lead(at);
+        if self.step.is_multiple_of(RECORD_CHECK_STEPS) {
+            self.keep_record(at);
         }
     }
 
-    /// Returns the VMs that run and have had so long to learn something, and know nothing.
-    pub(crate) fn ignorant(&self, after: Duration) -> Vec<&VmName> {
+    /// Returns the VMs that have run for `after` and have no configuration yet.
+    pub(crate) fn uninformed(&self, after: Duration) -> Vec<&VmName> {
         let old = |vm: &&Vm| self.now.saturating_duration_since(vm.started) >= after;
         let all = self.vms.iter().filter(|vm| vm.up).filter(old);
         let none = all.filter(|vm| vm.version.is_none());
         none.map(|vm| &vm.entry.name).collect()
     }
 
-    /// Returns the VMs that run, reach the store's group and do not know its configuration.
+    /// Returns the VMs that run in the store's group and do not have its configuration.
     pub(crate) fn behind(&self) -> Vec<&VmName> {
         let all = self.vms.iter().filter(|vm| vm.up && vm.group == 0);
         let behind = all.filter(|vm| vm.version != Some(self.version));
@@ -187,13 +187,13 @@
         self.vms.iter().filter(|vm| vm.up && vm.reading).count()
     }
 
-    /// Returns the most VMs that one feeds.
-    pub(crate) fn most_fed(&self) -> usize {
+    /// Returns the most VMs that one VM feeds.
+    pub(crate) fn max_followers(&self) -> usize {
         let all = 0..self.vms.len();
-        all.map(|at| self.fed_by(at).len()).max().unwrap_or(0)
+        all.map(|at| self.followers_of(at).len()).max().unwrap_or(0)
     }
 
-    /// Returns the VM that reads for a zone, by the store.
+    /// Returns the VM that reads for a zone, by the store's record.
     pub(crate) fn leader(&self, zone: usize) -> Option<usize> {
         let zone: AvailabilityZone = format!("zone-{zone}").into();
         let record = self.records.iter().find(|record| record.zone == zone)?;
@@ -208,34 +208,34 @@
             .unwrap_or(0)
     }
 
-    /// Returns how long it has been played.
-    pub(crate) fn played(&self) -> Duration {
-        self.now - self.begun
+    /// Returns the virtual time that has passed.
+    pub(crate) fn elapsed(&self) -> Duration {
+        self.now - self.started_at
     }
 }
 
 impl Vm {
-    fn new(entry: VmEntry, started: Instant, chance: f64) -> Self {
+    fn new(entry: VmEntry, started: Instant, jitter: f64) -> Self {
         Self {
             entry,
             up: true,
             group: 0,
             started,
             readers: Readers::default(),
-            news: 0,
-            heard: None,
-            told: false,
-            chance,
-            promised: false,
+            record_changes: 0,
+            last_heard: None,
+            has_asked: false,
+            jitter,
+            feed_promised: false,
             reading: false,
             feeder: None,
             path: Vec::new(),
             silent_steps: 0,
-            unfed_steps: 0,
-            waits_until: started,
+            steps_without_feeder: 0,
+            idle_until: started,
             version: None,
-            led_since: None,
-            stored: 0,
+            leading_since: None,
+            stored_version: 0,
             count: ZoneCount::default(),
         }
     }
--- a/crates/kingcuploft/tests/zones/leading.rs
+++ b/crates/kingcuploft/tests/zones/leading.rs
@@ -1,4 +1,4 @@
-//! How a VM that leads its zone keeps the zone's record.
+//! How a VM that reads for its zone keeps the zone's record.
 
 use kingcuploft::entry::dissemination::descendants;
 use kingcuploft::entry::readers::Source;
@@ -10,19 +10,19 @@
 use crate::fleet::Fleet;
 
 impl Fleet {
-    /// Keeps the record of a zone.
-    pub(super) fn lead(&mut self, at: usize) {
+    /// Keeps the record of its zone.
+    pub(super) fn keep_record(&mut self, at: usize) {
         let vm = &self.vms[at];
         let (name, zone) = (vm.entry.name.clone(), vm.entry.zone.clone());
         if vm.readers.source_in_zone(self.now, &name, &zone) != Source::Store {
-            self.vms[at].led_since = None;
+            self.vms[at].leading_since = None;
             return;
         }
-        let since = *self.vms[at].led_since.get_or_insert(self.now);
+        let since = *self.vms[at].leading_since.get_or_insert(self.now);
         let Some(old) = self.vms[at].readers.record(&zone).cloned() else {
             return self.claim(at);
         };
-        let fed = self.fed_by(at);
+        let fed = self.followers_of(at);
         let followers: Vec<VmEntry> = fed.iter().map(|fed| fed.vm.clone()).collect();
         let seen = ZoneView {
             own: self.vms[at].entry.clone(),
@@ -30,10 +30,10 @@
             descendants: descendants(&zone, &fed),
         };
         if let Some(record) = handed_to_larger(&old, &seen) {
-            self.told(at, vec![record.clone()]);
+            self.apply_records(at, vec![record.clone()]);
             for fed in 0..self.vms.len() {
                 if self.vms[fed].feeder == Some(at) {
-                    self.told(fed, vec![record.clone()]);
+                    self.apply_records(fed, vec![record.clone()]);
                     self.vms[fed].feeder = None;
                     self.vms[fed].path.clear();
                 }
@@ -45,11 +45,11 @@
             .stable_count(self.now, old.count, seen.descendants + 1);
         let settled = old.settled || self.now.saturating_duration_since(since) >= SETTLE_TIME;
         if let Some(record) = refreshed(&old, &seen, holds, settled) {
-            self.told(at, vec![record]);
+            self.apply_records(at, vec![record]);
         }
         let alone = seen.followers.is_empty() && holds > 1;
         let record = self.vms[at].readers.record(&zone).cloned();
-        let record = record.filter(|r| r.version > self.vms[at].stored && !alone);
+        let record = record.filter(|r| r.version > self.vms[at].stored_version && !alone);
         if let Some(record) = record.filter(|_| self.reaches_store(at)) {
             self.write(at, record);
         }
@@ -65,16 +65,16 @@
         match there.cloned() {
             Some(record) => {
                 self.calls += 1.0;
-                self.told(at, vec![record]);
+                self.apply_records(at, vec![record]);
             }
             None => {
                 let record = ZoneRecord::first(&self.vms[at].entry);
                 self.records.push(record.clone());
-                self.vms[at].stored = 1;
-                self.told(at, vec![record.clone()]);
+                self.vms[at].stored_version = 1;
+                self.apply_records(at, vec![record.clone()]);
                 for seed in self.seeds.clone() {
                     if self.reaches(at, seed) {
-                        self.told(seed, vec![record.clone()]);
+                        self.apply_records(seed, vec![record.clone()]);
                     }
                 }
             }
@@ -83,7 +83,7 @@
 
     pub(super) fn write(&mut self, at: usize, record: ZoneRecord) {
         self.calls += 1.0;
-        self.vms[at].stored = record.version;
+        self.vms[at].stored_version = record.version;
         let zone = record.zone.clone();
         self.records.retain(|known| known.zone != zone);
         self.records.push(record);
--- a/crates/kingcuploft/tests/zones/scenarios.rs
+++ b/crates/kingcuploft/tests/zones/scenarios.rs
@@ -9,44 +9,48 @@
 
 fn settled(seed: u64) -> Fleet {
     let mut fleet = Fleet::start(seed, &ZONES);
-    fleet.play(Duration::from_secs(8));
+    fleet.run(Duration::from_secs(8));
     fleet
 }
 
-/// Guards against a first start at which hundreds of VMs rush at the store.
+/// Failure: at a first start hundreds of VMs call the store at once.
 #[test]
-fn a_fleet_that_starts_finds_itself_with_few_calls() {
+fn a_fleet_that_starts_is_configured_with_few_store_calls() {
     for seed in SEEDS {
         let fleet = settled(seed);
         assert_eq!(
-            fleet.ignorant(Duration::ZERO),
+            fleet.uninformed(Duration::ZERO),
             Vec::<&_>::new(),
             "seed {seed}"
         );
         assert_eq!(fleet.readers(), 1, "seed {seed}");
-        assert!(fleet.most_fed() <= 17, "seed {seed}: {}", fleet.most_fed());
+        assert!(
+            fleet.max_followers() <= 17,
+            "seed {seed}: {}",
+            fleet.max_followers()
+        );
         assert!(fleet.calls <= 156.0, "seed {seed}: {} calls", fleet.calls);
     }
 }
 
-/// Guards against a restart of all VMs that rush at the store or stay ignorant.
+/// Failure: after a restart of all VMs they call the store at once or stay without configuration.
 #[test]
-fn a_fleet_that_restarts_is_told_and_does_not_rush_at_the_store() {
+fn a_fleet_that_restarts_is_configured_with_few_store_calls() {
     for seed in SEEDS {
         let mut fleet = settled(seed);
         let before = fleet.calls;
         fleet.restart(|_| true);
-        fleet.play(Duration::from_millis(700));
-        let ignorant = fleet.ignorant(Duration::from_millis(500));
-        assert_eq!(ignorant, Vec::<&_>::new(), "seed {seed}");
+        fleet.run(Duration::from_millis(700));
+        let uninformed = fleet.uninformed(Duration::from_millis(500));
+        assert_eq!(uninformed, Vec::<&_>::new(), "seed {seed}");
         let calls = fleet.calls - before;
         assert!(calls <= 156.0, "seed {seed}: {calls} calls");
     }
 }
 
-/// The VMs that read for their zones are gone at one moment, and the configuration changes right after.
+/// Failure: the VMs that read for their zones stop at the same moment, and the configuration changes right after.
 #[test]
-fn vms_whose_readers_are_gone_know_a_change_within_two_seconds() {
+fn vms_whose_readers_are_gone_get_a_change_within_two_seconds() {
     for seed in SEEDS {
         let mut fleet = settled(seed);
         for zone in 0..ZONES.len() {
@@ -54,14 +58,14 @@
             fleet.vms[leader].up = false;
         }
         fleet.version += 1;
-        fleet.play(Duration::from_secs(2));
+        fleet.run(Duration::from_secs(2));
         assert_eq!(fleet.behind(), Vec::<&_>::new(), "seed {seed}");
     }
 }
 
-/// Guards against zones that go back, or stay behind, when a cut heals.
+/// Failure: zones take an older configuration, or stay behind, when a partition heals.
 #[test]
-fn zones_that_are_cut_off_and_come_back_know_all_and_never_less() {
+fn zones_that_were_partitioned_off_catch_up_and_never_go_back() {
     for seed in SEEDS {
         let mut fleet = settled(seed);
         let cut = (seed as usize) % ZONES.len();
@@ -72,13 +76,13 @@
         }
         for _ in 0..3 {
             fleet.version += 1;
-            fleet.play(Duration::from_secs(2));
+            fleet.run(Duration::from_secs(2));
             assert_eq!(fleet.behind(), Vec::<&_>::new(), "seed {seed}");
         }
         fleet.vms.iter_mut().for_each(|vm| vm.group = 0);
-        fleet.play(Duration::from_secs(2));
+        fleet.run(Duration::from_secs(2));
         assert_eq!(fleet.behind(), Vec::<&_>::new(), "seed {seed}");
-        fleet.play(Duration::from_secs(15));
+        fleet.run(Duration::from_secs(15));
         assert!(
             fleet.readers() <= 2,
             "seed {seed}: {} read",
@@ -87,14 +91,15 @@
     }
 }
 
-/// Restarts, losses and cuts drawn by seed, one after the other, with a change of the configuration after each.
+/// Load pattern: restarts, losses and partitions drawn by seed, one after the other, with a change of the configuration
+/// after each.
 #[test]
-fn drawn_troubles_leave_nobody_ignorant_and_nobody_goes_back() {
+fn random_failures_leave_no_vm_behind_and_no_vm_goes_back() {
     for seed in 0..24 {
         let mut fleet = Fleet::start(seed, &[12, 30, 9]);
-        fleet.play(Duration::from_secs(8));
+        fleet.run(Duration::from_secs(8));
         let mut rng = fastrand::Rng::with_seed(seed);
-        while fleet.played() < Duration::from_secs(40) {
+        while fleet.elapsed() < Duration::from_secs(40) {
             let which = rng.usize(0..51);
             match rng.u32(0..5) {
                 0 => fleet.restart(|_| true),
@@ -107,12 +112,12 @@
                 _ => fleet.vms.iter_mut().for_each(|vm| vm.group = 0),
             }
             fleet.version += 1;
-            fleet.play(Duration::from_millis(2000));
+            fleet.run(Duration::from_millis(2000));
             assert_eq!(
                 fleet.behind(),
                 Vec::<&_>::new(),
                 "seed {seed}, {:?}",
-                fleet.played()
+                fleet.elapsed()
             );
         }
     }
