--- a/crates/kingcuploft-simulation/src/balancer.rs
+++ b/crates/kingcuploft-simulation/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The platform's balancer: asks VMs whether they are ready, and gives each caller one.
+//! The platform's load balancer: checks whether the VMs are ready and assigns a VM to each caller.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,11 +6,13 @@
 
 use crate::vm::Vm;
 
-/// How often a VM is asked, and after how many misses it gets no callers.
+/// How often each VM's readiness is checked.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// After this many checks in a row that find it not ready, a VM gets no callers.
 const UNHEALTHY_AFTER_MISSES: u32 = 2;
 
-/// The balancer.
+/// The load balancer.
 #[derive(Debug)]
 pub struct Balancer {
     vms: Vec<Rc<Vm>>,
@@ -18,13 +20,13 @@
 }
 
 impl Balancer {
-    /// Returns the balancer of these VMs.
+    /// Returns the load balancer of these VMs.
     pub fn new(vms: Vec<Rc<Vm>>) -> Self {
         let misses = RefCell::new(vec![UNHEALTHY_AFTER_MISSES; vms.len()]);
         Self { vms, misses }
     }
 
-    /// Asks the VMs, without end.
+    /// Checks the VMs at intervals, without end.
     pub async fn run(&self) {
         loop {
             for vm in &self.vms {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Returns the VM of a caller of a zone; another attempt reaches another one.
+    /// Returns the VM for a caller in a zone; a further attempt reaches another VM.
     pub fn vm_for(&self, zone: usize, caller: u64, attempt: u32) -> Option<Rc<Vm>> {
         let of_zone: Vec<_> = self.vms.iter().filter(|vm| vm.zone == zone).collect();
         let open: Vec<_> = of_zone
--- a/crates/kingcuploft-simulation/src/caller.rs
+++ b/crates/kingcuploft-simulation/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: each sends a request, may come back once, and notes what it got.
+//! Callers: each sends a request, may retry it once, and records the outcome of each attempt.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use crate::server::{DEADLY_PATH, answer_body};
 use crate::vm::Vm;
 
-/// The most bytes of an answer.
+/// The greatest size of an answer.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// How long after its time a caller still notes an answer.
+/// How long after its deadline a caller still records an answer.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(20);
 
-/// How often a caller asks.
+/// How many attempts a caller makes at most.
 const MAX_ATTEMPTS: u32 = 2;
 
-/// What became of one attempt.
+/// The outcome of one attempt.
 struct AttemptResult {
     answer: Outcome,
-    /// When the caller may come back, if it was told.
+    /// The pause before a retry that the answer asked for.
     come_back: Option<Duration>,
     /// Whether the request was handed to a VM.
     was_sent: bool,
@@ -33,20 +33,20 @@
 
 /// One caller with one request.
 pub struct Caller {
-    /// Its link.
+    /// The host that it sends from.
     pub host: Rc<Host>,
-    /// What it notes.
+    /// Where it records its requests and their outcomes.
     pub history: Rc<History>,
-    /// The kind of its request.
+    /// The index of the request's kind.
     pub kind: KindIndex,
-    /// As `kind` says.
+    /// The kind itself.
     pub request_kind: RequestKind,
-    /// Whether servers end under it.
+    /// Whether the request crashes the server that runs it.
     pub is_deadly: bool,
 }
 
 impl Caller {
-    /// Asks, and comes back once where that is allowed; `entry` tells which VM each attempt reaches.
+    /// Sends the request and retries it once where that is allowed; `entry` returns the VM that each attempt reaches.
     pub async fn send(self, entry: impl Fn(u32) -> Option<Rc<Vm>>) {
         let until = Instant::now() + Duration::from_millis(self.request_kind.deadline_ms);
         for attempt in 0..MAX_ATTEMPTS {
--- a/crates/kingcuploft-simulation/src/day.rs
+++ b/crates/kingcuploft-simulation/src/day.rs
@@ -1,4 +1,4 @@
-//! A day: a deployment, and what strikes when.
+//! The file format of a day: a deployment, a seed and the disruptions with their times.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::deployment::Deployment;
 
-/// The deployments that days name.
+/// The deployments that a day can name, with the contents of their files.
 const DEPLOYMENTS: [(&str, &str); 4] = [
     ("4-vms", include_str!("../deployments/4-vms.yaml")),
     ("19-vms", include_str!("../deployments/19-vms.yaml")),
@@ -15,13 +15,13 @@
     ("312-vms", include_str!("../deployments/312-vms.yaml")),
 ];
 
-/// The longest day.
+/// The greatest length of a day, in milliseconds.
 const MAX_LENGTH_MS: u64 = 300_000;
 
-/// Why a day can't be read.
+/// Why the file of a day is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum DayError {
-    /// The file is not as it should be; the text names line and field.
+    /// The file can't be parsed, or its deployment or length is invalid; the text names line and field.
     #[error("{file}: {what}")]
     Unreadable {
         /// The file.
@@ -29,52 +29,52 @@
         /// What is wrong.
         what: String,
     },
-    /// A value can't be played.
+    /// A field of a disruption has an invalid value.
     #[error("{file}: disruption {number}: {field}: {what}")]
     InvalidDisruption {
         /// The file.
         file: String,
-        /// Which disruption, from 1 on.
+        /// The number of the disruption, counted from 1.
         number: usize,
-        /// Its field.
+        /// The field.
         field: &'static str,
         /// What is wrong.
         what: String,
     },
 }
 
-/// A day, as its file says.
+/// A day as its file describes it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
-    /// The name of its deployment.
+    /// The name of the deployment.
     pub deployment: String,
-    /// What its chances are drawn from.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// How long callers ask.
+    /// For how long callers send requests, in milliseconds.
     pub length_ms: u64,
-    /// What strikes.
+    /// The disruptions of the day.
     pub disruptions: Vec<Disruption>,
 }
 
-/// Something that strikes.
+/// A disruption: a fault, a planned operation or a change in load.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Disruption {
-    /// When, from the first request on.
+    /// When it begins, in milliseconds after the first request.
     pub at_ms: u64,
-    /// What.
+    /// The kind.
     pub kind: DisruptionKind,
-    /// Which part of the things that it may strike.
+    /// The share of the VMs or servers in question that it affects, from 0 to 1.
     #[serde(default = "full")]
     pub share: f64,
-    /// How strong it is, where it has a strength.
+    /// Its strength, for the kinds that have one; `DisruptionKind::strength_range` gives the bounds.
     #[serde(default = "full")]
     pub strength: f64,
-    /// How long it lasts, where it lasts.
+    /// How long it lasts, in milliseconds, for the kinds that have a duration.
     #[serde(default)]
     pub for_ms: u64,
-    /// The service whose servers it strikes; all if it names none.
+    /// The service whose servers it affects; the servers of all services if none is named.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
 }
@@ -83,50 +83,50 @@
     1.0
 }
 
-/// What can strike.
+/// The kinds of disruptions.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DisruptionKind {
-    /// Entry VMs are killed, and start again after half a second.
+    /// Entry VMs are killed and restart after half a second or after `for_ms`, whichever is longer.
     VmsKilled,
-    /// Entry VMs lose power, and start again when it is back.
+    /// Entry VMs lose power and restart when it is back.
     VmsLosePower,
-    /// Entry VMs stand still.
+    /// Entry VMs are paused: their processes don't run.
     VmsFrozen,
-    /// Entry VMs are stopped as planned, one after the other, and start again.
+    /// Entry VMs are stopped as planned, one after the other, and restart.
     VmsStopped,
-    /// Entry VMs are cut off from each other and the store; callers and servers reach them.
+    /// Entry VMs are cut off from each other and from the store; callers and servers still reach them.
     VmsCutOff,
-    /// Servers refuse a part (`strength`) of the requests, and say that they did not run them.
+    /// Servers refuse a share (`strength`) of the requests with the statement that they were not run.
     ServersRefuse,
-    /// Servers run a part of the requests and lose the answers.
+    /// Servers run a share (`strength`) of the requests and lose the answers.
     ServersLoseAnswers,
-    /// Servers take so many times as long.
+    /// Servers take `strength` times as long for their work.
     ServersSlow,
-    /// Servers end without a word, and others start in their place.
+    /// Servers crash without notice, and others start in their place.
     ServersCrash,
-    /// Servers say that they leave, and end later.
+    /// Servers announce that they drain, and stop later.
     ServersLeave,
-    /// Servers start, cold.
+    /// Cold servers start beside the present ones.
     ServersStart,
-    /// Servers name how many requests a second (`strength`) they take, in their answers.
+    /// Servers name a limit in their answers: how many requests a second (`strength`) they accept.
     ServersNameLimits,
-    /// A part of the requests of the first kind end the servers that run them.
+    /// A share (`strength`) of the requests of the first kind crashes the server that runs them.
     DeadlyRequests,
-    /// The store comes back from a copy that is so old, and what was written since is written again.
+    /// The store is restored from a snapshot that is `for_ms` old, and what was written since is written again.
     StoreRewinds,
-    /// The store says nothing.
+    /// The store answers no calls.
     StoreSilent,
-    /// So many times as many callers ask.
+    /// The request rate is multiplied by `strength`.
     Crowd,
-    /// A route is added.
+    /// The operator writes a configuration with one more route.
     ConfigurationChange,
-    /// A zone gets nothing, and is taken back after a time.
+    /// A zone is evacuated and reinstated after a while.
     ZoneEvacuated,
 }
 
 impl DisruptionKind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Self; 18] = [
         Self::VmsKilled,
         Self::VmsLosePower,
@@ -148,7 +148,7 @@
         Self::ZoneEvacuated,
     ];
 
-    /// Returns the least and the greatest strength.
+    /// Returns the least and the greatest strength that the kind allows.
     pub fn strength_range(self) -> (f64, f64) {
         match self {
             Self::ServersRefuse | Self::ServersLoseAnswers => (0.0, 1.0),
@@ -162,23 +162,23 @@
 }
 
 impl Disruption {
-    /// Returns when it strikes.
+    /// Returns when the disruption begins, after the first request.
     pub fn at(&self) -> Duration {
         Duration::from_millis(self.at_ms)
     }
 
-    /// Returns how long it lasts.
+    /// Returns how long the disruption lasts.
     pub fn duration(&self) -> Duration {
         Duration::from_millis(self.for_ms)
     }
 }
 
 impl Day {
-    /// Reads a day.
+    /// Parses and validates a day.
     ///
     /// # Errors
     ///
-    /// Returns an error that names file, line or disruption, and field.
+    /// Returns an error that names the file, the line or disruption, and the field.
     pub fn read(file: &str, text: &str) -> Result<Self, DayError> {
         let day: Self = serde_saphyr::from_str(text).map_err(|error| DayError::Unreadable {
             file: file.into(),
@@ -188,7 +188,7 @@
         Ok(day)
     }
 
-    /// Writes the day as a file that plays again.
+    /// Returns the day as a file that can be run again.
     pub fn to_text(&self) -> String {
         let mut text = format!(
             "deployment: {}\nseed: {}\nlength_ms: {}\ndisruptions:\n",
@@ -199,14 +199,14 @@
             text.push_str(" []\n");
         }
         for disruption in &self.disruptions {
-            // JSON is YAML; one line a disruption reads best.
+            // JSON is valid YAML, and one line per disruption reads best.
             let line = serde_json::to_string(disruption).unwrap_or_default();
             let _ = writeln!(text, "  - {line}");
         }
         text
     }
 
-    /// Returns the deployment, if one has its name.
+    /// Returns the deployment that the day names, if it exists.
     pub fn deployment(&self) -> Option<Deployment> {
         let named = DEPLOYMENTS
             .iter()
--- a/crates/kingcuploft-simulation/src/deployment.rs
+++ b/crates/kingcuploft-simulation/src/deployment.rs
@@ -1,4 +1,5 @@
-//! What is played: entry VMs, backend servers, kinds of requests, bounds.
+//! The file format of a deployment: the entry VMs, backend servers and kinds of requests of a simulation, and the
+//! bounds that the rules check.
 
 use std::time::Duration;
 
@@ -6,7 +7,7 @@
 use kingcuploft::world::contract::Contract;
 use serde::Deserialize;
 
-/// A deployment, as its file says.
+/// A deployment as its file describes it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Deployment {
@@ -16,7 +17,7 @@
     pub services: Vec<Service>,
     /// The kinds of requests.
     pub kinds: Vec<RequestKind>,
-    /// What must hold.
+    /// The bounds that must hold.
     pub bounds: Bounds,
 }
 
@@ -24,18 +25,18 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name.
+    /// The name.
     pub name: String,
     /// How many servers it has, spread over the zones.
     pub servers: usize,
     /// How many requests a server works on at once.
     pub slots: u32,
-    /// How many more it takes.
+    /// How many further requests wait in a server's queue.
     pub queue: u32,
-    /// How many requests a second a server bears while it is cold; 0 if it is never cold.
+    /// How many requests a second a cold server can take; 0 if its servers are never cold.
     #[serde(default)]
     pub cold_per_s: f64,
-    /// For how long it is cold.
+    /// How long a server is cold after its start, in milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
 }
@@ -44,47 +45,47 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestKind {
-    /// Its name, which begins its paths.
+    /// The name, which is the first segment of its paths.
     pub name: String,
     /// The service that answers it.
     pub service: String,
     /// Whether it may run more than once.
     pub contract: Contract,
-    /// How many come in a second.
+    /// How many requests of this kind callers send per second.
     pub per_s: f64,
-    /// How long its work takes on a server of usual speed.
+    /// The mean work on a server of usual speed, in milliseconds.
     pub work_ms: f64,
-    /// The time within which an answer is worth its full value.
+    /// The time within which an answer is worth its full value, in milliseconds.
     pub target_ms: u64,
-    /// How long its callers wait.
+    /// How long callers wait for an answer, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// What must hold.
+/// The bounds that the rules check.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
     /// Repeats allowed for each request.
     pub repeat_ratio: f64,
-    /// Repeats allowed beside these, for all VMs together.
+    /// Repeats allowed in addition, for all VMs together.
     pub repeat_allowance: f64,
-    /// The window over which both are counted.
+    /// The window over which both are counted, in milliseconds.
     pub repeat_window_ms: u64,
-    /// Probes allowed of a server and second.
+    /// Probes allowed per server and second.
     pub probes_per_s: f64,
-    /// How long after the store has taken it a leaving server may get requests.
+    /// How long a draining server may still get requests after the store accepted its entry, in milliseconds.
     pub drain_ms: u64,
-    /// How long after the store has taken it an older configuration may be in force.
+    /// How long an older configuration may stay in force after the store accepted a new one, in milliseconds.
     pub configuration_ms: u64,
-    /// How long after the store has taken it an emptied zone may get requests.
+    /// How long an evacuated zone may still get requests after the store accepted the evacuation, in milliseconds.
     pub evacuation_ms: u64,
-    /// How many times what a cold server bears it may get in a second, and how many requests more.
+    /// What a cold server may get in a second, as a multiple of the rate that it can take.
     pub cold_over: f64,
-    /// As `cold_over` says.
+    /// How many requests a cold server may get in a second beyond that multiple.
     pub cold_slack: f64,
-    /// How long a VM must have run undisturbed for bounds of time to hold for it.
+    /// How long a VM must have run undisturbed before the bounds of time hold for it, in milliseconds.
     pub contact_ms: u64,
-    /// How long a planned stop may take.
+    /// How long a planned stop may take, in milliseconds.
     pub stop_ms: u64,
 }
 
@@ -98,19 +99,19 @@
         }
     }
 
-    /// Returns how long a VM must have run undisturbed.
+    /// Returns how long a VM must have run undisturbed before the bounds of time hold for it.
     pub fn undisturbed_time(&self) -> Duration {
         Duration::from_millis(self.contact_ms)
     }
 }
 
 impl Deployment {
-    /// Returns how many entry VMs there are.
+    /// Returns the number of entry VMs.
     pub fn vms(&self) -> usize {
         self.zones.iter().sum()
     }
 
-    /// Returns the service of a name.
+    /// Returns the service with a name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
--- a/crates/kingcuploft-simulation/src/disruptions.rs
+++ b/crates/kingcuploft-simulation/src/disruptions.rs
@@ -1,4 +1,4 @@
-//! What strikes the world.
+//! Applies the disruptions of a day to the simulation.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,24 +9,28 @@
 use crate::simulation::Simulation;
 use crate::vm::Vm;
 
-/// How long a VM that was killed is away, and the pause between two planned stops.
+/// How long a killed VM takes at least to restart.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
+
+/// The pause between two planned stops.
 const STOP_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How often it is looked whether a VM has stopped.
+/// How often a stopping VM is checked for its end.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// When the entry of a server that has ended lapses, and when another starts in its place.
+/// How long after the end of a server its entry expires.
 const ENTRY_EXPIRES_AFTER: Duration = Duration::from_millis(4500);
+
+/// How long after the end of a server another one starts in its place.
 const REPLACED_SERVER_AFTER: Duration = Duration::from_millis(3000);
 
-/// When the operator and the servers write again what a store that came back from a copy lacks.
+/// How long after a restore from a snapshot the operator and the servers write again what the store lacks.
 const REWRITE_DELAY: Duration = Duration::from_millis(600);
 
-/// How long a leaving server serves on after the time that VMs have.
+/// How long a draining server keeps serving after the drain time that is allowed to the VMs.
 const SERVES_AFTER_DRAIN: Duration = Duration::from_millis(1500);
 
-/// Strikes, and returns when it is over.
+/// Applies a disruption and returns when it is over.
 pub async fn apply(world: &Rc<Simulation>, disruption: &Disruption) {
     match disruption.kind {
         DisruptionKind::VmsKilled => {
@@ -215,7 +219,7 @@
     servers.iter().for_each(|server| act(server, false));
 }
 
-/// Ends servers without a word, and starts others in their place.
+/// Stops servers without notice and later starts others in their place.
 pub async fn crash_servers(world: &Rc<Simulation>, servers: &[Rc<Server>]) {
     for server in servers {
         world.stop_server(server);
@@ -273,7 +277,7 @@
     }
     tokio::time::sleep(disruption.duration()).await;
     for server in &servers {
-        // Another one may hold by now.
+        // A later disruption may have set another limit.
         if server.faults.limit.get() == Some(per_s) {
             server.faults.limit.set(None);
             world.history.record_named_limit(server.index, None);
@@ -281,7 +285,7 @@
     }
 }
 
-/// Brings the store back from a copy; the operator and the servers write again what it lacks.
+/// Restores the store from a snapshot of the given age; the operator and the servers then write again what it lacks.
 async fn rewind_store(world: &Simulation, age: Duration) {
     let copy = world.store.0.snapshot();
     tokio::time::sleep(age).await;
--- a/crates/kingcuploft-simulation/src/generator.rs
+++ b/crates/kingcuploft-simulation/src/generator.rs
@@ -1,24 +1,28 @@
-//! Draws days, and changes them a little.
+//! Generates random days, and mutates and splices existing ones.
 
 use fastrand::Rng;
 
 use crate::day::{Day, Disruption, DisruptionKind};
 
-/// How long a drawn day is, and within which part of it disruptions strike.
+/// The length of a generated day, in milliseconds.
 const LENGTH_MS: u64 = 24_000;
+
+/// The earliest time of a disruption, in milliseconds.
 const DISRUPTIONS_FROM_MS: u64 = 1_000;
+
+/// The latest time of a disruption, in milliseconds.
 const DISRUPTIONS_UNTIL_MS: u64 = 18_000;
 
-/// The most disruptions of a drawn day.
+/// The greatest number of disruptions of a generated day.
 const MAX_GENERATED_DISRUPTIONS: usize = 4;
 
-/// The most that a day grows to.
+/// The greatest number of disruptions that a day reaches by mutation or splicing.
 const MAX_DISRUPTIONS: usize = 8;
 
-/// How far a moment is moved at a time: within a window of any bound.
+/// The greatest shift of a disruption's time by one mutation, in milliseconds: it stays within a window of any bound.
 const MAX_SHIFT_MS: i64 = 3_000;
 
-/// Draws a day of a deployment.
+/// Generates a day for a deployment.
 pub fn generate(rng: &mut Rng, deployment: &str) -> Day {
     let count = rng.usize(1..=MAX_GENERATED_DISRUPTIONS);
     let disruptions = (0..count).map(|_| disruption(rng)).collect();
@@ -59,7 +63,7 @@
     }
 }
 
-/// Returns a day that differs in one or two things.
+/// Returns a copy of a day with one or two mutations.
 pub fn mutate(rng: &mut Rng, day: &Day) -> Day {
     let mut day = day.clone();
     for _ in 0..rng.usize(1..=2) {
@@ -68,7 +72,7 @@
     ordered(day)
 }
 
-/// Returns a day on which some of what strikes on two others does.
+/// Returns a day with a random selection of the disruptions of two others.
 pub fn splice(rng: &mut Rng, day: &Day, other: &Day) -> Day {
     let mut joined = day.clone();
     joined.disruptions.extend(other.disruptions.iter().cloned());
@@ -95,7 +99,7 @@
         3 => chosen.strength = strength(rng, chosen.kind),
         4 => chosen.for_ms = rng.u64(500..12_000),
         5 | 6 if count < MAX_DISRUPTIONS => {
-            // What strikes once strikes again soon.
+            // A repetition of the same disruption soon after the first.
             let mut again = chosen.clone();
             again.at_ms = (again.at_ms + rng.u64(500..5_000)).min(DISRUPTIONS_UNTIL_MS);
             day.disruptions.push(again);
--- a/crates/kingcuploft-simulation/src/header_names.rs
+++ b/crates/kingcuploft-simulation/src/header_names.rs
@@ -1,9 +1,9 @@
-//! The names of headers that the world's callers, servers and VMs use.
+//! The names of the headers that the simulated callers, servers and VMs use.
 
 use kingcuploft::entry::placement::Reading;
 use kingcuploft_entry::settings::WireNames;
 
-/// The names.
+/// The header names and the readiness path.
 pub const HEADER_NAMES: WireNames = WireNames {
     request_id: "x-id",
     deadline_ms: "x-deadline-ms",
--- a/crates/kingcuploft-simulation/src/history.rs
+++ b/crates/kingcuploft-simulation/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers, servers and the operator have seen of a day. The rules judge by nothing else.
+//! The history of a day: what callers, servers and the operator observed. The rules check nothing else.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use kingcuploft::world::contract::Contract;
 use tokio::time::Instant;
 
-/// Numbers the kinds of requests.
+/// The index of a kind of requests.
 pub type KindIndex = usize;
 
-/// Numbers the entry VMs.
+/// The index of an entry VM.
 pub type VmIndex = usize;
 
-/// A request, as its caller sent it: each attempt is one.
+/// A request as its caller sent it; each attempt is a request of its own.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// The id.
     pub id: u64,
-    /// Its kind.
+    /// The kind.
     pub kind: KindIndex,
     /// When it was sent.
     pub at: Duration,
@@ -25,61 +25,61 @@
     pub vm: VmIndex,
     /// Whether it is the caller's first attempt.
     pub is_first: bool,
-    /// Whether servers end under it.
+    /// Whether it crashes the server that runs it.
     pub is_deadly: bool,
 }
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The server's whole answer to this request.
+    /// The server's complete answer to this request.
     Complete,
-    /// Something else that claims success.
+    /// Another answer with a success status.
     Wrong,
-    /// Refused: it has not run.
+    /// A refusal with the statement that the request has not run.
     NotRun,
     /// Another failure.
     Failed,
-    /// The connection ended, or nothing came.
+    /// No answer: the connection ended, or nothing came in time.
     None,
 }
 
-/// The end of a request.
+/// The end of a request as its caller saw it.
 #[derive(Clone, Copy, Debug)]
 pub struct Completion {
     /// The request's id.
     pub id: u64,
-    /// When.
+    /// When it ended.
     pub at: Duration,
-    /// How.
+    /// How it ended.
     pub answer: Outcome,
 }
 
-/// A request that reached a server.
+/// A request as it reached a server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The request's id.
     pub id: u64,
-    /// Its kind.
+    /// The kind.
     pub kind: KindIndex,
-    /// When.
+    /// When it arrived.
     pub at: Duration,
-    /// The server, by its number.
+    /// The index of the server.
     pub server: usize,
     /// The VM that sent it.
     pub vm: VmIndex,
     /// Whether the server began to work on it.
     pub ran: Cell<bool>,
-    /// Whether servers end under it.
+    /// Whether it crashes the server that runs it.
     pub is_deadly: bool,
 }
 
-/// Something that the store has taken, which VMs have to follow in time.
+/// A write that the store accepted and that VMs must act on in time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AcceptedWrite {
-    /// A server leaves.
+    /// A server drains.
     ServerDraining {
-        /// Its number.
+        /// The index of the server.
         server: usize,
     },
     /// A configuration.
@@ -89,78 +89,78 @@
     },
     /// A zone is evacuated.
     ZoneEvacuated {
-        /// Its number.
+        /// The index of the zone.
         zone: usize,
     },
-    /// A zone is taken back.
+    /// The evacuation of a zone ends.
     ZoneReinstated {
-        /// Its number.
+        /// The index of the zone.
         zone: usize,
     },
 }
 
-/// Where a server is, and when it is cold.
+/// What is known of a server over the day.
 #[derive(Clone, Debug)]
 pub struct ServerHistory {
-    /// Its service.
+    /// The name of its service.
     pub service: String,
-    /// Its zone.
+    /// The index of its zone.
     pub zone: usize,
-    /// From when until when it is cold.
+    /// The beginning and end of the time in which it is cold.
     pub cold: Option<(Duration, Duration)>,
-    /// How many requests a second it bears then.
+    /// How many requests a second it can take while it is cold.
     pub cold_per_s: f64,
-    /// How many requests a second it named as its limit, from when until when.
+    /// The limits that it named: requests per second, from when, until when.
     pub limits: Vec<(f64, Duration, Duration)>,
 }
 
-/// What disturbs a VM.
+/// Why a VM's operation was disturbed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DisturbanceCause {
-    /// A planned stop, and the start after it.
+    /// A planned stop, or the start after it.
     PlannedStop,
-    /// Anything else.
+    /// Any other reason.
     Fault,
 }
 
-/// A VM that is disturbed.
+/// A moment at which a VM's operation was disturbed.
 #[derive(Clone, Copy, Debug)]
 pub struct Disturbance {
     /// The VM.
     pub vm: VmIndex,
     /// When.
     pub at: Duration,
-    /// By what.
+    /// Why.
     pub cause: DisturbanceCause,
 }
 
-/// All that was seen.
+/// All observations of a day.
 #[derive(Debug)]
 pub struct History {
     started_at: Cell<Instant>,
-    /// The requests.
+    /// The requests, as their callers sent them.
     pub requests: RefCell<Vec<Request>>,
-    /// Their ends.
+    /// How the requests ended for their callers.
     pub answers: RefCell<Vec<Completion>>,
-    /// What reached servers.
+    /// The requests that reached servers.
     pub arrivals: RefCell<Vec<Arrival>>,
-    /// What the store has taken, and when.
+    /// The writes that the store accepted, and when.
     pub accepted_writes: RefCell<Vec<(Duration, AcceptedWrite)>>,
-    /// The servers.
+    /// The servers, by index.
     pub servers: RefCell<Vec<ServerHistory>>,
-    /// When VMs were disturbed.
+    /// When the operation of VMs was disturbed.
     pub vm_disturbances: RefCell<Vec<Disturbance>>,
-    /// From when until when the store was.
+    /// The periods in which the store was silent or lacked writes after a restore.
     pub store_disturbances: RefCell<Vec<(Duration, Duration)>>,
-    /// When VMs were stopped as planned.
+    /// When planned stops of VMs began.
     pub planned_stops: RefCell<Vec<(VmIndex, Duration)>>,
-    /// Versions that VMs were seen to serve by, in the order of time.
+    /// The checks for a version's route, in order of time: the VM, the version, when, and whether the VM had the route.
     pub version_checks: RefCell<Vec<(VmIndex, u64, Duration, bool)>>,
-    /// When VMs were asked for a route that a version added, at the first service.
+    /// When VMs were sent requests that check for a version's route; these go to the first service.
     pub version_check_times: RefCell<Vec<Duration>>,
-    /// How many probes servers got, and how many seconds servers were there.
+    /// How many probes all servers got.
     pub probes: Cell<u64>,
-    /// As `probes` says.
+    /// The sum of the times for which the servers were running, in seconds.
     pub server_seconds: Cell<f64>,
 }
 
@@ -185,22 +185,22 @@
 }
 
 impl History {
-    /// Counts time from now on.
+    /// Starts the clock of the history at zero.
     pub fn start_clock(&self) {
         self.started_at.set(Instant::now());
     }
 
-    /// Returns the time since the begin; zero before it.
+    /// Returns the time on the history's clock; zero before its start.
     pub fn now(&self) -> Duration {
         Instant::now().saturating_duration_since(self.started_at.get())
     }
 
-    /// Takes note that the store has taken something.
+    /// Records a write that the store accepted.
     pub fn record_write(&self, what: AcceptedWrite) {
         self.accepted_writes.borrow_mut().push((self.now(), what));
     }
 
-    /// Takes note of the limit that a server names from now on.
+    /// Records the limit that a server names from now on, or that it names none.
     pub fn record_named_limit(&self, server: usize, per_s: Option<f64>) {
         let now = self.now();
         let mut servers = self.servers.borrow_mut();
@@ -211,7 +211,7 @@
         limits.extend(per_s.map(|per_s| (per_s, now, Duration::MAX)));
     }
 
-    /// Returns when the store has last taken a configuration of the day, if it has.
+    /// Returns when the store last accepted a configuration during the day; the first one precedes the day.
     pub fn last_configuration_change(&self) -> Option<Duration> {
         let accepted = self.accepted_writes.borrow();
         let of_day = accepted.iter().filter(|(_, what)| match what {
@@ -221,14 +221,14 @@
         of_day.map(|(at, _)| *at).next_back()
     }
 
-    /// Takes note that a VM is disturbed now.
+    /// Records that a VM's operation is disturbed now.
     pub fn record_disturbance(&self, vm: VmIndex, cause: DisturbanceCause) {
         let at = self.now();
         let mut disturbed = self.vm_disturbances.borrow_mut();
         disturbed.push(Disturbance { vm, at, cause });
     }
 
-    /// Returns whether neither a VM nor the store was disturbed for so long before a moment.
+    /// Returns whether neither the VM nor the store was disturbed in the period `contact` before a moment.
     pub fn was_undisturbed(&self, vm: VmIndex, at: Duration, contact: Duration) -> bool {
         let since = at.saturating_sub(contact);
         let of_vm = self.vm_disturbances.borrow();
@@ -243,7 +243,7 @@
     }
 }
 
-/// Returns whether requests of a contract may run more than once.
+/// Returns whether requests with this contract may run more than once.
 pub fn is_idempotent(contract: Contract) -> bool {
     contract == Contract::RetryFreely
 }
--- a/crates/kingcuploft-simulation/src/lib.rs
+++ b/crates/kingcuploft-simulation/src/lib.rs
@@ -1,7 +1,8 @@
-//! A whole fleet in virtual time: the entry VM's own code against a played network, callers, backend servers, store and
-//! operator.
+//! Simulates a fleet of entry VMs in virtual time: the entry VM's own code runs against a simulated network and
+//! simulated callers, backend servers, store and operator.
 //!
-//! One thread plays a world, and the same seed gives the same day. Nothing here decides for a VM.
+//! One simulated run is a day: a deployment, a seed and the disruptions that occur. A day runs on one thread and is
+//! deterministic: the same seed gives the same day. The simulation makes no decision for a VM.
 
 pub mod balancer;
 pub mod caller;
--- a/crates/kingcuploft-simulation/src/link.rs
+++ b/crates/kingcuploft-simulation/src/link.rs
@@ -1,4 +1,4 @@
-//! One direction of a link: bytes leave at the sender's rate, arrive at the receiver's, and wait to be read.
+//! Simulated links: bytes leave at the sender's rate, arrive at the receiver's rate, and wait until they are read.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,31 +13,31 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep};
 
-/// How many bytes may be on their way and unread.
+/// How many bytes may be in flight and unread in one direction.
 const WINDOW_BYTES: usize = 64 * 1024;
 
-/// The bytes sent at once.
+/// The greatest number of bytes sent at once.
 const SEGMENT_BYTES: usize = 4 * 1024;
 
-/// How often a link that is cut is looked at again.
+/// How often a reader checks whether a cut link is back.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A VM's own link: what it sends leaves one segment after the other, and so does what arrives.
+/// A host's network interface: it sends and receives one segment after the other at a fixed rate.
 #[derive(Debug)]
 pub struct Nic {
     bytes_per_s: f64,
     sends_until: Cell<Instant>,
     receives_until: Cell<Instant>,
-    /// What it has sent.
+    /// How many bytes it has sent.
     pub sent_bytes: Cell<usize>,
-    /// Nothing leaves or arrives.
+    /// Whether nothing leaves or arrives.
     pub is_cut: Cell<bool>,
-    /// Its VM has lost power for good; one that comes back has another link.
+    /// Whether the host has lost power for good; a host that restarts gets another interface.
     pub is_powered_off: Cell<bool>,
 }
 
 impl Nic {
-    /// Opens a link of so many megabits a second.
+    /// Returns an interface with a rate in megabits per second.
     pub fn of(mbit_per_s: u32) -> Self {
         Self {
             bytes_per_s: f64::from(mbit_per_s) * 125_000.0,
@@ -60,7 +60,7 @@
         left
     }
 
-    /// Returns when bytes that reach this VM's link at a moment have passed it.
+    /// Returns when bytes that reach this interface at a moment have been received.
     pub fn receive(&self, bytes: usize, at: Instant) -> Instant {
         let arrived = self.receives_until.get().max(at) + self.transmission_time(bytes);
         self.receives_until.set(arrived);
@@ -116,7 +116,7 @@
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-/// Opens a link between two VMs.
+/// Opens a link between two interfaces.
 pub fn connect(a: &Rc<Nic>, b: &Rc<Nic>, delay: Duration) -> (LinkEnd, LinkEnd) {
     let (there, back) = (Pipe::new(a, b, delay), Pipe::new(b, a, delay));
     let end = |incoming: &Rc<Pipe>, outgoing: &Rc<Pipe>| LinkEnd {
@@ -238,7 +238,7 @@
 
 impl Drop for LinkEnd {
     fn drop(&mut self) {
-        // Nobody hears of the end of what has no power.
+        // A host without power sends no end of connection.
         if self.outgoing.from.is_powered_off.get() {
             return;
         }
--- a/crates/kingcuploft-simulation/src/log.rs
+++ b/crates/kingcuploft-simulation/src/log.rs
@@ -1,4 +1,4 @@
-//! The lines of a day: those of all VMs, with virtual time and the VM's name.
+//! Collects the log lines of all VMs of a day, with virtual time and the VM's name.
 
 use std::cell::{Cell, RefCell};
 use std::io::Write;
@@ -15,7 +15,7 @@
     static LINES: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Names the VM whose lines are written until this is dropped.
+/// Attributes log lines to a VM until it is dropped.
 pub struct VmScope(Option<VmIndex>);
 
 impl Drop for VmScope {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Names the VM whose lines are written from now on.
+/// Attributes the log lines of this thread to a VM until the returned guard is dropped.
 pub fn enter_vm(vm: VmIndex) -> VmScope {
     VmScope(VM.replace(Some(vm)))
 }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Plays something and returns the lines that were written meanwhile on this thread.
+/// Runs a function and returns the lines that this thread logged meanwhile.
 pub fn capture<T>(play: impl FnOnce() -> T) -> (T, Vec<u8>) {
     LINES.with_borrow_mut(Vec::clear);
     let subscriber = tracing_subscriber::fmt()
@@ -81,7 +81,7 @@
     (played, LINES.take())
 }
 
-/// Counts the time of lines from now on.
+/// Starts the clock of the log lines at zero.
 pub fn start_clock() {
     STARTED_AT.set(Some(Instant::now()));
 }
--- a/crates/kingcuploft-simulation/src/main.rs
+++ b/crates/kingcuploft-simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays days of a fleet in virtual time, and searches for days that break a rule.
+//! The command line: runs days of a fleet in virtual time, searches for days that break a rule, and shrinks such days.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -29,7 +29,7 @@
 Exit codes: 0 no rule is broken, 1 one is, 2 wrong usage or days.
 ";
 
-/// What was asked for.
+/// The command line's arguments.
 #[derive(Debug, Default)]
 struct Options {
     verb: String,
@@ -48,7 +48,7 @@
     rule: Option<Rule>,
 }
 
-/// Why nothing was played.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CliError {
     #[error("{0}\n\n{HELP}")]
@@ -115,7 +115,7 @@
     found.ok_or_else(|| format!("--rule: {name} is none of {:?}", Rule::ALL).into())
 }
 
-/// Does what was asked for; returns whether a rule is broken.
+/// Runs the command; returns whether a rule is broken.
 fn dispatch(asked: &Options) -> Result<bool, CliError> {
     match asked.verb.as_str() {
         "run" => run(asked),
@@ -219,7 +219,7 @@
     nearest.for_each(|near| print_bound_usage(&near.usage));
 }
 
-/// Writes the nearest day of each rule, those that break it shrunk, and the course.
+/// Writes the nearest day of each rule, shrunk if it breaks the rule, and a plot of the search's progress.
 fn write_out(asked: &Options, found: &SearchResult, out: &Path) -> Result<(), CliError> {
     let fault = |error| CliError::File(out.into(), error);
     std::fs::create_dir_all(out).map_err(fault)?;
--- a/crates/kingcuploft-simulation/src/network.rs
+++ b/crates/kingcuploft-simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! The played network: who reaches whom, how long it takes, what is cut.
+//! The simulated network: who can reach whom, how long bytes take, and which links are cut.
 
 use std::cell::{Cell, RefCell};
 use std::io::{Error, ErrorKind};
@@ -15,21 +15,25 @@
 use crate::history::VmIndex;
 use crate::link::{self, LinkEnd, Nic};
 
-/// How long bytes take within a zone, to another one, and between callers and VMs.
+/// The delay of bytes within a zone.
 const DELAY_IN_ZONE: Duration = Duration::from_micros(100);
+
+/// The delay of bytes between two zones.
 const DELAY_BETWEEN_ZONES: Duration = Duration::from_micros(900);
+
+/// The delay of bytes between callers and VMs.
 const DELAY_TO_CALLERS: Duration = Duration::from_millis(3);
 
-/// How often a connection that can't be opened is tried again: opening packets are lost.
+/// How often a connection attempt over a cut link is repeated, since its opening packets are lost.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The speed of all links, which none of the days fills.
+/// The bandwidth of all links, which no day saturates.
 const LINK_MBIT_PER_S: u32 = 1000;
 
-/// A connection that was opened, and the VM that opened it.
+/// An accepted connection, and the VM that opened it, if one did.
 pub type AcceptedConnection = (LinkEnd, Option<VmIndex>);
 
-/// A datagram, and where it comes from.
+/// A datagram and its sender's address.
 pub type Datagram = (Told, SocketAddr);
 
 #[derive(Debug)]
@@ -39,7 +43,7 @@
     accepts: UnboundedSender<AcceptedConnection>,
 }
 
-/// Where datagrams to an address go.
+/// The receiver of the datagrams to an address.
 #[derive(Clone, Debug)]
 struct Mailbox {
     nic: Rc<Nic>,
@@ -56,26 +60,26 @@
 #[derive(Clone, Debug, Default)]
 pub struct Network(Rc<Endpoints>);
 
-/// Where a host is.
+/// The location of a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Location {
-    /// In a zone.
+    /// In an availability zone.
     Zone(usize),
-    /// With the callers.
+    /// Outside the zones, where the callers are.
     External,
 }
 
-/// The network as one host reaches it.
+/// A host's access to the network.
 #[derive(Clone, Debug)]
 pub struct Host {
     network: Network,
     location: Location,
     vm: Option<VmIndex>,
-    /// Its way to callers and servers.
+    /// The interface towards callers and servers.
     pub nic: Rc<Nic>,
-    /// Its way to other VMs and the store.
+    /// The interface towards other VMs and the store.
     pub peer_nic: Rc<Nic>,
-    /// Where other VMs reach it.
+    /// The address at which other VMs reach the host.
     pub peer_address: Cell<Option<SocketAddr>>,
 }
 
@@ -100,12 +104,12 @@
 }
 
 impl Host {
-    /// Listens at an address, on its way to callers and servers.
+    /// Listens at an address on the interface towards callers and servers.
     pub fn listen(&self, address: SocketAddr, accepts: UnboundedSender<AcceptedConnection>) {
         self.listen_on(&self.nic, address, accepts);
     }
 
-    /// Listens at an address, on its way to other VMs.
+    /// Listens at an address on the interface towards other VMs, for connections and datagrams.
     pub fn listen_to_peers(
         &self,
         address: SocketAddr,
@@ -141,18 +145,18 @@
         all.insert(address, listener);
     }
 
-    /// Cuts the host off from other VMs and the store, or ends that.
+    /// Cuts the host off from other VMs and the store, or ends the cut.
     pub fn cut_off(&self, is_cut: bool) {
         self.peer_nic.is_cut.set(is_cut);
     }
 
-    /// Takes its power away; a host that has it again is another one.
+    /// Takes the power away for good; the host that starts when power is back is a new one.
     pub fn lose_power(&self) {
         self.nic.is_powered_off.set(true);
         self.peer_nic.is_powered_off.set(true);
     }
 
-    /// Returns whether it reaches other VMs and the store.
+    /// Returns whether the host is cut off from other VMs and the store.
     pub fn is_cut_off(&self) -> bool {
         self.peer_nic.is_cut.get() || self.peer_nic.is_powered_off.get()
     }
--- a/crates/kingcuploft-simulation/src/operator.rs
+++ b/crates/kingcuploft-simulation/src/operator.rs
@@ -1,4 +1,4 @@
-//! What the operator and the platform write to the store: configurations, servers, evacuations.
+//! The operator and the platform: write configurations, server entries and evacuations to the store.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,10 +18,10 @@
 /// How many connections a server accepts.
 const CONNECTIONS_PER_SERVER: u32 = 260;
 
-/// How many servers one request may reach.
+/// How many servers one request may be sent to.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Writes to the store.
+/// Writes to the store and records what the store accepted.
 #[derive(Debug)]
 pub struct Operator {
     deployment: Rc<Deployment>,
@@ -31,7 +31,7 @@
 }
 
 impl Operator {
-    /// Returns an operator that has written nothing.
+    /// Returns an operator that has written nothing yet.
     pub fn new(deployment: Rc<Deployment>, store: TestStore, seen: Rc<History>) -> Self {
         Self {
             deployment,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Writes the next configuration, with a route more than the last; returns its version.
+    /// Writes the next configuration, which has one route more than the last; returns its version.
     pub fn write_next_configuration(&self) -> u64 {
         let version = self.version.get() + 1;
         self.version.set(version);
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Has a zone evacuated, or takes it back.
+    /// Evacuates a zone, or ends its evacuation.
     pub fn set_evacuated(&self, zone: usize, is_evacuated: bool) {
         self.store
             .0
@@ -125,7 +125,7 @@
         });
     }
 
-    /// Writes again what is in force, to a store that may lack it.
+    /// Writes the configuration and evacuations in force again, to a store that may lack them.
     pub fn rewrite(&self) {
         let configuration = self.configuration(self.version.get());
         self.store.0.write_configuration(configuration);
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Returns the version that was written last.
+    /// Returns the version of the last configuration written.
     pub fn version(&self) -> u64 {
         self.version.get()
     }
--- a/crates/kingcuploft-simulation/src/planted_fault.rs
+++ b/crates/kingcuploft-simulation/src/planted_fault.rs
@@ -1,9 +1,10 @@
-//! Faults that are planted on purpose, to show that the search finds them.
+//! Runs code with a planted fault: a known defect that is enabled on purpose, to show that the rules and the search
+//! detect it.
 
 use kingcuploft::planted;
 pub use kingcuploft::planted::Planted;
 
-/// Does something with a fault planted in this thread's VMs.
+/// Runs a function while a fault is enabled in this thread's VMs.
 pub fn run_with<T>(fault: Option<Planted>, act: impl FnOnce() -> T) -> T {
     planted::set(fault);
     let done = act();
--- a/crates/kingcuploft-simulation/src/plot.rs
+++ b/crates/kingcuploft-simulation/src/plot.rs
@@ -1,4 +1,4 @@
-//! How near a search came to each bound, by days played, as SVG.
+//! Plots a search as SVG: how near it came to the bound of each rule, by the number of days run.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use crate::rules::Rule;
 use crate::search::SearchResult;
 
-/// What is drawn of a bound that is far exceeded.
+/// The greatest usage that the plot shows; greater ones are drawn at this value.
 const MAX_PLOTTED_USAGE: f64 = 2.0;
 
 /// Why a plot could not be drawn.
@@ -15,7 +15,7 @@
 #[error("the plot can't be drawn: {0}")]
 pub struct PlotError(String);
 
-/// Draws the course of a search.
+/// Draws the progress of a search into a file.
 ///
 /// # Errors
 ///
--- a/crates/kingcuploft-simulation/src/rules/fleet.rs
+++ b/crates/kingcuploft-simulation/src/rules/fleet.rs
@@ -1,17 +1,23 @@
-//! Rules that bind the sum of all VMs: repeats, cold servers, probes.
+//! Rules that bound what all VMs together send: repeats, requests to cold or limited servers, probes.
 
 use std::time::Duration;
 
 use super::{BoundUsage, IndexedHistory, Rule};
 use crate::history::Arrival;
 
-/// The users' second.
+/// The window of the bound on cold servers, which is stated per second.
 const SECOND: Duration = Duration::from_secs(1);
 
-/// How many times what it names a server may get in this window, and how many requests more; how soon all VMs know it.
+/// The requests that a server with a named limit may get, as a multiple of that limit.
 const LIMIT_FACTOR: f64 = 1.5;
+
+/// The window over which that is counted.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
+
+/// How many requests such a server may get in a window beyond that multiple.
 const LIMIT_SLACK: f64 = 5.0;
+
+/// How soon after a server names a limit all VMs must know it.
 const LIMIT_KNOWN_AFTER: Duration = Duration::from_millis(2000);
 
 fn count_in_window(times: &[Duration], from: Duration, window: Duration) -> usize {
@@ -20,7 +26,7 @@
     last - first
 }
 
-/// The most repeats of any service in any window, of those allowed.
+/// Returns the greatest share of the repeat budget that any service used in any window.
 pub(super) fn budget(case: &IndexedHistory<'_>) -> BoundUsage {
     let bounds = case.deployment.bounds.repeats();
     let mut nearest = BoundUsage::none(Rule::RepeatBudget);
@@ -51,7 +57,7 @@
     nearest
 }
 
-/// Returns when arrivals beyond the first of their request came, in the order of time.
+/// Returns the times of all arrivals after the first of their request, in order.
 fn repeat_times(case: &IndexedHistory<'_>, of_service: impl Fn(usize) -> bool) -> Vec<Duration> {
     let by_request = case.arrivals_by_request();
     let of_service = by_request
@@ -67,7 +73,7 @@
     beyond
 }
 
-/// The most requests that any cold server got in any second, of those it may get.
+/// Returns the greatest share of its allowed requests that any cold server got in any second.
 pub(super) fn cold_servers(case: &IndexedHistory<'_>) -> BoundUsage {
     let bounds = &case.deployment.bounds;
     let mut nearest = BoundUsage::none(Rule::ColdServers);
@@ -89,7 +95,8 @@
     nearest
 }
 
-/// The most requests that a server got in any four seconds after it had named a limit, of those it may get.
+/// Returns the greatest share of its allowed requests that any server got in any `LIMIT_WINDOW` after it had named a
+/// limit.
 pub(super) fn named_limits(case: &IndexedHistory<'_>) -> BoundUsage {
     let contact = case.deployment.bounds.undisturbed_time();
     let mut nearest = BoundUsage::none(Rule::NamedLimits);
@@ -114,7 +121,7 @@
     nearest
 }
 
-/// The probes of a server and second over the day, of those allowed.
+/// Returns the probes per server and second over the whole day, as a share of those allowed.
 pub(super) fn probes(case: &IndexedHistory<'_>) -> BoundUsage {
     let server_s = case.history.server_seconds.get().max(1.0);
     let per_s = case.history.probes.get() as f64 / server_s;
--- a/crates/kingcuploft-simulation/src/rules/mod.rs
+++ b/crates/kingcuploft-simulation/src/rules/mod.rs
@@ -1,6 +1,6 @@
-//! The rules: each tells whether a day kept it, and how near the day came to its bound.
+//! The rules that every day must keep: each reports whether a day broke it, and how near the day came to its bound.
 //!
-//! They judge by what callers, servers and the store saw.
+//! The rules check only the history that callers, servers and the store observed.
 
 mod fleet;
 mod propagation;
@@ -13,40 +13,40 @@
 use crate::history::{Arrival, Completion, History, Outcome, Request};
 use crate::simulation::DayResult;
 
-/// A rule.
+/// The rules.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// All VMs together repeat a share of the requests, and an allowance.
+    /// All VMs together repeat at most a share of the requests plus an allowance.
     RepeatBudget,
-    /// A request that may run once runs once.
+    /// A request that may run only once runs at most once.
     AtMostOnce,
-    /// A caller that is told that its request has not run can rely on it.
+    /// A request that the caller was told has not run has indeed not run.
     TruthfulRefusals,
-    /// An answer is whole, and the caller's own.
+    /// A successful answer is complete and belongs to the caller's own request.
     WholeAnswers,
-    /// A leaving server gets nothing after its time.
+    /// A draining server gets no requests after its drain time.
     Draining,
-    /// A configuration is in force in time.
+    /// A configuration is in force on all VMs in time.
     ConfigurationInForce,
     /// A VM does not go back to an older configuration.
     NeverReverts,
-    /// An emptied zone gets nothing after its time.
+    /// An evacuated zone gets no requests after the evacuation time.
     Evacuations,
-    /// A cold server gets what it bears.
+    /// A cold server gets no more requests than it can take.
     ColdServers,
-    /// A server that names a limit gets so many requests at most.
+    /// A server that names a limit gets no more requests than that limit allows.
     NamedLimits,
-    /// A request under which servers end is kept from the others.
+    /// A request that crashes servers is quarantined and kept from the other servers.
     Quarantine,
-    /// Servers are probed so often at most.
+    /// Servers are probed at a bounded rate.
     Probes,
-    /// A planned stop cuts no request.
+    /// A planned stop interrupts no request.
     PlannedStops,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules.
     pub const ALL: [Self; 13] = [
         Self::RepeatBudget,
         Self::AtMostOnce,
@@ -69,7 +69,7 @@
 pub struct BoundUsage {
     /// The rule.
     pub rule: Rule,
-    /// The most that was used of what is allowed: the rule is broken above 1.
+    /// The greatest share of the allowed amount that was used; the rule is broken above 1.
     pub used: f64,
     /// Where that was.
     pub what: String,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Counts what must not happen at all: the first one breaks the rule.
+    /// Returns the usage of a rule that allows no violations: the first one breaks it.
     fn of_violations(rule: Rule, count: usize, what: String) -> Self {
         let used = match count {
             0 => 0.0,
@@ -110,7 +110,7 @@
     }
 }
 
-/// What was seen, found by request.
+/// The history of a day, indexed by request.
 struct IndexedHistory<'a> {
     deployment: &'a Deployment,
     history: &'a History,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Judges a day by all rules.
+/// Checks a day against all rules.
 pub fn check(played: &DayResult) -> Vec<BoundUsage> {
     let case = IndexedHistory::of(played);
     let judged = Rule::ALL.map(|rule| match rule {
@@ -166,7 +166,8 @@
     judged.to_vec()
 }
 
-/// Returns the share of first requests that were answered whole in the end, by their callers' own count.
+/// Returns the share of the callers' first requests, deadly ones left out, that got a complete answer in the end, retries
+/// included.
 pub fn answered_share(played: &DayResult) -> f64 {
     let case = IndexedHistory::of(played);
     let asked = case.requests.iter();
--- a/crates/kingcuploft-simulation/src/rules/propagation.rs
+++ b/crates/kingcuploft-simulation/src/rules/propagation.rs
@@ -1,14 +1,15 @@
-//! Rules on how soon VMs follow what the store has taken.
+//! Rules on how soon the VMs act on what the store accepted.
 
 use std::time::Duration;
 
 use super::{BoundUsage, IndexedHistory, Rule};
 use crate::history::{AcceptedWrite, Arrival};
 
-/// A request that a VM has just sent is on its way.
+/// A request that a VM sent just before the bound may still be in flight for this long.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(2);
 
-/// Returns how late what came after an acceptance was, in parts of what is allowed.
+/// Returns how late the last arrival after an accepted write was, as a share of the bound, and when it was. Counts only
+/// arrivals from VMs that had run undisturbed.
 fn lateness<'a>(
     case: &IndexedHistory<'_>,
     accepted: Duration,
@@ -30,7 +31,7 @@
     Some((late.as_secs_f64() / bound.as_secs_f64(), last))
 }
 
-/// How long a leaving server got requests, of the time that is allowed.
+/// Returns for how long draining servers still got requests, as a share of the allowed time.
 pub(super) fn draining(case: &IndexedHistory<'_>) -> BoundUsage {
     let mut nearest = BoundUsage::none(Rule::Draining);
     for (at, accepted) in case.history.accepted_writes.borrow().iter() {
@@ -48,7 +49,7 @@
     nearest
 }
 
-/// How long an emptied zone got requests, of the time that is allowed.
+/// Returns for how long evacuated zones still got requests, as a share of the allowed time.
 pub(super) fn evacuations(case: &IndexedHistory<'_>) -> BoundUsage {
     let mut nearest = BoundUsage::none(Rule::Evacuations);
     let all = case.history.accepted_writes.borrow();
@@ -73,7 +74,7 @@
     nearest
 }
 
-/// How long VMs went on without a route that a configuration added, of the time that is allowed.
+/// Returns for how long VMs lacked a route that a configuration added, as a share of the allowed time.
 pub(super) fn configuration(case: &IndexedHistory<'_>) -> BoundUsage {
     let bound = Duration::from_millis(case.deployment.bounds.configuration_ms);
     let contact = case.deployment.bounds.undisturbed_time();
@@ -96,7 +97,7 @@
     nearest
 }
 
-/// No VM that had a route lacks it later, unless it has started again meanwhile.
+/// Counts the checks in which a VM lacked a route that it had had before, without a restart in between.
 pub(super) fn never_reverts(case: &IndexedHistory<'_>) -> BoundUsage {
     let served_by = case.history.version_checks.borrow();
     let contact = case.deployment.bounds.undisturbed_time();
--- a/crates/kingcuploft-simulation/src/rules/requests.rs
+++ b/crates/kingcuploft-simulation/src/rules/requests.rs
@@ -5,21 +5,23 @@
 use super::{BoundUsage, IndexedHistory, Rule};
 use crate::history::{DisturbanceCause, Outcome, is_idempotent};
 
-/// How long after a planned stop began requests must not be cut.
+/// How long after the beginning of a planned stop no request may be interrupted.
 const STOP_WINDOW: Duration = Duration::from_secs(7);
 
-/// How long a request may have been on its way when its VM stopped, to count as cut by the stop.
+/// How long before its VM began to stop a request may have been sent, to count as interrupted by the stop.
 const MAX_SENT_BEFORE_STOP: Duration = Duration::from_secs(1);
 
-/// From so many ends of servers on a request is kept from the others; it may be tried again now and then.
+/// A request is quarantined after this many server crashes.
 const CRASHES_TO_QUARANTINE: usize = 3;
+
+/// How often a quarantined request may still be sent to servers: it is tried again now and then.
 const MAX_FORWARDED: usize = 3;
 
-/// A request that is sent so long after the stop began at most, and is still worked on in the last sixth of the time that
-/// the stop may take, may be cut.
+/// A request may be interrupted if it was sent at most this long after the stop began, and is still in progress in the
+/// last sixth of the time that the stop may take.
 const MAX_SENT_AFTER_STOP: Duration = Duration::from_secs(3);
 
-/// No request that may run once ran twice.
+/// Counts the requests that ran more than once although they may run only once.
 pub(super) fn at_most_once(case: &IndexedHistory<'_>) -> BoundUsage {
     let by_request = case.arrivals_by_request();
     let twice = by_request.iter().filter(|(_, arrivals)| {
@@ -34,7 +36,7 @@
     BoundUsage::of_violations(Rule::AtMostOnce, twice.len(), what)
 }
 
-/// No request that was refused as not run ran.
+/// Counts the requests that ran although they were refused as not run.
 pub(super) fn truthful_refusals(case: &IndexedHistory<'_>) -> BoundUsage {
     let by_request = case.arrivals_by_request();
     let ran = by_request.iter().filter(|(id, arrivals)| {
@@ -49,7 +51,8 @@
     BoundUsage::of_violations(Rule::TruthfulRefusals, ran.len(), what)
 }
 
-/// How often a request was sent on after servers had ended under it and all VMs had had time to know, of what is allowed.
+/// Returns how often a deadly request was still sent on after it had crashed servers and all VMs had had time to learn
+/// that, as a share of what is allowed.
 pub(super) fn quarantine(case: &IndexedHistory<'_>) -> BoundUsage {
     let deadly = case.arrivals.iter().filter(|arrival| arrival.is_deadly);
     let mut deadly: Vec<_> = deadly.collect();
@@ -71,7 +74,7 @@
     BoundUsage::none(Rule::Quarantine).or_greater(used, what)
 }
 
-/// No caller got another answer than its own, whole.
+/// Counts the callers that got an answer that was incomplete or not their own.
 pub(super) fn whole_answers(case: &IndexedHistory<'_>) -> BoundUsage {
     let wrong = case.answers.values();
     let wrong: Vec<_> = wrong
@@ -83,7 +86,7 @@
     BoundUsage::of_violations(Rule::WholeAnswers, wrong.len(), what)
 }
 
-/// No request that a stopping VM had in hand ended without an answer, unless its server lost it.
+/// Counts the requests in progress on a stopping VM that ended without an answer, unless their server lost the answer.
 pub(super) fn planned_stops(case: &IndexedHistory<'_>) -> BoundUsage {
     let bounds = &case.deployment.bounds;
     let stops = case.history.planned_stops.borrow();
--- a/crates/kingcuploft-simulation/src/search.rs
+++ b/crates/kingcuploft-simulation/src/search.rs
@@ -1,4 +1,5 @@
-//! Searches for days that break a rule: it keeps those that came nearest to a bound, changes them, and goes on from there.
+//! Searches for days that break a rule, as an evolutionary fuzzer does: keeps the days that came nearest to a bound,
+//! mutates them, and goes on from the results.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -15,56 +16,56 @@
 use crate::rules::{self, BoundUsage, Rule};
 use crate::simulation;
 
-/// How many days are kept for each rule.
+/// How many of the nearest days are kept for each rule.
 const KEPT_DAYS_PER_RULE: usize = 6;
 
-/// How often a day is drawn anew all the same.
+/// The share of days that are generated from nothing although nearest days are known.
 const GENERATED_SHARE: f64 = 0.2;
 
-/// How often two near days are joined, rather than one changed.
+/// The share of days derived from known ones that splice two of them instead of mutating one.
 const SPLICED_SHARE: f64 = 0.2;
 
-/// What is searched.
+/// The settings of a search.
 #[derive(Clone, Debug)]
 pub struct Search {
-    /// The deployment.
+    /// The name of the deployment.
     pub deployment: String,
-    /// What its chances are drawn from.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// The most days that are played.
+    /// The greatest number of days to run.
     pub max_days: usize,
-    /// How long it may take.
+    /// For how long new days are begun.
     pub time_limit: Duration,
-    /// How many threads play.
+    /// How many threads run days.
     pub jobs: usize,
-    /// Whether days are changed, or only drawn.
+    /// Whether known days are mutated; if not, all days are generated from nothing.
     pub is_mutating: bool,
-    /// Whether it ends with the first day that breaks a rule.
+    /// Whether the search stops at the first day that breaks a rule.
     pub stops_at_first: bool,
-    /// The fault that is planted.
+    /// The fault that is planted in the VMs, if any.
     pub planted: Option<Planted>,
 }
 
-/// A day, and how near it came to a bound.
+/// A day and its usage of one rule's bound.
 #[derive(Clone, Debug)]
 pub struct NearDay {
     /// The day.
     pub day: Day,
-    /// How near it came.
+    /// How near it came to the bound of the rule.
     pub usage: BoundUsage,
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Debug, Default, Serialize)]
 pub struct SearchResult {
-    /// How many days were played.
+    /// How many days were run.
     pub days: usize,
-    /// How many of them had been played when the first rule broke.
+    /// How many days had been run when a rule first broke.
     pub first_broken_after: Option<usize>,
-    /// The nearest days of each rule, the nearest first.
+    /// The nearest days of each rule, nearest first.
     #[serde(skip)]
     pub nearest: HashMap<Rule, Vec<NearDay>>,
-    /// How near the nearest day of each rule had come, by days played.
+    /// Each improvement of a rule's nearest day: the number of days run, the rule and the usage of its bound.
     pub course: Vec<(usize, Rule, f64)>,
 }
 
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Returns the days that came near to one bound; which one goes by turns.
+    /// Returns the days that came near to the bound of one rule; the rules take turns by `turn`.
     fn days_near_next_bound(&self, turn: usize) -> Vec<Day> {
         let of_rule = |rule: &Rule| {
             let near = self.nearest.get(rule)?;
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Returns the nearest day of each rule that is broken.
+    /// Returns the nearest day of each broken rule.
     pub fn broken(&self) -> Vec<&NearDay> {
         let nearest = Rule::ALL
             .iter()
@@ -118,7 +119,7 @@
 }
 
 impl Search {
-    /// Searches; `progress` is told of each rule that a day broke first.
+    /// Runs the search; calls `progress` with the number of days run whenever a day is the first to break a rule.
     pub fn run(&self, progress: impl Fn(usize, &BoundUsage) + Sync) -> SearchResult {
         let found = Mutex::new(SearchResult::default());
         let (begun, next, ends) = (Instant::now(), AtomicUsize::new(0), AtomicBool::new(false));
@@ -157,8 +158,8 @@
         found.into_inner().unwrap_or_default()
     }
 
-    /// Returns a day that is drawn, or one that came near to a bound and is changed or joined with another such; the bounds
-    /// that days come near to take turns.
+    /// Returns the next day to run: a generated one, or a mutation or splice of days that came near to a bound. The
+    /// rules take turns in supplying these days.
     fn next_day(&self, rng: &mut Rng, number: usize, found: &Mutex<SearchResult>) -> Day {
         if !self.is_mutating || rng.f64() < GENERATED_SHARE {
             return generator::generate(rng, &self.deployment);
@@ -176,11 +177,11 @@
     }
 }
 
-/// Plays a day and judges it.
+/// Runs a day and checks it against all rules.
 ///
 /// # Errors
 ///
-/// Returns an error if it can't be played.
+/// Returns an error if the day can't be run.
 pub fn check_day(day: &Day) -> Result<Vec<BoundUsage>, simulation::RunError> {
     Ok(rules::check(&simulation::run_unlogged(day)?))
 }
--- a/crates/kingcuploft-simulation/src/server.rs
+++ b/crates/kingcuploft-simulation/src/server.rs
@@ -1,4 +1,4 @@
-//! A backend server: slots, a queue, a speed that jumps, and faults.
+//! A simulated backend server with slots, a queue, a varying speed and faults.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -19,50 +19,54 @@
 use crate::link::LinkEnd;
 use crate::network::{AcceptedConnection, Host};
 
-/// How often a server's speed is drawn anew, how often it is slow, and how slow.
+/// How often a server's speed changes at random.
 const SPEED_INTERVAL: Duration = Duration::from_millis(150);
+
+/// The probability that a server is slow for one interval.
 const SLOW_SHARE: f64 = 0.25;
+
+/// By how much slow work takes longer.
 const SLOW_FACTOR: f64 = 5.0;
 
-/// What the path of a request ends with under which servers end.
+/// Requests whose path ends with this word crash the server that runs them.
 pub const DEADLY_PATH: &str = "deadly";
 
-/// The most bytes of a request's body.
+/// The greatest size of a request's body.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// How a server fails.
+/// The faults of a server that disruptions switch on.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// The part of the requests that it refuses.
+    /// The share of the requests that it refuses.
     pub refused_share: Cell<f64>,
-    /// The part of the requests whose answers it loses.
+    /// The share of the requests whose answers it loses.
     pub lost_answer_share: Cell<f64>,
-    /// How many times as long its work takes; 0 is usual.
+    /// By how much its work is slowed down; 0 leaves the usual speed.
     pub slow_factor: Cell<f64>,
-    /// How many requests a second it names as its limit.
+    /// The limit that it names, in requests per second.
     pub limit: Cell<Option<f64>>,
 }
 
 /// One backend server.
 #[derive(Debug)]
 pub struct Server {
-    /// Its number.
+    /// The index.
     pub index: usize,
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its service.
+    /// The service.
     pub service: Service,
-    /// Its zone.
+    /// The index of the zone.
     pub zone: usize,
-    /// Where it is reached.
+    /// The address at which it is reached.
     pub address: SocketAddr,
-    /// How it fails.
+    /// The faults.
     pub faults: Faults,
     /// Until when it is cold.
     pub cold_until: Cell<Option<Instant>>,
-    /// Whether it has ended.
+    /// Whether it has stopped.
     pub has_stopped: Cell<bool>,
-    /// Whether it leaves.
+    /// Whether it drains.
     pub is_draining: Cell<bool>,
     kinds: Rc<Vec<RequestKind>>,
     history: Rc<History>,
@@ -73,7 +77,7 @@
     crash_sender: UnboundedSender<usize>,
 }
 
-/// What becomes of a connection after a request.
+/// Whether a connection stays open after a request.
 enum AfterRequest {
     Keep,
     Close,
@@ -127,7 +131,7 @@
         server
     }
 
-    /// Ends the server: its connections close.
+    /// Stops the server and closes its connections.
     pub fn stop(&self) {
         self.has_stopped.set(true);
         for task in self.tasks.take() {
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Returns for how much longer it is cold.
+    /// Returns for how much longer the server is cold.
     pub fn cold_for(&self) -> Duration {
         let until = self.cold_until.get();
         until.map_or(Duration::ZERO, |until| {
@@ -143,11 +147,11 @@
         })
     }
 
-    /// Returns how many times as long work takes now.
+    /// Returns the current duration of work as a multiple of the usual one.
     fn slowness(&self) -> f64 {
         let draw = self.history.now().as_millis() / SPEED_INTERVAL.as_millis();
         let mut rng = fastrand::Rng::with_seed(draw as u64 * 7919 + self.index as u64);
-        // The first draws of near seeds are alike.
+        // The first numbers drawn from similar seeds are alike.
         rng.u64(..);
         let noise = match rng.f64() < SLOW_SHARE {
             true => SLOW_FACTOR,
@@ -236,7 +240,7 @@
         write(end, &self.complete_answer(&id)).await
     }
 
-    /// Returns the whole answer to a request; its body is what its caller checks.
+    /// Returns the complete answer to a request; the caller checks its body.
     fn complete_answer(&self, id: &str) -> String {
         let (name, load, body) = (&self.name, self.load(), answer_body(id));
         let limit = self.faults.limit.get();
@@ -247,7 +251,7 @@
         )
     }
 
-    /// Waits for a slot and works; returns whether the connection is still open then.
+    /// Waits for a slot and works; returns whether the connection is still open at the end.
     async fn work(&self, end: &mut LinkEnd, kind: usize, arrival: usize) -> bool {
         let waiting = CountGuard::increment(&self.waiting);
         let mut byte = [0; 1];
@@ -283,7 +287,7 @@
     }
 }
 
-/// Counts one until it is dropped.
+/// Holds a count one higher until it is dropped.
 struct CountGuard<'a>(&'a Cell<u32>);
 
 impl<'a> CountGuard<'a> {
--- a/crates/kingcuploft-simulation/src/shrink.rs
+++ b/crates/kingcuploft-simulation/src/shrink.rs
@@ -1,10 +1,11 @@
-//! Shrinks a day that breaks a rule to the fewest disruptions that still break it.
+//! Shrinks a day that breaks a rule: to the fewest disruptions that still break it, with shorter durations and a
+//! shorter day.
 
 use crate::day::Day;
 use crate::rules::Rule;
 use crate::search::check_day;
 
-/// Shares and times are halved so often at most.
+/// The duration of each disruption is halved at most this many times.
 const MAX_HALVINGS: usize = 3;
 
 fn breaks(day: &Day, rule: Rule) -> bool {
@@ -12,7 +13,7 @@
     judged.iter().any(|d| d.rule == rule && d.is_broken())
 }
 
-/// Returns the day with nothing in it that the rule's break can do without.
+/// Returns the day without the disruptions, durations and length that it can lose while it still breaks the rule.
 pub fn shrink(day: &Day, rule: Rule) -> Day {
     let mut least = without_unneeded_disruptions(day, rule);
     for at in 0..least.disruptions.len() {
--- a/crates/kingcuploft-simulation/src/simulation.rs
+++ b/crates/kingcuploft-simulation/src/simulation.rs
@@ -1,4 +1,5 @@
-//! Plays a day.
+//! Runs a day: starts the fleet, the servers and the store, applies the disruptions, generates the callers' requests
+//! and records the history that the rules check.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,58 +25,62 @@
 /// How long VMs run before the first request.
 const WARM_UP: Duration = Duration::from_secs(6);
 
-/// How long after the last request the day ends.
+/// How long the day goes on after the last request.
 const WIND_DOWN: Duration = Duration::from_secs(5);
 
-/// How many callers a zone has.
+/// How many distinct callers each zone has.
 const CALLERS_PER_ZONE: u64 = 48;
 
-/// For how long after a change it is looked by which version each VM serves, how often, and how long one look may take.
+/// For how long after a configuration change the VMs are checked for the new version.
 const VERSION_CHECKS_FOR: Duration = Duration::from_secs(6);
+
+/// How often each VM is checked during that time.
 const VERSION_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// How long one check may take.
 const VERSION_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why a day can't be played.
+/// Why a day can't be run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// Its deployment is not known.
+    /// The day names a deployment that does not exist.
     #[error("no deployment is called {0}")]
     Deployment(String),
-    /// The system gave no timers.
+    /// The asynchronous runtime could not be built.
     #[error("no timers: {0}")]
     Timers(#[from] std::io::Error),
 }
 
-/// A day that was played.
+/// The result of a day.
 #[derive(Debug)]
 pub struct DayResult {
-    /// What was played.
+    /// The deployment that was simulated.
     pub deployment: Rc<Deployment>,
-    /// What was seen.
+    /// What callers, servers and the operator observed.
     pub history: Rc<History>,
-    /// How many VMs each VM counts in the end; none of one that does not run.
+    /// How many VMs each VM counts in the fleet at the end; `None` for a VM that is not running.
     pub known_vms: Vec<Option<usize>>,
-    /// The VMs' lines.
+    /// The log lines of all VMs.
     pub lines: Vec<u8>,
 }
 
-/// The world while it is played.
+/// The state of a running simulation.
 pub struct Simulation {
-    /// What is played.
+    /// The deployment that is simulated.
     pub deployment: Rc<Deployment>,
-    /// What is seen.
+    /// What callers, servers and the operator observe.
     pub history: Rc<History>,
     /// The store.
     pub store: TestStore,
     /// The operator.
     pub operator: Operator,
-    /// The VMs.
+    /// The entry VMs, by index.
     pub vms: Vec<Rc<Vm>>,
-    /// All servers that there ever were.
+    /// All servers that were ever started, by index; stopped ones stay in the list.
     pub servers: RefCell<Vec<Rc<Server>>>,
-    /// How many times the usual callers ask.
+    /// The request rate as a multiple of the deployment's usual rate.
     pub load_factor: Cell<f64>,
-    /// The part of the requests of the first kind under which servers end.
+    /// The share of the requests of the first kind that crash the server that runs them.
     pub deadly_share: Cell<f64>,
     crash_sender: UnboundedSender<usize>,
     crash_receiver: RefCell<UnboundedReceiver<usize>>,
@@ -84,21 +89,21 @@
     callers: Rc<Host>,
 }
 
-/// Plays a day.
+/// Runs a day and collects the log lines of its VMs.
 ///
 /// # Errors
 ///
-/// Returns an error if it can't be played.
+/// Returns an error if the deployment is unknown or the runtime can't be built.
 pub fn run(day: &Day) -> Result<DayResult, RunError> {
     let (played, lines) = log::capture(|| run_unlogged(day));
     Ok(DayResult { lines, ..played? })
 }
 
-/// Plays a day, and leaves out what its VMs write.
+/// Runs a day without collecting the log lines of its VMs.
 ///
 /// # Errors
 ///
-/// Returns an error if it can't be played.
+/// Returns an error if the deployment is unknown or the runtime can't be built.
 pub fn run_unlogged(day: &Day) -> Result<DayResult, RunError> {
     let unknown = || RunError::Deployment(day.deployment.clone());
     let deployment = Rc::new(day.deployment().ok_or_else(unknown)?);
@@ -183,7 +188,7 @@
         ending.abort();
     }
 
-    /// Ends the servers that deadly requests reach.
+    /// Crashes each server that reports that it got a deadly request.
     async fn crash_reported_servers(self: &Rc<Self>) {
         loop {
             let next =
@@ -201,7 +206,7 @@
         }
     }
 
-    /// Starts a server; returns it.
+    /// Starts a server and registers it with the store; returns `None` if the service is unknown.
     pub fn start_server(&self, service: &str, zone: usize, is_cold: bool) -> Option<Rc<Server>> {
         let service = self.deployment.service(service)?;
         let index = self.servers.borrow().len();
@@ -233,7 +238,7 @@
         Some(server)
     }
 
-    /// Ends a server; nobody listens at its address any more.
+    /// Stops a server and closes its listening address.
     pub fn stop_server(&self, server: &Server) {
         server.stop();
         self.network.stop_listening(server.address);
@@ -274,7 +279,7 @@
         }
     }
 
-    /// Looks by which version each VM serves.
+    /// Asks each running VM for the newest version's route at intervals, for a while after each configuration change.
     async fn check_versions(self: &Rc<Self>) {
         loop {
             tokio::time::sleep(VERSION_CHECK_INTERVAL).await;
@@ -300,7 +305,7 @@
         }
     }
 
-    /// Returns whether a VM has the route that a version adds, if it says so.
+    /// Returns whether a VM has the route that a version adds; `None` if its answer does not show it.
     async fn has_version(&self, vm: &Vm, version: u64) -> Option<bool> {
         let opening = Connection::open(&*self.callers, vm.callers);
         let mut connection = opening.await.ok()?;
--- a/crates/kingcuploft-simulation/src/store.rs
+++ b/crates/kingcuploft-simulation/src/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, with faults.
+//! A store in memory with faults that can be switched on.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,43 +16,43 @@
 };
 use tokio::sync::Notify;
 
-/// What the store holds, shared with the test.
+/// The contents of the store and its faults, shared between the clients and the test.
 #[derive(Debug, Default)]
 pub struct StoreState {
     /// The configuration.
     pub configuration: RefCell<Option<Configuration>>,
-    /// The servers.
+    /// The backend servers.
     pub servers: RefCell<Vec<BackendServer>>,
-    /// The zones.
+    /// The zone records.
     pub zones: RefCell<Vec<ZoneRecord>>,
     /// The notices.
     pub notices: RefCell<Vec<Notice>>,
-    /// The evacuations.
+    /// The evacuated zones.
     pub evacuations: RefCell<Vec<AvailabilityZone>>,
-    /// Calls hang, those that wait already as well, even after the fault has ended.
+    /// Whether calls hang, waiting watches included; a call that hangs never returns, even after the fault has ended.
     pub silent: Cell<bool>,
-    /// Writes are refused.
+    /// Whether writes are refused.
     pub refuses_writes: Cell<bool>,
-    /// Watches are answered with "history gone" up to this revision.
+    /// Watches from before this revision are answered with "history gone".
     pub compacted_until: Cell<Revision>,
-    /// Whether the list of the zones is never answered.
+    /// Whether lists of the zone records hang.
     pub zone_list_hangs: Cell<bool>,
-    /// Calls that watch.
+    /// The number of watch calls.
     pub watch_calls: Cell<u32>,
-    /// Calls that list.
+    /// The number of list calls.
     pub list_calls: Cell<u32>,
-    /// Calls that write the record of a zone.
+    /// The number of calls that write a zone record.
     pub zone_write_calls: Cell<u32>,
     changes: RefCell<Vec<(u64, Collection, StoreChange)>>,
     revision: Cell<u64>,
-    /// How often the store came back from a copy.
+    /// How often the store was restored from a snapshot.
     era: Cell<Era>,
-    /// Whether revisions of other eras are taken for those of this one.
+    /// Whether the store leaves out eras, so that revisions of another era pass for those of this one.
     pub ignores_eras: Cell<bool>,
     changed: Notify,
 }
 
-/// A copy of what the store holds.
+/// A snapshot of the store's contents.
 #[derive(Debug)]
 pub struct Snapshot {
     configuration: Option<Configuration>,
@@ -93,7 +93,7 @@
         );
     }
 
-    /// Returns a copy.
+    /// Returns a snapshot.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             configuration: self.configuration.borrow().clone(),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Comes back from a copy: what was written since is gone, and its revisions are given out again.
+    /// Restores a snapshot: what was written since is lost, and its revisions are assigned again.
     pub fn rewind(&self, copy: Snapshot) {
         self.configuration.replace(copy.configuration);
         self.servers.replace(copy.servers);
@@ -119,7 +119,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Returns whether the store holds this server, this evacuation, this configuration.
+    /// Returns whether the store holds this server, this evacuation and this configuration version.
     pub fn holds(&self, server: &str, zone: &str, version: u64) -> [bool; 3] {
         let configuration = self.configuration.borrow();
         [
@@ -129,7 +129,7 @@
         ]
     }
 
-    /// Returns the moment that the store has reached.
+    /// Returns the current revision, together with the era unless eras are left out.
     fn current_revision(&self) -> Revision {
         match self.ignores_eras.get() {
             true => self.revision.get(),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Has a zone evacuated, or takes it back.
+    /// Writes that a zone is evacuated, or that its evacuation has ended.
     pub fn set_evacuated(&self, zone: &str, is_evacuated: bool) {
         self.evacuations
             .borrow_mut()
@@ -152,7 +152,7 @@
         self.record_change(Collection::Evacuations, change);
     }
 
-    /// Moves on to a later moment without a change that anybody watches for.
+    /// Advances the revision without a change that anybody watches.
     pub fn advance_revision(&self, by: u64) {
         self.revision.set(self.revision.get() + by);
     }
@@ -181,22 +181,22 @@
     }
 }
 
-/// A client of the store, and whether the store turns it away.
+/// A client of the store.
 #[derive(Clone, Debug, Default)]
 pub struct TestStore(
-    /// What the store holds.
+    /// The contents of the store.
     pub Rc<StoreState>,
-    /// Whether the store turns this client away.
+    /// Whether the store refuses all calls of this client.
     pub Rc<Cell<bool>>,
 );
 
 impl TestStore {
-    /// Returns another client of a store.
+    /// Returns a further client of a store.
     pub fn client_of(held: &Rc<StoreState>) -> Self {
         Self(held.clone(), Rc::default())
     }
 
-    /// Returns another client of the same store, which may be turned away alone.
+    /// Returns a client of the same store that can be refused on its own.
     pub fn separate_client(other: &Self) -> Self {
         Self(other.0.clone(), Rc::default())
     }
@@ -340,10 +340,10 @@
         let until = tokio::time::Instant::now() + wait;
         loop {
             let changed = held.changed.notified();
-            // A watch that waited through silence hears nothing any more.
+            // A watch that waited while the store was silent never returns.
             held.hang_if_silent().await;
             self.check_admitted()?;
-            // A store that comes back cuts the watches that wait, and one that asks from another era is told so.
+            // A restore ends the waiting watches with an error, and a watch from another era gets the same error.
             let is_other = held.era.get() != began || era_of(from) != held.era.get();
             if is_other && !held.ignores_eras.get() {
                 return Err(StoreError::HistoryGone);
--- a/crates/kingcuploft-simulation/src/store_client.rs
+++ b/crates/kingcuploft-simulation/src/store_client.rs
@@ -1,4 +1,4 @@
-//! The store as one VM reaches it.
+//! One VM's client of the store: calls take time and need the host's link.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -12,16 +12,16 @@
 use crate::network::Host;
 use crate::store::TestStore;
 
-/// How long an answer takes.
+/// How long a call takes.
 const ROUND_TRIP: Duration = Duration::from_millis(4);
 
-/// How long an answer is waited for beyond what was asked for.
+/// How much longer than the requested wait a call may take before it times out.
 const EXTRA_WAIT: Duration = Duration::from_secs(2);
 
-/// How often a VM that is cut off tries again.
+/// How often a VM that is cut off checks for its link.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The store, over a host's link.
+/// The store over a host's link.
 #[derive(Debug)]
 pub struct StoreClient {
     store: TestStore,
--- a/crates/kingcuploft-simulation/src/vm.rs
+++ b/crates/kingcuploft-simulation/src/vm.rs
@@ -1,4 +1,4 @@
-//! One entry VM: the product's own code, from its start to its end, again and again.
+//! One entry VM: runs the product's own code from its start to its end, any number of times.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -31,7 +31,7 @@
 /// How often backend servers write their entries.
 const HEARTBEAT: Duration = Duration::from_millis(1500);
 
-/// What stands still while it is frozen.
+/// Whether a process is frozen, and the waker that resumes it.
 #[derive(Debug, Default)]
 struct Freeze {
     is_frozen: Cell<bool>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// A VM's process: nothing of it runs while it is frozen, and its lines bear its name.
+/// A VM's process: it is not polled while it is frozen, and its log lines carry the VM's name.
 struct FreezableProcess {
     vm: VmIndex,
     freeze: Rc<Freeze>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// What there is of a VM while it runs.
+/// The parts of a VM that exist while it runs.
 #[derive(Debug)]
 struct RunningVm {
     host: Host,
@@ -80,11 +80,11 @@
 /// One entry VM.
 #[derive(Debug)]
 pub struct Vm {
-    /// Its number.
+    /// The index.
     pub index: VmIndex,
-    /// Its zone.
+    /// The index of the zone.
     pub zone: usize,
-    /// Where callers reach it.
+    /// The address at which callers reach the VM.
     pub callers: SocketAddr,
     peers: SocketAddr,
     network: Network,
@@ -95,7 +95,7 @@
 }
 
 impl Vm {
-    /// Returns a VM that does not run yet.
+    /// Returns a VM that is not running yet.
     pub fn new(
         index: VmIndex,
         zone: usize,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Starts it; it knows nothing.
+    /// Starts the VM without any previous knowledge; `all_start` tells it whether the whole fleet starts.
     pub fn start(&self, all_start: bool) {
         let host = self
             .network
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Ends its process at once; what it knew is gone. Its connections close.
+    /// Kills the process: its state is lost and its connections close.
     pub fn kill(&self) {
         self.network.stop_listening(self.callers);
         self.network.stop_listening(self.peers);
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Takes its power away: its connections fall silent.
+    /// Takes the power away: the process ends and its connections fall silent without closing.
     pub fn lose_power(&self) {
         if let Some(life) = self.life.borrow_mut().take() {
             life.host.lose_power();
@@ -227,41 +227,41 @@
         }
     }
 
-    /// Has it stand still, or go on.
+    /// Freezes the process, or lets it go on.
     pub fn freeze(&self, is_frozen: bool) {
         if let Some(life) = &*self.life.borrow() {
             life.freeze.set(is_frozen);
         }
     }
 
-    /// Cuts it off from other VMs and the store, or ends that.
+    /// Cuts the VM off from other VMs and the store, or ends the cut.
     pub fn cut_off(&self, is_cut: bool) {
         if let Some(life) = &*self.life.borrow() {
             life.host.cut_off(is_cut);
         }
     }
 
-    /// Asks it to stop as planned.
+    /// Asks the VM to stop as planned.
     pub fn stop(&self) {
         if let Some(life) = &*self.life.borrow() {
             life.stop.notify_one();
         }
     }
 
-    /// Returns whether it runs, also if it stands still.
+    /// Returns whether the process exists, frozen or not.
     pub fn is_running(&self) -> bool {
         let life = self.life.borrow();
         life.as_ref()
             .is_some_and(|life| !life.process.is_finished())
     }
 
-    /// Returns how many VMs it counts, if it runs.
+    /// Returns how many VMs this one counts in the fleet; `None` if it is not running.
     pub fn known_vms(&self) -> Option<usize> {
         let life = self.life.borrow();
         life.as_ref().map(|life| life.context.vm_count.get())
     }
 
-    /// Returns whether it answers that it is ready.
+    /// Returns whether the VM answers that it is ready.
     pub fn is_ready(&self) -> bool {
         let life = self.life.borrow();
         let ready = |life: &RunningVm| !life.freeze.is_frozen.get() && life.context.is_ready();
--- a/crates/kingcuploft-simulation/tests/corpus.rs
+++ b/crates/kingcuploft-simulation/tests/corpus.rs
@@ -1,4 +1,4 @@
-//! The days that came nearest to a bound, and those that show a planted fault.
+//! Days from past searches: those that came nearest to a bound, and those that show a planted fault.
 
 use std::path::{Path, PathBuf};
 
@@ -22,7 +22,7 @@
     broken_with(file, 0, planted)
 }
 
-/// Plays a day with another seed than its own.
+/// Runs a day with its seed raised by `more` and returns the rules that it breaks.
 fn broken_with(file: &Path, more: u64, planted: Option<Planted>) -> Vec<BoundUsage> {
     let text = std::fs::read_to_string(file).expect("a day");
     let mut day = Day::read(&file.display().to_string(), &text).expect("a day");
@@ -55,7 +55,7 @@
     }
 }
 
-/// Guards against a VM that restarts and begins its part of a shared bound anew.
+/// Guards against a VM that restarts and counts its share of a fleet-wide bound from zero.
 #[test]
 fn vms_killed_while_servers_refuse_break_the_budget_of_repeats_only_if_they_forget() {
     let file = days(".").into_iter();
--- a/crates/kingcuploft-simulation/tests/days.rs
+++ b/crates/kingcuploft-simulation/tests/days.rs
@@ -1,4 +1,4 @@
-//! Files of days: what is wrong is told with its place.
+//! Files of days: errors name the place of the fault.
 
 use kingcuploft_simulation::day::Day;
 
--- a/crates/kingcuploft-simulation/tests/world.rs
+++ b/crates/kingcuploft-simulation/tests/world.rs
@@ -1,4 +1,4 @@
-//! Days that are played, judged by what callers and servers saw.
+//! Runs of whole days, checked by what callers and servers observed.
 
 use kingcuploft_simulation::day::Day;
 use kingcuploft_simulation::rules;
@@ -32,7 +32,8 @@
     assert!(first.lines == second.lines && !first.lines.is_empty());
 }
 
-/// Guards against a VM that has handed its zone to a larger one, follows another zone's reader and is counted by nobody.
+/// Guards against a VM that no other VM counts: it has handed its zone over to a larger one and follows the reader of
+/// another zone.
 #[test]
 fn all_vms_are_counted_when_zones_have_been_handed_over() {
     for seed in 1..=5 {
