--- a/crates/kingcuploft-simulation/src/caller.rs
+++ b/crates/kingcuploft-simulation/src/caller.rs
@@ -26,7 +26,7 @@
 struct AttemptResult {
     answer: Outcome,
     /// The pause before a retry that the answer asked for.
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
     /// Whether the request was handed to a VM.
     was_sent: bool,
 }
@@ -47,29 +47,29 @@
 
 impl Caller {
     /// Sends the request and retries it once where that is allowed; `entry` returns the VM that each attempt reaches.
-    pub async fn send(self, entry: impl Fn(u32) -> Option<Rc<Vm>>) {
-        let until = Instant::now() + Duration::from_millis(self.request_kind.deadline_ms);
+    pub async fn send(self, vm_for: impl Fn(u32) -> Option<Rc<Vm>>) {
+        let deadline = Instant::now() + Duration::from_millis(self.request_kind.deadline_ms);
         for attempt in 0..MAX_ATTEMPTS {
-            let Some(vm) = entry(attempt) else {
+            let Some(vm) = vm_for(attempt) else {
                 return;
             };
-            let ended = self.attempt(&vm, until, attempt == 0).await;
-            let repeats = is_idempotent(self.request_kind.contract);
-            let again = match ended.answer {
+            let ended = self.attempt(&vm, deadline, attempt == 0).await;
+            let may_run_again = is_idempotent(self.request_kind.contract);
+            let should_retry = match ended.answer {
                 Outcome::Complete | Outcome::Wrong => false,
                 Outcome::NotRun => true,
-                Outcome::Failed | Outcome::None => repeats || !ended.was_sent,
+                Outcome::Failed | Outcome::None => may_run_again || !ended.was_sent,
             };
-            let left = until.saturating_duration_since(Instant::now());
-            if !again || left.is_zero() {
+            let left = deadline.saturating_duration_since(Instant::now());
+            if !should_retry || left.is_zero() {
                 return;
             }
-            let pause = ended.come_back.unwrap_or_default().min(left / 3);
+            let pause = ended.retry_after.unwrap_or_default().min(left / 3);
             tokio::time::sleep(pause).await;
         }
     }
 
-    async fn attempt(&self, vm: &Vm, until: Instant, is_first: bool) -> AttemptResult {
+    async fn attempt(&self, vm: &Vm, deadline: Instant, is_first: bool) -> AttemptResult {
         let id = fastrand::u64(1..);
         self.history.requests.borrow_mut().push(Request {
             id,
@@ -79,11 +79,14 @@
             is_first,
             is_deadly: self.is_deadly,
         });
-        let ended =
-            tokio::time::timeout_at(until + LATE_ANSWER_GRACE, self.exchange(vm, id, until)).await;
+        let ended = tokio::time::timeout_at(
+            deadline + LATE_ANSWER_GRACE,
+            self.exchange(vm, id, deadline),
+        )
+        .await;
         let ended = ended.unwrap_or(AttemptResult {
             answer: Outcome::None,
-            come_back: None,
+            retry_after: None,
             was_sent: true,
         });
         self.history.answers.borrow_mut().push(Completion {
@@ -94,17 +97,19 @@
         ended
     }
 
-    async fn exchange(&self, vm: &Vm, id: u64, until: Instant) -> AttemptResult {
+    async fn exchange(&self, vm: &Vm, id: u64, deadline: Instant) -> AttemptResult {
         let none = |was_sent| AttemptResult {
             answer: Outcome::None,
-            come_back: None,
+            retry_after: None,
             was_sent,
         };
         let Ok(mut connection) = Connection::open(&*self.host, vm.callers).await else {
             return none(false);
         };
         let id = format!("{id:016x}");
-        let left_ms = until.saturating_duration_since(Instant::now()).as_millis();
+        let left_ms = deadline
+            .saturating_duration_since(Instant::now())
+            .as_millis();
         let method = match self.request_kind.contract {
             Contract::RetryFreely => "GET",
             Contract::AtMostOnce => "POST",
@@ -137,7 +142,7 @@
     let seconds = seconds.and_then(|seconds| seconds.parse::<f64>().ok());
     AttemptResult {
         answer,
-        come_back: seconds.and_then(|s| Duration::try_from_secs_f64(s).ok()),
+        retry_after: seconds.and_then(|s| Duration::try_from_secs_f64(s).ok()),
         was_sent: true,
     }
 }
--- a/crates/kingcuploft-simulation/src/disruptions.rs
+++ b/crates/kingcuploft-simulation/src/disruptions.rs
@@ -31,13 +31,13 @@
 const SERVES_AFTER_DRAIN: Duration = Duration::from_millis(1500);
 
 /// Applies a disruption and returns when it is over.
-pub async fn apply(world: &Rc<Simulation>, disruption: &Disruption) {
+pub async fn apply(simulation: &Rc<Simulation>, disruption: &Disruption) {
     match disruption.kind {
         DisruptionKind::VmsKilled => {
-            let vms = choose_vms(world, disruption.share);
+            let vms = choose_vms(simulation, disruption.share);
             vms.iter().for_each(|vm| vm.kill());
             restart_after(
-                world,
+                simulation,
                 &vms,
                 disruption.duration().max(RESTART_DELAY),
                 DisturbanceCause::Fault,
@@ -45,10 +45,10 @@
             .await;
         }
         DisruptionKind::VmsLosePower => {
-            let vms = choose_vms(world, disruption.share);
+            let vms = choose_vms(simulation, disruption.share);
             vms.iter().for_each(|vm| vm.lose_power());
             restart_after(
-                world,
+                simulation,
                 &vms,
                 disruption.duration().max(RESTART_DELAY),
                 DisturbanceCause::Fault,
@@ -56,17 +56,17 @@
             .await;
         }
         DisruptionKind::VmsFrozen => {
-            let vms = choose_vms(world, disruption.share);
-            apply_to_vms(world, &vms, disruption.duration(), Vm::freeze).await;
+            let vms = choose_vms(simulation, disruption.share);
+            apply_to_vms(simulation, &vms, disruption.duration(), Vm::freeze).await;
         }
         DisruptionKind::VmsCutOff => {
-            let vms = choose_vms(world, disruption.share);
-            apply_to_vms(world, &vms, disruption.duration(), Vm::cut_off).await;
+            let vms = choose_vms(simulation, disruption.share);
+            apply_to_vms(simulation, &vms, disruption.duration(), Vm::cut_off).await;
         }
-        DisruptionKind::VmsStopped => stop_one_by_one(world, disruption).await,
+        DisruptionKind::VmsStopped => stop_one_by_one(simulation, disruption).await,
         DisruptionKind::ServersRefuse => {
             let strength = disruption.strength;
-            apply_to_servers(world, disruption, |server, is_on| {
+            apply_to_servers(simulation, disruption, |server, is_on| {
                 server
                     .faults
                     .refused_share
@@ -76,7 +76,7 @@
         }
         DisruptionKind::ServersLoseAnswers => {
             let strength = disruption.strength;
-            apply_to_servers(world, disruption, |server, is_on| {
+            apply_to_servers(simulation, disruption, |server, is_on| {
                 server
                     .faults
                     .lost_answer_share
@@ -86,7 +86,7 @@
         }
         DisruptionKind::ServersSlow => {
             let strength = disruption.strength;
-            apply_to_servers(world, disruption, |server, is_on| {
+            apply_to_servers(simulation, disruption, |server, is_on| {
                 server
                     .faults
                     .slow_factor
@@ -95,67 +95,72 @@
             .await;
         }
         DisruptionKind::ServersCrash => {
-            crash_servers(world, &choose_servers(world, disruption)).await
+            crash_servers(simulation, &choose_servers(simulation, disruption)).await
         }
-        DisruptionKind::ServersNameLimits => name_limits(world, disruption).await,
+        DisruptionKind::ServersNameLimits => name_limits(simulation, disruption).await,
         DisruptionKind::DeadlyRequests => {
-            world.deadly_share.set(disruption.strength);
+            simulation.deadly_share.set(disruption.strength);
             tokio::time::sleep(disruption.duration()).await;
-            world.deadly_share.set(0.0);
+            simulation.deadly_share.set(0.0);
         }
-        DisruptionKind::StoreRewinds => rewind_store(world, disruption.duration()).await,
-        DisruptionKind::ServersLeave => drain_servers(world, disruption).await,
-        DisruptionKind::ServersStart => start_servers(world, disruption),
-        DisruptionKind::StoreSilent => silence_store(world, disruption.duration()).await,
+        DisruptionKind::StoreRewinds => rewind_store(simulation, disruption.duration()).await,
+        DisruptionKind::ServersLeave => drain_servers(simulation, disruption).await,
+        DisruptionKind::ServersStart => start_servers(simulation, disruption),
+        DisruptionKind::StoreSilent => silence_store(simulation, disruption.duration()).await,
         DisruptionKind::Crowd => {
-            let usual = world.load_factor.replace(disruption.strength);
+            let previous = simulation.load_factor.replace(disruption.strength);
             tokio::time::sleep(disruption.duration()).await;
-            world.load_factor.set(usual.min(1.0));
+            simulation.load_factor.set(previous.min(1.0));
         }
         DisruptionKind::ConfigurationChange => {
-            world.operator.write_next_configuration();
+            simulation.operator.write_next_configuration();
         }
         DisruptionKind::ZoneEvacuated => {
-            let zone = fastrand::usize(0..world.deployment.zones.len());
-            world.operator.set_evacuated(zone, true);
+            let zone = fastrand::usize(0..simulation.deployment.zones.len());
+            simulation.operator.set_evacuated(zone, true);
             tokio::time::sleep(disruption.duration()).await;
-            world.operator.set_evacuated(zone, false);
+            simulation.operator.set_evacuated(zone, false);
         }
     }
 }
 
-fn choose_vms(world: &Simulation, share: f64) -> Vec<Rc<Vm>> {
-    let running: Vec<_> = world.vms.iter().filter(|vm| vm.is_running()).collect();
-    let count = (share * world.vms.len() as f64).round() as usize;
+fn choose_vms(simulation: &Simulation, share: f64) -> Vec<Rc<Vm>> {
+    let running: Vec<_> = simulation.vms.iter().filter(|vm| vm.is_running()).collect();
+    let count = (share * simulation.vms.len() as f64).round() as usize;
     let mut rng = fastrand::Rng::with_seed(fastrand::u64(..));
     let chosen = rng.choose_multiple(running, count);
     chosen.into_iter().cloned().collect()
 }
 
 async fn restart_after(
-    world: &Simulation,
+    simulation: &Simulation,
     vms: &[Rc<Vm>],
     after: Duration,
     cause: DisturbanceCause,
 ) {
     vms.iter()
-        .for_each(|vm| world.history.record_disturbance(vm.index, cause));
+        .for_each(|vm| simulation.history.record_disturbance(vm.index, cause));
     tokio::time::sleep(after).await;
     for vm in vms.iter().filter(|vm| !vm.is_running()) {
-        world.history.record_disturbance(vm.index, cause);
+        simulation.history.record_disturbance(vm.index, cause);
         vm.start(false);
     }
 }
 
-async fn apply_to_vms(world: &Simulation, vms: &[Rc<Vm>], lasts: Duration, act: fn(&Vm, bool)) {
+async fn apply_to_vms(
+    simulation: &Simulation,
+    vms: &[Rc<Vm>],
+    duration: Duration,
+    act: fn(&Vm, bool),
+) {
     for vm in vms {
         act(vm, true);
     }
     let step = Duration::from_millis(500);
-    let mut left = lasts;
+    let mut left = duration;
     while !left.is_zero() {
         vms.iter().for_each(|vm| {
-            world
+            simulation
                 .history
                 .record_disturbance(vm.index, DisturbanceCause::Fault)
         });
@@ -163,24 +168,24 @@
         left = left.saturating_sub(step);
     }
     for vm in vms {
-        world
+        simulation
             .history
             .record_disturbance(vm.index, DisturbanceCause::Fault);
         act(vm, false);
     }
 }
 
-async fn stop_one_by_one(world: &Rc<Simulation>, disruption: &Disruption) {
-    for vm in choose_vms(world, disruption.share) {
-        let world = world.clone();
+async fn stop_one_by_one(simulation: &Rc<Simulation>, disruption: &Disruption) {
+    for vm in choose_vms(simulation, disruption.share) {
+        let simulation = simulation.clone();
         tokio::task::spawn_local(async move {
-            let now = world.history.now();
-            world
+            let now = simulation.history.now();
+            simulation
                 .history
                 .planned_stops
                 .borrow_mut()
                 .push((vm.index, now));
-            world
+            simulation
                 .history
                 .record_disturbance(vm.index, DisturbanceCause::PlannedStop);
             vm.stop();
@@ -188,20 +193,30 @@
                 tokio::time::sleep(STOP_POLL_INTERVAL).await;
             }
             vm.kill();
-            restart_after(&world, &[vm], RESTART_DELAY, DisturbanceCause::PlannedStop).await;
+            restart_after(
+                &simulation,
+                &[vm],
+                RESTART_DELAY,
+                DisturbanceCause::PlannedStop,
+            )
+            .await;
         });
         tokio::time::sleep(STOP_INTERVAL).await;
     }
 }
 
-fn choose_servers(world: &Simulation, disruption: &Disruption) -> Vec<Rc<Server>> {
-    let servers = world.servers.borrow();
+fn choose_servers(simulation: &Simulation, disruption: &Disruption) -> Vec<Rc<Server>> {
+    let servers = simulation.servers.borrow();
     let of_service = |server: &&Rc<Server>| {
         let service = disruption.service.as_deref();
         service.is_none_or(|service| server.service.name == service)
     };
-    let there = |server: &&Rc<Server>| !server.has_stopped.get() && !server.is_draining.get();
-    let all: Vec<_> = servers.iter().filter(there).filter(of_service).collect();
+    let is_serving = |server: &&Rc<Server>| !server.has_stopped.get() && !server.is_draining.get();
+    let all: Vec<_> = servers
+        .iter()
+        .filter(is_serving)
+        .filter(of_service)
+        .collect();
     let count = (disruption.share * all.len() as f64).round() as usize;
     let mut rng = fastrand::Rng::with_seed(fastrand::u64(..));
     let chosen = rng.choose_multiple(all, count);
@@ -209,97 +224,99 @@
 }
 
 async fn apply_to_servers(
-    world: &Simulation,
+    simulation: &Simulation,
     disruption: &Disruption,
     act: impl Fn(&Server, bool),
 ) {
-    let servers = choose_servers(world, disruption);
+    let servers = choose_servers(simulation, disruption);
     servers.iter().for_each(|server| act(server, true));
     tokio::time::sleep(disruption.duration()).await;
     servers.iter().for_each(|server| act(server, false));
 }
 
 /// Stops servers without notice and later starts others in their place.
-pub async fn crash_servers(world: &Rc<Simulation>, servers: &[Rc<Server>]) {
+pub async fn crash_servers(simulation: &Rc<Simulation>, servers: &[Rc<Server>]) {
     for server in servers {
-        world.stop_server(server);
+        simulation.stop_server(server);
     }
     tokio::time::sleep(REPLACED_SERVER_AFTER).await;
     for server in servers {
-        world.start_server(&server.service.name, server.zone, true);
+        simulation.start_server(&server.service.name, server.zone, true);
     }
     tokio::time::sleep(ENTRY_EXPIRES_AFTER.saturating_sub(REPLACED_SERVER_AFTER)).await;
     for server in servers {
-        world.store.0.remove_backend_server(&server.name);
+        simulation.store.0.remove_backend_server(&server.name);
     }
 }
 
-async fn drain_servers(world: &Rc<Simulation>, disruption: &Disruption) {
-    let servers = choose_servers(world, disruption);
+async fn drain_servers(simulation: &Rc<Simulation>, disruption: &Disruption) {
+    let servers = choose_servers(simulation, disruption);
     for server in &servers {
         server.is_draining.set(true);
-        world.operator.write_server(server);
+        simulation.operator.write_server(server);
     }
-    let drain = Duration::from_millis(world.deployment.bounds.drain_ms);
+    let drain = Duration::from_millis(simulation.deployment.bounds.drain_ms);
     tokio::time::sleep(drain + SERVES_AFTER_DRAIN).await;
     for server in &servers {
-        world.stop_server(server);
-        world.store.0.remove_backend_server(&server.name);
-        world.start_server(&server.service.name, server.zone, true);
+        simulation.stop_server(server);
+        simulation.store.0.remove_backend_server(&server.name);
+        simulation.start_server(&server.service.name, server.zone, true);
     }
 }
 
-fn start_servers(world: &Simulation, disruption: &Disruption) {
-    for server in choose_servers(world, disruption) {
-        world.start_server(&server.service.name, server.zone, true);
+fn start_servers(simulation: &Simulation, disruption: &Disruption) {
+    for server in choose_servers(simulation, disruption) {
+        simulation.start_server(&server.service.name, server.zone, true);
     }
 }
 
-async fn silence_store(world: &Simulation, lasts: Duration) {
-    let from = world.history.now();
-    world.store.0.silent.set(true);
+async fn silence_store(simulation: &Simulation, duration: Duration) {
+    let from = simulation.history.now();
+    simulation.store.0.silent.set(true);
     let at = {
-        let mut disturbed = world.history.store_disturbances.borrow_mut();
-        disturbed.push((from, Duration::MAX));
-        disturbed.len() - 1
+        let mut disturbances = simulation.history.store_disturbances.borrow_mut();
+        disturbances.push((from, Duration::MAX));
+        disturbances.len() - 1
     };
-    tokio::time::sleep(lasts).await;
-    world.store.0.silent.set(false);
-    world.history.store_disturbances.borrow_mut()[at].1 = world.history.now();
+    tokio::time::sleep(duration).await;
+    simulation.store.0.silent.set(false);
+    simulation.history.store_disturbances.borrow_mut()[at].1 = simulation.history.now();
 }
 
-async fn name_limits(world: &Simulation, disruption: &Disruption) {
-    let servers = choose_servers(world, disruption);
+async fn name_limits(simulation: &Simulation, disruption: &Disruption) {
+    let servers = choose_servers(simulation, disruption);
     let per_s = disruption.strength;
     for server in &servers {
         server.faults.limit.set(Some(per_s));
-        world.history.record_named_limit(server.index, Some(per_s));
+        simulation
+            .history
+            .record_named_limit(server.index, Some(per_s));
     }
     tokio::time::sleep(disruption.duration()).await;
     for server in &servers {
         // A later disruption may have set another limit.
         if server.faults.limit.get() == Some(per_s) {
             server.faults.limit.set(None);
-            world.history.record_named_limit(server.index, None);
+            simulation.history.record_named_limit(server.index, None);
         }
     }
 }
 
 /// Restores the store from a snapshot of the given age; the operator and the servers then write again what it lacks.
-async fn rewind_store(world: &Simulation, age: Duration) {
-    let copy = world.store.0.snapshot();
+async fn rewind_store(simulation: &Simulation, age: Duration) {
+    let copy = simulation.store.0.snapshot();
     tokio::time::sleep(age).await;
-    let from = world.history.now();
-    world.store.0.rewind(copy);
+    let from = simulation.history.now();
+    simulation.store.0.rewind(copy);
     tokio::time::sleep(REWRITE_DELAY).await;
-    world.operator.rewrite();
-    let servers = world.servers.borrow().clone();
+    simulation.operator.rewrite();
+    let servers = simulation.servers.borrow().clone();
     for server in &servers {
         match server.has_stopped.get() {
-            true => world.store.0.remove_backend_server(&server.name),
-            false => world.operator.write_server(server),
+            true => simulation.store.0.remove_backend_server(&server.name),
+            false => simulation.operator.write_server(server),
         }
     }
-    let mut disturbed = world.history.store_disturbances.borrow_mut();
-    disturbed.push((from, world.history.now()));
+    let mut disturbances = simulation.history.store_disturbances.borrow_mut();
+    disturbances.push((from, simulation.history.now()));
 }
--- a/crates/kingcuploft-simulation/src/generator.rs
+++ b/crates/kingcuploft-simulation/src/generator.rs
@@ -74,11 +74,13 @@
 
 /// Returns a day with a random selection of the disruptions of two others.
 pub fn splice(rng: &mut Rng, day: &Day, other: &Day) -> Day {
-    let mut joined = day.clone();
-    joined.disruptions.extend(other.disruptions.iter().cloned());
-    rng.shuffle(&mut joined.disruptions);
-    joined.disruptions.truncate(MAX_DISRUPTIONS);
-    ordered(joined)
+    let mut spliced = day.clone();
+    spliced
+        .disruptions
+        .extend(other.disruptions.iter().cloned());
+    rng.shuffle(&mut spliced.disruptions);
+    spliced.disruptions.truncate(MAX_DISRUPTIONS);
+    ordered(spliced)
 }
 
 fn mutate_once(rng: &mut Rng, day: &mut Day) {
--- a/crates/kingcuploft-simulation/src/history.rs
+++ b/crates/kingcuploft-simulation/src/history.rs
@@ -224,19 +224,19 @@
     /// Records that a VM's operation is disturbed now.
     pub fn record_disturbance(&self, vm: VmIndex, cause: DisturbanceCause) {
         let at = self.now();
-        let mut disturbed = self.vm_disturbances.borrow_mut();
-        disturbed.push(Disturbance { vm, at, cause });
+        let mut disturbances = self.vm_disturbances.borrow_mut();
+        disturbances.push(Disturbance { vm, at, cause });
     }
 
     /// Returns whether neither the VM nor the store was disturbed in the period `contact` before a moment.
-    pub fn was_undisturbed(&self, vm: VmIndex, at: Duration, contact: Duration) -> bool {
-        let since = at.saturating_sub(contact);
+    pub fn was_undisturbed(&self, vm: VmIndex, at: Duration, period: Duration) -> bool {
+        let since = at.saturating_sub(period);
         let of_vm = self.vm_disturbances.borrow();
-        let vm_is_calm = !of_vm
+        let is_vm_undisturbed = !of_vm
             .iter()
             .any(|other| other.vm == vm && other.at >= since && other.at <= at);
         let of_store = self.store_disturbances.borrow();
-        vm_is_calm
+        is_vm_undisturbed
             && !of_store
                 .iter()
                 .any(|(from, to)| *from <= at && *to >= since)
--- a/crates/kingcuploft-simulation/src/link.rs
+++ b/crates/kingcuploft-simulation/src/link.rs
@@ -97,8 +97,8 @@
     }
 
     fn is_cut(&self) -> bool {
-        let stops = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
-        stops(&self.from) || stops(&self.to)
+        let is_blocked = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
+        is_blocked(&self.from) || is_blocked(&self.to)
     }
 
     fn wake(waker: &RefCell<Option<Waker>>) {
@@ -185,8 +185,8 @@
         if pipe.read_closed.get() {
             return Poll::Ready(Err(Error::from(ErrorKind::BrokenPipe)));
         }
-        let room = WINDOW_BYTES - pipe.unread_bytes.get();
-        let count = bytes.len().min(room).min(SEGMENT_BYTES);
+        let free_bytes = WINDOW_BYTES - pipe.unread_bytes.get();
+        let count = bytes.len().min(free_bytes).min(SEGMENT_BYTES);
         if count == 0 {
             *pipe.writer.borrow_mut() = Some(context.waker().clone());
             return Poll::Pending;
--- a/crates/kingcuploft-simulation/src/main.rs
+++ b/crates/kingcuploft-simulation/src/main.rs
@@ -32,14 +32,14 @@
 /// The command line's arguments.
 #[derive(Debug, Default)]
 struct Options {
-    verb: String,
+    command: String,
     days: Vec<PathBuf>,
     seed: Option<u64>,
     log: Option<PathBuf>,
     json: bool,
     planted: Option<Planted>,
     deployment: Option<String>,
-    most_days: Option<usize>,
+    max_days: Option<usize>,
     seconds: Option<u64>,
     jobs: Option<usize>,
     plain: bool,
@@ -64,7 +64,7 @@
 fn main() -> ExitCode {
     match parse()
         .map_err(CliError::from)
-        .and_then(|asked| dispatch(&asked))
+        .and_then(|options| dispatch(&options))
     {
         Ok(false) => ExitCode::SUCCESS,
         Ok(true) => ExitCode::from(1),
@@ -76,180 +76,183 @@
 }
 
 fn parse() -> Result<Options, lexopt::Error> {
-    let mut asked = Options::default();
+    let mut options = Options::default();
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
-            Value(verb) if asked.verb.is_empty() => asked.verb = verb.string()?,
-            Value(day) => asked.days.push(day.into()),
-            Long("seed") => asked.seed = Some(parser.value()?.parse()?),
-            Long("log") => asked.log = Some(parser.value()?.into()),
-            Long("json") => asked.json = true,
-            Long("planted") => asked.planted = Some(planted(&parser.value()?.string()?)?),
-            Long("deployment") => asked.deployment = Some(parser.value()?.string()?),
-            Long("days") => asked.most_days = Some(parser.value()?.parse()?),
-            Long("seconds") => asked.seconds = Some(parser.value()?.parse()?),
-            Long("jobs") => asked.jobs = Some(parser.value()?.parse()?),
-            Long("plain") => asked.plain = true,
-            Long("first") => asked.first = true,
-            Long("out") => asked.out = Some(parser.value()?.into()),
-            Long("rule") => asked.rule = Some(rule(&parser.value()?.string()?)?),
-            Short('h') | Long("help") => asked.verb = "help".into(),
+            Value(command) if options.command.is_empty() => options.command = command.string()?,
+            Value(day) => options.days.push(day.into()),
+            Long("seed") => options.seed = Some(parser.value()?.parse()?),
+            Long("log") => options.log = Some(parser.value()?.into()),
+            Long("json") => options.json = true,
+            Long("planted") => options.planted = Some(planted(&parser.value()?.string()?)?),
+            Long("deployment") => options.deployment = Some(parser.value()?.string()?),
+            Long("days") => options.max_days = Some(parser.value()?.parse()?),
+            Long("seconds") => options.seconds = Some(parser.value()?.parse()?),
+            Long("jobs") => options.jobs = Some(parser.value()?.parse()?),
+            Long("plain") => options.plain = true,
+            Long("first") => options.first = true,
+            Long("out") => options.out = Some(parser.value()?.into()),
+            Long("rule") => options.rule = Some(rule(&parser.value()?.string()?)?),
+            Short('h') | Long("help") => options.command = "help".into(),
             _ => return Err(arg.unexpected()),
         }
     }
-    Ok(asked)
+    Ok(options)
 }
 
 fn planted(name: &str) -> Result<Planted, lexopt::Error> {
-    let found = Planted::ALL
+    let result = Planted::ALL
         .into_iter()
         .find(|fault| format!("{fault:?}") == name);
-    found.ok_or_else(|| format!("--planted: {name} is none of {:?}", Planted::ALL).into())
+    result.ok_or_else(|| format!("--planted: {name} is none of {:?}", Planted::ALL).into())
 }
 
 fn rule(name: &str) -> Result<Rule, lexopt::Error> {
-    let found = Rule::ALL
+    let result = Rule::ALL
         .into_iter()
         .find(|rule| format!("{rule:?}") == name);
-    found.ok_or_else(|| format!("--rule: {name} is none of {:?}", Rule::ALL).into())
+    result.ok_or_else(|| format!("--rule: {name} is none of {:?}", Rule::ALL).into())
 }
 
 /// Runs the command; returns whether a rule is broken.
-fn dispatch(asked: &Options) -> Result<bool, CliError> {
-    match asked.verb.as_str() {
-        "run" => run(asked),
-        "search" => search(asked),
-        "shrink" => shrink_days(asked),
+fn dispatch(options: &Options) -> Result<bool, CliError> {
+    match options.command.as_str() {
+        "run" => run(options),
+        "search" => search(options),
+        "shrink" => shrink_days(options),
         "help" => {
             print!("{HELP}");
             Ok(false)
         }
-        verb => Err(lexopt::Error::from(format!("there is no verb {verb:?}")).into()),
+        command => Err(lexopt::Error::from(format!("there is no verb {command:?}")).into()),
     }
 }
 
-fn read_day(asked: &Options, path: &Path) -> Result<Day, CliError> {
+fn read_day(options: &Options, path: &Path) -> Result<Day, CliError> {
     let text = std::fs::read_to_string(path).map_err(|error| CliError::File(path.into(), error))?;
     let mut day = Day::read(&path.display().to_string(), &text)?;
-    day.seed = asked.seed.unwrap_or(day.seed);
+    day.seed = options.seed.unwrap_or(day.seed);
     Ok(day)
 }
 
-fn run(asked: &Options) -> Result<bool, CliError> {
+fn run(options: &Options) -> Result<bool, CliError> {
     let mut any_broken = false;
-    for path in &asked.days {
-        let day = read_day(asked, path)?;
-        let played = planted_fault::run_with(asked.planted, || simulation::run(&day))?;
-        let distances = rules::check(&played);
-        any_broken |= distances.iter().any(BoundUsage::is_broken);
-        if let Some(log) = &asked.log {
-            let written = std::fs::write(log, &played.lines);
+    for path in &options.days {
+        let day = read_day(options, path)?;
+        let result = planted_fault::run_with(options.planted, || simulation::run(&day))?;
+        let usages = rules::check(&result);
+        any_broken |= usages.iter().any(BoundUsage::is_broken);
+        if let Some(log) = &options.log {
+            let written = std::fs::write(log, &result.lines);
             written.map_err(|error| CliError::File(log.clone(), error))?;
         }
-        print_result(asked, path, rules::answered_share(&played), &distances);
+        print_result(options, path, rules::answered_share(&result), &usages);
     }
     Ok(any_broken)
 }
 
-fn print_result(asked: &Options, path: &Path, served: f64, distances: &[BoundUsage]) {
+fn print_result(options: &Options, path: &Path, served: f64, usages: &[BoundUsage]) {
     let name = path.display();
-    if asked.json {
-        let told =
-            serde_json::json!({ "day": name.to_string(), "served": served, "rules": distances });
-        return println!("{told}");
+    if options.json {
+        let json =
+            serde_json::json!({ "day": name.to_string(), "served": served, "rules": usages });
+        return println!("{json}");
     }
     println!("{name}: served {served:.3}");
-    for distance in distances {
-        print_bound_usage(distance);
+    for usage in usages {
+        print_bound_usage(usage);
     }
 }
 
-fn print_bound_usage(distance: &BoundUsage) {
-    let verdict = match distance.is_broken() {
+fn print_bound_usage(usage: &BoundUsage) {
+    let verdict = match usage.is_broken() {
         true => "BROKEN",
         false => "kept",
     };
     println!(
         "  {:<22} {verdict:<6} {:>6.3}  {}",
-        format!("{:?}", distance.rule),
-        distance.used,
-        distance.what
+        format!("{:?}", usage.rule),
+        usage.used,
+        usage.what
     );
 }
 
-fn search(asked: &Options) -> Result<bool, CliError> {
+fn search(options: &Options) -> Result<bool, CliError> {
     let search = Search {
-        deployment: asked.deployment.clone().unwrap_or_else(|| "19-vms".into()),
-        seed: asked.seed.unwrap_or(1),
-        max_days: asked.most_days.unwrap_or(usize::MAX),
-        time_limit: Duration::from_secs(asked.seconds.unwrap_or(60)),
-        jobs: asked.jobs.unwrap_or(4),
-        is_mutating: !asked.plain,
-        stops_at_first: asked.first,
-        planted: asked.planted,
+        deployment: options
+            .deployment
+            .clone()
+            .unwrap_or_else(|| "19-vms".into()),
+        seed: options.seed.unwrap_or(1),
+        max_days: options.max_days.unwrap_or(usize::MAX),
+        time_limit: Duration::from_secs(options.seconds.unwrap_or(60)),
+        jobs: options.jobs.unwrap_or(4),
+        is_mutating: !options.plain,
+        stops_at_first: options.first,
+        planted: options.planted,
     };
-    let found = search.run(|days, distance| {
-        eprintln!("day {days}: {:?} {}", distance.rule, distance.what);
+    let result = search.run(|days, usage| {
+        eprintln!("day {days}: {:?} {}", usage.rule, usage.what);
     });
-    print_search_result(asked, &found);
-    if let Some(out) = &asked.out {
-        write_out(asked, &found, out)?;
+    print_search_result(options, &result);
+    if let Some(out) = &options.out {
+        write_out(options, &result, out)?;
     }
-    Ok(!found.broken().is_empty())
+    Ok(!result.broken().is_empty())
 }
 
-fn print_search_result(asked: &Options, found: &SearchResult) {
-    if asked.json {
+fn print_search_result(options: &Options, result: &SearchResult) {
+    if options.json {
         let nearest = Rule::ALL
             .iter()
-            .filter_map(|rule| found.nearest.get(rule)?.first());
+            .filter_map(|rule| result.nearest.get(rule)?.first());
         let nearest: Vec<_> = nearest.map(|near| &near.usage).collect();
-        let first = found.first_broken_after;
-        let told = serde_json::json!({ "days": found.days, "first_broken_after": first, "nearest": nearest });
-        return println!("{told}");
+        let first = result.first_broken_after;
+        let json = serde_json::json!({ "days": result.days, "first_broken_after": first, "nearest": nearest });
+        return println!("{json}");
     }
     println!(
         "{} days; first broken after {:?}",
-        found.days, found.first_broken_after
+        result.days, result.first_broken_after
     );
     let nearest = Rule::ALL
         .iter()
-        .filter_map(|rule| found.nearest.get(rule)?.first());
+        .filter_map(|rule| result.nearest.get(rule)?.first());
     nearest.for_each(|near| print_bound_usage(&near.usage));
 }
 
 /// Writes the nearest day of each rule, shrunk if it breaks the rule, and a plot of the search's progress.
-fn write_out(asked: &Options, found: &SearchResult, out: &Path) -> Result<(), CliError> {
+fn write_out(options: &Options, result: &SearchResult, out: &Path) -> Result<(), CliError> {
     let fault = |error| CliError::File(out.into(), error);
     std::fs::create_dir_all(out).map_err(fault)?;
     for rule in Rule::ALL {
-        let Some(near) = found.nearest.get(&rule).and_then(|all| all.first()) else {
+        let Some(near) = result.nearest.get(&rule).and_then(|all| all.first()) else {
             continue;
         };
         let day = match near.usage.is_broken() {
-            true => planted_fault::run_with(asked.planted, || shrink::shrink(&near.day, rule)),
+            true => planted_fault::run_with(options.planted, || shrink::shrink(&near.day, rule)),
             false => near.day.clone(),
         };
         let file = out.join(format!("{rule:?}-{}.yaml", day.seed));
         std::fs::write(file, day.to_text()).map_err(fault)?;
     }
-    if let Err(error) = plot::draw(found, &out.join("course.svg")) {
+    if let Err(error) = plot::draw(result, &out.join("course.svg")) {
         eprintln!("{error}");
     }
     Ok(())
 }
 
-fn shrink_days(asked: &Options) -> Result<bool, CliError> {
-    let Some(rule) = asked.rule else {
+fn shrink_days(options: &Options) -> Result<bool, CliError> {
+    let Some(rule) = options.rule else {
         return Err(lexopt::Error::from("shrink needs --rule").into());
     };
     let mut any_broken = false;
-    for path in &asked.days {
-        let day = read_day(asked, path)?;
-        let day = planted_fault::run_with(asked.planted, || shrink::shrink(&day, rule));
-        let judged = planted_fault::run_with(asked.planted, || check_day(&day))?;
-        any_broken |= judged.iter().any(|d| d.rule == rule && d.is_broken());
+    for path in &options.days {
+        let day = read_day(options, path)?;
+        let day = planted_fault::run_with(options.planted, || shrink::shrink(&day, rule));
+        let usages = planted_fault::run_with(options.planted, || check_day(&day))?;
+        any_broken |= usages.iter().any(|d| d.rule == rule && d.is_broken());
         print!("{}", day.to_text());
     }
     Ok(any_broken)
--- a/crates/kingcuploft-simulation/src/network.rs
+++ b/crates/kingcuploft-simulation/src/network.rs
@@ -40,7 +40,7 @@
 struct Listener {
     nic: Rc<Nic>,
     zone: usize,
-    accepts: UnboundedSender<AcceptedConnection>,
+    connections: UnboundedSender<AcceptedConnection>,
 }
 
 /// The receiver of the datagrams to an address.
@@ -85,10 +85,10 @@
 
 impl Network {
     /// Returns a new host.
-    pub fn host(&self, place: Location, vm: Option<VmIndex>) -> Host {
+    pub fn host(&self, location: Location, vm: Option<VmIndex>) -> Host {
         Host {
             network: self.clone(),
-            location: place,
+            location,
             vm,
             nic: Rc::new(Nic::of(LINK_MBIT_PER_S)),
             peer_nic: Rc::new(Nic::of(LINK_MBIT_PER_S)),
@@ -105,19 +105,19 @@
 
 impl Host {
     /// Listens at an address on the interface towards callers and servers.
-    pub fn listen(&self, address: SocketAddr, accepts: UnboundedSender<AcceptedConnection>) {
-        self.listen_on(&self.nic, address, accepts);
+    pub fn listen(&self, address: SocketAddr, connections: UnboundedSender<AcceptedConnection>) {
+        self.listen_on(&self.nic, address, connections);
     }
 
     /// Listens at an address on the interface towards other VMs, for connections and datagrams.
     pub fn listen_to_peers(
         &self,
         address: SocketAddr,
-        accepts: UnboundedSender<AcceptedConnection>,
+        connections: UnboundedSender<AcceptedConnection>,
         datagrams: UnboundedSender<Datagram>,
     ) {
         self.peer_address.set(Some(address));
-        self.listen_on(&self.peer_nic, address, accepts);
+        self.listen_on(&self.peer_nic, address, connections);
         let mailbox = Mailbox {
             nic: self.peer_nic.clone(),
             receives: datagrams,
@@ -130,7 +130,7 @@
         &self,
         nic: &Rc<Nic>,
         address: SocketAddr,
-        accepts: UnboundedSender<AcceptedConnection>,
+        connections: UnboundedSender<AcceptedConnection>,
     ) {
         let zone = match self.location {
             Location::Zone(zone) => zone,
@@ -139,7 +139,7 @@
         let listener = Listener {
             nic: nic.clone(),
             zone,
-            accepts,
+            connections,
         };
         let mut all = self.network.0.listeners.borrow_mut();
         all.insert(address, listener);
@@ -175,20 +175,20 @@
             let found = {
                 let listeners = self.network.0.listeners.borrow();
                 let found = listeners.get(&address);
-                found.map(|to| (to.nic.clone(), to.accepts.clone(), self.delay(to.zone)))
+                found.map(|to| (to.nic.clone(), to.connections.clone(), self.delay(to.zone)))
             };
-            let Some((nic, accepts, delay)) = found else {
+            let Some((nic, connections, delay)) = found else {
                 tokio::time::sleep(2 * DELAY_BETWEEN_ZONES).await;
                 return Err(refused());
             };
-            let stops = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
-            if stops(own) || stops(&nic) {
+            let is_blocked = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
+            if is_blocked(own) || is_blocked(&nic) {
                 tokio::time::sleep(CONNECT_RETRY_INTERVAL).await;
                 continue;
             }
             tokio::time::sleep(2 * delay).await;
             let (here, there) = link::connect(own, &nic, delay);
-            accepts.send((there, self.vm)).map_err(|_| refused())?;
+            connections.send((there, self.vm)).map_err(|_| refused())?;
             return Ok(here);
         }
     }
@@ -221,8 +221,8 @@
             let Some(Mailbox { nic, receives }) = found else {
                 continue;
             };
-            let stops = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
-            if stops(&self.peer_nic) || stops(&nic) {
+            let is_blocked = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
+            if is_blocked(&self.peer_nic) || is_blocked(&nic) {
                 continue;
             }
             let told = told.clone();
--- a/crates/kingcuploft-simulation/src/operator.rs
+++ b/crates/kingcuploft-simulation/src/operator.rs
@@ -32,11 +32,11 @@
 
 impl Operator {
     /// Returns an operator that has written nothing yet.
-    pub fn new(deployment: Rc<Deployment>, store: TestStore, seen: Rc<History>) -> Self {
+    pub fn new(deployment: Rc<Deployment>, store: TestStore, history: Rc<History>) -> Self {
         Self {
             deployment,
             store,
-            history: seen,
+            history,
             version: Cell::new(0),
         }
     }
--- a/crates/kingcuploft-simulation/src/rules/mod.rs
+++ b/crates/kingcuploft-simulation/src/rules/mod.rs
@@ -81,6 +81,7 @@
         self.used > 1.0
     }
 
+    /// Returns the usage of a rule whose bound was not used at all.
     fn none(rule: Rule) -> Self {
         Self {
             rule,
@@ -98,6 +99,7 @@
         Self { rule, used, what }
     }
 
+    /// Returns the usage `used` of the same rule if it is greater than this one, else this one.
     fn or_greater(self, used: f64, what: impl FnOnce() -> String) -> Self {
         match used > self.used {
             true => Self {
@@ -113,27 +115,27 @@
 /// The history of a day, indexed by request.
 struct IndexedHistory<'a> {
     deployment: &'a Deployment,
-    history: &'a History,
+    raw: &'a History,
     requests: Vec<Request>,
     arrivals: Vec<Arrival>,
     answers: HashMap<u64, Completion>,
 }
 
 impl<'a> IndexedHistory<'a> {
-    fn of(played: &'a DayResult) -> Self {
-        let seen = &*played.history;
-        let answers = seen.answers.borrow();
+    fn of(result: &'a DayResult) -> Self {
+        let raw = &*result.history;
+        let answers = raw.answers.borrow();
         Self {
-            deployment: &played.deployment,
-            history: seen,
-            requests: seen.requests.borrow().clone(),
-            arrivals: seen.arrivals.borrow().clone(),
+            deployment: &result.deployment,
+            raw,
+            requests: raw.requests.borrow().clone(),
+            arrivals: raw.arrivals.borrow().clone(),
             answers: answers.iter().map(|answer| (answer.id, *answer)).collect(),
         }
     }
 
     fn outcome(&self, id: u64) -> Option<Outcome> {
-        self.answers.get(&id).map(|answered| answered.answer)
+        self.answers.get(&id).map(|completion| completion.answer)
     }
 
     fn arrivals_by_request(&self) -> HashMap<u64, Vec<&Arrival>> {
@@ -146,34 +148,35 @@
 }
 
 /// Checks a day against all rules.
-pub fn check(played: &DayResult) -> Vec<BoundUsage> {
-    let case = IndexedHistory::of(played);
-    let judged = Rule::ALL.map(|rule| match rule {
-        Rule::RepeatBudget => fleet::budget(&case),
-        Rule::AtMostOnce => requests::at_most_once(&case),
-        Rule::TruthfulRefusals => requests::truthful_refusals(&case),
-        Rule::WholeAnswers => requests::whole_answers(&case),
-        Rule::PlannedStops => requests::planned_stops(&case),
-        Rule::Draining => propagation::draining(&case),
-        Rule::ConfigurationInForce => propagation::configuration(&case),
-        Rule::NeverReverts => propagation::never_reverts(&case),
-        Rule::Evacuations => propagation::evacuations(&case),
-        Rule::ColdServers => fleet::cold_servers(&case),
-        Rule::NamedLimits => fleet::named_limits(&case),
-        Rule::Quarantine => requests::quarantine(&case),
-        Rule::Probes => fleet::probes(&case),
+pub fn check(result: &DayResult) -> Vec<BoundUsage> {
+    let history = IndexedHistory::of(result);
+    let usages = Rule::ALL.map(|rule| match rule {
+        Rule::RepeatBudget => fleet::budget(&history),
+        Rule::AtMostOnce => requests::at_most_once(&history),
+        Rule::TruthfulRefusals => requests::truthful_refusals(&history),
+        Rule::WholeAnswers => requests::whole_answers(&history),
+        Rule::PlannedStops => requests::planned_stops(&history),
+        Rule::Draining => propagation::draining(&history),
+        Rule::ConfigurationInForce => propagation::configuration(&history),
+        Rule::NeverReverts => propagation::never_reverts(&history),
+        Rule::Evacuations => propagation::evacuations(&history),
+        Rule::ColdServers => fleet::cold_servers(&history),
+        Rule::NamedLimits => fleet::named_limits(&history),
+        Rule::Quarantine => requests::quarantine(&history),
+        Rule::Probes => fleet::probes(&history),
     });
-    judged.to_vec()
+    usages.to_vec()
 }
 
 /// Returns the share of the callers' first requests, deadly ones left out, that got a complete answer in the end, retries
 /// included.
-pub fn answered_share(played: &DayResult) -> f64 {
-    let case = IndexedHistory::of(played);
-    let asked = case.requests.iter();
-    let asked = asked.filter(|request| request.is_first && !request.is_deadly);
-    let asked = asked.count();
-    let whole = case.requests.iter();
-    let whole = whole.filter(|request| case.outcome(request.id) == Some(Outcome::Complete));
-    whole.count() as f64 / asked.max(1) as f64
+pub fn answered_share(result: &DayResult) -> f64 {
+    let history = IndexedHistory::of(result);
+    let first_requests = history.requests.iter();
+    let first_requests = first_requests.filter(|request| request.is_first && !request.is_deadly);
+    let first_requests = first_requests.count();
+    let complete = history.requests.iter();
+    let complete =
+        complete.filter(|request| history.outcome(request.id) == Some(Outcome::Complete));
+    complete.count() as f64 / first_requests.max(1) as f64
 }
--- a/crates/kingcuploft-simulation/src/rules/requests.rs
+++ b/crates/kingcuploft-simulation/src/rules/requests.rs
@@ -22,10 +22,10 @@
 const MAX_SENT_AFTER_STOP: Duration = Duration::from_secs(3);
 
 /// Counts the requests that ran more than once although they may run only once.
-pub(super) fn at_most_once(case: &IndexedHistory<'_>) -> BoundUsage {
-    let by_request = case.arrivals_by_request();
+pub(super) fn at_most_once(history: &IndexedHistory<'_>) -> BoundUsage {
+    let by_request = history.arrivals_by_request();
     let twice = by_request.iter().filter(|(_, arrivals)| {
-        let kind = &case.deployment.kinds[arrivals[0].kind];
+        let kind = &history.deployment.kinds[arrivals[0].kind];
         let runs = arrivals.iter().filter(|arrival| arrival.ran.get()).count();
         !is_idempotent(kind.contract) && runs > 1
     });
@@ -36,13 +36,13 @@
     BoundUsage::of_violations(Rule::AtMostOnce, twice.len(), what)
 }
 
-/// Counts the requests that ran although they were refused as not run.
-pub(super) fn truthful_refusals(case: &IndexedHistory<'_>) -> BoundUsage {
-    let by_request = case.arrivals_by_request();
+/// Counts the requests that may run only once and ran although they were refused as not run.
+pub(super) fn truthful_refusals(history: &IndexedHistory<'_>) -> BoundUsage {
+    let by_request = history.arrivals_by_request();
     let ran = by_request.iter().filter(|(id, arrivals)| {
-        let kind = &case.deployment.kinds[arrivals[0].kind];
+        let kind = &history.deployment.kinds[arrivals[0].kind];
         let ran = arrivals.iter().any(|arrival| arrival.ran.get());
-        !is_idempotent(kind.contract) && ran && case.outcome(**id) == Some(Outcome::NotRun)
+        !is_idempotent(kind.contract) && ran && history.outcome(**id) == Some(Outcome::NotRun)
     });
     let ran: Vec<_> = ran.map(|(id, _)| *id).collect();
     let what = ran
@@ -53,19 +53,19 @@
 
 /// Returns how often a deadly request was still sent on after it had crashed servers and all VMs had had time to learn
 /// that, as a share of what is allowed.
-pub(super) fn quarantine(case: &IndexedHistory<'_>) -> BoundUsage {
-    let deadly = case.arrivals.iter().filter(|arrival| arrival.is_deadly);
+pub(super) fn quarantine(history: &IndexedHistory<'_>) -> BoundUsage {
+    let deadly = history.arrivals.iter().filter(|arrival| arrival.is_deadly);
     let mut deadly: Vec<_> = deadly.collect();
     deadly.sort_by_key(|arrival| arrival.at);
-    let contact = case.deployment.bounds.undisturbed_time();
+    let undisturbed_time = history.deployment.bounds.undisturbed_time();
     let known_at = deadly
         .get(CRASHES_TO_QUARANTINE - 1)
-        .map(|last| last.at + contact);
+        .map(|last| last.at + undisturbed_time);
     let sent_on = deadly.iter().filter(|arrival| {
-        let in_touch = case
-            .history
-            .was_undisturbed(arrival.vm, arrival.at, contact);
-        in_touch && known_at.is_some_and(|known| arrival.at > known)
+        let is_undisturbed = history
+            .raw
+            .was_undisturbed(arrival.vm, arrival.at, undisturbed_time);
+        is_undisturbed && known_at.is_some_and(|known| arrival.at > known)
     });
     let sent_on = sent_on.count();
     let what =
@@ -75,10 +75,10 @@
 }
 
 /// Counts the callers that got an answer that was incomplete or not their own.
-pub(super) fn whole_answers(case: &IndexedHistory<'_>) -> BoundUsage {
-    let wrong = case.answers.values();
+pub(super) fn whole_answers(history: &IndexedHistory<'_>) -> BoundUsage {
+    let wrong = history.answers.values();
     let wrong: Vec<_> = wrong
-        .filter(|answered| answered.answer == Outcome::Wrong)
+        .filter(|completion| completion.answer == Outcome::Wrong)
         .collect();
     let what = wrong
         .first()
@@ -87,40 +87,41 @@
 }
 
 /// Counts the requests in progress on a stopping VM that ended without an answer, unless their server lost the answer.
-pub(super) fn planned_stops(case: &IndexedHistory<'_>) -> BoundUsage {
-    let bounds = &case.deployment.bounds;
-    let stops = case.history.planned_stops.borrow();
-    let by_request = case.arrivals_by_request();
-    let disturbed = case.history.vm_disturbances.borrow();
-    let cut = case.requests.iter().filter(|request| {
+pub(super) fn planned_stops(history: &IndexedHistory<'_>) -> BoundUsage {
+    let bounds = &history.deployment.bounds;
+    let stops = history.raw.planned_stops.borrow();
+    let by_request = history.arrivals_by_request();
+    let disturbances = history.raw.vm_disturbances.borrow();
+    let interrupted = history.requests.iter().filter(|request| {
         let of_vm = stops.iter().filter(|(vm, _)| *vm == request.vm);
-        let near = |at: &Duration| {
+        let is_near = |at: &Duration| {
             request.at + MAX_SENT_BEFORE_STOP >= *at && request.at <= *at + STOP_WINDOW
         };
-        let stopping: Vec<_> = of_vm.map(|(_, at)| *at).filter(near).collect();
+        let stopping: Vec<_> = of_vm.map(|(_, at)| *at).filter(is_near).collect();
         if stopping.is_empty() {
             return false;
         }
-        let answered = case.answers.get(&request.id);
-        let ended_at = answered.map_or(request.at, |answered| answered.at);
-        let was_struck = disturbed.iter().any(|other| {
-            let near = other.at + bounds.undisturbed_time() >= request.at && other.at <= ended_at;
-            other.vm == request.vm && other.cause == DisturbanceCause::Fault && near
+        let completion = history.answers.get(&request.id);
+        let ended_at = completion.map_or(request.at, |completion| completion.at);
+        let was_disturbed = disturbances.iter().any(|other| {
+            let is_near =
+                other.at + bounds.undisturbed_time() >= request.at && other.at <= ended_at;
+            other.vm == request.vm && other.cause == DisturbanceCause::Fault && is_near
         });
-        let had_to_end = stopping.iter().any(|stopped_at| {
+        let may_be_interrupted = stopping.iter().any(|stopped_at| {
             let last_sixth = *stopped_at + Duration::from_millis(bounds.stop_ms) * 5 / 6;
             ended_at >= last_sixth && request.at <= *stopped_at + MAX_SENT_AFTER_STOP
         });
-        let was_passed_on = by_request.contains_key(&request.id);
-        let kind = &case.deployment.kinds[request.kind];
+        let reached_server = by_request.contains_key(&request.id);
+        let kind = &history.deployment.kinds[request.kind];
         let deadline = request.at + Duration::from_millis(kind.deadline_ms);
-        let had_time = answered.is_some_and(|answered| answered.at < deadline);
-        let is_cut = case.outcome(request.id) == Some(Outcome::None);
-        was_passed_on && is_cut && had_time && !was_struck && !had_to_end
+        let ended_in_time = completion.is_some_and(|completion| completion.at < deadline);
+        let has_no_answer = history.outcome(request.id) == Some(Outcome::None);
+        reached_server && has_no_answer && ended_in_time && !was_disturbed && !may_be_interrupted
     });
-    let cut: Vec<_> = cut.map(|request| request.id).collect();
-    let what = cut
+    let interrupted: Vec<_> = interrupted.map(|request| request.id).collect();
+    let what = interrupted
         .first()
         .map_or_else(String::new, |id| format!("request {id:016x}"));
-    BoundUsage::of_violations(Rule::PlannedStops, cut.len(), what)
+    BoundUsage::of_violations(Rule::PlannedStops, interrupted.len(), what)
 }
--- a/crates/kingcuploft-simulation/src/search.rs
+++ b/crates/kingcuploft-simulation/src/search.rs
@@ -70,25 +70,22 @@
 }
 
 impl SearchResult {
-    fn add(&mut self, day: &Day, distances: Vec<BoundUsage>) {
+    fn add(&mut self, day: &Day, usages: Vec<BoundUsage>) {
         self.days += 1;
-        for distance in distances {
-            if distance.is_broken() && self.first_broken_after.is_none() {
+        for usage in usages {
+            if usage.is_broken() && self.first_broken_after.is_none() {
                 self.first_broken_after = Some(self.days);
             }
-            let of_rule = self.nearest.entry(distance.rule).or_default();
+            let of_rule = self.nearest.entry(usage.rule).or_default();
             let is_nearest = of_rule
                 .first()
-                .is_none_or(|near| near.usage.used < distance.used);
+                .is_none_or(|near| near.usage.used < usage.used);
             if is_nearest {
-                let used = distance.used;
-                self.course.push((self.days, distance.rule, used));
+                let used = usage.used;
+                self.course.push((self.days, usage.rule, used));
             }
             let day = day.clone();
-            of_rule.push(NearDay {
-                day,
-                usage: distance,
-            });
+            of_rule.push(NearDay { day, usage });
             of_rule.sort_by(|a, b| b.usage.used.total_cmp(&a.usage.used));
             of_rule.truncate(KEPT_DAYS_PER_RULE);
         }
@@ -121,50 +118,53 @@
 impl Search {
     /// Runs the search; calls `progress` with the number of days run whenever a day is the first to break a rule.
     pub fn run(&self, progress: impl Fn(usize, &BoundUsage) + Sync) -> SearchResult {
-        let found = Mutex::new(SearchResult::default());
-        let (begun, next, ends) = (Instant::now(), AtomicUsize::new(0), AtomicBool::new(false));
+        let result = Mutex::new(SearchResult::default());
+        let (started_at, next, is_done) =
+            (Instant::now(), AtomicUsize::new(0), AtomicBool::new(false));
         thread::scope(|scope| {
             for _ in 0..self.jobs.max(1) {
                 scope.spawn(|| {
-                    while !ends.load(Ordering::Relaxed) && begun.elapsed() < self.time_limit {
+                    while !is_done.load(Ordering::Relaxed) && started_at.elapsed() < self.time_limit
+                    {
                         let number = next.fetch_add(1, Ordering::Relaxed);
                         if number >= self.max_days {
                             return;
                         }
                         let mut rng =
                             Rng::with_seed(self.seed.wrapping_mul(1_000_003) + number as u64);
-                        let day = self.next_day(&mut rng, number, &found);
-                        let Ok(distances) =
-                            planted_fault::run_with(self.planted, || check_day(&day))
+                        let day = self.next_day(&mut rng, number, &result);
+                        let Ok(usages) = planted_fault::run_with(self.planted, || check_day(&day))
                         else {
                             return;
                         };
-                        let Ok(mut found) = found.lock() else {
+                        let Ok(mut result) = result.lock() else {
                             return;
                         };
-                        let broken = distances.iter().filter(|distance| distance.is_broken());
-                        for distance in broken {
-                            let known = found.nearest.get(&distance.rule).and_then(|n| n.first());
+                        let broken = usages.iter().filter(|usage| usage.is_broken());
+                        for usage in broken {
+                            let known = result.nearest.get(&usage.rule).and_then(|n| n.first());
                             if known.is_none_or(|known| !known.usage.is_broken()) {
-                                progress(found.days + 1, distance);
+                                progress(result.days + 1, usage);
                             }
-                            ends.fetch_or(self.stops_at_first, Ordering::Relaxed);
+                            is_done.fetch_or(self.stops_at_first, Ordering::Relaxed);
                         }
-                        found.add(&day, distances);
+                        result.add(&day, usages);
                     }
                 });
             }
         });
-        found.into_inner().unwrap_or_default()
+        result.into_inner().unwrap_or_default()
     }
 
     /// Returns the next day to run: a generated one, or a mutation or splice of days that came near to a bound. The
     /// rules take turns in supplying these days.
-    fn next_day(&self, rng: &mut Rng, number: usize, found: &Mutex<SearchResult>) -> Day {
+    fn next_day(&self, rng: &mut Rng, number: usize, result: &Mutex<SearchResult>) -> Day {
         if !self.is_mutating || rng.f64() < GENERATED_SHARE {
             return generator::generate(rng, &self.deployment);
         }
-        let near = found.lock().map(|found| found.days_near_next_bound(number));
+        let near = result
+            .lock()
+            .map(|result| result.days_near_next_bound(number));
         let near = near.unwrap_or_default();
         match rng.choice(&near) {
             Some(day) if rng.f64() < SPLICED_SHARE => {
--- a/crates/kingcuploft-simulation/src/shrink.rs
+++ b/crates/kingcuploft-simulation/src/shrink.rs
@@ -9,43 +9,47 @@
 const MAX_HALVINGS: usize = 3;
 
 fn breaks(day: &Day, rule: Rule) -> bool {
-    let judged = check_day(day).unwrap_or_default();
-    judged.iter().any(|d| d.rule == rule && d.is_broken())
+    let usages = check_day(day).unwrap_or_default();
+    usages.iter().any(|d| d.rule == rule && d.is_broken())
 }
 
 /// Returns the day without the disruptions, durations and length that it can lose while it still breaks the rule.
 pub fn shrink(day: &Day, rule: Rule) -> Day {
-    let mut least = without_unneeded_disruptions(day, rule);
-    for at in 0..least.disruptions.len() {
+    let mut smallest = without_unneeded_disruptions(day, rule);
+    for at in 0..smallest.disruptions.len() {
         for _ in 0..MAX_HALVINGS {
-            let mut shorter = least.clone();
+            let mut shorter = smallest.clone();
             shorter.disruptions[at].for_ms /= 2;
-            least = if breaks(&shorter, rule) {
+            smallest = if breaks(&shorter, rule) {
                 shorter
             } else {
                 break;
             };
         }
     }
-    let last = least.disruptions.iter().map(|d| d.at_ms + d.for_ms).max();
-    let mut shorter = least.clone();
-    shorter.length_ms = (last.unwrap_or(0) + 5_000).min(least.length_ms);
+    let last = smallest
+        .disruptions
+        .iter()
+        .map(|d| d.at_ms + d.for_ms)
+        .max();
+    let mut shorter = smallest.clone();
+    shorter.length_ms = (last.unwrap_or(0) + 5_000).min(smallest.length_ms);
     match breaks(&shorter, rule) {
         true => shorter,
-        false => least,
+        false => smallest,
     }
 }
 
 fn without_unneeded_disruptions(day: &Day, rule: Rule) -> Day {
-    let mut least = day.clone();
+    let mut smallest = day.clone();
     let mut at = 0;
-    while at < least.disruptions.len() {
-        let mut fewer = least.clone();
+    while at < smallest.disruptions.len() {
+        let mut fewer = smallest.clone();
         fewer.disruptions.remove(at);
         match breaks(&fewer, rule) {
-            true => least = fewer,
+            true => smallest = fewer,
             false => at += 1,
         }
     }
-    least
+    smallest
 }
--- a/crates/kingcuploft-simulation/src/simulation.rs
+++ b/crates/kingcuploft-simulation/src/simulation.rs
@@ -44,10 +44,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The day names a deployment that does not exist.
-    #[error("no deployment is called {0}")]
+    #[error("there is no deployment {0}")]
     Deployment(String),
     /// The asynchronous runtime could not be built.
-    #[error("no timers: {0}")]
+    #[error("the asynchronous runtime can't be built: {0}")]
     Timers(#[from] std::io::Error),
 }
 
@@ -95,8 +95,8 @@
 ///
 /// Returns an error if the deployment is unknown or the runtime can't be built.
 pub fn run(day: &Day) -> Result<DayResult, RunError> {
-    let (played, lines) = log::capture(|| run_unlogged(day));
-    Ok(DayResult { lines, ..played? })
+    let (result, lines) = log::capture(|| run_unlogged(day));
+    Ok(DayResult { lines, ..result? })
 }
 
 /// Runs a day without collecting the log lines of its VMs.
@@ -111,16 +111,16 @@
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build()?;
     let tasks = tokio::task::LocalSet::new();
-    let (seen, counted) = tasks.block_on(&runtime, async {
-        let world = Rc::new(Simulation::new(deployment.clone()));
-        world.run(day).await;
-        let counted = world.vms.iter().map(|vm| vm.known_vms());
-        (world.history.clone(), counted.collect())
+    let (history, known_vms) = tasks.block_on(&runtime, async {
+        let simulation = Rc::new(Simulation::new(deployment.clone()));
+        simulation.run(day).await;
+        let known_vms = simulation.vms.iter().map(|vm| vm.known_vms());
+        (simulation.history.clone(), known_vms.collect())
     });
     Ok(DayResult {
         deployment,
-        history: seen,
-        known_vms: counted,
+        history,
+        known_vms,
         lines: Vec::new(),
     })
 }
@@ -128,8 +128,8 @@
 impl Simulation {
     fn new(deployment: Rc<Deployment>) -> Self {
         let (network, store) = (Network::default(), TestStore::default());
-        let (ends_under, ending) = mpsc::unbounded_channel();
-        let seen = Rc::new(History::default());
+        let (crash_sender, crash_receiver) = mpsc::unbounded_channel();
+        let history = Rc::new(History::default());
         let zones = deployment.zones.iter().enumerate();
         let zones = zones.flat_map(|(zone, vms)| std::iter::repeat_n(zone, *vms));
         let vms = zones
@@ -137,16 +137,16 @@
             .map(|(index, zone)| Rc::new(Vm::new(index, zone, &deployment, &network, &store)));
         let vms: Vec<_> = vms.collect();
         Self {
-            operator: Operator::new(deployment.clone(), store.clone(), seen.clone()),
+            operator: Operator::new(deployment.clone(), store.clone(), history.clone()),
             balancer: Balancer::new(vms.clone()),
             callers: Rc::new(network.host(Location::External, None)),
             servers: RefCell::default(),
             load_factor: Cell::new(1.0),
             deadly_share: Cell::new(0.0),
-            crash_sender: ends_under,
-            crash_receiver: RefCell::new(ending),
+            crash_sender,
+            crash_receiver: RefCell::new(crash_receiver),
             deployment,
-            history: seen,
+            history,
             store,
             vms,
             network,
@@ -165,27 +165,28 @@
         for vm in &self.vms {
             vm.start(true);
         }
-        let world = self.clone();
-        tokio::task::spawn_local(async move { world.balancer.run().await });
+        let simulation = self.clone();
+        tokio::task::spawn_local(async move { simulation.balancer.run().await });
         tokio::time::sleep(WARM_UP).await;
         log::start_clock();
         self.history.start_clock();
         for disruption in &day.disruptions {
-            let (world, disruption) = (self.clone(), disruption.clone());
+            let (simulation, disruption) = (self.clone(), disruption.clone());
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(disruption.at()).await;
-                disruptions::apply(&world, &disruption).await;
+                disruptions::apply(&simulation, &disruption).await;
             });
         }
-        let world = self.clone();
-        let ending = tokio::task::spawn_local(async move { world.crash_reported_servers().await });
-        let world = self.clone();
-        let looking = tokio::task::spawn_local(async move { world.check_versions().await });
+        let simulation = self.clone();
+        let crashing =
+            tokio::task::spawn_local(async move { simulation.crash_reported_servers().await });
+        let simulation = self.clone();
+        let checking = tokio::task::spawn_local(async move { simulation.check_versions().await });
         self.generate_load(Duration::from_millis(day.length_ms))
             .await;
         tokio::time::sleep(WIND_DOWN).await;
-        looking.abort();
-        ending.abort();
+        checking.abort();
+        crashing.abort();
     }
 
     /// Crashes each server that reports that it got a deadly request.
@@ -198,9 +199,9 @@
             };
             let server = self.servers.borrow()[index].clone();
             if !server.has_stopped.get() {
-                let world = self.clone();
+                let simulation = self.clone();
                 tokio::task::spawn_local(async move {
-                    disruptions::crash_servers(&world, &[server]).await
+                    disruptions::crash_servers(&simulation, &[server]).await
                 });
             }
         }
@@ -221,10 +222,10 @@
             self.history.clone(),
             self.crash_sender.clone(),
         );
-        let lasts = Duration::from_millis(service.cold_ms);
+        let duration = Duration::from_millis(service.cold_ms);
         let cold = (is_cold && service.cold_per_s > 0.0).then(|| {
-            server.cold_until.set(Some(Instant::now() + lasts));
-            (self.history.now(), self.history.now() + lasts)
+            server.cold_until.set(Some(Instant::now() + duration));
+            (self.history.now(), self.history.now() + duration)
         });
         self.history.servers.borrow_mut().push(ServerHistory {
             service: service.name.clone(),
@@ -244,10 +245,10 @@
         self.network.stop_listening(server.address);
     }
 
-    async fn generate_load(self: &Rc<Self>, lasts: Duration) {
+    async fn generate_load(self: &Rc<Self>, duration: Duration) {
         let kinds = self.deployment.kinds.clone();
         let per_s: f64 = kinds.iter().map(|kind| kind.per_s).sum();
-        while self.history.now() < lasts {
+        while self.history.now() < duration {
             let pause_s = -(1.0 - fastrand::f64()).ln() / (per_s * self.load_factor.get());
             tokio::time::sleep(Duration::from_secs_f64(pause_s)).await;
             let mut drawn = fastrand::f64() * per_s;
@@ -264,10 +265,14 @@
                 is_deadly: kind == 0 && fastrand::f64() < self.deadly_share.get(),
             };
             let zone = fastrand::usize(0..self.deployment.zones.len());
-            let (world, of_zone) = (self.clone(), fastrand::u64(0..CALLERS_PER_ZONE));
+            let (simulation, caller_index) = (self.clone(), fastrand::u64(0..CALLERS_PER_ZONE));
             tokio::task::spawn_local(async move {
-                let entry = |attempt| world.balancer.vm_for(zone, of_zone * 7 + 3, attempt);
-                caller.send(entry).await;
+                let vm_for = |attempt| {
+                    simulation
+                        .balancer
+                        .vm_for(zone, caller_index * 7 + 3, attempt)
+                };
+                caller.send(vm_for).await;
             });
             let running = self.servers.borrow();
             let running = running
@@ -284,21 +289,21 @@
         loop {
             tokio::time::sleep(VERSION_CHECK_INTERVAL).await;
             let version = self.operator.version();
-            let accepted = self.history.last_configuration_change();
-            if accepted.is_none_or(|at| self.history.now() > at + VERSION_CHECKS_FOR) {
+            let changed_at = self.history.last_configuration_change();
+            if changed_at.is_none_or(|at| self.history.now() > at + VERSION_CHECKS_FOR) {
                 continue;
             }
             for vm in self.vms.iter().filter(|vm| vm.is_running()) {
-                let (world, vm) = (self.clone(), vm.clone());
+                let (simulation, vm) = (self.clone(), vm.clone());
                 tokio::task::spawn_local(async move {
-                    let at = world.history.now();
-                    let looked = tokio::time::timeout(
+                    let at = simulation.history.now();
+                    let checked = tokio::time::timeout(
                         VERSION_CHECK_TIMEOUT,
-                        world.has_version(&vm, version),
+                        simulation.has_version(&vm, version),
                     );
-                    if let Ok(Some(has_route)) = looked.await {
-                        let mut served_by = world.history.version_checks.borrow_mut();
-                        served_by.push((vm.index, version, at, has_route));
+                    if let Ok(Some(has_route)) = checked.await {
+                        let mut checks = simulation.history.version_checks.borrow_mut();
+                        checks.push((vm.index, version, at, has_route));
                     }
                 });
             }
@@ -310,12 +315,12 @@
         let opening = Connection::open(&*self.callers, vm.callers);
         let mut connection = opening.await.ok()?;
         let path = version_route_name(version);
-        let text = format!("GET /{path}/ HTTP/1.1\r\nHost: a.example\r\nx-id: look\r\n\r\n");
+        let request = format!("GET /{path}/ HTTP/1.1\r\nHost: a.example\r\nx-id: look\r\n\r\n");
         self.history
             .version_check_times
             .borrow_mut()
             .push(self.history.now());
-        connection.send(text.as_bytes()).await.ok()?;
+        connection.send(request.as_bytes()).await.ok()?;
         let response = connection.receive("GET", 1 << 16).await.ok()?;
         match response.head.status {
             404 => Some(false),
--- a/crates/kingcuploft-simulation/src/store.rs
+++ b/crates/kingcuploft-simulation/src/store.rs
@@ -107,14 +107,14 @@
     }
 
     /// Restores a snapshot: what was written since is lost, and its revisions are assigned again.
-    pub fn rewind(&self, copy: Snapshot) {
-        self.configuration.replace(copy.configuration);
-        self.servers.replace(copy.servers);
-        self.zones.replace(copy.zones);
-        self.notices.replace(copy.notices);
-        self.evacuations.replace(copy.evacuations);
-        self.changes.replace(copy.changes);
-        self.revision.set(copy.revision);
+    pub fn rewind(&self, snapshot: Snapshot) {
+        self.configuration.replace(snapshot.configuration);
+        self.servers.replace(snapshot.servers);
+        self.zones.replace(snapshot.zones);
+        self.notices.replace(snapshot.notices);
+        self.evacuations.replace(snapshot.evacuations);
+        self.changes.replace(snapshot.changes);
+        self.revision.set(snapshot.revision);
         self.era.set(self.era.get() + 1);
         self.changed.notify_waiters();
     }
@@ -192,8 +192,8 @@
 
 impl TestStore {
     /// Returns a further client of a store.
-    pub fn client_of(held: &Rc<StoreState>) -> Self {
-        Self(held.clone(), Rc::default())
+    pub fn client_of(state: &Rc<StoreState>) -> Self {
+        Self(state.clone(), Rc::default())
     }
 
     /// Returns a client of the same store that can be refused on its own.
@@ -216,37 +216,37 @@
         _after: Option<&str>,
         _stale: bool,
     ) -> Result<Page, StoreError> {
-        let held = &self.0;
+        let state = &self.0;
         self.check_admitted()?;
-        held.hang_if_silent().await;
-        held.list_calls.set(held.list_calls.get() + 1);
+        state.hang_if_silent().await;
+        state.list_calls.set(state.list_calls.get() + 1);
         let records = match collection {
             Collection::Configuration => {
-                let configuration = held.configuration.borrow().clone();
+                let configuration = state.configuration.borrow().clone();
                 let records = configuration.into_iter();
                 let records = records.map(|c| Record::Configuration(Box::new(c)));
                 records.map(|record| ("main".into(), record)).collect()
             }
             Collection::BackendServers => {
-                let servers = held.servers.borrow().clone().into_iter();
+                let servers = state.servers.borrow().clone().into_iter();
                 let records = servers.map(|s| (s.name.to_string(), Record::BackendServer(s)));
                 records.collect()
             }
             Collection::Notices => {
-                let notices = held.notices.borrow().clone().into_iter();
+                let notices = state.notices.borrow().clone().into_iter();
                 let records = notices.map(|notice| (notice.id(), Record::Notice(notice)));
                 records.collect()
             }
             Collection::Evacuations => {
-                let zones = held.evacuations.borrow().clone().into_iter();
+                let zones = state.evacuations.borrow().clone().into_iter();
                 let records = zones.map(|zone| (zone.to_string(), Record::Evacuation(zone)));
                 records.collect()
             }
             Collection::Zones => {
-                if held.zone_list_hangs.get() {
+                if state.zone_list_hangs.get() {
                     std::future::pending::<()>().await;
                 }
-                let zones = held.zones.borrow().clone().into_iter();
+                let zones = state.zones.borrow().clone().into_iter();
                 zones
                     .map(|record| (record.zone.to_string(), Record::Zone(record)))
                     .collect()
@@ -255,7 +255,7 @@
         Ok(Page {
             records,
             next: None,
-            revision: held.current_revision(),
+            revision: state.current_revision(),
         })
     }
 
@@ -328,31 +328,32 @@
         from: Revision,
         wait: Duration,
     ) -> Result<Changes, StoreError> {
-        let held = &self.0;
+        let state = &self.0;
         self.check_admitted()?;
-        held.hang_if_silent().await;
-        held.watch_calls.set(held.watch_calls.get() + 1);
-        let began = held.era.get();
-        if revision_of(from) < held.compacted_until.get() || revision_of(from) > held.revision.get()
+        state.hang_if_silent().await;
+        state.watch_calls.set(state.watch_calls.get() + 1);
+        let started_in = state.era.get();
+        if revision_of(from) < state.compacted_until.get()
+            || revision_of(from) > state.revision.get()
         {
             return Err(StoreError::HistoryGone);
         }
         let until = tokio::time::Instant::now() + wait;
         loop {
-            let changed = held.changed.notified();
+            let changed = state.changed.notified();
             // A watch that waited while the store was silent never returns.
-            held.hang_if_silent().await;
+            state.hang_if_silent().await;
             self.check_admitted()?;
             // A restore ends the waiting watches with an error, and a watch from another era gets the same error.
-            let is_other = held.era.get() != began || era_of(from) != held.era.get();
-            if is_other && !held.ignores_eras.get() {
+            let is_other = state.era.get() != started_in || era_of(from) != state.era.get();
+            if is_other && !state.ignores_eras.get() {
                 return Err(StoreError::HistoryGone);
             }
-            let changes = held.changes_since(collection, revision_of(from));
+            let changes = state.changes_since(collection, revision_of(from));
             if !changes.is_empty() || tokio::time::Instant::now() >= until {
                 return Ok(Changes {
                     changes,
-                    revision: held.current_revision(),
+                    revision: state.current_revision(),
                 });
             }
             let _ = tokio::time::timeout_at(until, changed).await;
--- a/crates/kingcuploft-simulation/src/vm.rs
+++ b/crates/kingcuploft-simulation/src/vm.rs
@@ -57,13 +57,13 @@
 impl Future for FreezableProcess {
     type Output = ();
 
-    fn poll(mut self: Pin<&mut Self>, polling: &mut Polling<'_>) -> Poll<()> {
+    fn poll(mut self: Pin<&mut Self>, poll_context: &mut Polling<'_>) -> Poll<()> {
         if self.freeze.is_frozen.get() {
-            *self.freeze.waker.borrow_mut() = Some(polling.waker().clone());
+            *self.freeze.waker.borrow_mut() = Some(poll_context.waker().clone());
             return Poll::Pending;
         }
         let _named = log::enter_vm(self.vm);
-        self.running.as_mut().poll(polling)
+        self.running.as_mut().poll(poll_context)
     }
 }
 
@@ -91,7 +91,7 @@
     store: TestStore,
     bounds: Bounds,
     cpu_milli: u32,
-    life: RefCell<Option<RunningVm>>,
+    running: RefCell<Option<RunningVm>>,
 }
 
 impl Vm {
@@ -118,7 +118,7 @@
                 probes_per_server_s: deployment.bounds.probes_per_s,
             },
             cpu_milli: 200 + (index % 3) as u32 * 100,
-            life: RefCell::default(),
+            running: RefCell::default(),
         }
     }
 
@@ -127,11 +127,11 @@
         let host = self
             .network
             .host(Location::Zone(self.zone), Some(self.index));
-        let (accepts, mut callers) = mpsc::unbounded_channel();
-        host.listen(self.callers, accepts);
-        let (accepts, mut peers) = mpsc::unbounded_channel();
+        let (connections, mut callers) = mpsc::unbounded_channel();
+        host.listen(self.callers, connections);
+        let (connections, mut peers) = mpsc::unbounded_channel();
         let (receives, mut datagrams) = mpsc::unbounded_channel();
-        host.listen_to_peers(self.peers, accepts, receives);
+        host.listen_to_peers(self.peers, connections, receives);
         let network = Rc::new(host.clone());
         let context =
             Context::with_network(network.clone(), self.settings(all_start), HEADER_NAMES);
@@ -144,8 +144,8 @@
         let main = async move {
             let context = own;
             tracing::info!(event = "started", vm = %context.settings.vm, zone = %context.settings.zone);
-            let pulse = Rc::new(StoreAccess::default());
-            run::join_peers(&context, &store, &pulse, address, dial);
+            let store_access = Rc::new(StoreAccess::default());
+            run::join_peers(&context, &store, &store_access, address, dial);
             let is_closed = Rc::new(Cell::new(false));
             let stops = async {
                 stopping.notified().await;
@@ -159,9 +159,9 @@
                             tokio::task::spawn_local(connection::serve(context.clone(), end));
                         }
                         Some((end, _)) = peers.recv() => {
-                            let (context, pulse) = (context.clone(), pulse.clone());
+                            let (context, store_access) = (context.clone(), store_access.clone());
                             tokio::task::spawn_local(async move {
-                                let _ = reader::answer(&context, &pulse, end).await;
+                                let _ = reader::answer(&context, &store_access, end).await;
                             });
                         }
                         Some((told, from)) = datagrams.recv() => readings::take(&context, &told, from),
@@ -182,7 +182,7 @@
             running: Box::pin(async move { tasks.run_until(main).await }),
         };
         let process = tokio::task::spawn_local(process).abort_handle();
-        *self.life.borrow_mut() = Some(RunningVm {
+        *self.running.borrow_mut() = Some(RunningVm {
             host,
             freeze,
             context,
@@ -214,58 +214,63 @@
     pub fn kill(&self) {
         self.network.stop_listening(self.callers);
         self.network.stop_listening(self.peers);
-        if let Some(life) = self.life.borrow_mut().take() {
-            life.process.abort();
+        if let Some(running) = self.running.borrow_mut().take() {
+            running.process.abort();
         }
     }
 
     /// Takes the power away: the process ends and its connections fall silent without closing.
     pub fn lose_power(&self) {
-        if let Some(life) = self.life.borrow_mut().take() {
-            life.host.lose_power();
-            life.process.abort();
+        if let Some(running) = self.running.borrow_mut().take() {
+            running.host.lose_power();
+            running.process.abort();
         }
     }
 
     /// Freezes the process, or lets it go on.
     pub fn freeze(&self, is_frozen: bool) {
-        if let Some(life) = &*self.life.borrow() {
-            life.freeze.set(is_frozen);
+        if let Some(running) = &*self.running.borrow() {
+            running.freeze.set(is_frozen);
         }
     }
 
     /// Cuts the VM off from other VMs and the store, or ends the cut.
     pub fn cut_off(&self, is_cut: bool) {
-        if let Some(life) = &*self.life.borrow() {
-            life.host.cut_off(is_cut);
+        if let Some(running) = &*self.running.borrow() {
+            running.host.cut_off(is_cut);
         }
     }
 
     /// Asks the VM to stop as planned.
     pub fn stop(&self) {
-        if let Some(life) = &*self.life.borrow() {
-            life.stop.notify_one();
+        if let Some(running) = &*self.running.borrow() {
+            running.stop.notify_one();
         }
     }
 
     /// Returns whether the process exists, frozen or not.
     pub fn is_running(&self) -> bool {
-        let life = self.life.borrow();
-        life.as_ref()
-            .is_some_and(|life| !life.process.is_finished())
+        let running = self.running.borrow();
+        running
+            .as_ref()
+            .is_some_and(|running| !running.process.is_finished())
     }
 
     /// Returns how many VMs this one counts in the fleet; `None` if it is not running.
     pub fn known_vms(&self) -> Option<usize> {
-        let life = self.life.borrow();
-        life.as_ref().map(|life| life.context.vm_count.get())
+        let running = self.running.borrow();
+        running
+            .as_ref()
+            .map(|running| running.context.vm_count.get())
     }
 
     /// Returns whether the VM answers that it is ready.
     pub fn is_ready(&self) -> bool {
-        let life = self.life.borrow();
-        let ready = |life: &RunningVm| !life.freeze.is_frozen.get() && life.context.is_ready();
-        life.as_ref()
-            .is_some_and(|life| !life.process.is_finished() && ready(life))
+        let running = self.running.borrow();
+        let ready =
+            |running: &RunningVm| !running.freeze.is_frozen.get() && running.context.is_ready();
+        running
+            .as_ref()
+            .is_some_and(|running| !running.process.is_finished() && ready(running))
     }
 }
