--- a/crates/kingcuploft-simulation/src/balancer.rs
+++ b/crates/kingcuploft-simulation/src/balancer.rs
@@ -43,23 +43,23 @@
     /// Returns the VM for a caller in a zone; a further attempt reaches another VM.
     pub fn vm_for(&self, zone: usize, caller: u64, attempt: u32) -> Option<Rc<Vm>> {
         let of_zone: Vec<_> = self.vms.iter().filter(|vm| vm.zone == zone).collect();
-        let open: Vec<_> = of_zone
+        let healthy: Vec<_> = of_zone
             .iter()
             .copied()
             .filter(|vm| self.is_healthy(vm))
             .collect();
-        let chosen = match (open.is_empty(), 2 * open.len() < of_zone.len()) {
+        let chosen = match (healthy.is_empty(), 2 * healthy.len() < of_zone.len()) {
             (true, _) => self.vms.iter().filter(|vm| self.is_healthy(vm)).collect(),
             (false, true) => of_zone,
-            (false, false) => open,
+            (false, false) => healthy,
         };
-        let all = match chosen.is_empty() {
+        let candidates = match chosen.is_empty() {
             true => self.vms.iter().collect(),
             false => chosen,
         };
         let at = caller.wrapping_add(u64::from(attempt).wrapping_mul(0x9E37_79B9_7F4A_7C15));
-        let count = all.len() as u64;
-        (count > 0).then(|| all[(at % count) as usize].clone())
+        let count = candidates.len() as u64;
+        (count > 0).then(|| candidates[(at % count) as usize].clone())
     }
 
     fn is_healthy(&self, vm: &Vm) -> bool {
--- a/crates/kingcuploft-simulation/src/caller.rs
+++ b/crates/kingcuploft-simulation/src/caller.rs
@@ -24,7 +24,7 @@
 
 /// The outcome of one attempt.
 struct AttemptResult {
-    answer: Outcome,
+    outcome: Outcome,
     /// The pause before a retry that the answer asked for.
     retry_after: Option<Duration>,
     /// Whether the request was handed to a VM.
@@ -46,25 +46,25 @@
 }
 
 impl Caller {
-    /// Sends the request and retries it once where that is allowed; `entry` returns the VM that each attempt reaches.
+    /// Sends the request and retries it once where that is allowed; `vm_for` returns the VM that each attempt reaches.
     pub async fn send(self, vm_for: impl Fn(u32) -> Option<Rc<Vm>>) {
         let deadline = Instant::now() + Duration::from_millis(self.request_kind.deadline_ms);
         for attempt in 0..MAX_ATTEMPTS {
             let Some(vm) = vm_for(attempt) else {
                 return;
             };
-            let ended = self.attempt(&vm, deadline, attempt == 0).await;
+            let result = self.attempt(&vm, deadline, attempt == 0).await;
             let may_run_again = is_idempotent(self.request_kind.contract);
-            let should_retry = match ended.answer {
+            let should_retry = match result.outcome {
                 Outcome::Complete | Outcome::Wrong => false,
                 Outcome::NotRun => true,
-                Outcome::Failed | Outcome::None => may_run_again || !ended.was_sent,
+                Outcome::Failed | Outcome::None => may_run_again || !result.was_sent,
             };
             let left = deadline.saturating_duration_since(Instant::now());
             if !should_retry || left.is_zero() {
                 return;
             }
-            let pause = ended.retry_after.unwrap_or_default().min(left / 3);
+            let pause = result.retry_after.unwrap_or_default().min(left / 3);
             tokio::time::sleep(pause).await;
         }
     }
@@ -79,31 +79,31 @@
             is_first,
             is_deadly: self.is_deadly,
         });
-        let ended = tokio::time::timeout_at(
+        let result = tokio::time::timeout_at(
             deadline + LATE_ANSWER_GRACE,
             self.exchange(vm, id, deadline),
         )
         .await;
-        let ended = ended.unwrap_or(AttemptResult {
-            answer: Outcome::None,
+        let result = result.unwrap_or(AttemptResult {
+            outcome: Outcome::None,
             retry_after: None,
             was_sent: true,
         });
-        self.history.answers.borrow_mut().push(Completion {
+        self.history.completions.borrow_mut().push(Completion {
             id,
             at: self.history.now(),
-            answer: ended.answer,
+            outcome: result.outcome,
         });
-        ended
+        result
     }
 
     async fn exchange(&self, vm: &Vm, id: u64, deadline: Instant) -> AttemptResult {
         let none = |was_sent| AttemptResult {
-            answer: Outcome::None,
+            outcome: Outcome::None,
             retry_after: None,
             was_sent,
         };
-        let Ok(mut connection) = Connection::open(&*self.host, vm.callers).await else {
+        let Ok(mut connection) = Connection::open(&*self.host, vm.caller_address).await else {
             return none(false);
         };
         let id = format!("{id:016x}");
@@ -116,10 +116,10 @@
         };
         let name = &self.request_kind.name;
         let rest = if self.is_deadly { DEADLY_PATH } else { "x" };
-        let text = format!(
+        let request = format!(
             "{method} /{name}/{rest} HTTP/1.1\r\nHost: a.example\r\nx-id: {id}\r\nx-deadline-ms: {left_ms}\r\nContent-Length: 0\r\n\r\n"
         );
-        if connection.send(text.as_bytes()).await.is_err() {
+        if connection.send(request.as_bytes()).await.is_err() {
             return none(true);
         }
         match connection.receive(method, MAX_ANSWER_BYTES).await {
@@ -131,7 +131,7 @@
 
 fn classify(response: &Response, id: &str) -> AttemptResult {
     let headers = &response.head.headers;
-    let is_own = headers.get("x-id").is_none_or(|answered| answered == id);
+    let is_own = headers.get("x-id").is_none_or(|echoed_id| echoed_id == id);
     let answer = match response.head.status {
         200..300 if is_own && response.body == answer_body(id).as_bytes() => Outcome::Complete,
         200..300 => Outcome::Wrong,
@@ -141,7 +141,7 @@
     let seconds = headers.get("retry-after");
     let seconds = seconds.and_then(|seconds| seconds.parse::<f64>().ok());
     AttemptResult {
-        answer,
+        outcome: answer,
         retry_after: seconds.and_then(|s| Duration::try_from_secs_f64(s).ok()),
         was_sent: true,
     }
--- a/crates/kingcuploft-simulation/src/disruptions.rs
+++ b/crates/kingcuploft-simulation/src/disruptions.rs
@@ -9,7 +9,7 @@
 use crate::simulation::Simulation;
 use crate::vm::Vm;
 
-/// How long a killed VM takes at least to restart.
+/// How long after its end a killed or stopped VM restarts at the earliest.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
 
 /// The pause between two planned stops.
@@ -151,10 +151,10 @@
     simulation: &Simulation,
     vms: &[Rc<Vm>],
     duration: Duration,
-    act: fn(&Vm, bool),
+    set_fault: fn(&Vm, bool),
 ) {
     for vm in vms {
-        act(vm, true);
+        set_fault(vm, true);
     }
     let step = Duration::from_millis(500);
     let mut left = duration;
@@ -171,7 +171,7 @@
         simulation
             .history
             .record_disturbance(vm.index, DisturbanceCause::Fault);
-        act(vm, false);
+        set_fault(vm, false);
     }
 }
 
@@ -226,12 +226,12 @@
 async fn apply_to_servers(
     simulation: &Simulation,
     disruption: &Disruption,
-    act: impl Fn(&Server, bool),
+    set_fault: impl Fn(&Server, bool),
 ) {
     let servers = choose_servers(simulation, disruption);
-    servers.iter().for_each(|server| act(server, true));
+    servers.iter().for_each(|server| set_fault(server, true));
     tokio::time::sleep(disruption.duration()).await;
-    servers.iter().for_each(|server| act(server, false));
+    servers.iter().for_each(|server| set_fault(server, false));
 }
 
 /// Stops servers without notice and later starts others in their place.
@@ -304,10 +304,10 @@
 
 /// Restores the store from a snapshot of the given age; the operator and the servers then write again what it lacks.
 async fn rewind_store(simulation: &Simulation, age: Duration) {
-    let copy = simulation.store.0.snapshot();
+    let snapshot = simulation.store.0.snapshot();
     tokio::time::sleep(age).await;
     let from = simulation.history.now();
-    simulation.store.0.rewind(copy);
+    simulation.store.0.rewind(snapshot);
     tokio::time::sleep(REWRITE_DELAY).await;
     simulation.operator.rewrite();
     let servers = simulation.servers.borrow().clone();
--- a/crates/kingcuploft-simulation/src/history.rs
+++ b/crates/kingcuploft-simulation/src/history.rs
@@ -52,7 +52,7 @@
     /// When it ended.
     pub at: Duration,
     /// How it ended.
-    pub answer: Outcome,
+    pub outcome: Outcome,
 }
 
 /// A request as it reached a server.
@@ -141,7 +141,7 @@
     /// The requests, as their callers sent them.
     pub requests: RefCell<Vec<Request>>,
     /// How the requests ended for their callers.
-    pub answers: RefCell<Vec<Completion>>,
+    pub completions: RefCell<Vec<Completion>>,
     /// The requests that reached servers.
     pub arrivals: RefCell<Vec<Arrival>>,
     /// The writes that the store accepted, and when.
@@ -169,7 +169,7 @@
         Self {
             started_at: Cell::new(Instant::now()),
             requests: RefCell::default(),
-            answers: RefCell::default(),
+            completions: RefCell::default(),
             arrivals: RefCell::default(),
             accepted_writes: RefCell::default(),
             servers: RefCell::default(),
@@ -196,8 +196,8 @@
     }
 
     /// Records a write that the store accepted.
-    pub fn record_write(&self, what: AcceptedWrite) {
-        self.accepted_writes.borrow_mut().push((self.now(), what));
+    pub fn record_write(&self, write: AcceptedWrite) {
+        self.accepted_writes.borrow_mut().push((self.now(), write));
     }
 
     /// Records the limit that a server names from now on, or that it names none.
@@ -213,8 +213,8 @@
 
     /// Returns when the store last accepted a configuration during the day; the first one precedes the day.
     pub fn last_configuration_change(&self) -> Option<Duration> {
-        let accepted = self.accepted_writes.borrow();
-        let of_day = accepted.iter().filter(|(_, what)| match what {
+        let writes = self.accepted_writes.borrow();
+        let of_day = writes.iter().filter(|(_, write)| match write {
             AcceptedWrite::Configuration { version } => *version > 1,
             _ => false,
         });
@@ -228,7 +228,7 @@
         disturbances.push(Disturbance { vm, at, cause });
     }
 
-    /// Returns whether neither the VM nor the store was disturbed in the period `contact` before a moment.
+    /// Returns whether neither the VM nor the store was disturbed in the given period before a moment.
     pub fn was_undisturbed(&self, vm: VmIndex, at: Duration, period: Duration) -> bool {
         let since = at.saturating_sub(period);
         let of_vm = self.vm_disturbances.borrow();
--- a/crates/kingcuploft-simulation/src/link.rs
+++ b/crates/kingcuploft-simulation/src/link.rs
@@ -55,9 +55,9 @@
 
     fn send(&self, bytes: usize) -> Instant {
         self.sent_bytes.set(self.sent_bytes.get() + bytes);
-        let left = self.sends_until.get().max(Instant::now()) + self.transmission_time(bytes);
-        self.sends_until.set(left);
-        left
+        let sent_at = self.sends_until.get().max(Instant::now()) + self.transmission_time(bytes);
+        self.sends_until.set(sent_at);
+        sent_at
     }
 
     /// Returns when bytes that reach this interface at a moment have been received.
@@ -68,6 +68,7 @@
     }
 }
 
+/// One direction of a link.
 #[derive(Debug)]
 struct Pipe {
     from: Rc<Nic>,
@@ -191,8 +192,8 @@
             *pipe.writer.borrow_mut() = Some(context.waker().clone());
             return Poll::Pending;
         }
-        let left = pipe.from.send(count);
-        let arrives = pipe.to.receive(count, left) + pipe.delay;
+        let sent_at = pipe.from.send(count);
+        let arrives = pipe.to.receive(count, sent_at) + pipe.delay;
         let segment = (arrives, bytes[..count].to_vec());
         pipe.segments.borrow_mut().push_back(segment);
         pipe.unread_bytes.set(pipe.unread_bytes.get() + count);
--- a/crates/kingcuploft-simulation/src/log.rs
+++ b/crates/kingcuploft-simulation/src/log.rs
@@ -29,18 +29,22 @@
     VmScope(VM.replace(Some(vm)))
 }
 
+/// Writes the virtual time since `start_clock`, in seconds.
 struct VirtualTime;
 
 impl FormatTime for VirtualTime {
     fn format_time(&self, writer: &mut Writer<'_>) -> std::fmt::Result {
-        let passed = STARTED_AT.get().map(|begun| Instant::now() - begun);
-        write!(writer, "{:.4}", passed.unwrap_or_default().as_secs_f64())
+        let elapsed = STARTED_AT
+            .get()
+            .map(|started_at| Instant::now() - started_at);
+        write!(writer, "{:.4}", elapsed.unwrap_or_default().as_secs_f64())
     }
 }
 
-struct Line(Vec<u8>);
+/// Collects the bytes of one log line and appends it to the lines of this thread when dropped.
+struct LineBuffer(Vec<u8>);
 
-impl Write for Line {
+impl Write for LineBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.extend_from_slice(bytes);
         Ok(bytes.len())
@@ -51,7 +55,7 @@
     }
 }
 
-impl Drop for Line {
+impl Drop for LineBuffer {
     fn drop(&mut self) {
         if self.0.is_empty() {
             return;
@@ -66,7 +70,7 @@
 }
 
 /// Runs a function and returns the lines that this thread logged meanwhile.
-pub fn capture<T>(play: impl FnOnce() -> T) -> (T, Vec<u8>) {
+pub fn capture<T>(run: impl FnOnce() -> T) -> (T, Vec<u8>) {
     LINES.with_borrow_mut(Vec::clear);
     let subscriber = tracing_subscriber::fmt()
         .json()
@@ -75,10 +79,10 @@
         .with_current_span(false)
         .with_span_list(false)
         .with_timer(VirtualTime)
-        .with_writer(|| Line(Vec::new()))
+        .with_writer(|| LineBuffer(Vec::new()))
         .finish();
-    let played = tracing::subscriber::with_default(subscriber, play);
-    (played, LINES.take())
+    let result = tracing::subscriber::with_default(subscriber, run);
+    (result, LINES.take())
 }
 
 /// Starts the clock of the log lines at zero.
--- a/crates/kingcuploft-simulation/src/main.rs
+++ b/crates/kingcuploft-simulation/src/main.rs
@@ -19,12 +19,12 @@
                               [--plain] [--first] [--out DIR] [--json] [--planted FAULT]
        kingcuploft-simulation shrink DAY --rule RULE [--planted FAULT]
 
-  run      plays days and tells how near each came to the bound of each rule
-  search   plays days, keeps the nearest, changes them; writes those that break a rule, shrunk, into --out
+  run      runs days and prints how near each came to the bound of each rule
+  search   runs days, keeps the nearest and mutates them; writes those that break a rule, shrunk, into --out
   shrink   prints a day with the fewest disruptions that still break a rule
 
-  --plain  only draws days, to compare
-  --first  ends with the first day that breaks a rule
+  --plain  only generates random days, for comparison
+  --first  stops at the first day that breaks a rule
 
 Exit codes: 0 no rule is broken, 1 one is, 2 wrong usage or days.
 ";
@@ -56,7 +56,7 @@
     #[error("{0}")]
     Day(#[from] kingcuploft_simulation::day::DayError),
     #[error("{0}")]
-    Play(#[from] simulation::RunError),
+    Run(#[from] simulation::RunError),
     #[error("{0}: {1}")]
     File(PathBuf, std::io::Error),
 }
@@ -68,8 +68,8 @@
     {
         Ok(false) => ExitCode::SUCCESS,
         Ok(true) => ExitCode::from(1),
-        Err(fault) => {
-            eprintln!("kingcuploft-simulation: {fault}");
+        Err(error) => {
+            eprintln!("kingcuploft-simulation: {error}");
             ExitCode::from(2)
         }
     }
@@ -85,7 +85,7 @@
             Long("seed") => options.seed = Some(parser.value()?.parse()?),
             Long("log") => options.log = Some(parser.value()?.into()),
             Long("json") => options.json = true,
-            Long("planted") => options.planted = Some(planted(&parser.value()?.string()?)?),
+            Long("planted") => options.planted = Some(parse_planted(&parser.value()?.string()?)?),
             Long("deployment") => options.deployment = Some(parser.value()?.string()?),
             Long("days") => options.max_days = Some(parser.value()?.parse()?),
             Long("seconds") => options.seconds = Some(parser.value()?.parse()?),
@@ -93,7 +93,7 @@
             Long("plain") => options.plain = true,
             Long("first") => options.first = true,
             Long("out") => options.out = Some(parser.value()?.into()),
-            Long("rule") => options.rule = Some(rule(&parser.value()?.string()?)?),
+            Long("rule") => options.rule = Some(parse_rule(&parser.value()?.string()?)?),
             Short('h') | Long("help") => options.command = "help".into(),
             _ => return Err(arg.unexpected()),
         }
@@ -101,18 +101,18 @@
     Ok(options)
 }
 
-fn planted(name: &str) -> Result<Planted, lexopt::Error> {
-    let result = Planted::ALL
+fn parse_planted(name: &str) -> Result<Planted, lexopt::Error> {
+    let found = Planted::ALL
         .into_iter()
         .find(|fault| format!("{fault:?}") == name);
-    result.ok_or_else(|| format!("--planted: {name} is none of {:?}", Planted::ALL).into())
+    found.ok_or_else(|| format!("--planted: {name} is none of {:?}", Planted::ALL).into())
 }
 
-fn rule(name: &str) -> Result<Rule, lexopt::Error> {
-    let result = Rule::ALL
+fn parse_rule(name: &str) -> Result<Rule, lexopt::Error> {
+    let found = Rule::ALL
         .into_iter()
         .find(|rule| format!("{rule:?}") == name);
-    result.ok_or_else(|| format!("--rule: {name} is none of {:?}", Rule::ALL).into())
+    found.ok_or_else(|| format!("--rule: {name} is none of {:?}", Rule::ALL).into())
 }
 
 /// Runs the command; returns whether a rule is broken.
@@ -125,7 +125,7 @@
             print!("{HELP}");
             Ok(false)
         }
-        command => Err(lexopt::Error::from(format!("there is no verb {command:?}")).into()),
+        command => Err(lexopt::Error::from(format!("unknown command {command:?}")).into()),
     }
 }
 
@@ -224,8 +224,8 @@
 
 /// Writes the nearest day of each rule, shrunk if it breaks the rule, and a plot of the search's progress.
 fn write_out(options: &Options, result: &SearchResult, out: &Path) -> Result<(), CliError> {
-    let fault = |error| CliError::File(out.into(), error);
-    std::fs::create_dir_all(out).map_err(fault)?;
+    let file_error = |error| CliError::File(out.into(), error);
+    std::fs::create_dir_all(out).map_err(file_error)?;
     for rule in Rule::ALL {
         let Some(near) = result.nearest.get(&rule).and_then(|all| all.first()) else {
             continue;
@@ -235,7 +235,7 @@
             false => near.day.clone(),
         };
         let file = out.join(format!("{rule:?}-{}.yaml", day.seed));
-        std::fs::write(file, day.to_text()).map_err(fault)?;
+        std::fs::write(file, day.to_text()).map_err(file_error)?;
     }
     if let Err(error) = plot::draw(result, &out.join("course.svg")) {
         eprintln!("{error}");
--- a/crates/kingcuploft-simulation/src/network.rs
+++ b/crates/kingcuploft-simulation/src/network.rs
@@ -36,6 +36,7 @@
 /// A datagram and its sender's address.
 pub type Datagram = (Told, SocketAddr);
 
+/// The receiver of the connections to an address.
 #[derive(Debug)]
 struct Listener {
     nic: Rc<Nic>,
@@ -47,9 +48,10 @@
 #[derive(Clone, Debug)]
 struct Mailbox {
     nic: Rc<Nic>,
-    receives: UnboundedSender<Datagram>,
+    datagrams: UnboundedSender<Datagram>,
 }
 
+/// The addresses at which hosts listen.
 #[derive(Debug, Default)]
 struct Endpoints {
     listeners: RefCell<HashMap<SocketAddr, Listener>>,
@@ -120,7 +122,7 @@
         self.listen_on(&self.peer_nic, address, connections);
         let mailbox = Mailbox {
             nic: self.peer_nic.clone(),
-            receives: datagrams,
+            datagrams,
         };
         let mut all = self.network.0.mailboxes.borrow_mut();
         all.insert(address, mailbox);
@@ -212,23 +214,23 @@
 }
 
 impl Telling for Host {
-    fn tell(&self, told: &Told, others: &[SocketAddr]) {
+    fn tell(&self, message: &Told, addresses: &[SocketAddr]) {
         let Some(from) = self.peer_address.get() else {
             return;
         };
-        for other in others {
-            let found = self.network.0.mailboxes.borrow().get(other).cloned();
-            let Some(Mailbox { nic, receives }) = found else {
+        for address in addresses {
+            let found = self.network.0.mailboxes.borrow().get(address).cloned();
+            let Some(Mailbox { nic, datagrams }) = found else {
                 continue;
             };
             let is_blocked = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
             if is_blocked(&self.peer_nic) || is_blocked(&nic) {
                 continue;
             }
-            let told = told.clone();
+            let message = message.clone();
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(DELAY_BETWEEN_ZONES).await;
-                let _ = receives.send((told, from));
+                let _ = datagrams.send((message, from));
             });
         }
     }
--- a/crates/kingcuploft-simulation/src/operator.rs
+++ b/crates/kingcuploft-simulation/src/operator.rs
@@ -75,12 +75,12 @@
                 lasts: Duration::from_millis(service.cold_ms),
                 per_1000_s: (service.cold_per_s * 1000.0) as u64,
             });
-            let known = Service {
+            let service_settings = Service {
                 health_path: "/health".into(),
                 most_connections: CONNECTIONS_PER_SERVER,
                 cold_start,
             };
-            (service.name.as_str().into(), known)
+            (service.name.as_str().into(), service_settings)
         });
         let routes = kinds.chain(added).collect();
         Configuration::new(version, routes, services.collect(), Limits::default())
@@ -98,7 +98,7 @@
             cold_for: server.cold_for(),
             started_at: None,
         });
-        let leaving = AcceptedWrite::ServerDraining {
+        let draining_write = AcceptedWrite::ServerDraining {
             server: server.index,
         };
         let is_known = self
@@ -106,7 +106,7 @@
             .accepted_writes
             .borrow()
             .iter()
-            .any(|(_, what)| *what == leaving);
+            .any(|(_, write)| *write == draining_write);
         if server.is_draining.get() && !is_known {
             self.history.record_write(AcceptedWrite::ServerDraining {
                 server: server.index,
@@ -130,19 +130,19 @@
         let configuration = self.configuration(self.version.get());
         self.store.0.write_configuration(configuration);
         for zone in 0..self.deployment.zones.len() {
-            let mut accepted = self
+            let mut writes = self
                 .history
                 .accepted_writes
                 .borrow()
                 .clone()
                 .into_iter()
                 .rev();
-            let last = accepted.find(|(_, what)| {
-                *what == AcceptedWrite::ZoneEvacuated { zone }
-                    || *what == AcceptedWrite::ZoneReinstated { zone }
+            let last_write = writes.find(|(_, write)| {
+                *write == AcceptedWrite::ZoneEvacuated { zone }
+                    || *write == AcceptedWrite::ZoneReinstated { zone }
             });
             let is_evacuated =
-                last.is_some_and(|(_, what)| what == AcceptedWrite::ZoneEvacuated { zone });
+                last_write.is_some_and(|(_, write)| write == AcceptedWrite::ZoneEvacuated { zone });
             self.store
                 .0
                 .set_evacuated(&format!("zone-{zone}"), is_evacuated);
--- a/crates/kingcuploft-simulation/src/rules/mod.rs
+++ b/crates/kingcuploft-simulation/src/rules/mod.rs
@@ -118,24 +118,29 @@
     raw: &'a History,
     requests: Vec<Request>,
     arrivals: Vec<Arrival>,
-    answers: HashMap<u64, Completion>,
+    completions: HashMap<u64, Completion>,
 }
 
 impl<'a> IndexedHistory<'a> {
     fn of(result: &'a DayResult) -> Self {
         let raw = &*result.history;
-        let answers = raw.answers.borrow();
+        let completions = raw.completions.borrow();
         Self {
             deployment: &result.deployment,
             raw,
             requests: raw.requests.borrow().clone(),
             arrivals: raw.arrivals.borrow().clone(),
-            answers: answers.iter().map(|answer| (answer.id, *answer)).collect(),
+            completions: completions
+                .iter()
+                .map(|completion| (completion.id, *completion))
+                .collect(),
         }
     }
 
     fn outcome(&self, id: u64) -> Option<Outcome> {
-        self.answers.get(&id).map(|completion| completion.answer)
+        self.completions
+            .get(&id)
+            .map(|completion| completion.outcome)
     }
 
     fn arrivals_by_request(&self) -> HashMap<u64, Vec<&Arrival>> {
--- a/crates/kingcuploft-simulation/src/rules/propagation.rs
+++ b/crates/kingcuploft-simulation/src/rules/propagation.rs
@@ -99,16 +99,16 @@
 
 /// Counts the checks in which a VM lacked a route that it had had before, without a restart in between.
 pub(super) fn never_reverts(history: &IndexedHistory<'_>) -> BoundUsage {
-    let served_by = history.raw.version_checks.borrow();
+    let checks = history.raw.version_checks.borrow();
     let undisturbed_time = history.deployment.bounds.undisturbed_time();
     let mut reverts = 0;
     let mut what = String::new();
-    for (at, (vm, version, when, has_route)) in served_by.iter().enumerate() {
+    for (at, (vm, version, when, has_route)) in checks.iter().enumerate() {
         if *has_route || !history.raw.was_undisturbed(*vm, *when, undisturbed_time) {
             continue;
         }
         let since = when.saturating_sub(undisturbed_time);
-        let mut earlier = served_by[..at].iter();
+        let mut earlier = checks[..at].iter();
         let had = earlier.any(|(other, v, earlier, has)| {
             other == vm && *has && v >= version && *earlier >= since
         });
--- a/crates/kingcuploft-simulation/src/rules/requests.rs
+++ b/crates/kingcuploft-simulation/src/rules/requests.rs
@@ -76,9 +76,9 @@
 
 /// Counts the callers that got an answer that was incomplete or not their own.
 pub(super) fn whole_answers(history: &IndexedHistory<'_>) -> BoundUsage {
-    let wrong = history.answers.values();
+    let wrong = history.completions.values();
     let wrong: Vec<_> = wrong
-        .filter(|completion| completion.answer == Outcome::Wrong)
+        .filter(|completion| completion.outcome == Outcome::Wrong)
         .collect();
     let what = wrong
         .first()
@@ -101,7 +101,7 @@
         if stopping.is_empty() {
             return false;
         }
-        let completion = history.answers.get(&request.id);
+        let completion = history.completions.get(&request.id);
         let ended_at = completion.map_or(request.at, |completion| completion.at);
         let was_disturbed = disturbances.iter().any(|other| {
             let is_near =
--- a/crates/kingcuploft-simulation/src/server.rs
+++ b/crates/kingcuploft-simulation/src/server.rs
@@ -25,7 +25,7 @@
 /// The probability that a server is slow for one interval.
 const SLOW_SHARE: f64 = 0.25;
 
-/// By how much slow work takes longer.
+/// The duration of slow work as a multiple of the usual one.
 const SLOW_FACTOR: f64 = 5.0;
 
 /// Requests whose path ends with this word crash the server that runs them.
@@ -41,7 +41,7 @@
     pub refused_share: Cell<f64>,
     /// The share of the requests whose answers it loses.
     pub lost_answer_share: Cell<f64>,
-    /// By how much its work is slowed down; 0 leaves the usual speed.
+    /// The duration of its work as a multiple of the usual one; 0 leaves the usual speed.
     pub slow_factor: Cell<f64>,
     /// The limit that it names, in requests per second.
     pub limit: Cell<Option<f64>>,
@@ -113,16 +113,16 @@
             tasks: RefCell::default(),
             crash_sender,
         });
-        let (accepts, mut accepted) = mpsc::unbounded_channel::<AcceptedConnection>();
-        host.listen(address, accepts);
-        let own = server.clone();
+        let (connections, mut accepted) = mpsc::unbounded_channel::<AcceptedConnection>();
+        host.listen(address, connections);
+        let accepting_server = server.clone();
         let accepting = tokio::task::spawn_local(async move {
             while let Some((end, vm)) = accepted.recv().await {
-                let server = own.clone();
+                let server = accepting_server.clone();
                 let serving = tokio::task::spawn_local(async move {
                     server.serve(end, vm.unwrap_or(usize::MAX)).await;
                 });
-                let mut tasks = own.tasks.borrow_mut();
+                let mut tasks = accepting_server.tasks.borrow_mut();
                 tasks.retain(|task| !task.is_finished());
                 tasks.push(serving.abort_handle());
             }
@@ -149,8 +149,8 @@
 
     /// Returns the current duration of work as a multiple of the usual one.
     fn slowness(&self) -> f64 {
-        let draw = self.history.now().as_millis() / SPEED_INTERVAL.as_millis();
-        let mut rng = fastrand::Rng::with_seed(draw as u64 * 7919 + self.index as u64);
+        let interval = self.history.now().as_millis() / SPEED_INTERVAL.as_millis();
+        let mut rng = fastrand::Rng::with_seed(interval as u64 * 7919 + self.index as u64);
         // The first numbers drawn from similar seeds are alike.
         rng.u64(..);
         let noise = match rng.f64() < SLOW_SHARE {
@@ -169,11 +169,11 @@
     async fn serve(&self, mut end: LinkEnd, vm: usize) {
         let mut buffer = BytesMut::new();
         while let Some(head) = read_request(&mut end, &mut buffer).await {
-            let next = match head.target.starts_with("/health") {
+            let after = match head.target.starts_with("/health") {
                 true => self.answer_probe(&mut end).await,
                 false => self.answer(&mut end, &head, vm).await,
             };
-            if let AfterRequest::Close = next {
+            if let AfterRequest::Close = after {
                 return;
             }
         }
--- a/crates/kingcuploft-simulation/src/simulation.rs
+++ b/crates/kingcuploft-simulation/src/simulation.rs
@@ -312,7 +312,7 @@
 
     /// Returns whether a VM has the route that a version adds; `None` if its answer does not show it.
     async fn has_version(&self, vm: &Vm, version: u64) -> Option<bool> {
-        let opening = Connection::open(&*self.callers, vm.callers);
+        let opening = Connection::open(&*self.callers, vm.caller_address);
         let mut connection = opening.await.ok()?;
         let path = version_route_name(version);
         let request = format!("GET /{path}/ HTTP/1.1\r\nHost: a.example\r\nx-id: look\r\n\r\n");
--- a/crates/kingcuploft-simulation/src/vm.rs
+++ b/crates/kingcuploft-simulation/src/vm.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context as Polling, Poll, Waker};
+use std::task::{Context as TaskContext, Poll, Waker};
 use std::time::Duration;
 
 use kingcuploft_entry::context::Context;
@@ -57,13 +57,13 @@
 impl Future for FreezableProcess {
     type Output = ();
 
-    fn poll(mut self: Pin<&mut Self>, poll_context: &mut Polling<'_>) -> Poll<()> {
+    fn poll(mut self: Pin<&mut Self>, task_context: &mut TaskContext<'_>) -> Poll<()> {
         if self.freeze.is_frozen.get() {
-            *self.freeze.waker.borrow_mut() = Some(poll_context.waker().clone());
+            *self.freeze.waker.borrow_mut() = Some(task_context.waker().clone());
             return Poll::Pending;
         }
-        let _named = log::enter_vm(self.vm);
-        self.running.as_mut().poll(poll_context)
+        let _scope = log::enter_vm(self.vm);
+        self.running.as_mut().poll(task_context)
     }
 }
 
@@ -85,8 +85,8 @@
     /// The index of the zone.
     pub zone: usize,
     /// The address at which callers reach the VM.
-    pub callers: SocketAddr,
-    peers: SocketAddr,
+    pub caller_address: SocketAddr,
+    peer_address: SocketAddr,
     network: Network,
     store: TestStore,
     bounds: Bounds,
@@ -107,8 +107,8 @@
         Self {
             index,
             zone,
-            callers: ([127, 0, 0, 1], port).into(),
-            peers: ([127, 0, 1, 1], port).into(),
+            caller_address: ([127, 0, 0, 1], port).into(),
+            peer_address: ([127, 0, 1, 1], port).into(),
             network: network.clone(),
             store: TestStore::separate_client(store),
             bounds: Bounds {
@@ -128,10 +128,10 @@
             .network
             .host(Location::Zone(self.zone), Some(self.index));
         let (connections, mut callers) = mpsc::unbounded_channel();
-        host.listen(self.callers, connections);
+        host.listen(self.caller_address, connections);
         let (connections, mut peers) = mpsc::unbounded_channel();
-        let (receives, mut datagrams) = mpsc::unbounded_channel();
-        host.listen_to_peers(self.peers, connections, receives);
+        let (datagram_sender, mut datagrams) = mpsc::unbounded_channel();
+        host.listen_to_peers(self.peer_address, connections, datagram_sender);
         let network = Rc::new(host.clone());
         let context =
             Context::with_network(network.clone(), self.settings(all_start), HEADER_NAMES);
@@ -139,19 +139,19 @@
         let _ = context.peer_socket.set(network);
         let (freeze, stop) = (Rc::new(Freeze::default()), Rc::new(Notify::new()));
         let store = Rc::new(StoreClient::new(self.store.clone(), host.clone()));
-        let (own, stopping, dial) = (context.clone(), stop.clone(), host.clone());
-        let address = self.peers;
+        let (process_context, stop_request, dial) = (context.clone(), stop.clone(), host.clone());
+        let address = self.peer_address;
         let main = async move {
-            let context = own;
+            let context = process_context;
             tracing::info!(event = "started", vm = %context.settings.vm, zone = %context.settings.zone);
             let store_access = Rc::new(StoreAccess::default());
             run::join_peers(&context, &store, &store_access, address, dial);
             let is_closed = Rc::new(Cell::new(false));
-            let stops = async {
-                stopping.notified().await;
+            let stopping_as_planned = async {
+                stop_request.notified().await;
                 run::stop(&context, || is_closed.set(true)).await;
             };
-            let serves = async {
+            let serving = async {
                 loop {
                     tokio::select! {
                         biased;
@@ -164,15 +164,15 @@
                                 let _ = reader::answer(&context, &store_access, end).await;
                             });
                         }
-                        Some((told, from)) = datagrams.recv() => readings::take(&context, &told, from),
+                        Some((message, from)) = datagrams.recv() => readings::take(&context, &message, from),
                         else => return,
                     }
                 }
             };
             tokio::select! {
                 biased;
-                () = serves => {}
-                () = stops => {}
+                () = serving => {}
+                () = stopping_as_planned => {}
             }
         };
         let tasks = LocalSet::new();
@@ -196,12 +196,12 @@
             vm: format!("vm-{}", self.index).into(),
             zone: format!("zone-{}", self.zone).into(),
             region: Vec::new(),
-            callers: self.callers,
-            readiness: self.callers,
-            peers: Some(self.peers),
+            callers: self.caller_address,
+            readiness: self.caller_address,
+            peers: Some(self.peer_address),
             control: None,
             seeds: Vec::new(),
-            store: self.callers,
+            store: self.caller_address,
             cpu_milli: self.cpu_milli,
             memory_bytes: MEMORY_BYTES,
             all_start,
@@ -212,8 +212,8 @@
 
     /// Kills the process: its state is lost and its connections close.
     pub fn kill(&self) {
-        self.network.stop_listening(self.callers);
-        self.network.stop_listening(self.peers);
+        self.network.stop_listening(self.caller_address);
+        self.network.stop_listening(self.peer_address);
         if let Some(running) = self.running.borrow_mut().take() {
             running.process.abort();
         }
--- a/crates/kingcuploft-simulation/tests/corpus.rs
+++ b/crates/kingcuploft-simulation/tests/corpus.rs
@@ -22,13 +22,13 @@
     broken_with(file, 0, planted)
 }
 
-/// Runs a day with its seed raised by `more` and returns the rules that it breaks.
-fn broken_with(file: &Path, more: u64, planted: Option<Planted>) -> Vec<BoundUsage> {
+/// Runs a day with its seed raised by `seed_offset` and returns the rules that it breaks.
+fn broken_with(file: &Path, seed_offset: u64, planted: Option<Planted>) -> Vec<BoundUsage> {
     let text = std::fs::read_to_string(file).expect("a day");
     let mut day = Day::read(&file.display().to_string(), &text).expect("a day");
-    day.seed += more;
-    let judged = planted_fault::run_with(planted, || check_day(&day)).expect("it can be played");
-    judged.into_iter().filter(BoundUsage::is_broken).collect()
+    day.seed += seed_offset;
+    let usages = planted_fault::run_with(planted, || check_day(&day)).expect("the day can be run");
+    usages.into_iter().filter(BoundUsage::is_broken).collect()
 }
 
 #[test]
@@ -57,7 +57,7 @@
 
 /// Guards against a VM that restarts and counts its share of a fleet-wide bound from zero.
 #[test]
-fn vms_killed_while_servers_refuse_break_the_budget_of_repeats_only_if_they_forget() {
+fn vms_killed_while_servers_refuse_exceed_the_repeat_budget_only_if_they_forget() {
     let file = days(".").into_iter();
     let mut file = file.filter(|file| file.ends_with("killed-twice-while-servers-refuse.yaml"));
     let file = file.next().expect("the day");
--- a/crates/kingcuploft-simulation/tests/days.rs
+++ b/crates/kingcuploft-simulation/tests/days.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_unknown_field_is_told_with_its_line() {
+fn an_unknown_field_is_reported_with_its_line() {
     let error = error(&day("{at_ms: 5, kind: crowd, strenght: 2.0}"));
     assert!(error.starts_with("day.yaml"), "{error}");
     assert!(
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn an_unknown_kind_is_told() {
+fn an_unknown_kind_is_reported() {
     let error = error(&day("{at_ms: 5, kind: earthquake}"));
     assert!(error.contains("earthquake"), "{error}");
 }
 
 #[test]
-fn values_that_cannot_be_played_are_told_with_disruption_and_field() {
+fn invalid_values_are_reported_with_disruption_and_field() {
     for (disruption, field) in [
         (
             "{at_ms: 5, kind: vms_killed, share: 1.5}",
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_unknown_deployment_is_told_with_those_there_are() {
+fn an_unknown_deployment_is_reported_with_the_known_ones() {
     let error = error("deployment: moon\nseed: 1\nlength_ms: 1000\ndisruptions: []\n");
     assert!(
         error.contains("moon") && error.contains("115-vms"),
--- a/crates/kingcuploft-simulation/tests/world.rs
+++ b/crates/kingcuploft-simulation/tests/world.rs
@@ -8,27 +8,27 @@
     Day::read("test", text).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn played(text: &str) -> DayResult {
+fn run_day(text: &str) -> DayResult {
     run(&day(text)).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn broken(played: &DayResult) -> Vec<rules::BoundUsage> {
-    let judged = rules::check(played).into_iter();
-    judged.filter(rules::BoundUsage::is_broken).collect()
+fn broken(result: &DayResult) -> Vec<rules::BoundUsage> {
+    let usages = rules::check(result).into_iter();
+    usages.filter(rules::BoundUsage::is_broken).collect()
 }
 
 const CALM: &str = "deployment: 19-vms\nseed: 1\nlength_ms: 10000\ndisruptions: []\n";
 
 #[test]
 fn callers_of_a_calm_day_are_served_and_no_rule_is_broken() {
-    let played = played(CALM);
-    assert!(rules::answered_share(&played) > 0.99);
-    assert_eq!(broken(&played), []);
+    let result = run_day(CALM);
+    assert!(rules::answered_share(&result) > 0.99);
+    assert_eq!(broken(&result), []);
 }
 
 #[test]
 fn the_same_seed_gives_the_same_lines() {
-    let (first, second) = (played(CALM), played(CALM));
+    let (first, second) = (run_day(CALM), run_day(CALM));
     assert!(first.lines == second.lines && !first.lines.is_empty());
 }
 
@@ -38,6 +38,6 @@
 fn all_vms_are_counted_when_zones_have_been_handed_over() {
     for seed in 1..=5 {
         let text = CALM.replace("seed: 1", &format!("seed: {seed}"));
-        assert_eq!(played(&text).known_vms, vec![Some(19); 19], "seed {seed}");
+        assert_eq!(run_day(&text).known_vms, vec![Some(19); 19], "seed {seed}");
     }
 }
