--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -33,9 +33,9 @@
 use crate::metrics::Metrics;
 use crate::network::{Network, Tcp};
 use crate::notice_writes::NoticeWriteQueue;
-use crate::peers::asked_turns::AskedTurns;
 use crate::peers::followers::Followers;
-use crate::peers::zone_socket::Telling;
+use crate::peers::peer_socket::PeerSender;
+use crate::peers::pending_turns::PendingTurns;
 use crate::rewinds::Rewinds;
 use crate::settings::{Bounds, EntrySettings, WireNames};
 use crate::store::{Collection, Revision};
@@ -43,7 +43,7 @@
 
 /// How many VMs are assumed to share what all may use together, until they are counted: more than
 /// there are, so that a VM that cannot count them uses next to nothing of it.
-const VMS_UNCOUNTED: usize = 1000;
+const VMS_WHILE_UNCOUNTED: usize = 1000;
 
 /// What all tasks share.
 #[derive(Debug)]
@@ -55,7 +55,7 @@
     /// The way to backend servers.
     pub network: Rc<dyn Network>,
     /// Wakes whoever waits for readings.
-    pub readings_changed: Notify,
+    pub load_report_received: Notify,
     /// Wakes whoever waits for the stop.
     pub stop_requested: Notify,
     /// What happened so far.
@@ -67,7 +67,7 @@
     /// The other VMs.
     pub readers: RefCell<Readers>,
     /// The socket to the other VMs.
-    pub peer_socket: OnceCell<Rc<dyn Telling>>,
+    pub peer_socket: OnceCell<Rc<dyn PeerSender>>,
     /// What other VMs have used of the budget of repeats.
     pub repeat_copies: RefCell<RepeatCopies>,
     /// Wakes whoever has others keep what this VM has used of it.
@@ -89,7 +89,7 @@
     /// The limits that servers name.
     pub limits: RefCell<ServerLimits>,
     /// The turns at such servers that have been asked for.
-    pub asked_turns: AskedTurns,
+    pub asked_turns: PendingTurns,
     /// The way to whoever writes notices to the store.
     pub notice_writes: NoticeWriteQueue,
     /// Open connections of callers.
@@ -144,13 +144,13 @@
             false => Repeats::again(clock::now(), &settings.bounds.repeats),
         };
         Self {
-            vm_count: Cell::new(VMS_UNCOUNTED),
+            vm_count: Cell::new(VMS_WHILE_UNCOUNTED),
             bounds: Cell::new(settings.bounds),
-            body_memory: BodyMemory::of(settings.memory_bytes),
+            body_memory: BodyMemory::new(settings.memory_bytes),
             settings,
             wire_names: vocabulary,
             network,
-            readings_changed: Notify::new(),
+            load_report_received: Notify::new(),
             stop_requested: Notify::new(),
             metrics: Metrics::default(),
             readers: RefCell::default(),
@@ -171,7 +171,7 @@
             rewinds: Rewinds::default(),
             evacuations: RefCell::default(),
             limits: RefCell::new(ServerLimits::begun_at(clock::now())),
-            asked_turns: AskedTurns::default(),
+            asked_turns: PendingTurns::default(),
             notice_writes: NoticeWriteQueue::default(),
             callers: Cell::new(0),
             started_at: clock::now(),
@@ -333,7 +333,7 @@
         let services = configuration.as_ref().map(|c| &c.services);
         let service = services.and_then(|services| services.get(service));
         match (service, self.vm_count.get()) {
-            (Some(service), vms) if vms != VMS_UNCOUNTED => {
+            (Some(service), vms) if vms != VMS_WHILE_UNCOUNTED => {
                 connections::share(service.most_connections, vms)
             }
             _ => usize::MAX,
--- a/crates/kingcuploft-entry/src/edge/active_request.rs
+++ b/crates/kingcuploft-entry/src/edge/active_request.rs
@@ -1,4 +1,4 @@
-//! One request under way, and how it begins: route, destination, deadline.
+//! The state of one request from its arrival to its answer, and how it starts: route, destination, deadline.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,20 +14,20 @@
 use crate::http::client::Response;
 use crate::upstream::Upstream;
 
-/// When a refused caller is told to come back, where nothing better is known: several draws of the
-/// servers' speeds later.
-const COME_BACK: Duration = Duration::from_millis(250);
+/// The `Retry-After` of a refused request where no better estimate exists: the speed of a server has changed several
+/// times by then.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// When a caller is told to come back to a VM that knows no configuration yet, or not the newest.
-const COME_BACK_UNREADY: Duration = Duration::from_millis(500);
+/// The `Retry-After` of a VM that knows no configuration yet, or not the newest one.
+const UNREADY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a request begins with.
+/// The result of routing a request.
 pub(super) enum Routed<'a> {
     Refused(Answer),
-    Flight(ActiveRequest<'a>),
+    Active(ActiveRequest<'a>),
 }
 
-/// One request under way.
+/// A request that has been routed and is not answered yet.
 pub(super) struct ActiveRequest<'a> {
     pub(super) context: &'a Rc<Context>,
     pub(super) request: &'a Request,
@@ -36,22 +36,23 @@
     pub(super) service: ServiceName,
     pub(super) deadline: Instant,
     pub(super) target: Instant,
-    /// Whether the caller comes back after an earlier attempt.
-    pub(super) returns: bool,
-    /// Whether this VM may try the request though servers ended under it.
+    /// Whether the caller made an earlier attempt at the same request.
+    pub(super) is_returning: bool,
+    /// Whether this VM holds the one trial of a quarantined request.
     pub(super) is_trial: bool,
-    /// The server that names a limit at which it is this request's turn.
+    /// The rate-limited server at which the request holds a turn (a reserved send slot).
     pub(super) turn_at: Option<Rc<Upstream>>,
     pub(super) attempts: Attempts,
-    pub(super) tried: Vec<Rc<Upstream>>,
+    pub(super) tried_upstreams: Vec<Rc<Upstream>>,
     pub(super) last_failure: Option<Response>,
-    /// When the caller may come back, should the request be refused.
-    pub(super) come_back: Duration,
+    /// The `Retry-After` that the caller gets if the request is refused.
+    pub(super) retry_after: Duration,
 }
 
 impl<'a> ActiveRequest<'a> {
-    /// Returns whether it is known what becomes of a request: whether its host and path have a route, or will have none.
-    pub(super) fn may_begin(context: &Context, request: &Request) -> bool {
+    /// Returns whether a request can be routed or refused for good: its host and path have a route, or this VM has the
+    /// newest configuration and there is none.
+    pub(super) fn can_begin(context: &Context, request: &Request) -> bool {
         let Some(configuration) = context.configuration() else {
             return false;
         };
@@ -63,36 +64,42 @@
     /// Finds the route and the destination of a request, or refuses it.
     pub(super) fn begin(context: &'a Rc<Context>, request: &'a Request) -> Routed<'a> {
         let refuse = |status, reason: &'static str, after| {
-            context.metrics.failure(reason);
+            context.metrics.count_failure(reason);
             tracing::info!(event = "refused", request = request.id, status, reason);
-            let words = &context.wire_names;
-            Routed::Refused(Answer::own(request, words, status, reason, after))
+            let wire_names = &context.wire_names;
+            Routed::Refused(Answer::generated(
+                request, wire_names, status, reason, after,
+            ))
         };
         let Some(configuration) = context.configuration() else {
-            return refuse(503, "no configuration yet", Some(COME_BACK_UNREADY));
+            return refuse(503, "no configuration yet", Some(UNREADY_RETRY_AFTER));
         };
         let host = request.head.headers.get("host").unwrap_or_default();
         let Some(route) = configuration.route(host, &request.head.target).cloned() else {
             return match context.active_configuration.stale_for() {
                 None => refuse(404, "no such route", None),
-                Some(_) => refuse(503, "the route may be new", Some(COME_BACK_UNREADY)),
+                Some(_) => refuse(503, "the route may be new", Some(UNREADY_RETRY_AFTER)),
             };
         };
         let Some(destination) = context.next_destination(&route) else {
-            return refuse(503, "the route has no destination", Some(COME_BACK));
+            return refuse(
+                503,
+                "the route has no destination",
+                Some(DEFAULT_RETRY_AFTER),
+            );
         };
         let patience = request.patience(&context.wire_names);
-        let before = patience.map_or(Duration::ZERO, |patience| {
+        let waited_before = patience.map_or(Duration::ZERO, |patience| {
             context.waited_before(&route, patience)
         });
         let allowed = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
         context.count_request(request.arrived, &destination.service);
-        Routed::Flight(Self {
+        Routed::Active(Self {
             deadline: request.arrived + allowed,
             target: (request.arrived + route.target)
-                .checked_sub(before)
+                .checked_sub(waited_before)
                 .unwrap_or(request.arrived),
-            returns: before > Duration::ZERO,
+            is_returning: waited_before > Duration::ZERO,
             is_trial: false,
             turn_at: None,
             attempts: Attempts::new(route.contract, route.most_attempts),
@@ -101,9 +108,9 @@
             configuration,
             route,
             service: destination.service,
-            tried: Vec::new(),
+            tried_upstreams: Vec::new(),
             last_failure: None,
-            come_back: COME_BACK,
+            retry_after: DEFAULT_RETRY_AFTER,
         })
     }
 }
--- a/crates/kingcuploft-entry/src/edge/readiness.rs
+++ b/crates/kingcuploft-entry/src/edge/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's question whether this VM takes new connections, and the counters.
+//! The HTTP endpoint of the platform's readiness check and of the metrics.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,23 +9,23 @@
 use crate::context::Context;
 use crate::http::head;
 
-/// How long one question may take to arrive.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a request to this endpoint may take to arrive and be answered.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where counters are read.
+/// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// The most bytes of a question.
-const MOST_BYTES: usize = 8 * 1024;
+/// The most bytes of a request head.
+const MAX_REQUEST_BYTES: usize = 8 * 1024;
 
-/// Answers questions until the process ends.
+/// Answers requests until the process ends.
 pub async fn serve(context: Rc<Context>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let context = context.clone();
                 tokio::task::spawn_local(async move {
-                    let _ = tokio::time::timeout(PATIENCE, answer(&context, stream)).await;
+                    let _ = tokio::time::timeout(REQUEST_TIMEOUT, answer(&context, stream)).await;
                 });
             }
             Err(error) => {
@@ -36,11 +36,11 @@
     }
 }
 
-/// Answers one question.
+/// Answers one request.
 ///
 /// # Errors
 ///
-/// Returns an error if the link fails.
+/// Returns an error if the connection fails.
 pub async fn answer(
     context: &Context,
     mut stream: impl AsyncRead + AsyncWrite + Unpin,
@@ -65,7 +65,7 @@
                 stream.write_all(answer.as_bytes()).await?;
                 return stream.shutdown().await;
             }
-            Ok(None) if bytes.len() < MOST_BYTES => {}
+            Ok(None) if bytes.len() < MAX_REQUEST_BYTES => {}
             Ok(None) | Err(_) => return Ok(()),
         }
         if stream.read_buf(&mut bytes).await? == 0 {
--- a/crates/kingcuploft-entry/src/peers/followers.rs
+++ b/crates/kingcuploft-entry/src/peers/followers.rs
@@ -1,4 +1,4 @@
-//! The VMs that this one feeds, and what waits to be written to them.
+//! The followers that this VM feeds, and the queue of what is to be written to each.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -11,67 +11,71 @@
 use kingcuploft::world::ids::{AvailabilityZone, VmName};
 use tokio::sync::{Notify, Semaphore, mpsc};
 
-use super::frame::{Frame, Release, TAKES_EVACUATIONS, TAKES_NOTICES};
+use super::frame::{
+    FIRST_VERSION_WITH_EVACUATIONS, FIRST_VERSION_WITH_NOTICES, Frame, ProtocolVersion,
+};
 
-/// How many frames may wait for one follower; one that is so far behind is better off alone.
-const MOST_WAITING: usize = 256;
+/// The most frames in the queue of one follower. A follower that is further behind is dropped: it syncs sooner from
+/// another feeder or from the store.
+const MAX_QUEUED_FRAMES: usize = 256;
 
-/// How many bytes may.
-const MOST_WAITING_BYTES: usize = 512 * 1024;
+/// The most bytes in the queue of one follower.
+const MAX_QUEUED_BYTES: usize = 512 * 1024;
 
-/// How many followers are written long lines at once: the first of them tell others while the last still wait.
-const MOST_TURNS: usize = 3;
+/// The most long writes at a time. Followers that are written first already feed others while the last still wait.
+const MAX_LONG_WRITES: usize = 3;
 
-/// What is written to several followers.
+/// A line that is written to several followers, encoded once.
 pub type Line = Rc<Vec<u8>>;
 
-/// What is told to a follower next.
+/// An entry in the queue of a follower.
 #[derive(Clone, Debug)]
 pub enum Outgoing {
-    /// A line.
+    /// A line that every follower understands.
     Line(Line),
-    /// That this VM is alive; the line says so to one that does not understand the short word for it.
+    /// A heartbeat; the line is the whole status, for followers that do not understand `Frame::Alive`.
     Alive(Line),
-    /// That a version of the configuration exists.
-    Newer(ConfigurationVersion),
-    /// What leads from its configuration to the one in force.
+    /// The news that a version of the configuration exists.
+    NewerVersion(ConfigurationVersion),
+    /// The changes that lead from the follower's configuration to the one in force, computed when they are written.
     Configuration,
-    /// A line that VMs understand from this release on.
-    Since(Release, Line),
+    /// A line that followers understand from this version of the protocol on.
+    SinceVersion(ProtocolVersion, Line),
 }
 
-/// What waits to be told to one follower.
+/// The queue of one follower.
 #[derive(Debug)]
 pub struct Queue {
-    waiting: mpsc::Receiver<Outgoing>,
-    bytes: Rc<Cell<usize>>,
+    receiver: mpsc::Receiver<Outgoing>,
+    queued_bytes: Rc<Cell<usize>>,
 }
 
 impl Queue {
-    /// Returns what is told next, or `None` once the follower is let go.
+    /// Returns the next entry, or `None` once the follower has been dropped.
     pub async fn next(&mut self) -> Option<Outgoing> {
-        let next = self.waiting.recv().await;
-        self.taken(next.as_ref());
+        let next = self.receiver.recv().await;
+        self.subtract_bytes(next.as_ref());
         next
     }
 
-    /// Forgets all that waits.
+    /// Removes all entries.
     pub fn clear(&mut self) {
-        while let Ok(outgoing) = self.waiting.try_recv() {
-            self.taken(Some(&outgoing));
+        while let Ok(outgoing) = self.receiver.try_recv() {
+            self.subtract_bytes(Some(&outgoing));
         }
     }
 
-    fn taken(&self, outgoing: Option<&Outgoing>) {
-        if let Some(Outgoing::Line(line) | Outgoing::Alive(line) | Outgoing::Since(_, line)) =
-            outgoing
+    fn subtract_bytes(&self, outgoing: Option<&Outgoing>) {
+        if let Some(
+            Outgoing::Line(line) | Outgoing::Alive(line) | Outgoing::SinceVersion(_, line),
+        ) = outgoing
         {
-            self.bytes.set(self.bytes.get() - line.len());
+            self.queued_bytes.set(self.queued_bytes.get() - line.len());
         }
     }
 }
 
-/// Tells one follower from the others.
+/// Identifies the link to a follower.
 type FollowerId = u64;
 
 #[derive(Debug)]
@@ -79,52 +83,54 @@
     id: FollowerId,
     fed: Fed,
     queue: mpsc::Sender<Outgoing>,
-    waiting_bytes: Rc<Cell<usize>>,
+    queued_bytes: Rc<Cell<usize>>,
 }
 
 impl Follower {
-    /// Has something told; returns whether there was room.
-    fn tell(&self, outgoing: &Outgoing) -> bool {
+    /// Queues an entry; returns whether there was room for it.
+    fn enqueue(&self, outgoing: &Outgoing) -> bool {
         let bytes = match outgoing {
-            Outgoing::Line(line) | Outgoing::Alive(line) | Outgoing::Since(_, line) => line.len(),
-            Outgoing::Newer(_) | Outgoing::Configuration => 0,
+            Outgoing::Line(line) | Outgoing::Alive(line) | Outgoing::SinceVersion(_, line) => {
+                line.len()
+            }
+            Outgoing::NewerVersion(_) | Outgoing::Configuration => 0,
         };
-        let waiting = self.waiting_bytes.get();
-        let has_room = waiting == 0 || waiting + bytes <= MOST_WAITING_BYTES;
+        let waiting = self.queued_bytes.get();
+        let has_room = waiting == 0 || waiting + bytes <= MAX_QUEUED_BYTES;
         if !has_room || self.queue.try_send(outgoing.clone()).is_err() {
             let vm = &self.fed.vm.name;
             tracing::info!(event = "follower_dropped", %vm, waiting_bytes = waiting);
             return false;
         }
-        self.waiting_bytes.set(waiting + bytes);
+        self.queued_bytes.set(waiting + bytes);
         true
     }
 }
 
-/// A change, by the versions that it leads from and to.
+/// A change of the configuration, by the versions that it leads from and to.
 type ChangeKey = (Option<ConfigurationVersion>, ConfigurationVersion);
 
-/// The VMs that this one feeds.
+/// The followers of this VM.
 #[derive(Debug)]
 pub struct Followers {
     all: RefCell<Vec<Follower>>,
     next_id: Cell<FollowerId>,
-    account: RefCell<Weak<Vec<u8>>>,
+    server_snapshot: RefCell<Weak<Vec<u8>>>,
     parts: RefCell<HashMap<ChangeKey, Weak<Vec<Line>>>>,
-    /// Those that may be written long lines.
-    pub turns: Semaphore,
-    /// Wakes whoever tells how many there are.
+    /// The permits for long writes.
+    pub long_writes: Semaphore,
+    /// Notified when a follower joins or leaves, or the number of VMs fed through one changes.
     pub changed: Notify,
 }
 
-/// What becomes of a VM that wants to be fed.
+/// The decision about a VM that asks to be fed.
 pub enum Admitted {
-    /// It is fed: this link's place among the followers, and what is told to it from now on.
-    Fed(FollowerId, Queue),
-    /// Another VM may feed it.
-    Elsewhere(VmEntry),
-    /// It is turned away.
-    TurnedAway,
+    /// It is fed: the id of its link, and the queue of what is to be written to it from now on.
+    Accepted(FollowerId, Queue),
+    /// It is redirected to a follower of this VM.
+    Redirected(VmEntry),
+    /// It is rejected.
+    Rejected,
 }
 
 impl Default for Followers {
@@ -132,91 +138,92 @@
         Self {
             all: RefCell::default(),
             next_id: Cell::new(0),
-            account: RefCell::default(),
+            server_snapshot: RefCell::default(),
             parts: RefCell::default(),
-            turns: Semaphore::new(MOST_TURNS),
+            long_writes: Semaphore::new(MAX_LONG_WRITES),
             changed: Notify::new(),
         }
     }
 }
 
 impl Followers {
-    /// Tells all followers; one that does not keep up is dropped.
-    pub fn tell(&self, frame: &Frame) {
+    /// Sends a frame to all followers; drops those whose queue is full.
+    pub fn send(&self, frame: &Frame) {
         match frame {
             Frame::Server(_) | Frame::Servers(_) | Frame::ServerGone(_) | Frame::AllServers(_) => {
-                self.forget_account()
+                self.invalidate_server_snapshot()
             }
             _ => {}
         }
         if self.is_empty() {
             return;
         }
-        self.tell_all(&Outgoing::Line(Rc::new(frame.to_line())));
+        self.enqueue_all(&Outgoing::Line(Rc::new(frame.to_line())));
     }
 
-    /// Tells all followers what leads to the configuration in force, first those that tell most others.
-    pub fn tell_configuration(&self) {
+    /// Sends the latest configuration to all followers, first to those through which most others are fed.
+    pub fn send_configuration(&self) {
         let mut all = self.all.borrow_mut();
         all.sort_by_key(|follower| std::cmp::Reverse(follower.fed.below));
         drop(all);
-        self.tell_all(&Outgoing::Configuration);
+        self.enqueue_all(&Outgoing::Configuration);
     }
 
-    /// Tells all followers that this VM is alive and stands where it did.
-    pub fn tell_alive(&self, standing: &Frame) {
-        self.tell_all(&Outgoing::Alive(Rc::new(standing.to_line())));
+    /// Sends all followers a heartbeat of this VM, whose status has not changed.
+    pub fn send_alive(&self, status: &Frame) {
+        self.enqueue_all(&Outgoing::Alive(Rc::new(status.to_line())));
     }
 
-    /// Tells all followers that understand it of notices.
-    pub fn tell_notices(&self, notices: &Frame) {
-        self.tell_since(TAKES_NOTICES, notices);
+    /// Sends notices to all followers that understand them.
+    pub fn send_notices(&self, notices: &Frame) {
+        self.send_since(FIRST_VERSION_WITH_NOTICES, notices);
     }
 
-    /// Tells all followers that understand it which zones are evacuated.
-    pub fn tell_evacuations(&self, evacuations: &Frame) {
-        self.tell_since(TAKES_EVACUATIONS, evacuations);
+    /// Sends the evacuated zones to all followers that understand them.
+    pub fn send_evacuations(&self, evacuations: &Frame) {
+        self.send_since(FIRST_VERSION_WITH_EVACUATIONS, evacuations);
     }
 
-    /// Tells all followers that understand it of the store's era.
-    pub fn tell_era(&self, era: &Frame) {
-        self.tell_since(TAKES_EVACUATIONS, era);
+    /// Sends the store's era to all followers that understand it.
+    pub fn send_era(&self, era: &Frame) {
+        self.send_since(FIRST_VERSION_WITH_EVACUATIONS, era);
     }
 
-    fn tell_since(&self, release: Release, frame: &Frame) {
+    fn send_since(&self, version: ProtocolVersion, frame: &Frame) {
         if !self.is_empty() {
-            self.tell_all(&Outgoing::Since(release, Rc::new(frame.to_line())));
+            self.enqueue_all(&Outgoing::SinceVersion(version, Rc::new(frame.to_line())));
         }
     }
 
-    /// Tells all followers that a version of the configuration exists.
-    pub fn tell_newer(&self, version: ConfigurationVersion) {
-        self.tell_all(&Outgoing::Newer(version));
+    /// Announces a newer version of the configuration to all followers.
+    pub fn send_newer_version(&self, version: ConfigurationVersion) {
+        self.enqueue_all(&Outgoing::NewerVersion(version));
     }
 
-    fn tell_all(&self, outgoing: &Outgoing) {
+    fn enqueue_all(&self, outgoing: &Outgoing) {
         let mut all = self.all.borrow_mut();
         let before = all.len();
-        all.retain(|follower| follower.tell(outgoing));
+        all.retain(|follower| follower.enqueue(outgoing));
         if all.len() < before {
             self.changed.notify_waiters();
         }
     }
 
-    /// Returns the account of all backend servers, shared by the followers that join before the next
-    /// change: when all VMs of a zone start together, a copy for each is more than a small VM has.
-    pub fn account(&self, write: impl FnOnce() -> Vec<u8>) -> Line {
-        let mut shared = self.account.borrow_mut();
-        if let Some(account) = shared.upgrade() {
-            return account;
+    /// Returns the encoded entries of all backend servers, shared by the followers that join before the next change.
+    ///
+    /// Load pattern: all VMs of a zone start together. A copy for each is more memory than a small VM has.
+    pub fn server_snapshot(&self, write: impl FnOnce() -> Vec<u8>) -> Line {
+        let mut shared = self.server_snapshot.borrow_mut();
+        if let Some(server_snapshot) = shared.upgrade() {
+            return server_snapshot;
         }
-        let account = Rc::new(write());
-        *shared = Rc::downgrade(&account);
-        account
+        let server_snapshot = Rc::new(write());
+        *shared = Rc::downgrade(&server_snapshot);
+        server_snapshot
     }
 
-    /// Returns the lines that tell a change, shared by the followers that are told it together.
-    pub fn parts(&self, change: &ConfigurationChange) -> Rc<Vec<Line>> {
+    /// Returns the encoded parts of a change, shared by the followers that it is sent to at the same time.
+    pub fn change_lines(&self, change: &ConfigurationChange) -> Rc<Vec<Line>> {
         let mut shared = self.parts.borrow_mut();
         let key = (change.from, change.to);
         if let Some(parts) = shared.get(&key).and_then(Weak::upgrade) {
@@ -230,53 +237,53 @@
         lines
     }
 
-    /// Returns the most bytes that wait for one follower.
-    pub fn most_waiting_bytes(&self) -> usize {
+    /// Returns how many bytes the longest queue of a follower holds.
+    pub fn max_queued_bytes(&self) -> usize {
         let all = self.all.borrow();
-        let waiting = all.iter().map(|follower| follower.waiting_bytes.get());
+        let waiting = all.iter().map(|follower| follower.queued_bytes.get());
         waiting.max().unwrap_or(0)
     }
 
-    /// Takes note that the account is no longer true.
-    pub fn forget_account(&self) {
-        self.account.take();
+    /// Drops the encoded entries of the backend servers, as they have changed.
+    pub fn invalidate_server_snapshot(&self) {
+        self.server_snapshot.take();
     }
 
-    /// Returns whether nobody follows.
+    /// Returns whether this VM has no followers.
     pub fn is_empty(&self) -> bool {
         self.all.borrow().is_empty()
     }
 
-    /// Returns how many VMs are fed at first hand.
+    /// Returns how many followers this VM has.
     pub fn len(&self) -> usize {
         self.all.borrow().len()
     }
 
-    /// Returns how many VMs of a zone are fed at first or second hand.
-    pub fn below(&self, zone: &AvailabilityZone) -> u32 {
+    /// Returns how many VMs of a zone are fed through this one, at first or second hand.
+    pub fn descendants(&self, zone: &AvailabilityZone) -> u32 {
         feeding::below(zone, &self.fed())
     }
 
-    /// Returns the VMs of a zone that are fed at first hand.
+    /// Returns the followers that are VMs of a zone.
     pub fn vms(&self, zone: &AvailabilityZone) -> Vec<VmEntry> {
         let all = self.all.borrow();
         let vms = all.iter().map(|follower| follower.fed.vm.clone());
         vms.filter(|vm| vm.zone == *zone).collect()
     }
 
-    /// Forgets the followers without closing their links, as a VM that froze does.
-    pub fn fall_silent(&self) {
+    /// Forgets the followers without closing their links, as if this VM had frozen.
+    pub fn forget_without_closing(&self) {
         std::mem::forget(self.all.take());
     }
 
-    /// Ends the links to all followers: another VM reads from now on.
-    pub fn let_go(&self) {
+    /// Closes the links to all followers, as another VM reads the store from now on.
+    pub fn disconnect_all(&self) {
         self.all.take();
         self.changed.notify_waiters();
     }
 
-    /// Decides about a VM that wants to be fed, of which so many are fed already. What is told from now on queues up
-    /// for one that is taken in.
+    /// Decides about a VM that asks to be fed and through which `below` VMs are fed already. For one that is admitted,
+    /// all that is sent from now on is queued.
     pub fn admit(
         &self,
         vm: VmEntry,
@@ -284,20 +291,20 @@
         zone: &AvailabilityZone,
         path: &[VmName],
     ) -> Admitted {
-        // A VM whose link broke comes back before its old link is seen to have ended.
+        // A VM whose link broke may reconnect before the end of its old link is noticed.
         self.all
             .borrow_mut()
             .retain(|follower| follower.fed.vm.name != vm.name);
         match feeding::admit(&vm, zone, path, &self.fed()) {
             Admission::Feed => self.add(vm, below),
-            Admission::Elsewhere(at) => self.elsewhere(at),
-            Admission::TurnAway => Admitted::TurnedAway,
+            Admission::Elsewhere(at) => self.redirect(at),
+            Admission::TurnAway => Admitted::Rejected,
         }
     }
 
     fn add(&self, vm: VmEntry, below: u32) -> Admitted {
-        let (sender, receiver) = mpsc::channel(MOST_WAITING);
-        let waiting_bytes = Rc::new(Cell::new(0));
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let queued_bytes = Rc::new(Cell::new(0));
         let id = self.next_id.replace(self.next_id.get() + 1);
         let follower = Follower {
             id,
@@ -307,28 +314,28 @@
                 sent_there: 0,
             },
             queue: sender,
-            waiting_bytes: waiting_bytes.clone(),
+            queued_bytes: queued_bytes.clone(),
         };
         self.all.borrow_mut().push(follower);
         self.changed.notify_waiters();
         let queue = Queue {
-            waiting: receiver,
-            bytes: waiting_bytes,
+            receiver,
+            queued_bytes,
         };
-        Admitted::Fed(id, queue)
+        Admitted::Accepted(id, queue)
     }
 
-    fn elsewhere(&self, at: usize) -> Admitted {
+    fn redirect(&self, at: usize) -> Admitted {
         let mut all = self.all.borrow_mut();
         let Some(follower) = all.get_mut(at) else {
-            return Admitted::TurnedAway;
+            return Admitted::Rejected;
         };
         follower.fed.sent_there += 1;
-        Admitted::Elsewhere(follower.fed.vm.clone())
+        Admitted::Redirected(follower.fed.vm.clone())
     }
 
-    /// Takes in how many VMs are fed through a follower.
-    pub fn has_below(&self, id: FollowerId, below: u32) {
+    /// Records how many VMs are fed through a follower.
+    pub fn set_descendants(&self, id: FollowerId, below: u32) {
         let mut all = self.all.borrow_mut();
         if let Some(follower) = all.iter_mut().find(|follower| follower.id == id) {
             follower.fed.below = below;
@@ -338,8 +345,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes in that the link to a follower has ended.
-    pub fn left(&self, id: FollowerId) {
+    /// Removes a follower whose link has ended.
+    pub fn remove(&self, id: FollowerId) {
         self.all.borrow_mut().retain(|follower| follower.id != id);
         self.changed.notify_waiters();
     }
--- a/crates/kingcuploft-entry/src/server_updates.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -11,7 +11,7 @@
 use crate::peers::frame::Frame;
 
 /// The most changes that are told and logged one by one when they come together.
-const MOST_TOLD_ALONE: usize = 4;
+const MAX_CHANGES_SENT_SINGLY: usize = 4;
 
 /// Takes in what is said of backend servers, and passes on what is news: a list repeats what is known, and hundreds of
 /// lines at once are more than a follower's queue holds.
@@ -19,10 +19,10 @@
     context.with_servers(|known| servers.retain(|server| !known.is_known(server)));
     match &servers[..] {
         [] => return,
-        [server] => context.followers.tell(&Frame::Server(server.clone())),
+        [server] => context.followers.send(&Frame::Server(server.clone())),
         several => {
             let table = ServerTable::of(several.iter());
-            context.followers.tell(&Frame::Servers(table));
+            context.followers.send(&Frame::Servers(table));
         }
     }
     let cold = cold_servers(&servers);
@@ -43,7 +43,7 @@
 
 /// Takes in that a backend server's entry is gone, and passes it on.
 pub fn apply_removal(context: &Context, now: Instant, name: &str) {
-    context.followers.tell(&Frame::ServerGone(name.to_owned()));
+    context.followers.send(&Frame::ServerGone(name.to_owned()));
     if let Some(change) = context.with_servers(|servers| servers.gone(now, name)) {
         apply_change(context, now, &change);
     }
@@ -77,17 +77,17 @@
 
 /// Tells the followers what a list of all servers brought: the few that changed, or all where many did.
 fn forward_to_followers(context: &Context, news: &[BackendServer], changes: &[Change]) {
-    if news.len() + changes.len() > MOST_TOLD_ALONE {
+    if news.len() + changes.len() > MAX_CHANGES_SENT_SINGLY {
         let table = context.with_servers(|servers| ServerTable::of(servers.present()));
-        context.followers.tell(&Frame::AllServers(table));
+        context.followers.send(&Frame::AllServers(table));
         return;
     }
     for server in news {
-        context.followers.tell(&Frame::Server(server.clone()));
+        context.followers.send(&Frame::Server(server.clone()));
     }
     for change in changes {
         if let Change::Left(name) | Change::Lapsed(name) = change {
-            context.followers.tell(&Frame::ServerGone(name.to_string()));
+            context.followers.send(&Frame::ServerGone(name.to_string()));
         }
     }
 }
@@ -100,7 +100,7 @@
 
 /// Writes a line for each of a few changes, and one with counts for many.
 fn log_changes(changes: &[Change]) {
-    if changes.len() <= MOST_TOLD_ALONE {
+    if changes.len() <= MAX_CHANGES_SENT_SINGLY {
         for change in changes {
             let (what, server) = (change.label(), change.server());
             tracing::info!(event = "server", what, %server);
--- /dev/null
+++ b/crates/kingcuploft-entry/src/store_sync/zone_leader.rs
@@ -0,0 +1,145 @@
+//! Keeps the record of a zone in the store up to date, on the VM that leads the zone.
+
+use std::time::Instant;
+
+use kingcuploft::entry::zone_record::{self, SETTLE, Seen, ZoneRecord, handed_over, renewed};
+
+use super::{CATCH_UP_TIME, CHECK_INTERVAL, STORE_RETRY_DELAY, StoreSync};
+use crate::clock;
+use crate::peers::dial::Dial;
+use crate::peers::seeds;
+use crate::store::{Store, StoreError, WriteOutcome, ZoneWrite};
+use crate::store_watcher;
+use crate::zone_list::Staleness;
+
+impl<S: Store, D: Dial + Clone + 'static> StoreSync<'_, S, D> {
+    /// Keeps the zone's record up to date whenever this VM leads its zone, whether it reads the store or follows the
+    /// reader of another zone.
+    pub(super) async fn lead_zone(&self) {
+        let mut leading_since: Option<Instant> = None;
+        loop {
+            let is_leader = self.is_zone_leader() && !self.context.is_stopping();
+            let has_store = !self.store_access.is_reading() || self.store_access.is_available();
+            match is_leader {
+                true if has_store => {
+                    if leading_since.is_none() {
+                        self.publish_to_seeds();
+                    }
+                    self.maintain_record(*leading_since.get_or_insert_with(clock::now))
+                        .await;
+                }
+                true => {}
+                false => leading_since = None,
+            }
+            tokio::time::sleep(CHECK_INTERVAL).await;
+        }
+    }
+
+    /// Creates the zone's record, hands the zone over to a larger VM, or writes the record anew if it misleads.
+    async fn maintain_record(&self, leading_since: Instant) {
+        let Some(old) = self.own_zone_record() else {
+            return self.claim().await;
+        };
+        let (followers, zone) = (&self.context.followers, &self.own.zone);
+        let seen = Seen {
+            own: self.own.clone(),
+            followers: followers.vms(zone),
+            below: followers.descendants(zone),
+        };
+        if let Some(record) = handed_over(&old, &seen) {
+            tracing::info!(event = "reader_hands_over", version = record.version);
+            store_watcher::apply_zone_records(self.context, vec![record]);
+            // The last frames to the followers must be on their way before the links are closed.
+            tokio::time::sleep(CATCH_UP_TIME).await;
+            return followers.disconnect_all();
+        }
+        let mut vm_count = self.vm_count.get();
+        let holds = vm_count.holds(clock::now(), old.count, seen.below + 1);
+        self.vm_count.set(vm_count);
+        let settled = old.settled || clock::since(leading_since) >= SETTLE;
+        // Zones that started at the same time are known before this zone counts as counted.
+        if settled && !old.settled && !self.list_zones(Staleness::Allowed).await {
+            return;
+        }
+        if let Some(record) = renewed(&old, &seen, holds, settled) {
+            store_watcher::apply_zone_records(self.context, vec![record]);
+        }
+        let has_lost_followers = seen.followers.is_empty() && holds > 1;
+        self.doubt_stored_version();
+        if let Some(record) = self
+            .own_zone_record()
+            .filter(|r| r.version > self.stored_version.get() && !has_lost_followers)
+        {
+            self.write(record, ZoneWrite::Replace).await;
+        }
+    }
+
+    /// Sends the seeds the zone's record: after an outage they know none themselves.
+    fn publish_to_seeds(&self) {
+        if let Some(record) = self.own_zone_record() {
+            seeds::publish(self.network, self.context.settings.seeds.clone(), record);
+        }
+    }
+
+    /// Creates the record of a zone that has none, with this VM as its reader.
+    async fn claim(&self) {
+        let record = ZoneRecord::first(self.own);
+        match self
+            .store
+            .write_zone_record(&record, ZoneWrite::Create)
+            .await
+        {
+            Ok(WriteOutcome::AlreadyExists) => {
+                self.list_zones(Staleness::Refused).await;
+            }
+            Ok(WriteOutcome::Done | WriteOutcome::NotFound) => {
+                tracing::info!(event = "zone_recorded", version = record.version);
+                self.stored_version.set(record.version);
+                store_watcher::apply_zone_records(self.context, vec![record.clone()]);
+                seeds::publish(self.network, self.context.settings.seeds.clone(), record);
+            }
+            Err(error) => self.back_off(&error).await,
+        }
+    }
+
+    /// Adds this VM to the record, beside the VMs that it can't reach.
+    pub(super) async fn append_self(&self) {
+        let old = self.own_zone_record();
+        let record = old.and_then(|old| zone_record::appended(&old, self.own));
+        if let Some(record) = record {
+            self.write(record, ZoneWrite::Replace).await;
+        }
+    }
+
+    /// Writes the record, and creates it where the store holds none.
+    async fn write(&self, record: ZoneRecord, how: ZoneWrite) {
+        match self.store.write_zone_record(&record, how).await {
+            Ok(WriteOutcome::NotFound) => {
+                self.stored_version.set(0);
+                Box::pin(self.write(record, ZoneWrite::Create)).await;
+            }
+            Ok(WriteOutcome::Done | WriteOutcome::AlreadyExists) => {
+                let (version, count) = (record.version, record.count);
+                tracing::info!(event = "zone_recorded", version, count);
+                self.stored_version.set(version);
+                self.stored_at_rewind.set(self.context.rewinds.count());
+                store_watcher::apply_zone_records(self.context, vec![record]);
+            }
+            Err(error) => self.back_off(&error).await,
+        }
+    }
+
+    /// Assumes that the store holds no record if it was restored from an older copy since the record was written. The
+    /// copy may hold an older record, and a list that may be stale may still return the record from before.
+    fn doubt_stored_version(&self) {
+        if self.stored_at_rewind.get() != self.context.rewinds.count() {
+            self.stored_version.set(0);
+        }
+    }
+
+    /// Logs a failed write of the record, and pauses.
+    async fn back_off(&self, error: &StoreError) {
+        tracing::warn!(event = "zone_not_recorded", %error);
+        tokio::time::sleep(STORE_RETRY_DELAY.mul_f64(1.0 + fastrand::f64())).await;
+    }
+}
--- a/crates/kingcuploft-simulation/src/network.rs
+++ b/crates/kingcuploft-simulation/src/network.rs
@@ -9,7 +9,7 @@
 use kingcuploft::utils::HashMap;
 use kingcuploft_entry::network::{Connecting, Stream};
 use kingcuploft_entry::peers::dial::Dial;
-use kingcuploft_entry::peers::zone_socket::{Telling, Told};
+use kingcuploft_entry::peers::peer_socket::{PeerMessage, PeerSender};
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::history::VmIndex;
@@ -34,7 +34,7 @@
 pub type AcceptedConnection = (LinkEnd, Option<VmIndex>);
 
 /// A datagram and its sender's address.
-pub type Datagram = (Told, SocketAddr);
+pub type Datagram = (PeerMessage, SocketAddr);
 
 /// The receiver of the connections to an address.
 #[derive(Debug)]
@@ -213,8 +213,8 @@
     }
 }
 
-impl Telling for Host {
-    fn tell(&self, message: &Told, addresses: &[SocketAddr]) {
+impl PeerSender for Host {
+    fn send(&self, message: &PeerMessage, addresses: &[SocketAddr]) {
         let Some(from) = self.peer_address.get() else {
             return;
         };
--- a/crates/kingcuploft-simulation/src/vm.rs
+++ b/crates/kingcuploft-simulation/src/vm.rs
@@ -10,7 +10,7 @@
 
 use kingcuploft_entry::context::Context;
 use kingcuploft_entry::edge::connection;
-use kingcuploft_entry::peers::{reader, readings};
+use kingcuploft_entry::peers::{feeder, load_reports};
 use kingcuploft_entry::run;
 use kingcuploft_entry::settings::{Bounds, EntrySettings};
 use kingcuploft_entry::store_access::StoreAccess;
@@ -161,10 +161,10 @@
                         Some((end, _)) = peers.recv() => {
                             let (context, store_access) = (context.clone(), store_access.clone());
                             tokio::task::spawn_local(async move {
-                                let _ = reader::answer(&context, &store_access, end).await;
+                                let _ = feeder::handle_connection(&context, &store_access, end).await;
                             });
                         }
-                        Some((message, from)) = datagrams.recv() => readings::take(&context, &message, from),
+                        Some((message, from)) = datagrams.recv() => load_reports::handle_message(&context, &message, from),
                         else => return,
                     }
                 }
