--- a/crates/kingcuploft-entry/src/edge/hedge.rs
+++ b/crates/kingcuploft-entry/src/edge/hedge.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::placement::{Candidate, Reach, Step, place};
-use kingcuploft::entry::second_look::{self, Look};
-use kingcuploft::entry::verdict::AttemptEnd;
+use kingcuploft::entry::attempts::AttemptEnd;
+use kingcuploft::entry::hedging::{self, HedgeCheck};
+use kingcuploft::entry::placement::{Candidate, ProbeScope, Step, place};
 
 use super::active_request::ActiveRequest;
 use super::selection::LOAD_REPORT_POLL_INTERVAL;
@@ -37,29 +37,29 @@
         let mut first = std::pin::pin!(self.attempt(upstream));
         tokio::select! {
             biased;
-            ended = &mut first => return (ended, None),
-            () = tokio::time::sleep(second_look::look_after(expected_ms)) => {}
+            outcome = &mut first => return (outcome, None),
+            () = tokio::time::sleep(hedging::hedge_delay(expected_ms)) => {}
         }
         let second = tokio::select! {
             biased;
-            ended = &mut first => return (ended, None),
+            outcome = &mut first => return (outcome, None),
             second = self.hedge_upstream(upstream) => second,
         };
-        let Some(other) = second else {
+        let Some(hedge_target) = second else {
             return (first.await, None);
         };
-        let mut second = std::pin::pin!(self.attempt(&other));
-        let (ended, rest) = tokio::select! {
+        let mut second = std::pin::pin!(self.attempt(&hedge_target));
+        let (outcome, pending) = tokio::select! {
             biased;
-            ended = &mut first => (ended, Pending::Second),
-            ended = &mut second => (ended, Pending::First),
+            outcome = &mut first => (outcome, Pending::Second),
+            outcome = &mut second => (outcome, Pending::First),
         };
-        let ended = match (ended.end, rest) {
-            (AttemptEnd::Succeeded, _) => ended,
+        let outcome = match (outcome.end, pending) {
+            (AttemptEnd::Succeeded, _) => outcome,
             (_, Pending::First) => first.await,
             (_, Pending::Second) => second.await,
         };
-        (ended, Some(other.clone()))
+        (outcome, Some(hedge_target.clone()))
     }
 
     /// Returns the server for the hedge of a lookup that takes too long, or `None` if there should be no hedge.
@@ -73,18 +73,18 @@
         tokio::time::sleep(HEDGE_LOAD_REPORT_WAIT).await;
         let now = clock::now();
         let age = upstream.load_report(now).map(|(age, _)| age);
-        let need = self.need(now, now, Reach::Far);
-        let look = Look {
-            answers: age
+        let need = self.need(now, now, ProbeScope::Far);
+        let look = HedgeCheck {
+            server_answers: age
                 .is_some_and(|age| age <= now - asked_at + self.context.max_load_report_age()),
-            probes_left: self.context.probe_budget_left(),
-            left_ms: need.deadline_left_ms,
+            probe_budget_left: self.context.probe_budget_left(),
+            deadline_left_ms: need.deadline_left_ms,
             work_ms: need.work_ms,
         };
-        if !second_look::wants_second(&look) || !self.attempts.may_send(1) {
+        if !hedging::should_hedge(&look) || !self.attempts.may_send(1) {
             return None;
         }
-        let other_upstreams: Vec<_> = self.candidate_upstreams(now, Reach::Far);
+        let other_upstreams: Vec<_> = self.candidate_upstreams(now, ProbeScope::Far);
         let other_upstreams: Vec<_> = other_upstreams
             .into_iter()
             .filter(|u| !Rc::ptr_eq(u, upstream))
@@ -98,11 +98,11 @@
             .iter()
             .map(|u| u.candidate(now, max_age, self.is_excluded(u, now)));
         let candidates: Vec<Candidate> = seen.collect();
-        let need = self.need(now, now, Reach::Near);
+        let need = self.need(now, now, ProbeScope::Near);
         let Step::Send(at) = place(&need, &candidates, fastrand::f64) else {
             return None;
         };
-        let after = match look.answers {
+        let after = match look.server_answers {
             true => "late",
             false => "silent",
         };
--- a/crates/kingcuploft-entry/src/peers/peer_socket.rs
+++ b/crates/kingcuploft-entry/src/peers/peer_socket.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use kingcuploft::entry::repeat_account::Used;
+use kingcuploft::entry::repeat_account::UsageReport;
 use kingcuploft::world::ids::{BackendServerName, VmName};
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -74,7 +74,7 @@
         /// The VM.
         vm: VmName,
         /// What it has used.
-        used: Used,
+        used: UsageReport,
     },
     /// Asks for what the receiver keeps for a VM that has just started.
     #[serde(rename = "AskRepeats")]
@@ -86,7 +86,7 @@
     #[serde(rename = "KeptRepeats")]
     RepeatsReply {
         /// What the VM had used before it started.
-        used: Used,
+        used: UsageReport,
     },
 }
 
--- a/crates/kingcuploft-entry/src/peers/reader_failover.rs
+++ b/crates/kingcuploft-entry/src/peers/reader_failover.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use kingcuploft::entry::joining;
+use kingcuploft::entry::startup_delay;
 
 use crate::context::Context;
 use crate::store_access::StoreAccess;
@@ -27,7 +27,7 @@
         let delay = {
             let readers = context.readers.borrow();
             let record = readers.record(&context.settings.zone);
-            joining::ask_after(&context.settings.vm, record, fastrand::f64())
+            startup_delay::store_fallback_delay(&context.settings.vm, record, fastrand::f64())
         };
         tokio::time::sleep(delay).await;
         if context.reader_has_store.get() {
--- a/crates/kingcuploft-entry/src/store_sync/mod.rs
+++ b/crates/kingcuploft-entry/src/store_sync/mod.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::joining;
 use kingcuploft::entry::readers::Source;
+use kingcuploft::entry::startup_delay;
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::{self, ZoneCount, ZoneRecord};
 
@@ -80,7 +80,7 @@
     let fallback = store_fallback::read_store_if_uninformed(context.clone(), store_access.clone());
     let fallback = tokio::task::spawn_local(fallback);
     if context.settings.all_start {
-        tokio::time::sleep(joining::claim_after(&own, fastrand::f64())).await;
+        tokio::time::sleep(startup_delay::claim_delay(&own, fastrand::f64())).await;
     }
     sync.discover_vms().await;
     tokio::join!(sync.follow_or_read(), sync.lead_zone());
@@ -252,7 +252,7 @@
                         .metrics
                         .count_reader_lost(LinkError::Cycle.label());
                     let mut readers = self.context.readers.borrow_mut();
-                    readers.hears_through_own(clock::now(), &feeder.name);
+                    readers.record_cycle(clock::now(), &feeder.name);
                     return outcome;
                 }
                 why => {
@@ -262,7 +262,7 @@
                 }
             }
             let mut readers = self.context.readers.borrow_mut();
-            readers.failed(clock::now(), &feeder.name);
+            readers.record_failure(clock::now(), &feeder.name);
             return outcome;
         }
         // Each VM redirected to another. By the next attempt, those that they feed have reported how many they feed in
@@ -303,13 +303,13 @@
             self.context
                 .readers
                 .borrow_mut()
-                .failed(clock::now(), &feeder.name);
+                .record_failure(clock::now(), &feeder.name);
             return;
         }
         let Some(old) = self.own_zone_record() else {
             return;
         };
-        let record = zone_record::taken_over(&old, self.own);
+        let record = zone_record::with_leader(&old, self.own);
         tracing::info!(event = "reader_taken_over", version = record.version);
         store_watcher::apply_zone_records(self.context, vec![record.clone()]);
         let first = old.vms.first().unwrap_or(feeder);
--- a/crates/kingcuploft-entry/src/store_sync/zone_leader.rs
+++ b/crates/kingcuploft-entry/src/store_sync/zone_leader.rs
@@ -2,7 +2,9 @@
 
 use std::time::Instant;
 
-use kingcuploft::entry::zone_record::{self, SETTLE, Seen, ZoneRecord, handed_over, renewed};
+use kingcuploft::entry::zone_record::{
+    self, SETTLE_TIME, ZoneRecord, ZoneView, handed_to_larger, refreshed,
+};
 
 use super::{CATCH_UP_TIME, CHECK_INTERVAL, STORE_RETRY_DELAY, StoreSync};
 use crate::clock;
@@ -41,12 +43,12 @@
             return self.claim().await;
         };
         let (followers, zone) = (&self.context.followers, &self.own.zone);
-        let seen = Seen {
+        let seen = ZoneView {
             own: self.own.clone(),
             followers: followers.vms(zone),
-            below: followers.descendants(zone),
+            descendants: followers.descendants(zone),
         };
-        if let Some(record) = handed_over(&old, &seen) {
+        if let Some(record) = handed_to_larger(&old, &seen) {
             tracing::info!(event = "reader_hands_over", version = record.version);
             store_watcher::apply_zone_records(self.context, vec![record]);
             // The last frames to the followers must be on their way before the links are closed.
@@ -54,14 +56,14 @@
             return followers.disconnect_all();
         }
         let mut vm_count = self.vm_count.get();
-        let holds = vm_count.holds(clock::now(), old.count, seen.below + 1);
+        let holds = vm_count.stable_count(clock::now(), old.count, seen.descendants + 1);
         self.vm_count.set(vm_count);
-        let settled = old.settled || clock::since(leading_since) >= SETTLE;
+        let settled = old.settled || clock::since(leading_since) >= SETTLE_TIME;
         // Zones that started at the same time are known before this zone counts as counted.
         if settled && !old.settled && !self.list_zones(Staleness::Allowed).await {
             return;
         }
-        if let Some(record) = renewed(&old, &seen, holds, settled) {
+        if let Some(record) = refreshed(&old, &seen, holds, settled) {
             store_watcher::apply_zone_records(self.context, vec![record]);
         }
         let has_lost_followers = seen.followers.is_empty() && holds > 1;
@@ -105,7 +107,7 @@
     /// Adds this VM to the record, beside the VMs that it can't reach.
     pub(super) async fn append_self(&self) {
         let old = self.own_zone_record();
-        let record = old.and_then(|old| zone_record::appended(&old, self.own));
+        let record = old.and_then(|old| zone_record::with_unreachable_vm(&old, self.own));
         if let Some(record) = record {
             self.write(record, ZoneWrite::Replace).await;
         }
--- a/crates/kingcuploft/src/entry/placement.rs
+++ b/crates/kingcuploft/src/entry/placement.rs
@@ -17,7 +17,7 @@
 
 /// What a backend server said of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reading {
+pub struct LoadReading {
     /// Requests it works on.
     pub running: u32,
     /// Requests that wait at it.
@@ -34,19 +34,19 @@
     /// Whether it is in the own availability zone.
     pub near: bool,
     /// The last reading, if it is young enough to choose by.
-    pub reading: Option<Reading>,
+    pub reading: Option<LoadReading>,
     /// Whether a reading was asked for and has not come.
-    pub asked: bool,
+    pub probe_pending: bool,
     /// Own requests sent there since the reading was taken.
-    pub unseen: u32,
+    pub sent_since_reading: u32,
     /// Own requests in flight there.
-    pub own: u32,
+    pub own_in_flight: u32,
     /// How many requests it works on at once.
     pub slots: u32,
     /// Whether it started moments ago and is slow for it.
     pub cold: bool,
     /// The share of recent calls that failed.
-    pub failures: f64,
+    pub failure_rate: f64,
     /// Whether this request was already sent there.
     pub tried: bool,
 }
@@ -59,12 +59,12 @@
     /// One of the last.
     Last,
     /// All are taken: the request waits in the server's line.
-    Taken,
+    Queued,
 }
 
 /// What a request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Need {
+pub struct PlacementNeed {
     /// The work on a server of usual speed, in milliseconds.
     pub work_ms: f64,
     /// The time left until the answer is worth less, in milliseconds; negative if that is over.
@@ -72,20 +72,20 @@
     /// The time left until nobody waits for the answer, in milliseconds.
     pub deadline_left_ms: f64,
     /// How long readings have been waited for in this look, in milliseconds.
-    pub looked_ms: f64,
+    pub probe_wait_ms: f64,
     /// Which servers were asked.
-    pub reach: Reach,
+    pub scope: ProbeScope,
     /// How many times longer work takes on a server whose last slot it takes.
-    pub last_slot: f64,
+    pub last_slot_slowdown: f64,
     /// Which part of the probe budget is there to be used, from 0 to 1.
-    pub probes_left: f64,
+    pub probe_budget_left: f64,
     /// Whether its caller comes back after an earlier attempt.
-    pub returns: bool,
+    pub is_caller_retry: bool,
 }
 
 /// Which servers are asked for a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reach {
+pub enum ProbeScope {
     /// Those of the own zone.
     Near,
     /// A few of the other zones as well: no near server is good.
@@ -100,11 +100,11 @@
     /// Send it to this candidate.
     Send(usize),
     /// Wait for the readings asked for.
-    Await,
+    AwaitProbes,
     /// Ask more servers.
-    Ask(Reach),
+    Probe(ProbeScope),
     /// All are slow or full: look again after this time.
-    LookAgain(Duration),
+    Recheck(Duration),
     /// No server can answer in time. The caller may come back after this time.
     Refuse(Duration),
 }
@@ -130,7 +130,7 @@
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
 
 /// Work varies by a third around its mean; this multiple of the expected time is met by most.
-pub const MARGIN: f64 = 1.25;
+pub const WORK_MARGIN: f64 = 1.25;
 
 /// The part of the probe budget that must be there to ask the servers of other zones only because the
 /// near ones have but their last slots left: less means overload, where those probes find no idle
@@ -160,7 +160,7 @@
         let busy = self.busy();
         let slowness = self.reading.map_or(MEAN_SLOWNESS, |r| r.slowness);
         let last_slot = match self.slot() {
-            Slot::Last | Slot::Taken => last_slot,
+            Slot::Last | Slot::Queued => last_slot,
             Slot::Spare => 1.0,
         };
         let cold = match self.cold {
@@ -173,14 +173,14 @@
             false => FAR_MS,
         };
         let run_ms = work_ms * slowness * last_slot * cold;
-        (run_ms + wait_ms) * (1.0 + FAILURE * self.failures) + distance_ms
+        (run_ms + wait_ms) * (1.0 + FAILURE * self.failure_rate) + distance_ms
     }
 
     /// Returns which slot a request takes that is sent now.
     pub fn slot(&self) -> Slot {
         let (busy, slots) = (self.busy(), f64::from(self.slots.max(1)));
         match busy + 1.0 {
-            after if after > slots => Slot::Taken,
+            after if after > slots => Slot::Queued,
             // A server of one slot has no other.
             after if busy >= 1.0 && after > LAST_OF * slots => Slot::Last,
             _ => Slot::Spare,
@@ -190,15 +190,15 @@
     /// Returns how many requests the server has, or may have where it has not said.
     fn busy(&self) -> f64 {
         match self.reading {
-            Some(reading) => f64::from(reading.running + reading.waiting + self.unseen),
-            None => f64::from(self.own) + f64::from(self.slots.max(1)) / 2.0,
+            Some(reading) => f64::from(reading.running + reading.waiting + self.sent_since_reading),
+            None => f64::from(self.own_in_flight) + f64::from(self.slots.max(1)) / 2.0,
         }
     }
 
     /// Returns when a request that is sent now would begin to run, in milliseconds.
-    fn wait_ms(&self, reading: &Reading, work_ms: f64) -> f64 {
+    fn wait_ms(&self, reading: &LoadReading, work_ms: f64) -> f64 {
         let slots = f64::from(reading.slots.max(1));
-        let busy = f64::from(reading.running + reading.waiting + self.unseen);
+        let busy = f64::from(reading.running + reading.waiting + self.sent_since_reading);
         line_ms(busy, slots, work_ms * reading.slowness)
     }
 
@@ -210,7 +210,7 @@
 
     fn is_full(&self) -> bool {
         let reading = self.reading;
-        reading.is_some_and(|r| r.running + r.waiting + self.unseen >= r.slots.max(1))
+        reading.is_some_and(|r| r.running + r.waiting + self.sent_since_reading >= r.slots.max(1))
     }
 }
 
@@ -222,7 +222,11 @@
 
 /// Says what to do next with a request. `chance` breaks ties, so that the VMs do not all choose the
 /// same of several equal servers.
-pub fn place(need: &Need, candidates: &[Candidate], mut chance: impl FnMut() -> f64) -> Step {
+pub fn place(
+    need: &PlacementNeed,
+    candidates: &[Candidate],
+    mut chance: impl FnMut() -> f64,
+) -> Step {
     let candidates = &beside_the_best(candidates);
     let best = best(need, candidates, &mut chance);
     if let Some((at, expected_ms)) = best
@@ -232,36 +236,40 @@
     {
         return Step::Send(at);
     }
-    let near_open = candidates.iter().any(|c| c.near && c.asked);
-    let far_open = candidates.iter().any(|c| !c.near && c.asked);
-    let patience_ms = match need.reach {
-        Reach::Near => NEAR_PATIENCE_MS,
-        Reach::FewFar | Reach::Far => FAR_PATIENCE_MS,
+    let near_open = candidates.iter().any(|c| c.near && c.probe_pending);
+    let far_open = candidates.iter().any(|c| !c.near && c.probe_pending);
+    let patience_ms = match need.scope {
+        ProbeScope::Near => NEAR_PATIENCE_MS,
+        ProbeScope::FewFar | ProbeScope::Far => FAR_PATIENCE_MS,
     };
-    let open = near_open || far_open && need.reach != Reach::Near;
-    if open && need.looked_ms < patience_ms {
-        return Step::Await;
+    let open = near_open || far_open && need.scope != ProbeScope::Near;
+    if open && need.probe_wait_ms < patience_ms {
+        return Step::AwaitProbes;
     }
     let one_will_do = best.is_some_and(|best| will_do(need, candidates, best));
-    match need.reach {
-        Reach::Near => Step::Ask(Reach::FewFar),
-        Reach::FewFar if !one_will_do => Step::Ask(Reach::Far),
-        Reach::FewFar | Reach::Far => settle(need, candidates, best),
+    match need.scope {
+        ProbeScope::Near => Step::Probe(ProbeScope::FewFar),
+        ProbeScope::FewFar if !one_will_do => Step::Probe(ProbeScope::Far),
+        ProbeScope::FewFar | ProbeScope::Far => settle(need, candidates, best),
     }
 }
 
 /// Returns whether this server has a slot for the request and answers in time, though another may be better.
-fn will_do(need: &Need, candidates: &[Candidate], (at, expected_ms): (usize, f64)) -> bool {
+fn will_do(
+    need: &PlacementNeed,
+    candidates: &[Candidate],
+    (at, expected_ms): (usize, f64),
+) -> bool {
     let known = candidates[at].reading.is_some() && !candidates[at].is_full();
-    known && expected_ms * MARGIN <= need.target_left_ms
+    known && expected_ms * WORK_MARGIN <= need.target_left_ms
 }
 
 /// Returns within which multiple of the work an answer must be expected of a server that is taken without
 /// asking more of them.
-fn good(need: &Need) -> f64 {
-    match need.probes_left >= CALM {
+fn good(need: &PlacementNeed) -> f64 {
+    match need.probe_budget_left >= CALM {
         true => GOOD,
-        false => GOOD.max(need.last_slot + GOOD - 1.0),
+        false => GOOD.max(need.last_slot_slowdown + GOOD - 1.0),
     }
 }
 
@@ -272,30 +280,30 @@
 /// over, and be refused untried.
 fn beside_the_best(candidates: &[Candidate]) -> Vec<Candidate> {
     let untried = candidates.iter().filter(|c| !c.tried);
-    let least = untried.map(|c| c.failures).fold(1.0, f64::min);
+    let least = untried.map(|c| c.failure_rate).fold(1.0, f64::min);
     let beside = candidates.iter().map(|c| Candidate {
-        failures: (c.failures - least).max(0.0),
+        failure_rate: (c.failure_rate - least).max(0.0),
         ..*c
     });
     beside.collect()
 }
 
 /// Decides when no server is good and no more readings are to come.
-fn settle(need: &Need, candidates: &[Candidate], best: Option<(usize, f64)>) -> Step {
-    let usual_ms = need.work_ms * MARGIN;
+fn settle(need: &PlacementNeed, candidates: &[Candidate], best: Option<(usize, f64)>) -> Step {
+    let usual_ms = need.work_ms * WORK_MARGIN;
     let again_ms = LOOK_AGAIN.as_secs_f64() * 1000.0;
     let Some((at, expected_ms)) = best else {
         return match need.deadline_left_ms > usual_ms + again_ms {
-            true => Step::LookAgain(LOOK_AGAIN),
+            true => Step::Recheck(LOOK_AGAIN),
             false => Step::Refuse(come_back(need, candidates)),
         };
     };
-    let in_time = expected_ms * MARGIN <= need.target_left_ms;
+    let in_time = expected_ms * WORK_MARGIN <= need.target_left_ms;
     if in_time && !candidates[at].is_full() {
         return Step::Send(at);
     }
     if need.target_left_ms > usual_ms + again_ms {
-        return Step::LookAgain(LOOK_AGAIN);
+        return Step::Recheck(LOOK_AGAIN);
     }
     let taken = match candidates[at].is_full() || !late_may_take(need, &candidates[at]) {
         true => best_of(need, candidates, |c| {
@@ -305,7 +313,7 @@
     };
     match taken {
         Some((at, expected_ms)) if expected_ms <= need.deadline_left_ms => Step::Send(at),
-        Some(_) if need.deadline_left_ms > usual_ms + again_ms => Step::LookAgain(LOOK_AGAIN),
+        Some(_) if need.deadline_left_ms > usual_ms + again_ms => Step::Recheck(LOOK_AGAIN),
         Some(_) | None => Step::Refuse(come_back(need, candidates)),
     }
 }
@@ -314,24 +322,24 @@
 ///
 /// Load pattern: an overload, in which refused callers come back and are late before they begin. Under it they leave last
 /// slots to those that can still be in time.
-fn late_may_take(need: &Need, candidate: &Candidate) -> bool {
-    need.probes_left >= CALM || !need.returns || candidate.slot() == Slot::Spare
+fn late_may_take(need: &PlacementNeed, candidate: &Candidate) -> bool {
+    need.probe_budget_left >= CALM || !need.is_caller_retry || candidate.slot() == Slot::Spare
 }
 
 /// Returns the best of the untried servers that are like this, and when its answer is expected.
 fn best_of(
-    need: &Need,
+    need: &PlacementNeed,
     candidates: &[Candidate],
     is_like: impl Fn(&Candidate) -> bool,
 ) -> Option<(usize, f64)> {
     let all = candidates.iter().enumerate();
     let like = all.filter(|(_, candidate)| !candidate.tried && is_like(candidate));
-    let expected = like.map(|(i, c)| (i, c.expected_ms(need.work_ms, need.last_slot)));
+    let expected = like.map(|(i, c)| (i, c.expected_ms(need.work_ms, need.last_slot_slowdown)));
     expected.min_by(|a, b| a.1.total_cmp(&b.1))
 }
 
 /// Returns when a slot is likely to be free: at the server whose line ends first.
-fn come_back(need: &Need, candidates: &[Candidate]) -> Duration {
+fn come_back(need: &PlacementNeed, candidates: &[Candidate]) -> Duration {
     let told = candidates.iter().filter_map(|c| Some((c, c.reading?)));
     let waits = told.map(|(c, reading)| c.wait_ms(&reading, need.work_ms));
     match waits.min_by(f64::total_cmp) {
@@ -343,13 +351,13 @@
 }
 
 fn best(
-    need: &Need,
+    need: &PlacementNeed,
     candidates: &[Candidate],
     chance: &mut impl FnMut() -> f64,
 ) -> Option<(usize, f64)> {
     let untried = candidates.iter().enumerate().filter(|(_, c)| !c.tried);
     let costs = untried.map(|(i, candidate)| {
-        let expected_ms = candidate.expected_ms(need.work_ms, need.last_slot);
+        let expected_ms = candidate.expected_ms(need.work_ms, need.last_slot_slowdown);
         (i, expected_ms, expected_ms + chance())
     });
     let best = costs.min_by(|a, b| a.2.total_cmp(&b.2));
--- a/crates/kingcuploft/src/entry/server_limit.rs
+++ b/crates/kingcuploft/src/entry/server_limit.rs
@@ -31,14 +31,14 @@
 const MOMENT: Duration = Duration::from_secs(1);
 
 /// When a VM is asked again that does not keep the limit: it may have been told later.
-pub const ASK_AGAIN: Duration = Duration::from_millis(250);
+pub const TURN_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// The longest wait that is told.
 const LONGEST_WAIT: Duration = Duration::from_secs(3600);
 
 /// Which part of a limit a VM uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Part {
+pub enum LimitShare {
     /// It is one of so many that keep it.
     OneOf(usize),
     /// Others keep it; it is one of so many that send a request now and then.
@@ -55,27 +55,27 @@
 }
 
 /// Returns which part of a server's limit a VM uses that is one of `vms`, where these records name some of them.
-pub fn part(
+pub fn limit_share(
     vm: &VmName,
     vms: usize,
     server: &BackendServerName,
     zone: &AvailabilityZone,
     per_s: PerSecond,
     records: &[ZoneRecord],
-) -> Part {
+) -> LimitShare {
     if keepers_wanted(per_s) >= vms {
-        return Part::OneOf(vms.max(1));
+        return LimitShare::OneOf(vms.max(1));
     }
-    let keepers = keepers(server, zone, per_s, records);
+    let keepers = limit_owners(server, zone, per_s, records);
     match keepers.iter().any(|keeper| keeper.name == *vm) {
-        true => Part::OneOf(keepers.len()),
-        false => Part::NowAndThen(vms),
+        true => LimitShare::OneOf(keepers.len()),
+        false => LimitShare::NowAndThen(vms),
     }
 }
 
 /// Returns the VMs that keep a server's limit: those that come first for it by a hash of both names, of the server's zone
 /// if that has enough.
-pub fn keepers<'a>(
+pub fn limit_owners<'a>(
     server: &BackendServerName,
     zone: &AvailabilityZone,
     per_s: PerSecond,
@@ -100,7 +100,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimit {
     per_s: PerSecond,
-    part: Part,
+    part: LimitShare,
     saved: f64,
     at: Instant,
     /// When the next request may be sent by a VM that does not use the limit.
@@ -109,7 +109,7 @@
 
 impl ServerLimit {
     /// Begins when a limit is heard of; `chance` is from 0 to 1.
-    pub fn new(now: Instant, per_s: PerSecond, part: Part, chance: f64) -> Self {
+    pub fn new(now: Instant, per_s: PerSecond, part: LimitShare, chance: f64) -> Self {
         let mut limit = Self {
             per_s,
             part,
@@ -122,7 +122,7 @@
     }
 
     /// Begins with what was saved within this time; a request at most.
-    pub fn with_saved(self, within: Duration) -> Self {
+    pub fn with_saved_tokens(self, within: Duration) -> Self {
         let saved = within.as_secs_f64() * self.own_per_s();
         Self {
             saved: saved.min(MOST_SAVED),
@@ -136,7 +136,7 @@
     }
 
     /// Takes in what the server names now, and which part of it this VM uses.
-    pub fn renew(&mut self, now: Instant, per_s: PerSecond, part: Part) {
+    pub fn update(&mut self, now: Instant, per_s: PerSecond, part: LimitShare) {
         self.save(now);
         self.per_s = per_s;
         self.part = part;
@@ -145,12 +145,12 @@
     /// Returns when the next request may be sent: at once if that is zero.
     pub fn wait(&mut self, now: Instant, chance: f64) -> Duration {
         match self.part {
-            Part::OneOf(_) => {
+            LimitShare::OneOf(_) => {
                 self.save(now);
                 let missing = (MOST_SAVED - self.saved).max(0.0);
                 Duration::try_from_secs_f64(missing / self.own_per_s()).unwrap_or(LONGEST_WAIT)
             }
-            Part::NowAndThen(_) => {
+            LimitShare::NowAndThen(_) => {
                 if now > self.moment + MOMENT {
                     self.draw(now, chance);
                 }
@@ -161,8 +161,8 @@
 
     /// Gives the next turn to a request that waits so long at most, if this VM keeps the limit.
     pub fn give_turn(&mut self, now: Instant, patience: Duration) -> Turn {
-        let Part::OneOf(_) = self.part else {
-            return Turn::TooLate(ASK_AGAIN);
+        let LimitShare::OneOf(_) = self.part else {
+            return Turn::TooLate(TURN_RETRY_DELAY);
         };
         let wait = self.wait(now, 0.0);
         if wait > patience {
@@ -173,7 +173,7 @@
     }
 
     /// Takes note that a request is sent.
-    pub fn sent(&mut self, now: Instant, chance: f64) {
+    pub fn record_sent(&mut self, now: Instant, chance: f64) {
         self.save(now);
         self.saved -= 1.0;
         self.draw(now, chance);
@@ -183,8 +183,8 @@
     fn own_per_s(&self) -> PerSecond {
         let all = self.per_s.max(LEAST_PER_S);
         match self.part {
-            Part::OneOf(users) => all / users.max(1) as f64,
-            Part::NowAndThen(vms) => {
+            LimitShare::OneOf(users) => all / users.max(1) as f64,
+            LimitShare::NowAndThen(vms) => {
                 (TRIES_PER_S + TRIES_OF_LIMIT * self.per_s) / vms.max(1) as f64
             }
         }
@@ -197,7 +197,7 @@
     }
 
     fn draw(&mut self, now: Instant, chance: f64) {
-        let Part::NowAndThen(_) = self.part else {
+        let LimitShare::NowAndThen(_) = self.part else {
             return;
         };
         let pause_s = (0.5 + chance) / self.own_per_s();
--- a/crates/kingcuploft/tests/entry/verdict.rs
+++ b/crates/kingcuploft/tests/entry/attempts.rs
@@ -1,4 +1,4 @@
-use kingcuploft::entry::verdict::{AttemptEnd, Attempts, Verdict};
+use kingcuploft::entry::attempts::{AttemptEnd, Attempts, NextAction};
 use kingcuploft::world::contract::Contract;
 
 const ENDS: [AttemptEnd; 7] = [
@@ -16,10 +16,10 @@
 fn a_protected_request_is_sent_again_only_on_proof_that_it_did_not_run() {
     for end in ENDS {
         let mut attempts = Attempts::new(Contract::AtMostOnce, 3);
-        attempts.sending();
-        let verdict = attempts.ended(end);
+        attempts.record_sent();
+        let verdict = attempts.record_outcome(end);
         let proved = matches!(end, AttemptEnd::NotRun | AttemptEnd::Unsent);
-        assert_eq!(verdict == Verdict::TryAgain, proved, "{end:?}");
+        assert_eq!(verdict == NextAction::Retry, proved, "{end:?}");
         assert_eq!(attempts.may_send(0), proved, "{end:?}");
         assert!(!attempts.may_send(1), "{end:?}: one is still in flight");
     }
@@ -37,12 +37,12 @@
         let mut may_have_run = false;
         for _ in 0..u.int_in_range(0..=4)? {
             let end = *u.choose(&ENDS)?;
-            attempts.sending();
+            attempts.record_sent();
             may_have_run |= end.may_have_run();
-            attempts.ended(end);
+            attempts.record_outcome(end);
         }
         let timed_out = u.arbitrary()?;
-        let status = attempts.refusal_status(timed_out);
+        let status = attempts.failure_status(timed_out);
         assert_eq!(status == 503, !may_have_run);
         Ok(())
     });
@@ -51,13 +51,22 @@
 #[test]
 fn a_lookup_goes_to_at_most_as_many_servers_as_its_route_allows() {
     let mut attempts = Attempts::new(Contract::RetryFreely, 2);
-    assert_eq!(attempts.ended(AttemptEnd::Lost), Verdict::TryAgain);
-    assert_eq!(attempts.ended(AttemptEnd::Lost), Verdict::GiveUp);
+    assert_eq!(attempts.record_outcome(AttemptEnd::Lost), NextAction::Retry);
+    assert_eq!(
+        attempts.record_outcome(AttemptEnd::Lost),
+        NextAction::GiveUp
+    );
 }
 
 #[test]
 fn a_server_that_did_not_run_a_request_does_not_use_up_its_attempts() {
     let mut attempts = Attempts::new(Contract::RetryFreely, 1);
-    assert_eq!(attempts.ended(AttemptEnd::NotRun), Verdict::TryAgain);
-    assert_eq!(attempts.ended(AttemptEnd::Failed), Verdict::Answer);
+    assert_eq!(
+        attempts.record_outcome(AttemptEnd::NotRun),
+        NextAction::Retry
+    );
+    assert_eq!(
+        attempts.record_outcome(AttemptEnd::Failed),
+        NextAction::PassOn
+    );
 }
--- a/crates/kingcuploft/tests/entry/server_limit.rs
+++ b/crates/kingcuploft/tests/entry/server_limit.rs
@@ -2,8 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::server_limit::{Part, PerSecond, ServerLimit, Turn, keepers, part};
-use kingcuploft::entry::server_limits::{LimitNotice, News, ServerLimits};
+use kingcuploft::entry::server_limit::{
+    LimitShare, PerSecond, ServerLimit, Turn, limit_owners, limit_share,
+};
+use kingcuploft::entry::server_limits::{LimitChange, LimitNotice, ServerLimits};
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::ZoneRecord;
 use kingcuploft::world::ids::{AvailabilityZone, BackendServerName, VmName};
@@ -76,8 +78,8 @@
     let begun = Instant::now();
     let mut rng = fastrand::Rng::with_seed(7);
     let (server, zone): (BackendServerName, _) = ("s".into(), "zone-1".into());
-    let parts = (0..vms).map(|at| part(&name(at), vms, &server, &zone, per_s, &knows(at)));
-    let parts: Vec<Part> = parts.collect();
+    let parts = (0..vms).map(|at| limit_share(&name(at), vms, &server, &zone, per_s, &knows(at)));
+    let parts: Vec<LimitShare> = parts.collect();
     let mut fleet: Vec<ServerLimit> = parts
         .iter()
         .map(|part| ServerLimit::new(begun, per_s, *part, rng.f64()))
@@ -90,7 +92,7 @@
         }
         for limit in &mut fleet {
             while limit.wait(now, rng.f64()).is_zero() {
-                limit.sent(now, rng.f64());
+                limit.record_sent(now, rng.f64());
                 *sent += 1;
             }
         }
@@ -173,8 +175,8 @@
 #[test]
 fn a_vm_that_knows_no_other_does_not_take_a_limit_for_its_own() {
     let server = "s".into();
-    let part = part(&name(3), 1000, &server, &"zone-1".into(), 2.0, &[]);
-    assert_eq!(part, Part::NowAndThen(1000));
+    let part = limit_share(&name(3), 1000, &server, &"zone-1".into(), 2.0, &[]);
+    assert_eq!(part, LimitShare::NowAndThen(1000));
 }
 
 /// Guards against a limit that is kept after the server has stopped naming it, and against one dropped for an answer
@@ -186,7 +188,7 @@
     let mut limits = ServerLimits::default();
     let hear = |limits: &mut ServerLimits, after_ms, named| {
         let at = now + Duration::from_millis(after_ms);
-        limits.heard(at, &server, named, |_| Part::OneOf(1), 0.5)
+        limits.record_named(at, &server, named, |_| LimitShare::OneOf(1), 0.5)
     };
     let notice = LimitNotice {
         server: server.clone(),
@@ -194,12 +196,15 @@
     };
     assert_eq!(hear(&mut limits, 0, None), None);
     let named = hear(&mut limits, 0, Some(2.0));
-    assert_eq!(named, Some(News::Named(notice.clone())));
+    assert_eq!(named, Some(LimitChange::Named(notice.clone())));
     assert_eq!(hear(&mut limits, 100, None), None);
     let changed = hear(&mut limits, 200, Some(4.0));
-    assert_eq!(changed, Some(News::Changed { before: 2.0 }));
+    assert_eq!(changed, Some(LimitChange::Changed { before: 2.0 }));
     assert_eq!(limits.per_s(&server), Some(4.0));
-    assert_eq!(hear(&mut limits, 900, None), Some(News::Ended(notice.id())));
+    assert_eq!(
+        hear(&mut limits, 900, None),
+        Some(LimitChange::Ended(notice.id()))
+    );
     assert!(limits.is_empty());
 }
 
@@ -211,16 +216,19 @@
         per_s: 1.0,
     };
     let mut limits = ServerLimits::default();
-    assert!(limits.told(now, &notice, Part::NowAndThen(13), 0.5));
-    assert!(!limits.told(now, &notice, Part::NowAndThen(13), 0.5));
+    assert!(limits.add_notice(now, &notice, LimitShare::NowAndThen(13), 0.5));
+    assert!(!limits.add_notice(now, &notice, LimitShare::NowAndThen(13), 0.5));
     assert!(!limits.wait(now, "s", 0.5).is_zero());
     assert!(limits.wait(now, "other", 0.5).is_zero());
-    assert!(limits.stored().eq([notice.clone()]));
-    assert_eq!(limits.all_told(&[].into_iter().collect()), [notice.id()]);
-    assert!(limits.told(now, &notice, Part::OneOf(1), 0.5));
-    assert!(limits.withdrawn(&notice.id()));
-    assert!(limits.told(now, &notice, Part::OneOf(1), 0.5));
-    assert_eq!(limits.forget_gone(|_| false), [notice.id()]);
+    assert!(limits.stored_notices().eq([notice.clone()]));
+    assert_eq!(
+        limits.remove_missing(&[].into_iter().collect()),
+        [notice.id()]
+    );
+    assert!(limits.add_notice(now, &notice, LimitShare::OneOf(1), 0.5));
+    assert!(limits.remove_notice(&notice.id()));
+    assert!(limits.add_notice(now, &notice, LimitShare::OneOf(1), 0.5));
+    assert_eq!(limits.retain_in_use(|_| false), [notice.id()]);
     assert!(limits.is_empty());
 }
 
@@ -239,7 +247,7 @@
         let records = records(self.vms);
         let limit = |vm: usize, server: usize, chance: f64| {
             let (server, zone) = (server_name(server), zone_of(server));
-            let part = part(&name(vm), self.vms, &server, &zone, self.per_s, &records);
+            let part = limit_share(&name(vm), self.vms, &server, &zone, self.per_s, &records);
             ServerLimit::new(begun, self.per_s, part, chance)
         };
         let of_vm = |vm| {
@@ -256,7 +264,7 @@
         let at = |vm: &VmEntry| vm.name.strip_prefix("vm-").unwrap().parse().unwrap();
         let keepers = |server| {
             let (name, zone) = (server_name(server), zone_of(server));
-            let keepers = keepers(&name, &zone, self.per_s, &records);
+            let keepers = limit_owners(&name, &zone, self.per_s, &records);
             keepers.into_iter().map(at).collect()
         };
         (0..self.servers).map(keepers).collect()
@@ -277,7 +285,7 @@
                         .iter_mut()
                         .position(|l| l.wait(now, 0.5).is_zero());
                     if let Some(server) = own {
-                        fleet[vm][server].sent(now, rng.f64());
+                        fleet[vm][server].record_sent(now, rng.f64());
                         sent[server][step] += 1;
                         continue;
                     }
@@ -343,10 +351,11 @@
 fn a_limit_that_changes_is_news_once() {
     let (now, name) = (Instant::now(), BackendServerName::from("s"));
     let mut limits = ServerLimits::default();
-    let mut heard = |per_s| limits.heard(now, &name, Some(per_s), |_| Part::OneOf(1), 0.5);
-    assert!(matches!(heard(6.0), Some(News::Named(_))));
+    let mut heard =
+        |per_s| limits.record_named(now, &name, Some(per_s), |_| LimitShare::OneOf(1), 0.5);
+    assert!(matches!(heard(6.0), Some(LimitChange::Named(_))));
     assert_eq!(heard(6.0), None);
-    assert_eq!(heard(1.0), Some(News::Changed { before: 6.0 }));
+    assert_eq!(heard(1.0), Some(LimitChange::Changed { before: 6.0 }));
     assert_eq!(heard(1.0), None);
     assert_eq!(limits.per_s(&name), Some(1.0));
 }
