--- a/crates/kingcuploft-entry/tests/links/configurations.rs
+++ b/crates/kingcuploft-entry/tests/links/configurations.rs
@@ -8,7 +8,7 @@
 
 const SERVICES: [&str; 4] = ["lists", "adoptions", "catalogue", "stock"];
 
-/// Builds a route with names that no other has.
+/// Builds a route with random names, which no other route has.
 fn route(rng: &mut Rng) -> Route {
     let mut word = |length: usize| -> String { (0..length).map(|_| rng.lowercase()).collect() };
     let (name, prefix, host) = (word(7), word(8), word(1));
@@ -32,7 +32,7 @@
     }
 }
 
-/// Builds routes by the thousand.
+/// Builds so many routes.
 pub(crate) fn routes(rng: &mut Rng, count: usize) -> Vec<Route> {
     (0..count).map(|_| route(rng)).collect()
 }
--- a/crates/kingcuploft-entry/tests/links/fleet.rs
+++ b/crates/kingcuploft-entry/tests/links/fleet.rs
@@ -1,4 +1,4 @@
-//! VMs of several zones, each with its own link, and what they are given to do.
+//! A fleet of VMs in several zones, each VM with its own link, and what tests do to it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,13 +25,13 @@
 use crate::pipe::Nic;
 use crate::store::TestStore;
 
-/// How often it is looked which VM knows what.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// How often the VMs' versions are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long VMs are given to find each other.
+/// How long VMs are given to find each other and build the dissemination tree.
 const SETTLE: Duration = Duration::from_secs(10);
 
-/// The links of VMs: what the first two of a zone carry, and the others.
+/// The bandwidths of the VMs' links: of the first two VMs of each zone, and of the others.
 #[derive(Clone, Copy)]
 pub(crate) struct Links {
     pub(crate) large_mbit: u32,
@@ -44,22 +44,27 @@
     pub(crate) routes: Vec<Route>,
     pub(crate) rng: Rng,
     version: u64,
-    /// The version that each VM was last seen with.
-    seen: RefCell<HashMap<usize, u64>>,
-    entries: Vec<(VmEntry, u32)>,
-    /// Which VMs the store turns away.
-    turned_away: Vec<Rc<Cell<bool>>>,
+    /// The version of the configuration that each VM was last seen with.
+    seen_versions: RefCell<HashMap<usize, u64>>,
+    vms: Vec<(VmEntry, u32)>,
+    /// Whether the store turns a VM away, by VM.
+    is_rejected: Vec<Rc<Cell<bool>>>,
     configuration_bytes: Rc<Cell<usize>>,
 }
 
 impl Fleet {
-    /// Starts VMs of these zones with these links and so many routes, and lets them find each other.
-    pub(crate) async fn start(zones: &[usize], links: Links, count: usize, seed: u64) -> Self {
+    /// Starts so many VMs in each zone, with these links and so many routes, and lets them find each other.
+    pub(crate) async fn start(
+        zones: &[usize],
+        links: Links,
+        route_count: usize,
+        seed: u64,
+    ) -> Self {
         fastrand::seed(seed);
         let mut rng = Rng::with_seed(seed);
-        let mut entries = Vec::new();
-        for (zone, vms) in zones.iter().enumerate() {
-            for at in 0..*vms {
+        let mut vms = Vec::new();
+        for (zone, vm_count) in zones.iter().enumerate() {
+            for at in 0..*vm_count {
                 let (cpu_milli, mbit) = match at < 2 {
                     true => (500, links.large_mbit),
                     false => (100, links.small_mbit),
@@ -67,25 +72,25 @@
                 let entry = VmEntry {
                     name: format!("zone-{zone}-{at}").into(),
                     zone: format!("zone-{zone}").into(),
-                    address: address(entries.len()),
+                    address: address(vms.len()),
                     cpu_milli,
                 };
-                entries.push((entry, mbit));
+                vms.push((entry, mbit));
             }
         }
         let mut fleet = Self {
             store: TestStore::default(),
             network: Network::default(),
-            routes: routes(&mut rng, count),
+            routes: routes(&mut rng, route_count),
             rng,
             version: 0,
-            seen: RefCell::default(),
-            turned_away: entries.iter().map(|_| Rc::default()).collect(),
-            entries,
+            seen_versions: RefCell::default(),
+            is_rejected: vms.iter().map(|_| Rc::default()).collect(),
+            vms,
             configuration_bytes: Rc::default(),
         };
         fleet.configure();
-        for at in 0..fleet.entries.len() {
+        for at in 0..fleet.vms.len() {
             fleet.network.0.borrow_mut().push(None);
             fleet.power_on(at, true);
         }
@@ -94,20 +99,20 @@
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.entries.len()
+        self.vms.len()
     }
 
-    /// Starts a VM that knows nothing.
+    /// Starts a VM with empty state.
     pub(crate) fn power_on(&self, at: usize, all_start: bool) {
-        let (entry, mbit) = &self.entries[at];
+        let (entry, mbit) = &self.vms[at];
         let nic = Rc::new(Nic::of(*mbit));
         let context = Rc::new(Context::new(settings(entry, all_start), HEADER_NAMES));
-        let pulse = Rc::new(StoreAccess::default());
+        let store_access = Rc::new(StoreAccess::default());
         let store = Rc::new(LinkedStore {
-            store: TestStore(self.store.0.clone(), self.turned_away[at].clone()),
+            store: TestStore(self.store.0.clone(), self.is_rejected[at].clone()),
             nic: nic.clone(),
             configuration_bytes: self.configuration_bytes.clone(),
-            receives_until: Cell::new(Instant::now()),
+            receiving_until: Cell::new(Instant::now()),
         });
         let dialer = Dialer {
             network: self.network.clone(),
@@ -118,42 +123,42 @@
             from: at,
         };
         let _ = context.peer_socket.set(Rc::new(socket));
-        let (vm, vm_pulse, address) = (context.clone(), pulse.clone(), entry.address);
+        let (vm, vm_store_access, address) = (context.clone(), store_access.clone(), entry.address);
         let tasks = LocalSet::new();
         let running = tokio::task::spawn_local(async move {
             let joined = async {
-                run::join_peers(&vm, &store, &vm_pulse, address, dialer);
+                run::join_peers(&vm, &store, &vm_store_access, address, dialer);
                 std::future::pending::<()>().await;
             };
             tasks.run_until(joined).await;
         });
         let host = Host {
             context,
-            pulse,
+            store_access,
             nic,
             tasks: vec![running.abort_handle()].into(),
         };
         self.network.0.borrow_mut()[at] = Some(Rc::new(host));
     }
 
-    /// Takes a VM's power away.
+    /// Cuts a VM's power: its tasks end and its state is lost.
     pub(crate) fn power_off(&self, at: usize) {
-        self.seen.borrow_mut().remove(&at);
+        self.seen_versions.borrow_mut().remove(&at);
         let host = self.network.0.borrow_mut()[at].take();
         for task in host.iter().flat_map(|host| host.tasks.take()) {
             task.abort();
         }
     }
 
-    /// Has the store turn these VMs away, and no others.
-    pub(crate) fn turn_away(&self, whom: impl Fn(&VmEntry) -> bool) {
-        for ((vm, _), turned_away) in self.entries.iter().zip(&self.turned_away) {
-            turned_away.set(whom(vm));
+    /// Has the store turn away these VMs, and no others.
+    pub(crate) fn reject_at_store(&self, is_rejected_vm: impl Fn(&VmEntry) -> bool) {
+        for ((vm, _), is_rejected) in self.vms.iter().zip(&self.is_rejected) {
+            is_rejected.set(is_rejected_vm(vm));
         }
     }
 
-    /// Returns the VMs that the records of the zones in the store name, but for the last of each.
-    pub(crate) fn named_but_last(&self) -> Vec<VmName> {
+    /// Returns the VMs that the zones' records in the store name, except the last of each record.
+    pub(crate) fn vms_named_except_last(&self) -> Vec<VmName> {
         let zones = self.store.0.zones.borrow();
         let named = zones.iter().flat_map(|record| {
             let but_last = record.vms.len().saturating_sub(1);
@@ -162,23 +167,23 @@
         named.map(|vm| vm.name.clone()).collect()
     }
 
-    /// Puts so many routes more in force.
-    pub(crate) fn add_routes(&mut self, count: usize) {
-        let more = routes(&mut self.rng, count);
+    /// Adds so many routes to the configuration.
+    pub(crate) fn add_routes(&mut self, route_count: usize) {
+        let more = routes(&mut self.rng, route_count);
         self.routes.extend(more);
         self.configure();
     }
 
     /// Changes one value of one route.
-    pub(crate) fn change_one(&mut self) {
+    pub(crate) fn change_one_route(&mut self) {
         let at = self.rng.usize(0..self.routes.len());
         self.routes[at].timeout += Duration::from_millis(1);
         self.configure();
     }
 
-    /// Removes routes.
-    pub(crate) fn remove_routes(&mut self, count: usize) {
-        self.routes.truncate(self.routes.len() - count);
+    /// Removes the last routes.
+    pub(crate) fn remove_routes(&mut self, route_count: usize) {
+        self.routes.truncate(self.routes.len() - route_count);
         self.configure();
     }
 
@@ -188,7 +193,7 @@
     }
 
     /// Writes the latest configuration again.
-    pub(crate) fn configure_again(&self) {
+    pub(crate) fn rewrite_configuration(&self) {
         let configuration = configuration(self.version, &self.routes);
         self.store.0.write_configuration(configuration);
     }
@@ -200,11 +205,11 @@
         self.store.0.write_configuration(configuration);
     }
 
-    /// Returns the version that a VM has in force.
+    /// Returns the version that a VM has in force; fails if it is older than the one seen before.
     pub(crate) fn version_at(&self, at: usize) -> Option<u64> {
         let host = self.network.host(at)?;
         let version = host.context.active_configuration.version()?;
-        let before = self.seen.borrow_mut().insert(at, version);
+        let before = self.seen_versions.borrow_mut().insert(at, version);
         assert!(before <= Some(version), "VM {at} goes back to {version}");
         Some(version)
     }
@@ -214,40 +219,42 @@
         host.is_some_and(|host| host.nic.is_cut.get())
     }
 
-    /// Returns the VMs that have power and their link, and an older version in force.
-    pub(crate) fn behind(&self) -> Vec<usize> {
+    /// Returns the VMs that have power and a working link, but an older version in force than the latest.
+    pub(crate) fn outdated_vms(&self) -> Vec<usize> {
         let all =
             (0..self.len()).filter(|at| !self.is_cut(*at) && self.network.host(*at).is_some());
         all.filter(|at| self.version_at(*at) != Some(self.version))
             .collect()
     }
 
-    /// Waits until all VMs have the latest version in force, so long at most; returns how long the first and the last
-    /// took.
-    pub(crate) async fn in_force(&self, within: Duration) -> (Duration, Duration) {
-        let begun = Instant::now();
+    /// Waits until all VMs have the latest version in force; fails if that takes longer than `within`. Returns how long
+    /// the first and the last VM took.
+    pub(crate) async fn wait_until_in_force(&self, within: Duration) -> (Duration, Duration) {
+        let started_at = Instant::now();
         let mut first = None;
         loop {
-            let behind = self.behind();
-            if behind.len() < self.len() && first.is_none() {
-                first = Some(begun.elapsed());
+            let outdated = self.outdated_vms();
+            if outdated.len() < self.len() && first.is_none() {
+                first = Some(started_at.elapsed());
             }
-            if behind.is_empty() {
-                return (first.unwrap_or_default(), begun.elapsed());
+            if outdated.is_empty() {
+                return (first.unwrap_or_default(), started_at.elapsed());
             }
             assert!(
-                begun.elapsed() < within,
-                "version {} is not in force after {within:?} at {behind:?}",
+                started_at.elapsed() < within,
+                "version {} is not in force after {within:?} at {outdated:?}",
                 self.version
             );
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Returns how many links ended because the feeder was taken for silent.
-    pub(crate) fn silent_feeders(&self) -> u64 {
+    pub(crate) fn silent_feeder_count(&self) -> u64 {
         let hosts = (0..self.len()).filter_map(|at| self.network.host(at));
-        hosts.map(|host| silent(&host.context.metrics_text())).sum()
+        hosts
+            .map(|host| silent_count(&host.context.metrics_text()))
+            .sum()
     }
 
     /// Returns the bytes that each VM has sent.
@@ -258,7 +265,7 @@
             .collect()
     }
 
-    pub(crate) fn cut(&self, at: usize, is_cut: bool) {
+    pub(crate) fn set_link_cut(&self, at: usize, is_cut: bool) {
         if let Some(host) = self.network.host(at) {
             host.nic.is_cut.set(is_cut);
         }
@@ -266,33 +273,33 @@
 
     /// Returns the VMs that feed others.
     pub(crate) fn feeders(&self) -> Vec<usize> {
-        let feeds = |at: &usize| {
+        let has_followers = |at: &usize| {
             let host = self.network.host(*at);
             host.is_some_and(|host| !host.context.followers.is_empty())
         };
-        (0..self.len()).filter(feeds).collect()
+        (0..self.len()).filter(has_followers).collect()
     }
 }
 
-fn silent(counters: &str) -> u64 {
-    let of_silence = |line: &&str| line.contains("readers_lost_total{reason=\"silent\"}");
-    let line = counters.lines().find(of_silence);
+fn silent_count(counters: &str) -> u64 {
+    let is_silence = |line: &&str| line.contains("readers_lost_total{reason=\"silent\"}");
+    let line = counters.lines().find(is_silence);
     let count = line.and_then(|line| line.rsplit(' ').next());
     count.and_then(|count| count.parse().ok()).unwrap_or(0)
 }
 
 pub(crate) fn settings(entry: &VmEntry, all_start: bool) -> EntrySettings {
-    let nowhere: SocketAddr = ([127, 0, 0, 1], 0).into();
+    let unused_address: SocketAddr = ([127, 0, 0, 1], 0).into();
     EntrySettings {
         vm: entry.name.clone(),
         zone: entry.zone.clone(),
         region: Vec::new(),
-        callers: nowhere,
-        readiness: nowhere,
+        callers: unused_address,
+        readiness: unused_address,
         peers: Some(entry.address),
         control: None,
         seeds: Vec::new(),
-        store: nowhere,
+        store: unused_address,
         cpu_milli: entry.cpu_milli,
         memory_bytes: 160_000_000,
         all_start,
@@ -326,7 +333,7 @@
 }
 
 /// Runs a scenario in virtual time.
-pub(crate) fn play<F: Future<Output = ()>>(scenario: F) {
+pub(crate) fn simulate<F: Future<Output = ()>>(scenario: F) {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build();
     tokio::task::LocalSet::new().block_on(&runtime.unwrap(), scenario);
--- a/crates/kingcuploft-entry/tests/links/interleavings.rs
+++ b/crates/kingcuploft-entry/tests/links/interleavings.rs
@@ -1,12 +1,13 @@
-//! All orders, within bounds, in which the store is written, copied, comes back and is silent: what a VM and its follower
-//! believe in the end is what the store holds, and no configuration goes back meanwhile.
+//! Exhaustive sequences, up to a length, of writes, snapshots, rewinds and outages of the store. After each, a VM and
+//! its follower agree with the store, and no configuration goes back meanwhile.
 //!
-//! Each action is given time to be seen or not: the steps between them are shorter than a watch takes to bring a change.
+//! The time between two actions is shorter than a watch takes to bring a change, so that a VM may or may not have seen
+//! an action before the next.
 
 use std::panic::AssertUnwindSafe;
 use std::time::Duration;
 
-use crate::fleet::{Fleet, Links, play, server};
+use crate::fleet::{Fleet, Links, server, simulate};
 use crate::store::Snapshot;
 
 const LINKS: Links = Links {
@@ -14,92 +15,99 @@
     small_mbit: 200,
 };
 
-/// How many actions are played one after the other: of all kinds, and of those that revisions given out twice need.
-const DEPTH: u32 = 4;
-const DEPTH_OF_WRITES: u32 = 6;
+/// The lengths of the sequences: of all kinds of actions, and of writes, snapshots and rewinds alone, which have to be
+/// longer to assign a revision twice.
+const SEQUENCE_LENGTH: u32 = 4;
+const WRITE_SEQUENCE_LENGTH: u32 = 6;
 
-/// The time between two actions: a change that is gathered takes longer.
-const STEP: Duration = Duration::from_millis(350);
+/// The time between two actions, shorter than a change that is batched takes.
+const ACTION_INTERVAL: Duration = Duration::from_millis(350);
 
-/// Longer than anything is believed that nobody writes again.
-const SETTLED: Duration = Duration::from_secs(14);
+/// Longer than a VM keeps state that the store has lost and nobody writes again.
+const EXPIRY_TIME: Duration = Duration::from_secs(14);
 
-/// Longer than a watch waits that hears nothing any more.
-const HEARD_AGAIN: Duration = Duration::from_secs(26);
+/// Longer than a watch waits that gets no answer any more.
+const WATCH_RECOVERY_TIME: Duration = Duration::from_secs(26);
 
-/// What happens to the store.
+/// An action on the store.
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum Action {
     /// A server writes its entry.
     Join,
     /// The server's entry is removed.
     Leave,
     /// A configuration is written.
     Configure,
-    /// A zone is evacuated, or taken back if it is.
+    /// A zone is evacuated, or its evacuation is ended.
     Evacuate,
-    /// A copy is made.
-    Copy,
-    /// The store comes back from the last copy.
+    /// A snapshot is taken.
+    Snapshot,
+    /// The store is restored from the last snapshot.
     Rewind,
     /// Calls hang from now on, or are answered again.
     Silence,
 }
 
-const ALL: [Act; 7] = [
-    Act::Join,
-    Act::Leave,
-    Act::Configure,
-    Act::Evacuate,
-    Act::Copy,
-    Act::Rewind,
-    Act::Silence,
+const ALL: [Action; 7] = [
+    Action::Join,
+    Action::Leave,
+    Action::Configure,
+    Action::Evacuate,
+    Action::Snapshot,
+    Action::Rewind,
+    Action::Silence,
 ];
 
-const WRITES: [Act; 5] = [Act::Join, Act::Leave, Act::Evacuate, Act::Copy, Act::Rewind];
+const WRITES: [Action; 5] = [
+    Action::Join,
+    Action::Leave,
+    Action::Evacuate,
+    Action::Snapshot,
+    Action::Rewind,
+];
 
-/// What the operator and the server have written last: they write it again.
-struct Written {
+/// A fleet, and what the operator and the server have written last: they restore it if the store loses it.
+struct Scenario {
     fleet: Fleet,
-    copy: Option<Snapshot>,
-    is_there: bool,
+    snapshot: Option<Snapshot>,
+    has_server: bool,
     is_evacuated: bool,
 }
 
-impl Written {
-    fn act(&mut self, act: Act) {
+impl Scenario {
+    fn apply(&mut self, action: Action) {
         let store = self.fleet.store.0.clone();
-        match act {
-            Act::Join => {
-                self.is_there = true;
+        match action {
+            Action::Join => {
+                self.has_server = true;
                 store.write_backend_server(server("s"));
             }
-            Act::Leave => {
-                self.is_there = false;
+            Action::Leave => {
+                self.has_server = false;
                 store.remove_backend_server("s");
             }
-            Act::Configure => self.fleet.change_one(),
-            Act::Evacuate => {
+            Action::Configure => self.fleet.change_one_route(),
+            Action::Evacuate => {
                 self.is_evacuated = !self.is_evacuated;
                 store.set_evacuated("zone-0", self.is_evacuated);
             }
-            Act::Copy => self.copy = Some(store.snapshot()),
-            Act::Rewind => {
-                if let Some(copy) = self.copy.take() {
-                    store.rewind(copy);
+            Action::Snapshot => self.snapshot = Some(store.snapshot()),
+            Action::Rewind => {
+                if let Some(snapshot) = self.snapshot.take() {
+                    store.rewind(snapshot);
                 }
             }
-            Act::Silence => store.silent.set(!store.silent.get()),
+            Action::Silence => store.silent.set(!store.silent.get()),
         }
     }
 
-    /// What a copy lost is written again by those who wrote it, and only that.
-    fn write_again(&self) {
+    /// Writes again what the store has lost, and only that, as the operator and the server do.
+    fn restore_lost_writes(&self) {
         let store = &self.fleet.store.0;
         store.silent.set(false);
         let [has_server, has_evacuation, has_configuration] =
             store.holds("s", "zone-0", self.fleet.version());
-        match (has_server, self.is_there) {
+        match (has_server, self.has_server) {
             (false, true) => store.write_backend_server(server("s")),
             (true, false) => store.remove_backend_server("s"),
             _ => {}
@@ -108,101 +116,117 @@
             store.set_evacuated("zone-0", self.is_evacuated);
         }
         if !has_configuration {
-            self.fleet.configure_again();
+            self.fleet.rewrite_configuration();
         }
     }
 
-    fn check(&self, acts: &[Act]) {
+    fn check(&self, actions: &[Action]) {
         assert!(
-            self.fleet.behind().is_empty(),
-            "configuration after {acts:?}"
+            self.fleet.outdated_vms().is_empty(),
+            "configuration after {actions:?}"
         );
         for at in 0..self.fleet.len() {
             let host = self.fleet.network.host(at).unwrap();
-            let is_used = host.context.all_upstreams().len() == 1;
-            assert_eq!(is_used, self.is_there, "server at VM {at} after {acts:?}");
+            let has_upstream = host.context.all_upstreams().len() == 1;
+            assert_eq!(
+                has_upstream, self.has_server,
+                "server at VM {at} after {actions:?}"
+            );
             let holds = host.context.evacuations.borrow().holds("zone-0");
             assert_eq!(
                 holds, self.is_evacuated,
-                "evacuation at VM {at} after {acts:?}"
+                "evacuation at VM {at} after {actions:?}"
             );
         }
     }
 }
 
-/// Plays actions at a VM that reads the store and one that follows it.
-fn follow(acts: &[Act], hides_eras: bool) {
-    play(async {
+/// Runs actions with a VM that reads the store and one that follows it, and checks the outcome.
+fn run_actions(actions: &[Action], ignores_eras: bool) {
+    simulate(async {
         let fleet = Fleet::start(&[2], LINKS, 3, 1).await;
-        fleet.store.0.ignores_eras.set(hides_eras);
-        let mut written = Written {
+        fleet.store.0.ignores_eras.set(ignores_eras);
+        let mut scenario = Scenario {
             fleet,
-            copy: None,
-            is_there: false,
+            snapshot: None,
+            has_server: false,
             is_evacuated: false,
         };
-        for act in acts {
-            written.act(*act);
-            tokio::time::sleep(STEP).await;
-            let _ = written.fleet.behind();
+        for action in actions {
+            scenario.apply(*action);
+            tokio::time::sleep(ACTION_INTERVAL).await;
+            let _ = scenario.fleet.outdated_vms();
         }
-        written.write_again();
-        if acts.iter().any(|act| matches!(act, Act::Silence)) {
-            tokio::time::sleep(HEARD_AGAIN).await;
+        scenario.restore_lost_writes();
+        if actions
+            .iter()
+            .any(|action| matches!(action, Action::Silence))
+        {
+            tokio::time::sleep(WATCH_RECOVERY_TIME).await;
         }
-        tokio::time::sleep(SETTLED).await;
-        written.check(acts);
+        tokio::time::sleep(EXPIRY_TIME).await;
+        scenario.check(actions);
     });
 }
 
-/// Returns all orders of so many of these actions.
-fn orders(of: &[Act], count: u32) -> impl Iterator<Item = Vec<Act>> {
-    (0..of.len().pow(count)).map(move |number| order(of, number, count))
+/// Returns all sequences of so many of these actions.
+fn sequences(choices: &[Action], count: u32) -> impl Iterator<Item = Vec<Action>> {
+    (0..choices.len().pow(count)).map(move |number| sequence(choices, number, count))
 }
 
-/// Returns the order of a number, an action for each digit.
-fn order(of: &[Act], mut number: usize, count: u32) -> Vec<Act> {
-    let mut acts = Vec::new();
+/// Returns the sequence with a number: each of its digits selects an action.
+fn sequence(choices: &[Action], mut number: usize, count: u32) -> Vec<Action> {
+    let mut actions = Vec::new();
     for _ in 0..count {
-        acts.push(of[number % of.len()]);
-        number /= of.len();
+        actions.push(choices[number % choices.len()]);
+        number /= choices.len();
     }
-    acts
+    actions
 }
 
-/// Whether what these actions lead to can differ from what fewer do: a store comes back only from a copy.
-fn is_worth_playing(acts: &[Act]) -> bool {
-    let copied = acts.iter().position(|act| matches!(act, Act::Copy));
-    let rewound = acts.iter().position(|act| matches!(act, Act::Rewind));
-    matches!((copied, rewound), (Some(copied), Some(rewound)) if copied < rewound)
+/// Returns whether the store is restored from a snapshot; other sequences lead to nothing that shorter ones do not.
+fn has_rewind_after_snapshot(actions: &[Action]) -> bool {
+    let snapshot_at = actions
+        .iter()
+        .position(|action| matches!(action, Action::Snapshot));
+    let rewind_at = actions
+        .iter()
+        .position(|action| matches!(action, Action::Rewind));
+    matches!((snapshot_at, rewind_at), (Some(snapshot_at), Some(rewind_at)) if snapshot_at < rewind_at)
 }
 
 #[test]
-fn all_orders_of_writes_copies_and_silence_end_in_what_the_store_holds() {
-    for (of, count) in [(&ALL[..], DEPTH), (&WRITES[..], DEPTH_OF_WRITES)] {
-        let played = orders(of, count).filter(|acts| is_worth_playing(acts));
-        let played = played.inspect(|acts| follow(acts, false));
-        assert!(played.count() > 200, "few orders were played");
+fn all_sequences_of_writes_snapshots_and_outages_end_in_what_the_store_holds() {
+    for (choices, count) in [
+        (&ALL[..], SEQUENCE_LENGTH),
+        (&WRITES[..], WRITE_SEQUENCE_LENGTH),
+    ] {
+        let checked =
+            sequences(choices, count).filter(|actions| has_rewind_after_snapshot(actions));
+        let checked = checked.inspect(|actions| run_actions(actions, false));
+        assert!(checked.count() > 200, "few sequences were played");
     }
 }
 
-/// Longer orders, drawn.
+/// Checks a random sample of longer sequences.
 #[test]
-fn drawn_longer_orders_end_in_what_the_store_holds() {
+fn random_longer_sequences_end_in_what_the_store_holds() {
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..150 {
         let number = rng.usize(0..ALL.len().pow(9));
-        follow(&order(&ALL, number, 9), false);
+        run_actions(&sequence(&ALL, number, 9), false);
     }
 }
 
-/// The orders find a VM that takes revisions of before for those of the copy.
+/// Checks that the sequences detect a VM that ignores eras, and so confuses revisions from before a rewind with those
+/// after it.
 #[test]
-fn a_vm_that_knows_no_eras_is_found() {
-    let mut found = orders(&WRITES, DEPTH_OF_WRITES).filter(|acts| is_worth_playing(acts));
-    let is_broken = |acts: &Vec<Act>| {
-        let played = std::panic::catch_unwind(AssertUnwindSafe(|| follow(acts, true)));
-        played.is_err()
+fn a_vm_that_ignores_eras_is_detected() {
+    let mut found = sequences(&WRITES, WRITE_SEQUENCE_LENGTH)
+        .filter(|actions| has_rewind_after_snapshot(actions));
+    let is_broken = |actions: &Vec<Action>| {
+        let checked = std::panic::catch_unwind(AssertUnwindSafe(|| run_actions(actions, true)));
+        checked.is_err()
     };
-    assert!(found.any(|acts| is_broken(&acts)));
+    assert!(found.any(|actions| is_broken(&actions)));
 }
--- a/crates/kingcuploft-entry/tests/links/joining.rs
+++ b/crates/kingcuploft-entry/tests/links/joining.rs
@@ -1,4 +1,4 @@
-//! What a VM that joins is told, frame by frame.
+//! What a VM that joins is sent, frame by frame.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use tokio::io::{AsyncWriteExt, ReadHalf, WriteHalf};
 
 use crate::configurations::configuration;
-use crate::fleet::{Fleet, Links, play};
+use crate::fleet::{Fleet, Links, simulate};
 use crate::network::{Host, address};
 use crate::pipe::{self, LinkEnd, Nic};
 
@@ -25,16 +25,16 @@
     small_mbit: 200,
 };
 
-/// How long a VM is listened to.
-const LISTEN: Duration = Duration::from_millis(600);
+/// How long a VM's frames are read.
+const LISTEN_TIME: Duration = Duration::from_millis(600);
 
-/// A VM whose frames the test writes and reads.
-struct Script {
+/// A peer whose frames the test writes and reads.
+struct ScriptedPeer {
     lines: Lines<ReadHalf<LinkEnd>>,
     write: WriteHalf<LinkEnd>,
 }
 
-impl Script {
+impl ScriptedPeer {
     fn of(link: LinkEnd) -> Self {
         let (read, write) = tokio::io::split(link);
         Self {
@@ -43,26 +43,27 @@
         }
     }
 
-    /// Joins a VM.
+    /// Opens a link to a VM.
     fn join(host: &Rc<Host>) -> Self {
         let nic = Rc::new(Nic::of(200));
         let (own, other) = pipe::connect(&nic, &host.nic, Duration::ZERO);
         let host = host.clone();
         tokio::task::spawn_local(async move {
-            let _ = feeder::handle_connection(&host.context, &host.pulse, other).await;
+            let _ = feeder::handle_connection(&host.context, &host.store_access, other).await;
         });
         Self::of(own)
     }
 
-    async fn tell(&mut self, frame: &Frame) {
+    async fn send(&mut self, frame: &Frame) {
         self.write.write_all(&frame.to_line()).await.unwrap();
     }
 
-    /// Returns the frames until the VM says nothing any more.
+    /// Returns the frames that arrive within [`LISTEN_TIME`].
     async fn frames(&mut self) -> Vec<Frame> {
         let mut frames = Vec::new();
-        let until = tokio::time::Instant::now() + LISTEN;
-        while let Ok(Ok(Some(line))) = tokio::time::timeout_at(until, self.lines.next(LISTEN)).await
+        let until = tokio::time::Instant::now() + LISTEN_TIME;
+        while let Ok(Ok(Some(line))) =
+            tokio::time::timeout_at(until, self.lines.next(LISTEN_TIME)).await
         {
             frames.push(serde_json::from_slice(line).unwrap());
         }
@@ -79,7 +80,7 @@
     }
 }
 
-/// Returns what a VM says that stands where this one does.
+/// Returns the opening frame of a VM that has replicated as much as this one.
 fn hello_like(host: &Host) -> Hello {
     Hello {
         vm: entry("joins"),
@@ -118,52 +119,52 @@
     parts.collect()
 }
 
-/// Guards against a VM that joins a feeder between a change and its moment, and is never told the change.
+/// Guards against a VM that joins a feeder between a change and its revision, and never gets the change.
 #[test]
-fn a_vm_that_joins_between_a_change_and_its_moment_is_told_the_change() {
-    play(async {
+fn a_vm_that_joins_between_a_change_and_its_revision_is_sent_the_change() {
+    simulate(async {
         let (fleet, host) = fleet_of_two().await;
         let hello = hello_like(&host);
         let newer = configuration(2, &fleet.routes[1..]);
         host.context.active_configuration.adopt(newer);
         let position = host.context.position(Collection::Configuration);
         assert_eq!(hello.configuration, position);
-        let mut joins = Script::join(&host);
-        joins.tell(&Frame::Hello(hello)).await;
-        assert_eq!(parts(&joins.frames().await), [(Some(1), 2, 0)]);
+        let mut joining = ScriptedPeer::join(&host);
+        joining.send(&Frame::Hello(hello)).await;
+        assert_eq!(parts(&joining.frames().await), [(Some(1), 2, 0)]);
     });
 }
 
-/// Guards against the account of all servers being told to a VM that knows them.
+/// Guards against a list of all servers that is sent to a VM that knows them already.
 #[test]
-fn a_vm_that_knows_the_servers_is_not_told_them_again() {
-    play(async {
+fn a_vm_that_knows_the_servers_is_not_sent_them_again() {
+    simulate(async {
         let (_fleet, host) = fleet_of_two().await;
-        let is_table = |frame: &Frame| matches!(frame, Frame::AllServers(_));
+        let has_all_servers = |frame: &Frame| matches!(frame, Frame::AllServers(_));
         let hello = hello_like(&host);
-        let mut joins = Script::join(&host);
-        joins.tell(&Frame::Hello(hello.clone())).await;
-        assert!(!joins.frames().await.iter().any(is_table));
-        let mut other = Script::join(&host);
+        let mut joining = ScriptedPeer::join(&host);
+        joining.send(&Frame::Hello(hello.clone())).await;
+        assert!(!joining.frames().await.iter().any(has_all_servers));
+        let mut other = ScriptedPeer::join(&host);
         let hello = Hello {
             vm: entry("knows others"),
             servers_digest: hello.servers_digest.map(|digest| digest + 1),
             ..hello
         };
-        other.tell(&Frame::Hello(hello)).await;
-        assert!(other.frames().await.iter().any(is_table));
+        other.send(&Frame::Hello(hello)).await;
+        assert!(other.frames().await.iter().any(has_all_servers));
     });
 }
 
 /// Guards against a transfer that begins anew each time its link breaks.
 #[test]
 fn a_transfer_that_was_broken_off_goes_on_where_it_stopped() {
-    play(async {
+    simulate(async {
         let (mut fleet, host) = fleet_of_two().await;
         let hello = hello_like(&host);
         fleet.add_routes(1400);
-        fleet.in_force(LISTEN).await;
-        let mut joins = Script::join(&host);
+        fleet.wait_until_in_force(LISTEN_TIME).await;
+        let mut joining = ScriptedPeer::join(&host);
         let arrived = Arrived {
             from: Some(1),
             to: 2,
@@ -173,16 +174,16 @@
             arrived: Some(arrived),
             ..hello
         };
-        joins.tell(&Frame::Hello(hello)).await;
+        joining.send(&Frame::Hello(hello)).await;
         let rest = [(Some(1), 2, 4), (Some(1), 2, 5)];
-        assert_eq!(parts(&joins.frames().await), rest);
+        assert_eq!(parts(&joining.frames().await), rest);
     });
 }
 
-/// Guards against frames that a VM of the release before can't read, while a fleet is replaced VM by VM.
+/// Guards against frames that a VM of the previous release can't decode, while a fleet is replaced VM by VM.
 #[test]
-fn a_vm_of_the_release_before_is_told_in_its_own_frames() {
-    play(async {
+fn a_vm_of_the_release_before_gets_frames_that_it_understands() {
+    simulate(async {
         let (mut fleet, host) = fleet_of_two().await;
         let position = host.context.position(Collection::Configuration);
         let vm = serde_json::to_string(&entry("before")).unwrap();
@@ -190,12 +191,12 @@
             r#"{{"Hello":{{"vm":{vm},"configuration":{},"servers":null,"below":0}}}}"#,
             position.unwrap()
         );
-        let mut joins = Script::join(&host);
-        joins.write.write_all(hello.as_bytes()).await.unwrap();
-        joins.write.write_all(b"\n").await.unwrap();
-        let mut frames = joins.frames().await;
-        fleet.change_one();
-        frames.extend(joins.frames().await);
+        let mut joining = ScriptedPeer::join(&host);
+        joining.write.write_all(hello.as_bytes()).await.unwrap();
+        joining.write.write_all(b"\n").await.unwrap();
+        let mut frames = joining.frames().await;
+        fleet.change_one_route();
+        frames.extend(joining.frames().await);
         let versions = frames.iter().filter_map(|frame| match frame {
             Frame::Configuration(configuration) => Some(configuration.version),
             Frame::NewerVersion(_) | Frame::Part(_) | Frame::Alive => panic!("{frame:?}"),
@@ -205,10 +206,10 @@
     });
 }
 
-/// A network in which every VM is the script of a test.
-struct Scripted(std::cell::RefCell<Vec<LinkEnd>>);
+/// A network in which every VM is a peer scripted by the test.
+struct ScriptedNetwork(std::cell::RefCell<Vec<LinkEnd>>);
 
-impl Dial for Scripted {
+impl Dial for ScriptedNetwork {
     type Link = LinkEnd;
 
     async fn dial(&self, _: SocketAddr) -> std::io::Result<LinkEnd> {
@@ -217,29 +218,30 @@
     }
 }
 
-/// Follows a script as a VM that knows what `host` does; returns the script and the VM's task.
-fn follow(host: &Rc<Host>) -> (Script, tokio::task::JoinHandle<String>) {
+/// Follows a scripted peer as a VM that knows what `host` does; returns the peer and the VM's task.
+fn follow_script(host: &Rc<Host>) -> (ScriptedPeer, tokio::task::JoinHandle<String>) {
     let nic = Rc::new(Nic::of(200));
     let (own, other) = pipe::connect(&nic, &nic, Duration::ZERO);
-    let network = Scripted(vec![own].into());
+    let network = ScriptedNetwork(vec![own].into());
     let host = host.clone();
     let following = tokio::task::spawn_local(async move {
         let (own, feeder) = (entry("follows"), entry("script"));
-        let ended = follower::follow(&host.context, &host.pulse, &own, &feeder, &network).await;
+        let ended =
+            follower::follow(&host.context, &host.store_access, &own, &feeder, &network).await;
         ended.why.label().to_owned()
     });
-    (Script::of(other), following)
+    (ScriptedPeer::of(other), following)
 }
 
-async fn hello_of(script: &mut Script) -> Hello {
-    let line = script.lines.next(LISTEN).await.unwrap().unwrap();
+async fn read_hello(script: &mut ScriptedPeer) -> Hello {
+    let line = script.lines.next(LISTEN_TIME).await.unwrap().unwrap();
     match serde_json::from_slice(line).unwrap() {
         Frame::Hello(hello) => hello,
         frame => panic!("{frame:?}"),
     }
 }
 
-fn standing(host: &Host) -> Frame {
+fn status_like(host: &Host) -> Frame {
     Frame::Status(SyncStatus {
         configuration: host.context.position(Collection::Configuration),
         servers: host.context.position(Collection::BackendServers),
@@ -249,55 +251,56 @@
     })
 }
 
-/// Guards against a VM that does not understand a feeder of the release before.
+/// Guards against a VM that does not understand a feeder of the previous release.
 #[test]
-fn a_configuration_told_whole_by_a_vm_of_the_release_before_is_taken_in() {
-    play(async {
+fn a_whole_configuration_from_a_vm_of_the_release_before_is_put_in_force() {
+    simulate(async {
         let (fleet, host) = fleet_of_two().await;
-        let (mut feeder, _following) = follow(&host);
-        hello_of(&mut feeder).await;
-        feeder.tell(&standing(&host)).await;
-        feeder.tell(&Frame::SnapshotEnd).await;
+        let (mut feeder, _following) = follow_script(&host);
+        read_hello(&mut feeder).await;
+        feeder.send(&status_like(&host)).await;
+        feeder.send(&Frame::SnapshotEnd).await;
         let whole = configuration(9, &fleet.routes);
-        feeder.tell(&Frame::Configuration(Box::new(whole))).await;
+        feeder.send(&Frame::Configuration(Box::new(whole))).await;
         feeder.frames().await;
         assert_eq!(host.context.active_configuration.version(), Some(9));
     });
 }
 
-/// Guards against a VM that forgets what had arrived when its link broke, and against one that takes parts of another change for the rest.
+/// Guards against a VM that drops the parts that had arrived when its link broke, and against one that adds parts of
+/// another change to them.
 #[test]
 fn what_arrived_of_a_configuration_is_kept_over_a_broken_link_and_nothing_else_is_added_to_it() {
-    play(async {
+    simulate(async {
         let (fleet, host) = fleet_of_two().await;
         let old = host.context.configuration().unwrap();
         let more = crate::configurations::routes(&mut fastrand::Rng::with_seed(7), 700);
         let all: Vec<_> = fleet.routes.iter().cloned().chain(more).collect();
         let change = ConfigurationChange::between(&old, &configuration(7, &all));
-        let told = |range: std::ops::Range<usize>| change.parts()[range].to_vec();
+        let parts_at = |range: std::ops::Range<usize>| change.parts()[range].to_vec();
 
-        let (mut feeder, following) = follow(&host);
-        assert_eq!(hello_of(&mut feeder).await.arrived, None);
-        for part in told(0..2) {
-            feeder.tell(&Frame::Part(Box::new(part))).await;
+        let (mut feeder, following) = follow_script(&host);
+        assert_eq!(read_hello(&mut feeder).await.arrived, None);
+        for part in parts_at(0..2) {
+            feeder.send(&Frame::Part(Box::new(part))).await;
         }
         feeder.frames().await;
         drop(feeder);
         following.await.unwrap();
 
-        let (mut feeder, following) = follow(&host);
-        let arrived = hello_of(&mut feeder).await.arrived.unwrap();
+        let (mut feeder, following) = follow_script(&host);
+        let arrived = read_hello(&mut feeder).await.arrived.unwrap();
         assert_eq!((arrived.from, arrived.to, arrived.parts), (Some(1), 7, 2));
         let other = ConfigurationChange::between(&old, &configuration(8, &all));
         let wrong = other.parts().swap_remove(2);
-        feeder.tell(&Frame::Part(Box::new(wrong))).await;
+        feeder.send(&Frame::Part(Box::new(wrong))).await;
         assert_eq!(following.await.unwrap(), "out_of_step");
 
-        let (mut feeder, _following) = follow(&host);
-        let hello = hello_of(&mut feeder).await;
+        let (mut feeder, _following) = follow_script(&host);
+        let hello = read_hello(&mut feeder).await;
         assert_eq!((hello.version, hello.arrived), (None, None));
         for part in ConfigurationChange::whole(&configuration(8, &all)).parts() {
-            feeder.tell(&Frame::Part(Box::new(part))).await;
+            feeder.send(&Frame::Part(Box::new(part))).await;
         }
         feeder.frames().await;
         assert_eq!(host.context.active_configuration.version(), Some(8));
--- a/crates/kingcuploft-entry/tests/links/main.rs
+++ b/crates/kingcuploft-entry/tests/links/main.rs
@@ -1,5 +1,5 @@
-//! Entry VMs on links that carry so many bytes a second, in virtual time: all code is the product's, the network and the
-//! store are played.
+//! Entry VMs on links of limited bandwidth, in virtual time. All of the VMs' code is the product's; the network and the
+//! store are simulated.
 
 use kingcuploft_simulation::{link as pipe, store};
 
--- a/crates/kingcuploft-entry/tests/links/network.rs
+++ b/crates/kingcuploft-entry/tests/links/network.rs
@@ -1,4 +1,4 @@
-//! The network of the VMs, and the store as one VM reaches it.
+//! The simulated network of the VMs, and the store as one VM reaches it over its own link.
 
 use std::cell::{Cell, RefCell};
 use std::io::{Error, ErrorKind};
@@ -22,35 +22,35 @@
 use crate::pipe::{self, LinkEnd, Nic};
 use crate::store::TestStore;
 
-/// How long bytes take from one VM to another.
-const DELAY: Duration = Duration::from_millis(1);
+/// The one-way latency between two VMs.
+const LINK_DELAY: Duration = Duration::from_millis(1);
 
-/// How long a client of the store waits for an answer beyond what it asked for.
-const STORE_PATIENCE: Duration = Duration::from_secs(2);
+/// How long a client of the store waits for an answer beyond the wait of a watch.
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the store takes to answer.
+/// The latency of the store.
 const STORE_DELAY: Duration = Duration::from_millis(4);
 
-/// What the network knows of a VM.
+/// A running VM as the network knows it.
 pub(crate) struct Host {
     pub(crate) context: Rc<Context>,
-    pub(crate) pulse: Rc<StoreAccess>,
+    pub(crate) store_access: Rc<StoreAccess>,
     pub(crate) nic: Rc<Nic>,
-    /// Its tasks; none runs after a loss of power.
+    /// Its tasks, which are aborted when it loses power.
     pub(crate) tasks: RefCell<Vec<AbortHandle>>,
 }
 
-/// All VMs, by the port of their address.
+/// The VMs by index, which is the port of their address minus one; none for a VM without power.
 #[derive(Clone, Default)]
 pub(crate) struct Network(pub(crate) Rc<RefCell<Vec<Option<Rc<Host>>>>>);
 
 impl Network {
-    pub(crate) fn host(&self, at: usize) -> Option<Rc<Host>> {
-        self.0.borrow().get(at).cloned().flatten()
+    pub(crate) fn host(&self, index: usize) -> Option<Rc<Host>> {
+        self.0.borrow().get(index).cloned().flatten()
     }
 }
 
-/// The network as one VM sees it.
+/// Opens links from one VM.
 #[derive(Clone)]
 pub(crate) struct Dialer {
     pub(crate) network: Network,
@@ -60,7 +60,7 @@
 /// How many datagrams in a thousand are lost.
 const LOST_PER_MILLE: u32 = 20;
 
-/// The socket of one VM to the others.
+/// Sends datagrams from one VM to others.
 #[derive(Clone)]
 pub(crate) struct Datagrams {
     pub(crate) network: Network,
@@ -74,61 +74,61 @@
 }
 
 impl PeerSender for Datagrams {
-    fn send(&self, told: &PeerMessage, others: &[SocketAddr]) {
-        for other in others {
-            let (network, from, told) = (self.network.clone(), self.from, told.clone());
+    fn send(&self, message: &PeerMessage, addresses: &[SocketAddr]) {
+        for other in addresses {
+            let (network, from, message) = (self.network.clone(), self.from, message.clone());
             let to = usize::from(other.port()) - 1;
             if fastrand::u32(0..1000) < LOST_PER_MILLE {
                 continue;
             }
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(DELAY).await;
+                tokio::time::sleep(LINK_DELAY).await;
                 let (Some(from_host), Some(host)) = (network.host(from), network.host(to)) else {
                     return;
                 };
                 if !from_host.nic.is_cut.get() && !host.nic.is_cut.get() {
-                    load_reports::handle_message(&host.context, &told, address(from));
+                    load_reports::handle_message(&host.context, &message, address(from));
                 }
             });
         }
     }
 }
 
-/// Returns the address of the VM at a place.
-pub(crate) fn address(at: usize) -> SocketAddr {
-    ([127, 0, 0, 1], 1 + at as u16).into()
+/// Returns the address of the VM at an index.
+pub(crate) fn address(index: usize) -> SocketAddr {
+    ([127, 0, 0, 1], 1 + index as u16).into()
 }
 
 impl Dial for Dialer {
     type Link = LinkEnd;
 
     async fn dial(&self, address: SocketAddr) -> std::io::Result<LinkEnd> {
-        tokio::time::sleep(2 * DELAY).await;
+        tokio::time::sleep(2 * LINK_DELAY).await;
         let to = self.network.host(usize::from(address.port()) - 1);
         let (Some(to), Some(from)) = (to, self.network.host(self.from)) else {
             return Err(Error::from(ErrorKind::ConnectionRefused));
         };
         while to.nic.is_cut.get() || from.nic.is_cut.get() {
-            tokio::time::sleep(10 * DELAY).await;
+            tokio::time::sleep(10 * LINK_DELAY).await;
         }
-        let (own, other) = pipe::connect(&from.nic, &to.nic, DELAY);
-        let (context, pulse) = (to.context.clone(), to.pulse.clone());
+        let (own, other) = pipe::connect(&from.nic, &to.nic, LINK_DELAY);
+        let (context, store_access) = (to.context.clone(), to.store_access.clone());
         let answering = tokio::task::spawn_local(async move {
-            let _ = feeder::handle_connection(&context, &pulse, other).await;
+            let _ = feeder::handle_connection(&context, &store_access, other).await;
         });
         to.tasks.borrow_mut().push(answering.abort_handle());
         Ok(own)
     }
 }
 
-/// The store as one VM reaches it: over its own link.
+/// The store as one VM reaches it: answers arrive over the VM's own link.
 pub(crate) struct LinkedStore {
     pub(crate) store: TestStore,
     pub(crate) nic: Rc<Nic>,
-    /// The bytes of the configuration as the store writes it.
+    /// The size of the configuration in the store's answer.
     pub(crate) configuration_bytes: Rc<Cell<usize>>,
-    /// Until when the answer arrives that is the last to do so.
-    pub(crate) receives_until: Cell<Instant>,
+    /// When the last of the store's answers has arrived.
+    pub(crate) receiving_until: Cell<Instant>,
 }
 
 impl LinkedStore {
@@ -141,7 +141,7 @@
             | Collection::Evacuations => 300 * changes,
         };
         let arrives = self.nic.receive(bytes, Instant::now() + STORE_DELAY);
-        self.receives_until.set(arrives);
+        self.receiving_until.set(arrives);
         tokio::time::sleep_until(arrives).await;
         while self.nic.is_cut.get() {
             tokio::time::sleep(STORE_DELAY).await;
@@ -169,7 +169,7 @@
 
     fn last_received_at(&self, _: Collection) -> Option<std::time::Instant> {
         let now = Instant::now();
-        (now < self.receives_until.get()).then(|| now.into_std())
+        (now < self.receiving_until.get()).then(|| now.into_std())
     }
 
     async fn write_zone_record(
@@ -198,7 +198,7 @@
         wait: Duration,
     ) -> Result<Changes, StoreError> {
         let watching = self.store.watch(collection, from, wait);
-        let watched = tokio::time::timeout(wait + STORE_PATIENCE, watching).await;
+        let watched = tokio::time::timeout(wait + STORE_TIMEOUT, watching).await;
         let changes = watched.map_err(|_| StoreError::NoAnswer("timeout".into()))??;
         self.receive(collection, changes.changes.len().min(1)).await;
         Ok(changes)
--- a/crates/kingcuploft-entry/tests/links/notices.rs
+++ b/crates/kingcuploft-entry/tests/links/notices.rs
@@ -1,4 +1,4 @@
-//! What a VM has seen is told through the store, also after a long outage.
+//! Notices of a VM reach the store, also after a long outage.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,21 +12,22 @@
 use kingcuploft_entry::store_access::StoreAccess;
 use kingcuploft_entry::store_liveness;
 
-use crate::fleet::{play, settings};
+use crate::fleet::{settings, simulate};
 use crate::network::address;
 use crate::store::TestStore;
 use kingcuploft_simulation::header_names::HEADER_NAMES;
 
-/// Longer than any write is tried for.
+/// Longer than any write is retried.
 const OUTAGE: Duration = Duration::from_secs(120);
 
-/// When a VM counts as in touch again after an outage.
-const IN_TOUCH: Duration = Duration::from_secs(3);
+/// How long a VM may take to write to the store again after an outage.
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// Guards against a request that goes on crashing servers once the store is back, as the reports of it were given up.
+/// Guards against a request that goes on crashing servers after an outage of the store, because the reports of its
+/// crashes were dropped during the outage.
 #[test]
 fn a_report_is_written_when_the_store_is_back_however_long_it_was_away() {
-    play(async {
+    simulate(async {
         let store = TestStore::default();
         let vm = VmEntry {
             name: "vm".into(),
@@ -35,12 +36,13 @@
             cpu_milli: 200,
         };
         let context = Rc::new(Context::new(settings(&vm, false), HEADER_NAMES));
-        let pulse = Rc::new(StoreAccess::default());
+        let store_access = Rc::new(StoreAccess::default());
         let waiting = context.notice_writes.open_queue();
         let client = Rc::new(store.clone());
-        let feeling = store_liveness::monitor(context.clone(), client.clone(), pulse.clone());
-        tokio::task::spawn_local(feeling);
-        let writing = notices::write_to_store(context.clone(), client, pulse, waiting);
+        let watching =
+            store_liveness::monitor(context.clone(), client.clone(), store_access.clone());
+        tokio::task::spawn_local(watching);
+        let writing = notices::write_to_store(context.clone(), client, store_access, waiting);
         tokio::task::spawn_local(writing);
         store.1.set(true);
         tokio::time::sleep(Duration::from_secs(1)).await;
@@ -59,7 +61,7 @@
             .send(NoticeWrite::Create(Notice::Crash(report)));
         tokio::time::sleep(OUTAGE).await;
         store.1.set(false);
-        tokio::time::sleep(IN_TOUCH).await;
+        tokio::time::sleep(RECOVERY_TIME).await;
         assert_eq!(store.0.notices.borrow().len(), 1);
     });
 }
--- a/crates/kingcuploft-entry/tests/links/repeats.rs
+++ b/crates/kingcuploft-entry/tests/links/repeats.rs
@@ -1,4 +1,4 @@
-//! Repeats of all VMs together, while servers refuse what they get and VMs are killed.
+//! The repeats of all VMs together stay within their budget while servers refuse requests and VMs are killed.
 
 use std::time::Duration;
 
@@ -7,47 +7,47 @@
 use kingcuploft::world::ids::ServiceName;
 use tokio::time::Instant;
 
-use crate::fleet::{Fleet, Links, play};
+use crate::fleet::{Fleet, Links, simulate};
 
 const LINKS: Links = Links {
     large_mbit: 200,
     small_mbit: 200,
 };
 
-/// The share of sends that the servers refuse.
-const REFUSED: f64 = 0.6;
+/// The share of attempts that the servers refuse.
+const REFUSED_SHARE: f64 = 0.6;
 
-/// How often a request may be sent.
+/// The most attempts of a request.
 const MOST_SENDS: u32 = 3;
 
-/// For how long a VM that was killed is away.
-const AWAY: Duration = Duration::from_millis(500);
+/// How long a killed VM stays down.
+const DOWNTIME: Duration = Duration::from_millis(500);
 
 /// How long the servers refuse.
-const LASTS: Duration = Duration::from_secs(30);
+const REFUSAL_PERIOD: Duration = Duration::from_secs(30);
 
-/// What is played.
+/// What is simulated.
 #[derive(Clone, Copy)]
-struct Play {
+struct Scenario {
     /// How many VMs each zone has.
     zones: &'static [usize],
     /// Requests a second, of all callers.
     per_s: u32,
-    /// Repeats allowed beside the share of the requests.
+    /// The repeats allowed in addition to the share of the requests.
     allowance: f64,
-    /// The share of the VMs that is killed, and when.
+    /// The shares of the VMs that are killed, and when.
     kills: &'static [(f64, Duration)],
     seed: u64,
 }
 
-/// When requests came and when one was sent once more, from the begin of the refusals.
+/// When requests arrived and when requests were repeated, counted from the start of the refusals.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     requests: Vec<Duration>,
     repeats: Vec<Duration>,
 }
 
-impl Play {
+impl Scenario {
     fn bounds(&self) -> RepeatBounds {
         RepeatBounds {
             ratio: 0.2,
@@ -58,74 +58,80 @@
 
     fn power_on(&self, fleet: &Fleet, vm: usize) {
         fleet.power_on(vm, false);
-        self.bind(fleet, vm);
+        self.set_bounds(fleet, vm);
     }
 
-    fn bind(&self, fleet: &Fleet, vm: usize) {
+    fn set_bounds(&self, fleet: &Fleet, vm: usize) {
         let host = fleet.network.host(vm).expect("it has power");
         let mut bounds = host.context.bounds.get();
         bounds.repeats = self.bounds();
         host.context.bounds.set(bounds);
     }
 
-    /// Plays callers, servers that refuse, and VMs that are killed.
-    async fn seen(&self) -> Seen {
+    /// Simulates callers, servers that refuse requests, and VMs that are killed and restarted.
+    async fn run(&self) -> Observed {
         let fleet = Fleet::start(self.zones, LINKS, 5, self.seed).await;
-        (0..fleet.len()).for_each(|vm| self.bind(&fleet, vm));
+        (0..fleet.len()).for_each(|vm| self.set_bounds(&fleet, vm));
         let mut rng = Rng::with_seed(self.seed);
         let mut kills = self.kills.iter().peekable();
-        let mut away: Vec<(Instant, usize)> = Vec::new();
-        let begun = Instant::now();
-        let mut seen = Seen::default();
-        while begun.elapsed() < LASTS {
-            if let Some((share, _)) = kills.next_if(|(_, at)| begun.elapsed() >= *at) {
+        let mut powered_off: Vec<(Instant, usize)> = Vec::new();
+        let started_at = Instant::now();
+        let mut observed = Observed::default();
+        while started_at.elapsed() < REFUSAL_PERIOD {
+            if let Some((share, _)) = kills.next_if(|(_, at)| started_at.elapsed() >= *at) {
                 let count = (share * fleet.len() as f64) as usize;
                 for vm in rng.choose_multiple(0..fleet.len(), count) {
                     fleet.power_off(vm);
-                    away.push((Instant::now() + AWAY, vm));
+                    powered_off.push((Instant::now() + DOWNTIME, vm));
                 }
             }
-            away.retain(|(until, vm)| {
-                let is_back = Instant::now() >= *until;
-                if is_back {
+            powered_off.retain(|(until, vm)| {
+                let is_due = Instant::now() >= *until;
+                if is_due {
                     self.power_on(&fleet, *vm);
                 }
-                !is_back
+                !is_due
             });
-            self.one_request(&fleet, &mut rng, begun, &mut seen);
+            self.send_request(&fleet, &mut rng, started_at, &mut observed);
             tokio::time::sleep(Duration::from_secs(1) / self.per_s).await;
         }
-        seen
+        observed
     }
 
-    fn one_request(&self, fleet: &Fleet, rng: &mut Rng, begun: Instant, seen: &mut Seen) {
+    fn send_request(
+        &self,
+        fleet: &Fleet,
+        rng: &mut Rng,
+        started_at: Instant,
+        observed: &mut Observed,
+    ) {
         let service: ServiceName = "trip".into();
-        seen.requests.push(begun.elapsed());
+        observed.requests.push(started_at.elapsed());
         let Some(host) = fleet.network.host(rng.usize(0..fleet.len())) else {
             return;
         };
         let now = Instant::now().into_std();
         host.context.count_request(now, &service);
         let mut sends = 1;
-        while sends < MOST_SENDS && rng.f64() < REFUSED {
+        while sends < MOST_SENDS && rng.f64() < REFUSED_SHARE {
             if !host.context.take_repeat(now, &service) {
                 return;
             }
-            seen.repeats.push(begun.elapsed());
+            observed.repeats.push(started_at.elapsed());
             sends += 1;
         }
     }
 
-    /// Fails if there are more repeats in a window than all VMs may make together.
-    fn check(&self, seen: &Seen) {
+    /// Fails if any window has more repeats than all VMs together may make.
+    fn check(&self, observed: &Observed) {
         let bounds = self.bounds();
         for from in (0..200).map(|step| Duration::from_millis(100) * step) {
-            let repeats = count(&seen.repeats, from, bounds.window);
+            let repeats = count(&observed.repeats, from, bounds.window);
             let before = [bounds.window, bounds.window / 2, Duration::ZERO];
             let requests = before
                 .iter()
                 .filter_map(|earlier| from.checked_sub(*earlier));
-            let requests = requests.map(|at| count(&seen.requests, at, bounds.window));
+            let requests = requests.map(|at| count(&observed.requests, at, bounds.window));
             let requests = requests.max().unwrap_or_default();
             let allowed = bounds.ratio * requests as f64 + bounds.allowance;
             assert!(
@@ -142,25 +148,25 @@
     within.filter(|at| **at < from + window).count()
 }
 
-const KILLS: [(f64, Duration); 4] = [
+const FOUR_KILLS: [(f64, Duration); 4] = [
     (0.6, Duration::from_millis(2000)),
     (0.6, Duration::from_millis(4000)),
     (0.6, Duration::from_millis(6000)),
     (0.6, Duration::from_millis(8000)),
 ];
 
-const KILLED_TWICE: [(f64, Duration); 2] = [
+const TWO_KILLS: [(f64, Duration); 2] = [
     (0.6, Duration::from_millis(5000)),
     (0.6, Duration::from_millis(9000)),
 ];
 
-const ALL_KILLED_TWICE: [(f64, Duration); 2] = [
+const TWO_KILLS_OF_ALL: [(f64, Duration); 2] = [
     (1.0, Duration::from_millis(4000)),
     (1.0, Duration::from_millis(8000)),
 ];
 
 /// Nineteen VMs, none of which is killed.
-const CALM: Play = Play {
+const NO_KILLS: Scenario = Scenario {
     zones: &[6, 5, 5, 3],
     per_s: 48,
     allowance: 64.0,
@@ -168,76 +174,85 @@
     seed: 1,
 };
 
-/// Guards against a VM that forgets, when it restarts, what it has used of the budget of repeats.
+/// Guards against a VM that loses what it has used of the budget of repeats when it restarts.
 #[test]
 fn vms_killed_again_and_again_stay_within_the_budget_of_repeats() {
     for seed in 1..=3 {
-        play(async {
-            let played = Play {
-                kills: &KILLS,
+        simulate(async {
+            let scenario = Scenario {
+                kills: &FOUR_KILLS,
                 seed,
-                ..CALM
+                ..NO_KILLS
             };
-            played.check(&played.seen().await);
+            scenario.check(&scenario.run().await);
         });
     }
 }
 
-/// Guards against a bound that is kept by leaving callers without the repeats that are left.
+/// Guards against a bound that is kept by denying callers the repeats that are left.
 #[test]
 fn vms_that_come_back_go_on_with_what_is_left_of_the_budget_of_repeats() {
     for seed in 1..=3 {
-        play(async {
-            let calm = Play { seed, ..CALM };
-            let killed = Play {
-                kills: &KILLED_TWICE,
-                ..calm
+        simulate(async {
+            let undisturbed = Scenario { seed, ..NO_KILLS };
+            let killed = Scenario {
+                kills: &TWO_KILLS,
+                ..undisturbed
             };
-            let first =
-                |seen: &Seen| count(&seen.repeats, Duration::ZERO, 2 * calm.bounds().window);
-            let (calm, killed) = (first(&calm.seen().await), first(&killed.seen().await));
-            assert!(10 * killed >= 9 * calm, "{killed} of {calm}, seed {seed}");
+            let first = |observed: &Observed| {
+                count(
+                    &observed.repeats,
+                    Duration::ZERO,
+                    2 * undisturbed.bounds().window,
+                )
+            };
+            let (undisturbed, killed) =
+                (first(&undisturbed.run().await), first(&killed.run().await));
+            assert!(
+                10 * killed >= 9 * undisturbed,
+                "{killed} of {undisturbed}, seed {seed}"
+            );
         });
     }
 }
 
-/// Guards against a fleet that has forgotten all and begins its allowance anew.
+/// Guards against a fleet that loses all its state at once and gets its whole allowance anew.
 #[test]
 fn vms_killed_all_at_once_stay_within_the_budget_of_repeats() {
     for seed in 1..=3 {
-        play(async {
-            let played = Play {
-                kills: &ALL_KILLED_TWICE,
+        simulate(async {
+            let scenario = Scenario {
+                kills: &TWO_KILLS_OF_ALL,
                 seed,
-                ..CALM
+                ..NO_KILLS
             };
-            played.check(&played.seen().await);
+            scenario.check(&scenario.run().await);
         });
     }
 }
 
-/// The same as for nineteen VMs, where records name only some of them.
+/// Guards against the loss of used budget in a fleet so large that the zones' records name only some of the VMs.
 #[test]
 fn a_hundred_vms_killed_again_and_again_stay_within_the_budget_of_repeats() {
-    play(async {
-        let played = Play {
+    simulate(async {
+        let scenario = Scenario {
             zones: &[34, 30, 30, 21],
             per_s: 280,
             allowance: 184.0,
-            kills: &KILLS,
+            kills: &FOUR_KILLS,
             seed: 1,
         };
-        played.check(&played.seen().await);
+        scenario.check(&scenario.run().await);
     });
 }
 
-/// Without this the tests above could hold for a budget that nobody uses.
+/// Checks that the budget is used: the tests above would also pass if no VM ever repeated.
 #[test]
 fn vms_that_run_on_use_most_of_the_budget_of_repeats() {
-    play(async {
-        let seen = CALM.seen().await;
-        CALM.check(&seen);
-        let used = count(&seen.repeats, Duration::ZERO, Duration::from_secs(10));
+    simulate(async {
+        let observed = NO_KILLS.run().await;
+        NO_KILLS.check(&observed);
+        let used = count(&observed.repeats, Duration::ZERO, Duration::from_secs(10));
         let allowed = 0.2 * 480.0 + 64.0;
         assert!(used as f64 >= 0.7 * allowed, "{used} of {allowed}");
     });
--- a/crates/kingcuploft-entry/tests/links/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/links/rewinds.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from a copy: what all VMs believe meanwhile, and what it costs.
+//! A store that is restored from an older copy: what all VMs hold meanwhile, and what it costs the store.
 
 use std::time::Duration;
 
@@ -6,24 +6,24 @@
 use kingcuploft::entry::notice::Notice;
 use kingcuploft_entry::store::Store;
 
-use crate::fleet::{Fleet, Links, play, server};
+use crate::fleet::{Fleet, Links, server, simulate};
 
 const LINKS: Links = Links {
     large_mbit: 200,
     small_mbit: 10,
 };
 
-/// How long VMs may take to know what the store tells.
-const KNOWN: Duration = Duration::from_millis(1_500);
+/// How long a change in the store may take to reach all VMs.
+const MAX_PROPAGATION: Duration = Duration::from_millis(1_500);
 
 /// How soon servers and the operator write again what the copy lacks.
-const WRITTEN_AGAIN: Duration = Duration::from_millis(1_200);
+const REWRITE_DELAY: Duration = Duration::from_millis(1_200);
 
-/// When a VM that has started anew counts as in touch.
-const IN_TOUCH: Duration = Duration::from_secs(3);
+/// How long a VM that starts may take to synchronize.
+const START_TIME: Duration = Duration::from_secs(3);
 
-/// Longer than anything is believed that nobody writes again.
-const SETTLED: Duration = Duration::from_secs(12);
+/// Longer than a VM keeps state that the store has lost and nobody writes again.
+const EXPIRY_TIME: Duration = Duration::from_secs(12);
 
 fn report(fingerprint: u64, server: &str) -> Notice {
     Notice::Crash(CrashReport {
@@ -33,107 +33,123 @@
     })
 }
 
-/// Returns how many VMs there are of which something does not hold.
-fn but(fleet: &Fleet, holds: impl Fn(&kingcuploft_entry::context::Context) -> bool) -> usize {
+/// Returns for how many VMs a condition does not hold.
+fn count_without(
+    fleet: &Fleet,
+    holds: impl Fn(&kingcuploft_entry::context::Context) -> bool,
+) -> usize {
     let hosts = (0..fleet.len()).filter_map(|at| fleet.network.host(at));
     hosts.filter(|host| !holds(&host.context)).count()
 }
 
-fn uses(fleet: &Fleet, name: &str) -> usize {
-    fleet.len() - but(fleet, |context| context.upstream(name).is_some())
+fn count_using(fleet: &Fleet, name: &str) -> usize {
+    fleet.len() - count_without(fleet, |context| context.upstream(name).is_some())
 }
 
-async fn comes_back(zones: &[usize]) {
+async fn check_rewind(zones: &[usize]) {
     let mut fleet = Fleet::start(zones, LINKS, 100, 3).await;
     let store = fleet.store.clone();
     store.0.write_backend_server(server("old"));
     store.0.write_backend_server(server("leaves"));
-    tokio::time::sleep(KNOWN).await;
-    let copy = store.0.snapshot();
+    tokio::time::sleep(MAX_PROPAGATION).await;
+    let snapshot = store.0.snapshot();
     store.0.write_backend_server(server("young"));
     store.0.remove_backend_server("leaves");
     store.0.set_evacuated("zone-1", true);
     store.create_notice(&report(7, "young")).await.unwrap();
-    fleet.change_one();
-    tokio::time::sleep(KNOWN).await;
-    assert!(fleet.behind().is_empty());
-    let (lists, records) = (store.0.list_calls.get(), store.0.zone_write_calls.get());
-    let newest = store.0.configuration.borrow().clone().unwrap();
-    store.0.rewind(copy);
-    tokio::time::sleep(WRITTEN_AGAIN).await;
-    let behind = fleet.behind();
+    fleet.change_one_route();
+    tokio::time::sleep(MAX_PROPAGATION).await;
+    assert!(fleet.outdated_vms().is_empty());
+    let (list_calls, write_calls) = (store.0.list_calls.get(), store.0.zone_write_calls.get());
+    let newest_configuration = store.0.configuration.borrow().clone().unwrap();
+    store.0.rewind(snapshot);
+    tokio::time::sleep(REWRITE_DELAY).await;
+    let outdated = fleet.outdated_vms();
     assert!(
-        behind.is_empty(),
-        "the configuration in force went back at {behind:?}"
+        outdated.is_empty(),
+        "the configuration in force went back at {outdated:?}"
     );
-    let all = fleet.len();
-    assert_eq!((uses(&fleet, "old"), uses(&fleet, "young")), (all, all));
-    assert_eq!(uses(&fleet, "leaves"), 0);
-    let evacuated = |context: &kingcuploft_entry::context::Context| {
+    let vm_count = fleet.len();
+    assert_eq!(
+        (count_using(&fleet, "old"), count_using(&fleet, "young")),
+        (vm_count, vm_count)
+    );
+    assert_eq!(count_using(&fleet, "leaves"), 0);
+    let knows_evacuation = |context: &kingcuploft_entry::context::Context| {
         context.evacuations.borrow().holds("zone-1")
     };
-    assert_eq!(but(&fleet, evacuated), 0);
+    assert_eq!(count_without(&fleet, knows_evacuation), 0);
     store.0.write_backend_server(server("young"));
     store.0.set_evacuated("zone-1", true);
-    store.0.write_configuration(newest);
-    tokio::time::sleep(SETTLED).await;
+    store.0.write_configuration(newest_configuration);
+    tokio::time::sleep(EXPIRY_TIME).await;
     store.0.remove_backend_server("leaves");
-    tokio::time::sleep(KNOWN).await;
-    assert_eq!((uses(&fleet, "old"), uses(&fleet, "young")), (all, all));
-    assert_eq!((uses(&fleet, "leaves"), but(&fleet, evacuated)), (0, 0));
-    let refused =
+    tokio::time::sleep(MAX_PROPAGATION).await;
+    assert_eq!(
+        (count_using(&fleet, "old"), count_using(&fleet, "young")),
+        (vm_count, vm_count)
+    );
+    assert_eq!(
+        (
+            count_using(&fleet, "leaves"),
+            count_without(&fleet, knows_evacuation)
+        ),
+        (0, 0)
+    );
+    let refuses_request =
         |context: &kingcuploft_entry::context::Context| context.quarantine.borrow().is_refused(7);
-    assert_eq!(but(&fleet, refused), 0);
+    assert_eq!(count_without(&fleet, refuses_request), 0);
     assert_eq!(
         store.0.notices.borrow().len(),
         1,
         "the report is in the store again"
     );
-    let lists = store.0.list_calls.get() - lists;
-    let records = store.0.zone_write_calls.get() - records;
+    let list_calls = store.0.list_calls.get() - list_calls;
+    let write_calls = store.0.zone_write_calls.get() - write_calls;
     assert!(
-        lists as usize <= 12 * zones.len() + 12,
-        "{lists} lists by {all} VMs"
+        list_calls as usize <= 12 * zones.len() + 12,
+        "{list_calls} list calls by {vm_count} VMs"
     );
     assert!(
-        records as usize <= 2 * zones.len(),
-        "{records} records by {all} VMs"
+        write_calls as usize <= 2 * zones.len(),
+        "{write_calls} zone writes by {vm_count} VMs"
     );
-    fleet.change_one();
-    tokio::time::sleep(KNOWN).await;
+    fleet.change_one_route();
+    tokio::time::sleep(MAX_PROPAGATION).await;
     assert!(
-        fleet.behind().is_empty(),
-        "a change after the copy is in force"
+        fleet.outdated_vms().is_empty(),
+        "a change after the rewind is in force"
     );
 }
 
-/// Guards against a configuration that goes back, servers that are lost or come back, and a rush of VMs at the store.
+/// Guards against a configuration that goes back, servers that are lost or used again, and a rush of all VMs to the
+/// store.
 #[test]
-fn vms_of_115_believe_what_was_accepted_when_the_store_comes_back_from_a_copy() {
-    play(comes_back(&[29, 29, 29, 28]));
+fn vms_of_115_keep_what_was_accepted_when_the_store_is_restored_from_a_copy() {
+    simulate(check_rewind(&[29, 29, 29, 28]));
 }
 
 #[test]
-fn vms_of_312_believe_what_was_accepted_when_the_store_comes_back_from_a_copy() {
-    play(comes_back(&[52; 6]));
+fn vms_of_312_keep_what_was_accepted_when_the_store_is_restored_from_a_copy() {
+    simulate(check_rewind(&[52; 6]));
 }
 
-/// Guards against a VM that starts just after and serves by the older configuration that the store has.
+/// Guards against a VM that starts just after the rewind and serves by the older configuration in the store.
 #[test]
 fn a_vm_that_starts_before_the_operator_writes_again_learns_the_configuration_of_the_others() {
-    play(async {
+    simulate(async {
         let mut fleet = Fleet::start(&[4, 4], LINKS, 100, 4).await;
-        let copy = fleet.store.0.snapshot();
-        fleet.change_one();
-        tokio::time::sleep(KNOWN).await;
-        fleet.store.0.rewind(copy);
-        tokio::time::sleep(KNOWN).await;
+        let snapshot = fleet.store.0.snapshot();
+        fleet.change_one_route();
+        tokio::time::sleep(MAX_PROPAGATION).await;
+        fleet.store.0.rewind(snapshot);
+        tokio::time::sleep(MAX_PROPAGATION).await;
         for at in 0..fleet.len() {
             fleet.power_off(at);
             tokio::time::sleep(Duration::from_millis(300)).await;
             fleet.power_on(at, false);
-            tokio::time::sleep(IN_TOUCH).await;
-            assert!(fleet.behind().is_empty(), "after VM {at} has started");
+            tokio::time::sleep(START_TIME).await;
+            assert!(fleet.outdated_vms().is_empty(), "after VM {at} has started");
         }
     });
 }
--- a/crates/kingcuploft-entry/tests/links/slopes.rs
+++ b/crates/kingcuploft-entry/tests/links/slopes.rs
@@ -1,16 +1,18 @@
-//! How long a change takes to the last VM, and what the busiest VM sends, by routes, VMs and links.
+//! Prints how long a change takes to reach the last VM, and what the busiest VM sends, by the number of routes and VMs
+//! and the bandwidth of links.
 
 use std::time::Duration;
 
-use crate::fleet::{Fleet, Links, play};
+use crate::fleet::{Fleet, Links, simulate};
 
-/// How long a change is waited for.
-const APPLY: Duration = Duration::from_secs(20);
+/// The most that a change may take to be in force everywhere.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a fleet rests between two changes.
-const REST: Duration = Duration::from_secs(2);
+/// The pause between two changes.
+const REST_TIME: Duration = Duration::from_secs(2);
 
-/// Takes half a minute, so it is run by hand: `cargo test --release -p kingcuploft-entry --test links -- --ignored --nocapture`.
+/// Takes half a minute and is run by hand: `cargo test --release -p kingcuploft-entry --test links -- --ignored
+/// --nocapture`.
 #[test]
 #[ignore = "by hand: prints a table"]
 fn slopes() {
@@ -22,33 +24,34 @@
             &[54, 56, 58, 45, 45, 54],
         ] {
             for mbit in [10, 20, 200] {
-                play(row(routes, zones, mbit));
+                simulate(print_row(routes, zones, mbit));
             }
         }
     }
 }
 
-async fn row(routes: usize, zones: &[usize], mbit: u32) {
+async fn print_row(routes: usize, zones: &[usize], mbit: u32) {
     let links = Links {
         large_mbit: mbit,
         small_mbit: mbit,
     };
     let mut fleet = Fleet::start(zones, links, 10, 1).await;
     let added = change(&mut fleet, |fleet| fleet.add_routes(routes)).await;
-    let one = change(&mut fleet, Fleet::change_one).await;
+    let one_change = change(&mut fleet, Fleet::change_one_route).await;
     let vms = fleet.len();
     println!(
         "{routes},{vms},{mbit},{},{},{},{}",
-        added.0, added.1, one.0, one.1
+        added.0, added.1, one_change.0, one_change.1
     );
 }
 
-/// Returns how many milliseconds pass from the first VM to the last, and the bytes that the busiest sends.
+/// Returns how many milliseconds pass from the first VM that has the change in force to the last, and how many bytes
+/// the busiest VM sends.
 async fn change(fleet: &mut Fleet, change: impl FnOnce(&mut Fleet)) -> (u128, usize) {
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(REST_TIME).await;
     let before = fleet.sent_bytes();
     change(fleet);
-    let (first, last) = fleet.in_force(APPLY).await;
+    let (first, last) = fleet.wait_until_in_force(APPLY_TIMEOUT).await;
     let sent = fleet.sent_bytes().into_iter().zip(before);
     let busiest = sent.map(|(after, before)| after - before).max();
     ((last - first).as_millis(), busiest.unwrap_or(0))
