--- a/crates/kingcuploft-entry/tests/entry/callers.rs
+++ b/crates/kingcuploft-entry/tests/entry/callers.rs
@@ -1,20 +1,20 @@
-//! Callers' connections: pipelined, chunked, ambiguous, left.
+//! Callers' connections: pipelined requests, bodies in chunks, ambiguous requests, callers that disconnect.
 
 use std::time::Duration;
 
-use crate::server::Act;
-use crate::world::{World, book, look, play, until};
+use crate::server::Behavior;
+use crate::testbed::{Testbed, booking, lookup, run_test, wait_until};
 
-/// Guards against pipelined lookups that wait for the work of those before them.
+/// Guards against pipelined lookups that wait until the ones before them have run.
 #[test]
 fn pipelined_requests_are_served_together_and_answered_in_order() {
-    play(async {
-        let slow = Act::After(Duration::from_millis(300));
-        let world = World::with(&[slow]).await;
-        let mut caller = world.caller().await;
-        let three = [look("r1"), look("r2"), look("r3")].concat();
+    run_test(async {
+        let slow = Behavior::AnswerAfter(Duration::from_millis(300));
+        let testbed = Testbed::with(&[slow]).await;
+        let mut caller = testbed.caller().await;
+        let three = [lookup("r1"), lookup("r2"), lookup("r3")].concat();
         caller.send(&three).await;
-        until(|| world.runs() == 3).await;
+        wait_until(|| testbed.run_count() == 3).await;
         for id in ["r1", "r2", "r3"] {
             let answer = caller.answer().await.unwrap();
             assert!(answer.has(&format!("x-id: {id}")), "{id}: {}", answer.head);
@@ -22,51 +22,51 @@
     });
 }
 
-/// A caller gives up. The server must not work on for nobody.
+/// Guards against a server that goes on working on a request whose caller has disconnected.
 #[test]
-fn the_work_of_a_caller_that_left_is_cancelled() {
-    play(async {
-        let world = World::with(&[Act::After(Duration::from_secs(8))]).await;
-        let mut caller = world.caller().await;
-        caller.send(&look("r1")).await;
-        until(|| world.runs() == 1).await;
+fn the_work_for_a_caller_that_disconnects_is_cancelled() {
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::AnswerAfter(Duration::from_secs(8))]).await;
+        let mut caller = testbed.caller().await;
+        caller.send(&lookup("r1")).await;
+        wait_until(|| testbed.run_count() == 1).await;
         drop(caller);
-        until(|| world.servers[0].cancelled.get() == 1).await;
-        assert_eq!(world.seen(), 1);
+        wait_until(|| testbed.servers[0].cancelled.get() == 1).await;
+        assert_eq!(testbed.received_count(), 1);
     });
 }
 
-/// Guards against a log that leaves out where a request stood when its caller left.
+/// Guards against an attempt that is not counted because its caller disconnected before it ended.
 #[test]
-fn an_attempt_that_is_open_when_the_caller_leaves_is_told() {
-    play(async {
-        let world = World::with(&[Act::Hang]).await;
-        let mut caller = world.caller().await;
-        caller.send(&look("r1")).await;
-        until(|| world.runs() == 1).await;
+fn an_attempt_that_is_open_when_the_caller_disconnects_is_counted() {
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Hang]).await;
+        let mut caller = testbed.caller().await;
+        caller.send(&lookup("r1")).await;
+        wait_until(|| testbed.run_count() == 1).await;
         drop(caller);
-        let told = || {
-            let counters = world.vm.context.metrics_text();
+        let is_counted = || {
+            let counters = testbed.vm.context.metrics_text();
             counters.contains("attempts_total{reason=\"cancelled\"} 1")
         };
-        until(told).await;
+        wait_until(is_counted).await;
     });
 }
 
 #[test]
 fn a_body_in_chunks_reaches_the_server_whole() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
         let request = "POST /book/a HTTP/1.1\r\nHost: a.example\r\nx-id: c1\r\n\
              Transfer-Encoding: chunked\r\n\r\n3\r\nbed\r\n4;x=y\r\ntime\r\n0\r\n\r\n";
-        let answer = world.ask(request).await;
+        let answer = testbed.ask(request).await;
         assert_eq!(answer.status, 200);
-        let seen = world.servers[0].seen.borrow()[0].clone();
+        let seen = testbed.servers[0].received.borrow()[0].clone();
         assert!(seen.text.ends_with("\r\n\r\nbedtime"), "{}", seen.text);
     });
 }
 
-/// A request whose length can be read in two ways carries a second one past a proxy.
+/// Guards against request smuggling: a request whose length can be read in two ways carries a second one past a proxy.
 #[test]
 fn ambiguous_requests_are_refused_and_reach_no_server() {
     let head = "POST /book/a HTTP/1.1\r\nHost: a.example\r\n";
@@ -79,24 +79,24 @@
         "GET /look/a HTTP/1.1\r\n\r\n".to_owned(),
         "nonsense\r\n\r\n".to_owned(),
     ];
-    play(async move {
-        let world = World::with(&[Act::Answer]).await;
+    run_test(async move {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
         for request in &bad {
-            let answer = world.ask(request).await;
+            let answer = testbed.ask(request).await;
             assert_eq!(answer.status, 400, "{request}");
             assert!(answer.has("connection: close"));
         }
-        assert_eq!(world.seen(), 0);
+        assert_eq!(testbed.received_count(), 0);
     });
 }
 
 #[test]
 fn a_head_that_is_too_long_is_refused() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
         let filler = "x".repeat(20_000);
         let request = format!("GET /look/a HTTP/1.1\r\nHost: a.example\r\nx-f: {filler}\r\n\r\n");
-        let mut caller = world.caller().await;
+        let mut caller = testbed.caller().await;
         caller.send(&request).await;
         assert_eq!(caller.answer().await.unwrap().status, 431);
     });
@@ -104,10 +104,10 @@
 
 #[test]
 fn a_connection_closes_behind_the_answer_if_the_caller_asks_for_it() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
-        let mut caller = world.caller().await;
-        let last = look("r1").replace("x-id", "Connection: close\r\nx-id");
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
+        let mut caller = testbed.caller().await;
+        let last = lookup("r1").replace("x-id", "Connection: close\r\nx-id");
         caller.send(&last).await;
         let answer = caller.answer().await.unwrap();
         assert_eq!(answer.status, 200);
@@ -117,10 +117,10 @@
 }
 
 #[test]
-fn a_caller_that_waits_for_leave_to_send_its_body_gets_it() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
-        let mut caller = world.caller().await;
+fn a_caller_that_expects_100_continue_gets_it() {
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
+        let mut caller = testbed.caller().await;
         let head = "POST /book/a HTTP/1.1\r\nHost: a.example\r\nx-id: e1\r\n\
              Expect: 100-continue\r\nContent-Length: 3\r\n\r\n";
         caller.send(head).await;
@@ -130,72 +130,79 @@
     });
 }
 
-/// Guards against a VM that takes more of a hanging server's connections than its share.
+/// Guards against a VM that opens more connections to a hanging server than its share.
 #[test]
 fn a_server_that_hangs_gets_no_more_connections_than_its_share() {
-    play(async {
-        let world = World::with(&[Act::Hang]).await;
-        world.vm.context.vm_count.set(1);
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Hang]).await;
+        testbed.vm.context.vm_count.set(1);
         let mut callers = Vec::new();
         for id in 0..40 {
-            let mut caller = world.caller().await;
-            caller.send(&look(&format!("r{id}"))).await;
+            let mut caller = testbed.caller().await;
+            caller.send(&lookup(&format!("r{id}"))).await;
             callers.push(caller);
         }
         for caller in &mut callers {
             let status = caller.answer().await.unwrap().status;
             assert!(matches!(status, 503 | 504), "{status}");
         }
-        let most = world.servers[0].most_connections.get();
+        let most = testbed.servers[0].max_open_connections.get();
         assert!((1..=16).contains(&most), "{most}");
     });
 }
 
-/// Guards against a VM killed for memory by long bodies that stand still.
+/// Guards against a VM that runs out of memory because of long bodies that stall.
 #[test]
 fn bodies_beyond_the_memory_are_refused_and_others_served() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
         let (whole, held) = (900_000, 300_000);
         let begin = |id: &str| {
-            let head = book(id).replace("Content-Length: 3", &format!("Content-Length: {whole}"));
+            let head =
+                booking(id).replace("Content-Length: 3", &format!("Content-Length: {whole}"));
             head.replace("bed", &"b".repeat(held))
         };
-        let mut first = world.caller().await;
+        let mut first = testbed.caller().await;
         first.send(&begin("r1")).await;
-        until(|| world.vm.context.body_memory.reserved_bytes() == held).await;
-        let mut second = world.caller().await;
+        wait_until(|| testbed.vm.context.body_memory.reserved_bytes() == held).await;
+        let mut second = testbed.caller().await;
         second.send(&begin("r2")).await;
         let refused = second.answer().await.unwrap();
         assert_eq!(refused.status, 503);
         assert!(refused.has("retry-after: "));
-        assert_eq!(world.ask(&book("r3")).await.status, 200);
-        assert_eq!(world.runs(), 1);
+        assert_eq!(testbed.ask(&booking("r3")).await.status, 200);
+        assert_eq!(testbed.run_count(), 1);
         drop(first);
-        until(|| world.vm.context.body_memory.reserved_bytes() == 0).await;
+        wait_until(|| testbed.vm.context.body_memory.reserved_bytes() == 0).await;
     });
 }
 
-/// Guards against probes that are given up on new connections to full servers and sent anew.
+/// Guards against probes that are given up while a full server has not served their new connection yet, and are sent
+/// anew on another one.
 #[test]
 fn a_probe_at_a_full_server_waits_on_the_connection_that_it_has_opened() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
-        let server = &world.servers[0];
-        server.holds_new.set(Duration::from_millis(400));
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
+        let server = &testbed.servers[0];
+        server.accept_delay.set(Duration::from_millis(400));
         let mut callers = Vec::new();
         for at in 0..4 {
-            let mut caller = world.caller().await;
-            caller.send(&look(&format!("r{at}"))).await;
+            let mut caller = testbed.caller().await;
+            caller.send(&lookup(&format!("r{at}"))).await;
             callers.push(caller);
             tokio::time::sleep(Duration::from_millis(90)).await;
         }
-        let counters = world.vm.context.metrics_text();
+        let counters = testbed.vm.context.metrics_text();
         let given_up = counters
             .lines()
             .find(|l| l.contains("probes_total{reason=\"failed\"}"));
         let given_up = given_up.and_then(|line| line.rsplit(' ').next());
-        assert_eq!(given_up, Some("1"), "{} connections", server.opened.get());
+        assert_eq!(
+            given_up,
+            Some("1"),
+            "{} connections",
+            server.opened_connections.get()
+        );
         for caller in &mut callers {
             assert_eq!(caller.answer().await.unwrap().status, 200);
         }
--- a/crates/kingcuploft-entry/tests/entry/cold.rs
+++ b/crates/kingcuploft-entry/tests/entry/cold.rs
@@ -1,32 +1,34 @@
-//! Backend servers that are cold, by what they get.
+//! Cold starts of backend servers: how many requests cold servers get.
 
 use std::time::Duration;
 
 use kingcuploft_entry::run::Running;
 
-use crate::following::{followers, zone_of};
-use crate::server::{Act, TestServer};
+use crate::following::{follower_count, zone_of};
+use crate::server::{Behavior, TestServer};
 use crate::store::TestStore;
-use crate::world::{Caller, World, entry, look, play, start, until, with_cold_starts};
+use crate::testbed::{
+    Caller, Testbed, entry, lookup, run_test, start, wait_until, with_cold_starts,
+};
 
-/// What the users allow a cold server of two requests a second in any second.
-const MOST: usize = 11;
+/// The most requests that the users allow within any second for a cold server that bears two a second.
+const MAX_REQUESTS: usize = 11;
 
-/// How many callers ask at the same moment.
-const CROWD: usize = 100;
+/// How many callers send a request at the same moment.
+const CALLER_COUNT: usize = 100;
 
-/// More VMs than a cold server bears requests.
-const FLEET: usize = 20;
+/// More VMs than a cold server bears requests a second.
+const VM_COUNT: usize = 20;
 
-const WORK: Duration = Duration::from_millis(60);
+const WORK_TIME: Duration = Duration::from_millis(60);
 
-/// A cold server in the VM's zone, and others in another zone that are not.
-async fn zones(cold_for: Duration) -> (TestStore, Vec<TestServer>) {
+/// Starts a server in the VM's zone that is cold for this long, and servers in another zone that are not.
+async fn two_zones(cold_for: Duration) -> (TestStore, Vec<TestServer>) {
     let store = TestStore::default();
     store.0.write_configuration(with_cold_starts(1));
     let mut servers = Vec::new();
     for (at, zone) in ["thun", "bern", "bern", "bern"].into_iter().enumerate() {
-        let server = TestServer::start(Act::After(WORK)).await;
+        let server = TestServer::start(Behavior::AnswerAfter(WORK_TIME)).await;
         let mut entry = entry(at, &server);
         entry.zone = zone.into();
         if at == 0 {
@@ -38,14 +40,14 @@
     (store, servers)
 }
 
-/// Has a crowd ask at these VMs at the same moment; returns how many were served.
-async fn crowd(vms: &[Running]) -> usize {
+/// Sends a request of each caller to these VMs at the same moment; returns how many were served.
+async fn ask_from_all_callers(vms: &[Running]) -> usize {
     let mut callers = Vec::new();
-    for at in 0..CROWD {
+    for at in 0..CALLER_COUNT {
         callers.push(Caller::connect(vms[at % vms.len()].callers).await);
     }
     for (at, caller) in callers.iter_mut().enumerate() {
-        caller.send(&look(&format!("r{at}"))).await;
+        caller.send(&lookup(&format!("r{at}"))).await;
     }
     let mut served = 0;
     for mut caller in callers {
@@ -55,97 +57,101 @@
     served
 }
 
-/// Guards against a server that has just started and ends under what all VMs send it, as it is near and idle.
+/// Guards against a server that has just started, looks near and idle to all VMs, and crashes under what they send it.
 #[test]
 fn a_server_that_joins_cold_gets_little_from_all_vms_and_callers_are_served_elsewhere() {
-    play(async {
-        let (store, servers) = zones(Duration::from_secs(3)).await;
+    run_test(async {
+        let (store, servers) = two_zones(Duration::from_secs(3)).await;
         let vms = zone_of(3, &store).await;
-        until(|| followers(&vms) == 2).await;
-        // A VM has saved a request once it has run for so long.
+        wait_until(|| follower_count(&vms) == 2).await;
+        // After so long a VM has accumulated the allowance for one request.
         tokio::time::sleep(Duration::from_millis(1100)).await;
-        assert_eq!(crowd(&vms).await, CROWD);
-        let seen = servers[0].seen.borrow().len();
-        assert!((1..=MOST).contains(&seen), "{seen}");
+        assert_eq!(ask_from_all_callers(&vms).await, CALLER_COUNT);
+        let seen = servers[0].received.borrow().len();
+        assert!((1..=MAX_REQUESTS).contains(&seen), "{seen}");
     });
 }
 
-/// Guards against servers that turned cold while their zone was evacuated, and get the zone's whole load when it is taken back.
+/// Guards against servers that turned cold while their zone was evacuated, and get the zone's whole load when the
+/// evacuation ends.
 #[test]
 fn servers_of_a_zone_that_is_taken_back_say_first_whether_they_are_cold() {
-    play(async {
-        let (store, servers) = zones(Duration::ZERO).await;
+    run_test(async {
+        let (store, servers) = two_zones(Duration::ZERO).await;
         let vms = [start("vm", &store).await];
-        assert_eq!(crowd(&vms).await, CROWD);
-        let before = servers[0].seen.borrow().len();
-        assert!(before > MOST, "{before}");
+        assert_eq!(ask_from_all_callers(&vms).await, CALLER_COUNT);
+        let before = servers[0].received.borrow().len();
+        assert!(before > MAX_REQUESTS, "{before}");
         store.0.set_evacuated("thun", true);
-        until(|| vms[0].context.evacuations.borrow().holds("thun")).await;
+        wait_until(|| vms[0].context.evacuations.borrow().holds("thun")).await;
         servers[0].cold_ms.set(3_000);
         store.0.set_evacuated("thun", false);
-        until(|| !vms[0].context.evacuations.borrow().holds("thun")).await;
-        assert_eq!(crowd(&vms).await, CROWD);
-        let seen = servers[0].seen.borrow().len() - before;
-        assert!(seen <= MOST, "{seen}");
+        wait_until(|| !vms[0].context.evacuations.borrow().holds("thun")).await;
+        assert_eq!(ask_from_all_callers(&vms).await, CALLER_COUNT);
+        let seen = servers[0].received.borrow().len() - before;
+        assert!(seen <= MAX_REQUESTS, "{seen}");
     });
 }
 
-/// Guards against a request of each VM for a server that may be cold and has not said so, as it is slow to answer.
+/// Guards against one request of each VM to a server that may be cold but has not said so yet, as it is slow to answer.
 #[test]
 fn a_server_that_may_be_cold_gets_nothing_before_it_has_said_so() {
-    play(async {
+    run_test(async {
         let store = TestStore::default();
         store.0.write_configuration(with_cold_starts(1));
-        let server = TestServer::start(Act::After(WORK)).await;
-        server.holds_new.set(Duration::from_millis(200));
+        let server = TestServer::start(Behavior::AnswerAfter(WORK_TIME)).await;
+        server.accept_delay.set(Duration::from_millis(200));
         store.0.write_backend_server(entry(0, &server));
         store.0.set_evacuated("thun", true);
-        let vms = zone_of(FLEET, &store).await;
-        until(|| followers(&vms) == FLEET - 1).await;
+        let vms = zone_of(VM_COUNT, &store).await;
+        wait_until(|| follower_count(&vms) == VM_COUNT - 1).await;
         server.cold_ms.set(3_000);
         store.0.set_evacuated("thun", false);
         let holds = |vm: &Running| vm.context.evacuations.borrow().holds("thun");
-        until(|| !vms.iter().any(holds)).await;
-        crowd(&vms).await;
-        let seen = server.seen.borrow().len();
-        assert!((1..=MOST).contains(&seen), "{seen}");
+        wait_until(|| !vms.iter().any(holds)).await;
+        ask_from_all_callers(&vms).await;
+        let seen = server.received.borrow().len();
+        assert!((1..=MAX_REQUESTS).contains(&seen), "{seen}");
     });
 }
 
-/// Guards against a zone that is taken back warm and stays unused.
+/// Guards against a zone with warm servers that stays unused after its evacuation.
 #[test]
 fn servers_of_a_zone_that_is_taken_back_warm_get_work_once_they_have_said_so() {
-    play(async {
-        let (store, servers) = zones(Duration::ZERO).await;
+    run_test(async {
+        let (store, servers) = two_zones(Duration::ZERO).await;
         let vms = [start("vm", &store).await];
         for is_evacuated in [true, false] {
             store.0.set_evacuated("thun", is_evacuated);
             let holds = || vms[0].context.evacuations.borrow().holds("thun");
-            until(|| holds() == is_evacuated).await;
+            wait_until(|| holds() == is_evacuated).await;
         }
-        assert_eq!(crowd(&vms).await, CROWD);
-        let seen = servers[0].seen.borrow().len();
-        assert!(seen > MOST, "{seen}");
+        assert_eq!(ask_from_all_callers(&vms).await, CALLER_COUNT);
+        let seen = servers[0].received.borrow().len();
+        assert!(seen > MAX_REQUESTS, "{seen}");
         assert_eq!(vms[0].context.limits.borrow().cold_count(), 0);
     });
 }
 
-/// Guards against a server that turns cold while it runs, and goes on getting work as before.
+/// Guards against a server that turns cold while it runs, and gets as many requests as before.
 #[test]
 fn a_server_that_says_that_it_has_turned_cold_is_kept_to_what_it_bears() {
-    play(async {
-        let (store, servers) = zones(Duration::ZERO).await;
-        let world = World {
+    run_test(async {
+        let (store, servers) = two_zones(Duration::ZERO).await;
+        let testbed = Testbed {
             vm: start("vm", &store).await,
             store: store.0.clone(),
             servers,
         };
-        world.servers[0].cold_ms.set(3_000);
-        world.ask(&look("first")).await;
-        until(|| world.vm.context.limits.borrow().cold_count() == 1).await;
-        let before = world.servers[0].seen.borrow().len();
-        assert_eq!(crowd(std::slice::from_ref(&world.vm)).await, CROWD);
-        let seen = world.servers[0].seen.borrow().len() - before;
-        assert!(seen <= MOST, "{seen}");
+        testbed.servers[0].cold_ms.set(3_000);
+        testbed.ask(&lookup("first")).await;
+        wait_until(|| testbed.vm.context.limits.borrow().cold_count() == 1).await;
+        let before = testbed.servers[0].received.borrow().len();
+        assert_eq!(
+            ask_from_all_callers(std::slice::from_ref(&testbed.vm)).await,
+            CALLER_COUNT
+        );
+        let seen = testbed.servers[0].received.borrow().len() - before;
+        assert!(seen <= MAX_REQUESTS, "{seen}");
     });
 }
--- a/crates/kingcuploft-entry/tests/entry/main.rs
+++ b/crates/kingcuploft-entry/tests/entry/main.rs
@@ -1,4 +1,4 @@
-//! One entry VM between callers, backend servers and a store, judged by what they see.
+//! Entry VMs between callers, backend servers and a store, checked by what these observe.
 
 use kingcuploft_simulation::store;
 
@@ -15,4 +15,4 @@
 mod server;
 mod stopping;
 mod store_faults;
-mod world;
+mod testbed;
--- a/crates/kingcuploft-entry/tests/entry/operating.rs
+++ b/crates/kingcuploft-entry/tests/entry/operating.rs
@@ -1,37 +1,37 @@
-//! Settings that change while the VM runs, and what it counts.
+//! Settings that are reloaded while the VM runs, and the VM's counters.
 
 use kingcuploft_entry::settings::EntrySettings;
 
-use crate::server::Act;
-use crate::world::{Caller, World, look, play, settings};
+use crate::server::Behavior;
+use crate::testbed::{Caller, Testbed, lookup, run_test, settings};
 
-/// Guards against bounds that hold until a restart though the settings have changed.
+/// Guards against bounds that stay in force until a restart although the settings have changed.
 #[test]
 fn changed_bounds_hold_after_a_reload_and_a_broken_file_changes_nothing() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
         let changed = || {
             let mut settings: EntrySettings = settings("vm");
             settings.bounds.repeats.allowance = 7.0;
             Ok(settings)
         };
-        let allowance = || world.vm.context.bounds.get().repeats.allowance;
-        world.vm.reload(&changed);
+        let allowance = || testbed.vm.context.bounds.get().repeats.allowance;
+        testbed.vm.reload(&changed);
         assert!((allowance() - 7.0).abs() < 1e-9);
-        world
+        testbed
             .vm
             .reload(&|| Err("boot.conf:3: not of the form a.b=value".into()));
         assert!((allowance() - 7.0).abs() < 1e-9);
-        assert_eq!(world.ask(&look("r1")).await.status, 200);
+        assert_eq!(testbed.ask(&lookup("r1")).await.status, 200);
     });
 }
 
 #[test]
 fn attempts_repeats_and_failures_are_counted_by_reason() {
-    play(async {
-        let world = World::with(&[Act::LoseAnswer, Act::LoseAnswer]).await;
-        assert_eq!(world.ask(&look("r1")).await.status, 502);
-        let mut scraper = Caller::connect(world.vm.readiness).await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::LoseAnswer, Behavior::LoseAnswer]).await;
+        assert_eq!(testbed.ask(&lookup("r1")).await.status, 502);
+        let mut scraper = Caller::connect(testbed.vm.readiness).await;
         scraper
             .send("GET /metrics HTTP/1.1\r\nHost: vm\r\n\r\n")
             .await;
--- a/crates/kingcuploft-entry/tests/entry/protected.rs
+++ b/crates/kingcuploft-entry/tests/entry/protected.rs
@@ -1,74 +1,75 @@
-//! Protected requests run at most once, and "not run" is true.
+//! Protected requests run at most once, and an answer that says "not run" is true.
 
-use crate::server::Act;
-use crate::world::{World, book, play};
+use crate::server::Behavior;
+use crate::testbed::{Testbed, booking, run_test};
 
-/// Guards against a second run of a booking whose answer is lost.
+/// Guards against a booking that runs again because its first answer was lost.
 #[test]
 fn a_booking_whose_answer_is_lost_is_not_sent_again() {
-    for fault in [Act::LoseAnswer, Act::Truncate, Act::Unsigned] {
-        play(async move {
-            let world = World::with(&[fault, fault, fault]).await;
-            let answer = world.ask(&book("b1")).await;
+    for fault in [Behavior::LoseAnswer, Behavior::Truncate, Behavior::Unsigned] {
+        run_test(async move {
+            let testbed = Testbed::with(&[fault, fault, fault]).await;
+            let answer = testbed.ask(&booking("b1")).await;
             assert_eq!(answer.status, 502, "{fault:?}");
             assert!(!answer.has("retry-after"));
-            assert_eq!(world.runs(), 1, "{fault:?}");
+            assert_eq!(testbed.run_count(), 1, "{fault:?}");
         });
     }
 }
 
-/// A server is full and says that it did not run the booking; another has room.
+/// Guards against a booking that fails at a full server, which says that it did not run it, while another server has
+/// capacity.
 #[test]
 fn a_booking_that_provably_did_not_run_goes_to_another_server() {
-    for refusal in [Act::Shed, Act::Misdirected] {
-        play(async move {
-            let world = World::with(&[refusal, Act::Answer, refusal]).await;
-            let answer = world.ask(&book("b1")).await;
+    for refusal in [Behavior::Shed, Behavior::Misdirected] {
+        run_test(async move {
+            let testbed = Testbed::with(&[refusal, Behavior::Answer, refusal]).await;
+            let answer = testbed.ask(&booking("b1")).await;
             assert_eq!(answer.status, 200, "{refusal:?}");
-            assert_eq!(world.runs(), 1);
+            assert_eq!(testbed.run_count(), 1);
         });
     }
 }
 
-/// Guards against a booking held, or left open, where all servers are full.
+/// Guards against a booking that is held, or whose outcome is left unknown, where all servers are full.
 #[test]
 fn a_booking_that_all_servers_refuse_is_refused_as_not_run() {
-    play(async {
-        let world = World::with(&[Act::Shed, Act::Shed]).await;
-        let answer = world.ask(&book("b1")).await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Shed, Behavior::Shed]).await;
+        let answer = testbed.ask(&booking("b1")).await;
         assert_eq!(answer.status, 503);
         assert!(answer.has("retry-after: "));
-        assert_eq!(world.runs(), 0);
+        assert_eq!(testbed.run_count(), 0);
     });
 }
 
 #[test]
 fn a_failure_of_the_server_is_final_for_a_booking() {
-    play(async {
-        let world = World::with(&[Act::Fail, Act::Fail]).await;
-        let answer = world.ask(&book("b1")).await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Fail, Behavior::Fail]).await;
+        let answer = testbed.ask(&booking("b1")).await;
         assert_eq!(answer.status, 500);
-        assert_eq!(world.runs(), 1);
+        assert_eq!(testbed.run_count(), 1);
     });
 }
 
-/// No server listens any more: nothing was sent, and that is what the caller is told.
+/// Guards against an unknown outcome for a booking that was never sent because no server listens.
 #[test]
 fn a_booking_that_reached_no_server_is_refused_as_not_run() {
-    play(async {
-        let world = World::with(&[]).await;
-        let answer = world.ask(&book("b1").replace("4000", "200")).await;
+    run_test(async {
+        let testbed = Testbed::with(&[]).await;
+        let answer = testbed.ask(&booking("b1").replace("4000", "200")).await;
         assert_eq!(answer.status, 503);
     });
 }
 
-/// A server falls silent while it works on a booking. It may have run; no other server gets it.
+/// Guards against a booking that is hedged when its server stops responding: it may have run there.
 #[test]
-fn a_booking_at_a_silent_server_gets_no_second_look() {
-    play(async {
-        let world = World::with(&[Act::Hang, Act::Hang]).await;
-        let answer = world.ask(&book("b1").replace("4000", "900")).await;
+fn a_booking_at_a_silent_server_is_not_hedged() {
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Hang, Behavior::Hang]).await;
+        let answer = testbed.ask(&booking("b1").replace("4000", "900")).await;
         assert_eq!(answer.status, 504);
-        assert_eq!(world.runs(), 1);
+        assert_eq!(testbed.run_count(), 1);
     });
 }
--- a/crates/kingcuploft-entry/tests/entry/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/entry/rewinds.rs
@@ -1,32 +1,37 @@
-//! A store that comes back from a copy, as callers see it.
+//! A store that is restored from an older copy, as callers see it.
 
-use crate::server::{Act, TestServer};
-use crate::world::{World, book, entry, look, play, until, with_route};
+use crate::server::{Behavior, TestServer};
+use crate::testbed::{Testbed, booking, entry, lookup, run_test, wait_until, with_route};
 
-/// Guards against routes that are denied again, and servers that get no work, as the copy is older than they are.
+/// Guards against routes that are denied and servers that get no requests after the rewind, because the copy is older
+/// than they are.
 #[test]
-fn callers_are_served_by_what_was_accepted_before_the_store_came_back() {
-    play(async {
-        let mut world = World::with(&[Act::Answer]).await;
-        let copy = world.store.snapshot();
-        world.store.write_configuration(with_route(2, "/added/"));
-        let young = TestServer::start(Act::Answer).await;
-        world.store.write_backend_server(entry(1, &young));
-        world.servers.push(young);
-        world.store.remove_backend_server("s0");
-        let context = world.vm.context.clone();
+fn callers_are_served_by_what_was_accepted_before_the_rewind() {
+    run_test(async {
+        let mut testbed = Testbed::with(&[Behavior::Answer]).await;
+        let copy = testbed.store.snapshot();
+        testbed.store.write_configuration(with_route(2, "/added/"));
+        let young = TestServer::start(Behavior::Answer).await;
+        testbed.store.write_backend_server(entry(1, &young));
+        testbed.servers.push(young);
+        testbed.store.remove_backend_server("s0");
+        let context = testbed.vm.context.clone();
         let is_known = || {
             let version = context.active_configuration.version() == Some(2);
             version && context.upstream("s1").is_some() && context.upstream("s0").is_none()
         };
-        until(is_known).await;
-        world.store.rewind(copy);
-        assert_eq!(world.store.holds("s1", "thun", 2), [false; 3]);
-        until(|| context.rewinds.count() == 1).await;
-        let added = look("a").replace("/look/", "/added/");
-        assert_eq!(world.ask(&added).await.status, 200);
-        assert_eq!(world.ask(&book("b")).await.status, 200);
-        assert_eq!(world.servers[0].seen.borrow().len(), 0, "one that had left");
-        assert_eq!(world.servers[1].seen.borrow().len(), 2);
+        wait_until(is_known).await;
+        testbed.store.rewind(copy);
+        assert_eq!(testbed.store.holds("s1", "thun", 2), [false; 3]);
+        wait_until(|| context.rewinds.count() == 1).await;
+        let added = lookup("a").replace("/look/", "/added/");
+        assert_eq!(testbed.ask(&added).await.status, 200);
+        assert_eq!(testbed.ask(&booking("b")).await.status, 200);
+        assert_eq!(
+            testbed.servers[0].received.borrow().len(),
+            0,
+            "one that had left"
+        );
+        assert_eq!(testbed.servers[1].received.borrow().len(), 2);
     });
 }
--- a/crates/kingcuploft-entry/tests/entry/stopping.rs
+++ b/crates/kingcuploft-entry/tests/entry/stopping.rs
@@ -1,38 +1,38 @@
-//! Planned stops cut nothing.
+//! Planned stops drain connections and cut off no request.
 
 use std::time::Duration;
 
-use crate::server::Act;
-use crate::world::{Caller, World, look, play, until};
+use crate::server::Behavior;
+use crate::testbed::{Caller, Testbed, lookup, run_test, wait_until};
 
-async fn ready_status(world: &World) -> u16 {
-    let mut platform = Caller::connect(world.vm.readiness).await;
+async fn ready_status(testbed: &Testbed) -> u16 {
+    let mut platform = Caller::connect(testbed.vm.readiness).await;
     platform
         .send("GET /ready HTTP/1.1\r\nHost: vm\r\n\r\n")
         .await;
     platform.answer().await.unwrap().status
 }
 
-/// Guards against a planned stop that cuts a lookup or an idle connection too early.
+/// Guards against a planned stop that cuts off a lookup, or closes an idle connection too early.
 #[test]
 fn a_planned_stop_answers_what_it_has_read() {
-    play(async {
-        let world = World::with(&[Act::After(Duration::from_millis(500))]).await;
-        let (mut busy, mut idle) = (world.caller().await, world.caller().await);
-        idle.send(&look("first")).await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::AnswerAfter(Duration::from_millis(500))]).await;
+        let (mut busy, mut idle) = (testbed.caller().await, testbed.caller().await);
+        idle.send(&lookup("first")).await;
         assert_eq!(idle.answer().await.unwrap().status, 200);
-        busy.send(&look("r1")).await;
-        until(|| world.runs() == 2).await;
-        let context = world.vm.context.clone();
-        assert_eq!(ready_status(&world).await, 200);
+        busy.send(&lookup("r1")).await;
+        wait_until(|| testbed.run_count() == 2).await;
+        let context = testbed.vm.context.clone();
+        assert_eq!(ready_status(&testbed).await, 200);
         context.begin_stop(std::time::Instant::now());
-        assert_eq!(ready_status(&world).await, 503);
-        let stopping = tokio::task::spawn_local(world.vm.stop());
+        assert_eq!(ready_status(&testbed).await, 503);
+        let stopping = tokio::task::spawn_local(testbed.vm.stop());
         let answer = busy.answer().await.unwrap();
         assert_eq!(answer.status, 200);
         assert!(answer.has("connection: close"));
-        // A request that still comes on the idle connection is answered as well.
-        idle.send(&look("late")).await;
+        // A request that still arrives on the idle connection is answered as well.
+        idle.send(&lookup("late")).await;
         let answer = idle.answer().await.unwrap();
         assert_eq!(answer.status, 200);
         assert!(answer.has("connection: close"));
@@ -42,17 +42,17 @@
     });
 }
 
-/// Guards against a stop that cuts pipelined requests behind the first answer.
+/// Guards against a planned stop that drops pipelined requests behind the first answer.
 #[test]
 fn a_planned_stop_closes_a_connection_behind_its_last_request_only() {
-    play(async {
-        let world = World::with(&[Act::After(Duration::from_millis(400))]).await;
-        let mut caller = world.caller().await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::AnswerAfter(Duration::from_millis(400))]).await;
+        let mut caller = testbed.caller().await;
         caller
-            .send(&[look("r1"), look("r2"), look("r3")].concat())
+            .send(&[lookup("r1"), lookup("r2"), lookup("r3")].concat())
             .await;
-        until(|| world.runs() == 3).await;
-        world.vm.context.begin_stop(std::time::Instant::now());
+        wait_until(|| testbed.run_count() == 3).await;
+        testbed.vm.context.begin_stop(std::time::Instant::now());
         for (id, closes) in [("r1", false), ("r2", false), ("r3", true)] {
             let answer = caller.answer().await.unwrap();
             assert_eq!(answer.status, 200, "{id}");
--- a/crates/kingcuploft-entry/tests/entry/store_faults.rs
+++ b/crates/kingcuploft-entry/tests/entry/store_faults.rs
@@ -1,4 +1,5 @@
-//! The store is silent, forgets, or is away; what it says is kept.
+//! Faults of the store: it hangs, compacts its history, refuses writes or is unavailable. The VM keeps what the store
+//! has said.
 
 use std::time::Duration;
 
@@ -6,21 +7,21 @@
 use kingcuploft_entry::run;
 use kingcuploft_entry::settings::EntrySettings;
 
-use crate::server::{Act, TestServer};
+use crate::server::{Behavior, TestServer};
 use crate::store::TestStore;
-use crate::world::{
-    WORDS, World, configuration, entry, look, play, play_in_virtual_time, settings, start, until,
-    with_route,
+use crate::testbed::{
+    HEADER_NAMES, Testbed, configuration, entry, lookup, run_in_virtual_time, run_test, settings,
+    start, wait_until, with_route,
 };
 
 fn version(vm: &run::Running) -> u64 {
     vm.context.configuration().map_or(0, |c| c.version)
 }
 
-/// Guards against a watch that hears nothing any more after the store was silent.
+/// Guards against a watch that gets no answer any more after the store was silent.
 #[test]
 fn a_configuration_after_a_silent_spell_is_in_force_within_two_seconds() {
-    play_in_virtual_time(async {
+    run_in_virtual_time(async {
         let store = TestStore::default();
         store.0.write_configuration(configuration(1));
         let vm = start("vm", &store).await;
@@ -36,23 +37,23 @@
     });
 }
 
-/// Guards against a leaving server that is missed as the store forgot its history.
+/// Guards against a leaving server that is missed because the store has compacted its history.
 #[test]
-fn what_changed_while_the_store_forgot_is_known_from_a_new_list() {
-    play(async {
-        let world = World::with(&[Act::Answer, Act::Answer]).await;
-        world.store.compacted_until.set(1000);
-        world.store.remove_backend_server("s0");
-        until(|| world.store.list_calls.get() >= 3).await;
-        until(|| world.vm.context.upstream("s0").is_none()).await;
-        assert!(world.vm.context.upstream("s1").is_some());
+fn what_changed_while_the_store_compacted_its_history_is_known_from_a_new_list() {
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer, Behavior::Answer]).await;
+        testbed.store.compacted_until.set(1000);
+        testbed.store.remove_backend_server("s0");
+        wait_until(|| testbed.store.list_calls.get() >= 3).await;
+        wait_until(|| testbed.vm.context.upstream("s0").is_none()).await;
+        assert!(testbed.vm.context.upstream("s1").is_some());
     });
 }
 
-/// An old configuration reaches the store's readers after a newer one.
+/// Guards against an older configuration that reaches the store's readers after a newer one.
 #[test]
 fn a_configuration_never_goes_back() {
-    play_in_virtual_time(async {
+    run_in_virtual_time(async {
         let store = TestStore::default();
         store.0.write_configuration(configuration(5));
         let vm = start("vm", &store).await;
@@ -64,124 +65,124 @@
 
 #[test]
 fn a_leaving_server_gets_no_new_work_within_two_seconds() {
-    play(async {
-        let world = World::with(&[Act::Answer, Act::Answer]).await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer, Behavior::Answer]).await;
         let leaving = BackendServer {
             draining: true,
-            ..entry(0, &world.servers[0])
+            ..entry(0, &testbed.servers[0])
         };
-        world.store.write_backend_server(leaving);
+        testbed.store.write_backend_server(leaving);
         tokio::time::sleep(Duration::from_millis(1800)).await;
-        let before = world.servers[0].seen.borrow().len();
+        let before = testbed.servers[0].received.borrow().len();
         for id in 0..10 {
-            assert_eq!(world.ask(&look(&format!("r{id}"))).await.status, 200);
+            assert_eq!(testbed.ask(&lookup(&format!("r{id}"))).await.status, 200);
         }
-        assert_eq!(world.servers[0].seen.borrow().len(), before);
+        assert_eq!(testbed.servers[0].received.borrow().len(), before);
     });
 }
 
 #[test]
 fn requests_are_served_while_the_store_is_away() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
-        world.store.silent.set(true);
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
+        testbed.store.silent.set(true);
         tokio::time::sleep(Duration::from_millis(2500)).await;
-        assert_eq!(world.ask(&look("r1")).await.status, 200);
-        assert!(world.vm.context.is_ready());
+        assert_eq!(testbed.ask(&lookup("r1")).await.status, 200);
+        assert!(testbed.vm.context.is_ready());
     });
 }
 
 #[test]
 fn a_vm_that_knows_no_configuration_refuses_and_is_not_ready() {
-    play(async {
+    run_test(async {
         let store = TestStore::default();
-        let started = run::start(settings("vm"), WORDS, store);
+        let started = run::start(settings("vm"), HEADER_NAMES, store);
         let vm = started.await.unwrap();
         tokio::time::sleep(Duration::from_millis(100)).await;
         assert!(!vm.context.is_ready());
-        let mut caller = crate::world::Caller::connect(vm.callers).await;
-        caller.send(&look("r1")).await;
+        let mut caller = crate::testbed::Caller::connect(vm.callers).await;
+        caller.send(&lookup("r1")).await;
         let answer = caller.answer().await.unwrap();
         assert_eq!(answer.status, 503);
         assert!(answer.has("retry-after"));
     });
 }
 
-/// Guards against a new VM that refuses callers as it can't make itself known.
+/// Guards against a new VM that refuses callers because it can't write its zone's record.
 #[test]
 fn a_new_vm_serves_while_the_store_refuses_writes() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
-        let store = TestStore(world.store.clone(), std::rc::Rc::default());
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
+        let store = TestStore(testbed.store.clone(), std::rc::Rc::default());
         store.0.refuses_writes.set(true);
         let settings = EntrySettings {
             peers: Some(([127, 0, 0, 1], 0).into()),
             ..settings("added")
         };
-        let added = run::start(settings, WORDS, store).await.unwrap();
-        until(|| added.context.is_ready()).await;
-        world.store.refuses_writes.set(false);
-        until(|| !world.store.zones.borrow().is_empty()).await;
+        let added = run::start(settings, HEADER_NAMES, store).await.unwrap();
+        wait_until(|| added.context.is_ready()).await;
+        testbed.store.refuses_writes.set(false);
+        wait_until(|| !testbed.store.zones.borrow().is_empty()).await;
     });
 }
 
 fn unknown(id: &str) -> String {
-    look(id).replace("/look/a", "/new/a")
+    lookup(id).replace("/look/a", "/new/a")
 }
 
-/// Guards against 404 for a route that was added, by a VM that knows that a newer configuration exists.
+/// Guards against status 404 for a route that was added, from a VM that knows that a newer configuration exists.
 #[test]
 fn a_route_that_may_be_new_is_refused_as_not_run_and_one_that_is_known_is_served() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
-        assert_eq!(world.ask(&unknown("r1")).await.status, 404);
-        world.vm.context.active_configuration.note_version(2);
-        let answer = world.ask(&unknown("r2")).await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
+        assert_eq!(testbed.ask(&unknown("r1")).await.status, 404);
+        testbed.vm.context.active_configuration.note_version(2);
+        let answer = testbed.ask(&unknown("r2")).await;
         assert_eq!(answer.status, 503);
         assert!(answer.has("retry-after"));
-        assert_eq!(world.ask(&look("r3")).await.status, 200);
-        world.store.write_configuration(configuration(2));
-        until(|| version(&world.vm) == 2).await;
-        assert_eq!(world.ask(&unknown("r4")).await.status, 404);
+        assert_eq!(testbed.ask(&lookup("r3")).await.status, 200);
+        testbed.store.write_configuration(configuration(2));
+        wait_until(|| version(&testbed.vm) == 2).await;
+        assert_eq!(testbed.ask(&unknown("r4")).await.status, 404);
     });
 }
 
-/// Guards against refusing at once what a moment's wait would serve.
+/// Guards against an immediate refusal of a request that would be served after a moment's wait.
 #[test]
 fn a_request_on_a_route_that_may_be_new_waits_a_moment_for_it() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
-        world.vm.context.active_configuration.note_version(2);
-        let mut caller = world.caller().await;
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
+        testbed.vm.context.active_configuration.note_version(2);
+        let mut caller = testbed.caller().await;
         caller.send(&unknown("r1")).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
-        world.store.write_configuration(with_route(2, "/new/"));
+        testbed.store.write_configuration(with_route(2, "/new/"));
         assert_eq!(caller.answer().await.unwrap().status, 200);
     });
 }
 
-/// Guards against work for a server that came and left between two looks at the store.
+/// Guards against requests to a server that joined and left between two updates from the store.
 #[test]
-fn a_server_that_joined_and_left_in_one_account_gets_no_work() {
-    play(async {
-        let world = World::with(&[Act::Answer]).await;
-        let server = TestServer::start(Act::Answer).await;
+fn a_server_that_joined_and_left_in_one_update_gets_no_work() {
+    run_test(async {
+        let testbed = Testbed::with(&[Behavior::Answer]).await;
+        let server = TestServer::start(Behavior::Answer).await;
         let ready = BackendServer {
             name: "short-lived".into(),
             ..entry(9, &server)
         };
-        world.store.write_backend_server(ready.clone());
-        world.store.write_backend_server(BackendServer {
+        testbed.store.write_backend_server(ready.clone());
+        testbed.store.write_backend_server(BackendServer {
             draining: true,
             ..ready
         });
         let knows = || {
-            world
+            testbed
                 .vm
                 .context
                 .with_servers(|known| known.get("short-lived").is_some())
         };
-        until(knows).await;
-        assert!(world.vm.context.upstream("short-lived").is_none());
+        wait_until(knows).await;
+        assert!(testbed.vm.context.upstream("short-lived").is_none());
     });
 }
--- a/crates/kingcuploft-entry/tests/entry/world.rs
+++ b/crates/kingcuploft-entry/tests/entry/testbed.rs
@@ -1,4 +1,4 @@
-//! A VM with its servers, its store and a caller.
+//! A testbed: a VM with its backend servers, its store and callers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,36 +17,36 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::server::{Act, TestServer};
+use crate::server::{Behavior, TestServer};
 use crate::store::{StoreState, TestStore};
 
-/// The names that this world uses.
-pub(crate) const WORDS: WireNames = WireNames {
+/// The names of headers that the tests use.
+pub(crate) const HEADER_NAMES: WireNames = WireNames {
     limit: "server-limit",
     ..header_names::HEADER_NAMES
 };
 
-/// The memory of a VM: a hundredth of the smallest that there is.
+/// The memory of a VM: a hundredth of the smallest VM's.
 pub(crate) const MEMORY_BYTES: usize = 1_600_000;
 
-/// How many connections a server accepts from all VMs together.
-pub(crate) const MOST_CONNECTIONS: u32 = 20;
+/// The most connections that a server accepts from all VMs together.
+pub(crate) const MAX_CONNECTIONS: u32 = 20;
 
-/// A VM with servers that act as told.
-pub(crate) struct World {
+/// A VM with servers of scripted behavior.
+pub(crate) struct Testbed {
     pub(crate) vm: Running,
     pub(crate) store: Rc<StoreState>,
     pub(crate) servers: Vec<TestServer>,
 }
 
-impl World {
-    /// Starts servers that act like this, and a VM in front of them.
-    pub(crate) async fn with(acts: &[Act]) -> Self {
+impl Testbed {
+    /// Starts servers with these behaviors, and a VM in front of them.
+    pub(crate) async fn with(behaviors: &[Behavior]) -> Self {
         let store = TestStore::default();
         store.0.write_configuration(configuration(1));
         let mut servers = Vec::new();
-        for (at, act) in acts.iter().enumerate() {
-            let server = TestServer::start(*act).await;
+        for (at, behavior) in behaviors.iter().enumerate() {
+            let server = TestServer::start(*behavior).await;
             store.0.write_backend_server(entry(at, &server));
             servers.push(server);
         }
@@ -62,31 +62,31 @@
         Caller::connect(self.vm.callers).await
     }
 
-    /// Sends one request on a connection of its own and returns its answer.
+    /// Sends one request on a connection of its own, and returns the answer.
     pub(crate) async fn ask(&self, request: &str) -> Answer {
         let mut caller = self.caller().await;
         caller.send(request).await;
         caller.answer().await.expect("an answer")
     }
 
-    pub(crate) fn runs(&self) -> u32 {
+    pub(crate) fn run_count(&self) -> u32 {
         self.servers.iter().map(|server| server.runs.get()).sum()
     }
 
-    pub(crate) fn seen(&self) -> usize {
+    pub(crate) fn received_count(&self) -> usize {
         self.servers
             .iter()
-            .map(|server| server.seen.borrow().len())
+            .map(|server| server.received.borrow().len())
             .sum()
     }
 }
 
-/// Starts a VM that knows the store's configuration and servers.
+/// Starts a VM, and waits until it knows the store's configuration and servers.
 pub(crate) async fn start(name: &str, store: &TestStore) -> Running {
-    let vm = run::start(settings(name), WORDS, store.clone())
+    let vm = run::start(settings(name), HEADER_NAMES, store.clone())
         .await
         .unwrap();
-    until(|| vm.context.is_ready()).await;
+    wait_until(|| vm.context.is_ready()).await;
     vm
 }
 
@@ -119,8 +119,8 @@
     }
 }
 
-/// Waits until something holds; fails after many times the time it should take.
-pub(crate) async fn until(mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds; fails after many times the time that it should take.
+pub(crate) async fn wait_until(mut holds: impl FnMut() -> bool) {
     for _ in 0..2000 {
         if holds() {
             return;
@@ -130,7 +130,8 @@
     panic!("it did not come to hold");
 }
 
-/// Lookups under /look/, bookings under /book/, lookups of 300 ms at most under /short/.
+/// Returns a configuration with lookups under `/look/`, bookings under `/book/`, and lookups with a timeout of 300 ms
+/// under `/short/`.
 pub(crate) fn configuration(version: u64) -> Configuration {
     let routes = vec![
         route("look", "/look/", Contract::RetryFreely, 5000),
@@ -139,14 +140,14 @@
     ];
     let service = Service {
         health_path: "/health".into(),
-        most_connections: MOST_CONNECTIONS,
+        most_connections: MAX_CONNECTIONS,
         cold_start: None,
     };
     let services: HashMap<_, _> = [("trip".into(), service)].into_iter().collect();
     Configuration::new(version, routes, services, Limits::default())
 }
 
-/// As [`configuration`], with servers that bear two requests a second for three seconds after their start.
+/// Returns [`configuration`] with servers that bear two requests a second in the first three seconds after their start.
 pub(crate) fn with_cold_starts(version: u64) -> Configuration {
     let mut configuration = configuration(version);
     for service in configuration.services.values_mut() {
@@ -158,7 +159,7 @@
     configuration
 }
 
-/// As [`configuration`], with lookups under one prefix more.
+/// Returns [`configuration`] with lookups under one more prefix.
 pub(crate) fn with_route(version: u64, prefix: &str) -> Configuration {
     let known = configuration(version);
     let added = route("added", prefix, Contract::RetryFreely, 5000);
@@ -201,11 +202,11 @@
     }
 }
 
-pub(crate) fn look(id: &str) -> String {
+pub(crate) fn lookup(id: &str) -> String {
     format!("GET /look/a HTTP/1.1\r\nHost: a.example\r\nx-id: {id}\r\nx-deadline-ms: 4000\r\n\r\n")
 }
 
-pub(crate) fn book(id: &str) -> String {
+pub(crate) fn booking(id: &str) -> String {
     format!(
         "POST /book/a HTTP/1.1\r\nHost: a.example\r\nx-id: {id}\r\nx-deadline-ms: 4000\r\n\
          Content-Length: 3\r\n\r\nbed"
@@ -246,7 +247,7 @@
         self.stream.write_all(request.as_bytes()).await.unwrap();
     }
 
-    /// Returns the next answer, or `None` if the connection ends first.
+    /// Returns the next answer, or `None` if the connection ends before it.
     pub(crate) async fn answer(&mut self) -> Option<Answer> {
         loop {
             if let Some(answer) = self.parse() {
@@ -276,11 +277,11 @@
     }
 }
 
-/// What the VMs' choices are drawn from.
+/// The seed of the VMs' random choices.
 const SEED: u64 = 1;
 
-/// Runs a test on one thread.
-pub(crate) fn play<F: Future<Output = ()>>(test: F) {
+/// Runs a test on one thread, in real time.
+pub(crate) fn run_test<F: Future<Output = ()>>(test: F) {
     fastrand::seed(SEED);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -288,8 +289,8 @@
     tokio::task::LocalSet::new().block_on(&runtime.unwrap(), test);
 }
 
-/// Runs a test in virtual time: waits take none.
-pub(crate) fn play_in_virtual_time<F: Future<Output = ()>>(test: F) {
+/// Runs a test on one thread, in virtual time: waits take no time.
+pub(crate) fn run_in_virtual_time<F: Future<Output = ()>>(test: F) {
     fastrand::seed(SEED);
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build();
--- a/crates/kingcuploft-entry/tests/events_page.rs
+++ b/crates/kingcuploft-entry/tests/events_page.rs
@@ -1,4 +1,4 @@
-//! The operators' page tells every event and counter of the entry VM, and no other.
+//! The operators' page documents every event and counter of the entry VM, and no other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -12,18 +12,18 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn sources(folder: &Path, into: &mut Vec<String>) {
+fn read_sources(folder: &Path, into: &mut Vec<String>) {
     for entry in std::fs::read_dir(folder).unwrap().flatten() {
         let path = entry.path();
         if path.is_dir() {
-            sources(&path, into);
+            read_sources(&path, into);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             into.push(std::fs::read_to_string(path).unwrap());
         }
     }
 }
 
-/// Returns what stands between a call's parentheses.
+/// Returns the arguments of a call, up to its closing parenthesis.
 fn arguments(text: &str) -> &str {
     let mut depth = 0;
     for (at, byte) in text.bytes().enumerate() {
@@ -37,7 +37,7 @@
     panic!("a call without an end: {text}")
 }
 
-/// Splits arguments at commas that stand in no parentheses.
+/// Splits arguments at commas outside parentheses.
 fn split(arguments: &str) -> Vec<&str> {
     let (mut parts, mut depth, mut begin) = (Vec::new(), 0, 0);
     for (at, byte) in arguments.bytes().enumerate() {
@@ -56,9 +56,9 @@
     parts
 }
 
-fn written() -> Events {
+fn logged_events() -> Events {
     let mut texts = Vec::new();
-    sources(&root().join("crates/kingcuploft-entry/src"), &mut texts);
+    read_sources(&root().join("crates/kingcuploft-entry/src"), &mut texts);
     let mut events = Events::new();
     for text in &texts {
         for macro_name in ["info!(", "warn!(", "error!(", "debug!("] {
@@ -80,8 +80,8 @@
     events
 }
 
-/// Reads the page's table: events in the first column, their fields in the second.
-fn told() -> Events {
+/// Reads the page's table of events: the event in the first column, its fields in the second.
+fn documented_events() -> Events {
     let page = std::fs::read_to_string(root().join("docs/OPERATIONS.md")).unwrap();
     let table = page.split("\n## ").find(|part| part.starts_with("Events"));
     let rows = table
@@ -102,28 +102,32 @@
     events
 }
 
-/// On-call engineers search the page for what they see in a log, and scripts rely on its fields.
+/// Guards against events that are not documented as they are logged: on-call engineers look up log lines on the page,
+/// and scripts rely on the fields.
 #[test]
-fn the_page_tells_every_event_with_its_fields() {
-    let (mut written, told) = (written(), told());
-    // Written past `tracing`, by the writer of the lines itself.
-    written.insert("lines_left_out".into(), ["count".to_owned()].into());
-    assert!(written.len() > 20, "the sources were not found");
-    for (event, fields) in &written {
-        assert_eq!(told.get(event), Some(fields), "event {event}");
+fn the_page_documents_every_event_with_its_fields() {
+    let (mut logged_events, documented_events) = (logged_events(), documented_events());
+    // Written without `tracing`, by the log writer itself.
+    logged_events.insert("lines_left_out".into(), ["count".to_owned()].into());
+    assert!(logged_events.len() > 20, "the sources were not found");
+    for (event, fields) in &logged_events {
+        assert_eq!(documented_events.get(event), Some(fields), "event {event}");
     }
-    let gone: Vec<_> = told
+    let obsolete: Vec<_> = documented_events
         .keys()
-        .filter(|event| !written.contains_key(*event))
+        .filter(|event| !logged_events.contains_key(*event))
         .collect();
-    assert!(gone.is_empty(), "told but never written: {gone:?}");
+    assert!(
+        obsolete.is_empty(),
+        "documented but never logged: {obsolete:?}"
+    );
 }
 
-/// Dashboards are built from the page.
+/// Guards against counters that are not documented: dashboards are built from the page.
 #[test]
-fn the_page_tells_every_counter() {
+fn the_page_documents_every_counter() {
     let metrics = Metrics::default();
-    // Counters with labels show once they have counted something.
+    // Counters with labels are exposed once they have counted something.
     metrics.count_attempt("succeeded");
     metrics.count_repeat("late");
     metrics.count_failure("no server can answer in time");
@@ -131,10 +135,10 @@
     metrics.count_reader_lost("silent");
     metrics.observe_answer(None, 200, Duration::ZERO);
     let text = metrics.to_text();
-    let helps = text
+    let help_lines = text
         .lines()
         .filter_map(|line| line.strip_prefix("# HELP kingcuploft_entry_"));
-    let shown: BTreeSet<String> = helps
+    let shown: BTreeSet<String> = help_lines
         .map(|line| line.split(' ').next().unwrap().to_owned())
         .collect();
     let page = std::fs::read_to_string(root().join("docs/OPERATIONS.md")).unwrap();
@@ -146,9 +150,9 @@
         .lines()
         .filter(|line| line.starts_with("| `"));
     let cells = rows.map(|row| row.split('|').nth(1).unwrap());
-    let told: BTreeSet<String> = cells
+    let documented: BTreeSet<String> = cells
         .flat_map(|cell| cell.split('`').skip(1).step_by(2))
         .map(Into::into)
         .collect();
-    assert_eq!(told, shown);
+    assert_eq!(documented, shown);
 }
