--- a/crates/kingcuploft-entry/src/active_configuration.rs
+++ b/crates/kingcuploft-entry/src/active_configuration.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::arriving::{Arrived, Arriving, Taken};
+use kingcuploft::entry::change_assembly::{AssemblyProgress, ChangeAssembler, PartOutcome};
 use kingcuploft::entry::change_log::ChangeLog;
 use kingcuploft::entry::configuration::{Configuration, ConfigurationVersion};
 use kingcuploft::entry::configuration_change::{ChangePart, ConfigurationChange, PartError};
@@ -19,7 +19,7 @@
     current: RefCell<Option<Arc<Configuration>>>,
     adopted: Cell<Option<Instant>>,
     changes: RefCell<ChangeLog>,
-    arriving: RefCell<Arriving>,
+    arriving: RefCell<ChangeAssembler>,
     needs_full_configuration: Cell<bool>,
     newest: Cell<Option<(ConfigurationVersion, Instant)>>,
     /// Wakes tasks that wait for a configuration to come into force.
@@ -54,7 +54,7 @@
             return false;
         }
         if let Some(old) = &*current {
-            configuration.share(old);
+            configuration.share_routes(old);
             let change = ConfigurationChange::between(old, &configuration);
             self.changes.borrow_mut().push(change, routes);
         }
@@ -86,12 +86,15 @@
     /// # Errors
     ///
     /// Returns an error if the part can't be read.
-    pub fn add_part(&self, part: ChangePart) -> Result<Taken, PartError> {
+    pub fn add_part(&self, part: ChangePart) -> Result<PartOutcome, PartError> {
         let current = self.current();
-        let taken = self.arriving.borrow_mut().take(part, current.as_deref())?;
-        if matches!(taken, Taken::OutOfStep) {
+        let taken = self
+            .arriving
+            .borrow_mut()
+            .add_part(part, current.as_deref())?;
+        if matches!(taken, PartOutcome::Mismatch) {
             self.needs_full_configuration.set(true);
-            self.arriving.borrow_mut().forget();
+            self.arriving.borrow_mut().reset();
         }
         Ok(taken)
     }
@@ -103,8 +106,8 @@
     }
 
     /// Returns how much of the next configuration has arrived.
-    pub fn arrival_progress(&self) -> Option<Arrived> {
-        self.arriving.borrow().arrived()
+    pub fn arrival_progress(&self) -> Option<AssemblyProgress> {
+        self.arriving.borrow().progress()
     }
 
     /// Records that a version exists; returns whether that was unknown.
--- a/crates/kingcuploft-entry/src/cold_servers.rs
+++ b/crates/kingcuploft-entry/src/cold_servers.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::configuration::ColdStart;
-use kingcuploft::entry::server_limits::Turned;
+use kingcuploft::entry::server_limits::ColdChange;
 use kingcuploft::world::ids::{AvailabilityZone, BackendServerName, ServiceName};
 
 use crate::clock;
@@ -42,7 +42,7 @@
     let server = &upstream.server.name;
     let part = |per_s| limits::own_part(context, server, per_s);
     let mut all = context.limits.borrow_mut();
-    if all.is_warm(clock::now(), server, asked_at, part) {
+    if all.record_warm(clock::now(), server, asked_at, part) {
         log_turned_warm(std::slice::from_ref(server));
     }
 }
@@ -75,8 +75,8 @@
     let part = |per_s| limits::own_part(context, server, per_s);
     let (per_s, chance) = (cold_start.per_s(), fastrand::f64());
     let mut all = context.limits.borrow_mut();
-    let turned = all.turned_cold(now, server, per_s, cold_for, part, chance);
-    (turned == Turned::Cold).then(|| (server.clone(), cold_for))
+    let turned = all.record_cold(now, server, per_s, cold_for, part, chance);
+    (turned == ColdChange::Cold).then(|| (server.clone(), cold_for))
 }
 
 fn log_turned_cold(context: &Context, turned: &[NewlyCold]) {
@@ -105,7 +105,7 @@
         return;
     }
     let part = |server: &BackendServerName, per_s| limits::own_part(context, server, per_s);
-    let warm = context.limits.borrow_mut().end_cold(now, part);
+    let warm = context.limits.borrow_mut().expire_cold(now, part);
     log_turned_warm(&warm);
 }
 
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -6,19 +6,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use kingcuploft::entry::account_replicas::AccountReplicas;
 use kingcuploft::entry::backend_servers::{BackendServers, Change};
-use kingcuploft::entry::configuration::{Configuration, Dealer, Destination, Route};
+use kingcuploft::entry::caller_timeouts::CallerTimeouts;
+use kingcuploft::entry::configuration::{Configuration, Destination, Route, WeightedSelector};
 use kingcuploft::entry::connections;
 use kingcuploft::entry::evacuations::Evacuations;
-use kingcuploft::entry::last_slot::LastSlot;
-use kingcuploft::entry::log_budget::LogBudget;
-use kingcuploft::entry::patience::Patience;
+use kingcuploft::entry::last_slot_slowdown::LastSlotSlowdown;
+use kingcuploft::entry::log_rate_limiter::LogRateLimiter;
 use kingcuploft::entry::placement::Slot;
 use kingcuploft::entry::probe_budget::ProbeBudget;
 use kingcuploft::entry::quarantine::Quarantine;
 use kingcuploft::entry::readers::Readers;
-use kingcuploft::entry::repeat_copies::RepeatCopies;
-use kingcuploft::entry::repeats::Repeats;
+use kingcuploft::entry::repeat_budget::RepeatBudget;
 use kingcuploft::entry::server_limits::ServerLimits;
 use kingcuploft::entry::service_time::ServiceTime;
 use kingcuploft::entry::vm_entry::VmEntry;
@@ -69,7 +69,7 @@
     /// The datagram socket to the other VMs.
     pub peer_socket: OnceCell<Rc<dyn PeerSender>>,
     /// What other VMs have used of the repeat budget, stored for them in case they restart.
-    pub repeat_copies: RefCell<RepeatCopies>,
+    pub repeat_copies: RefCell<AccountReplicas>,
     /// Wakes the task that sends this VM's usage of the repeat budget to other VMs.
     pub repeat_taken: Notify,
     /// The addresses of the other VMs of the zone.
@@ -117,13 +117,13 @@
     pub(crate) servers: RefCell<BackendServers>,
     servers_listed: Cell<bool>,
     upstreams: RefCell<HashMap<ServiceName, Vec<Rc<Upstream>>>>,
-    dealers: RefCell<HashMap<RuleName, Dealer>>,
+    dealers: RefCell<HashMap<RuleName, WeightedSelector>>,
     service_times: RefCell<HashMap<(RuleName, ServiceName), ServiceTime>>,
-    last_slots: RefCell<HashMap<ServiceName, LastSlot>>,
-    pub(crate) repeats: RefCell<Repeats>,
-    patience: RefCell<HashMap<RuleName, Patience>>,
+    last_slots: RefCell<HashMap<ServiceName, LastSlotSlowdown>>,
+    pub(crate) repeats: RefCell<RepeatBudget>,
+    patience: RefCell<HashMap<RuleName, CallerTimeouts>>,
     pub(crate) probe_budget: RefCell<ProbeBudget>,
-    pub(crate) log_budget: RefCell<LogBudget>,
+    pub(crate) log_budget: RefCell<LogRateLimiter>,
 }
 
 impl Context {
@@ -141,8 +141,8 @@
         let is_first = settings.all_start || settings.peers.is_none();
         let is_first = is_first || planted::is_on(Planted::ForgetsRepeats);
         let repeats = match is_first {
-            true => Repeats::first(),
-            false => Repeats::again(clock::now(), &settings.bounds.repeats),
+            true => RepeatBudget::for_first_start(),
+            false => RepeatBudget::after_restart(clock::now(), &settings.bounds.repeats),
         };
         Self {
             vm_count: Cell::new(VMS_WHILE_UNCOUNTED),
@@ -171,7 +171,7 @@
             quarantine: RefCell::default(),
             rewinds: Rewinds::default(),
             evacuations: RefCell::default(),
-            limits: RefCell::new(ServerLimits::begun_at(clock::now())),
+            limits: RefCell::new(ServerLimits::started_at(clock::now())),
             asked_turns: PendingTurns::default(),
             notice_writes: NoticeWriteQueue::default(),
             callers: Cell::new(0),
@@ -187,7 +187,7 @@
             last_slots: RefCell::default(),
             repeats: RefCell::new(repeats),
             patience: RefCell::default(),
-            probe_budget: RefCell::new(ProbeBudget::begin(clock::now())),
+            probe_budget: RefCell::new(ProbeBudget::new(clock::now())),
             log_budget: RefCell::default(),
         }
     }
@@ -300,7 +300,7 @@
         let upstreams = self.upstreams.borrow();
         let evacuations = self.evacuations.borrow();
         let of_service = upstreams.get(service).into_iter().flatten();
-        let open = of_service.filter(|upstream| !evacuations.holds(&upstream.server.zone));
+        let open = of_service.filter(|upstream| !evacuations.is_evacuated(&upstream.server.zone));
         open.cloned().collect()
     }
 
@@ -319,13 +319,13 @@
         let upstreams = self.upstreams.borrow();
         let evacuations = self.evacuations.borrow();
         let of_service = upstreams.get(service).filter(|all| !all.is_empty());
-        of_service.is_some_and(|all| all.iter().all(|u| evacuations.holds(&u.server.zone)))
+        of_service.is_some_and(|all| all.iter().all(|u| evacuations.is_evacuated(&u.server.zone)))
     }
 
     /// Returns whether a request may still be sent to the server that was selected for it.
     pub fn takes_work(&self, upstream: &Upstream) -> bool {
         let server = &upstream.server;
-        let is_open = !self.evacuations.borrow().holds(&server.zone);
+        let is_open = !self.evacuations.borrow().is_evacuated(&server.zone);
         is_open && self.servers.borrow().takes_work(&server.name)
     }
 
@@ -336,7 +336,7 @@
         let service = services.and_then(|services| services.get(service));
         match (service, self.vm_count.get()) {
             (Some(service), vms) if vms != VMS_WHILE_UNCOUNTED => {
-                connections::share(service.most_connections, vms)
+                connections::per_vm_limit(service.most_connections, vms)
             }
             _ => usize::MAX,
         }
@@ -354,8 +354,8 @@
         let mut dealers = self.dealers.borrow_mut();
         let dealer = dealers
             .entry(route.name.clone())
-            .or_insert_with(|| Dealer::new(fastrand::f64()));
-        dealer.deal(&route.destinations).cloned()
+            .or_insert_with(|| WeightedSelector::new(fastrand::f64()));
+        dealer.select(&route.destinations).cloned()
     }
 
     /// Returns the estimated service time of a route at a service, in milliseconds, on a server of normal speed.
@@ -390,12 +390,12 @@
         let mut last_slots = self.last_slots.borrow_mut();
         let time = times.entry((route.name.clone(), service.clone()));
         let last_slot = last_slots.entry(service.clone()).or_default();
-        time.or_default().measured(took, slowness, slot, last_slot);
+        time.or_default().record(took, slowness, slot, last_slot);
     }
 
     /// Records how long a caller of a route will wait; returns how long it has waited already, at earlier attempts.
     pub fn waited_before(&self, route: &Route, patience: Duration) -> Duration {
         let mut all = self.patience.borrow_mut();
-        all.entry(route.name.clone()).or_default().told(patience)
+        all.entry(route.name.clone()).or_default().record(patience)
     }
 }
--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::placement::{Candidate, Reading};
-use kingcuploft::entry::verdict::AttemptEnd;
+use kingcuploft::entry::attempts::AttemptEnd;
+use kingcuploft::entry::placement::{Candidate, LoadReading};
 
 use super::active_request::ActiveRequest;
 use super::suspect::SuspectRun;
@@ -44,7 +44,7 @@
     upstream: Rc<Upstream>,
     at: Instant,
     left: Duration,
-    load_report: Option<(Duration, Reading)>,
+    load_report: Option<(Duration, LoadReading)>,
     candidate: Candidate,
     open: bool,
 }
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::notice::Notice;
-use kingcuploft::entry::server_limit::{self, Part, PerSecond};
-use kingcuploft::entry::server_limits::{LimitNotice, News};
+use kingcuploft::entry::server_limit::{self, LimitShare, PerSecond};
+use kingcuploft::entry::server_limits::{LimitChange, LimitNotice};
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::planted::{self, Planted};
 use kingcuploft::world::ids::{AvailabilityZone, BackendServerName, ServiceName};
@@ -56,13 +56,13 @@
 
 fn apply_limit(context: &Context, server: &BackendServerName, per_s: Option<PerSecond>) {
     match update(context, server, per_s) {
-        Some(News::Named(notice)) => publish(context, notice),
-        Some(News::Changed { before }) => {
+        Some(LimitChange::Named(notice)) => publish(context, notice),
+        Some(LimitChange::Changed { before }) => {
             let per_s = per_s.unwrap_or_default();
             tracing::info!(event = "limit_changed", %server, per_s, before);
             notify_keepers(context, server, per_s, before);
         }
-        Some(News::Ended(id)) => {
+        Some(LimitChange::Ended(id)) => {
             tracing::info!(event = "limit_ended", %server);
             context.rewinds.note_withdrawn(clock::now(), &id);
             context.notice_writes.send(NoticeWrite::Withdraw(id));
@@ -71,10 +71,14 @@
     }
 }
 
-fn update(context: &Context, server: &BackendServerName, per_s: Option<PerSecond>) -> Option<News> {
+fn update(
+    context: &Context,
+    server: &BackendServerName,
+    per_s: Option<PerSecond>,
+) -> Option<LimitChange> {
     let part = |per_s| own_part(context, server, per_s);
     let mut limits = context.limits.borrow_mut();
-    limits.heard(clock::now(), server, per_s, part, fastrand::f64())
+    limits.record_named(clock::now(), server, per_s, part, fastrand::f64())
 }
 
 fn publish(context: &Context, notice: LimitNotice) {
@@ -96,7 +100,7 @@
     };
     let records = context.readers.borrow().records();
     let zone = zone(context, server);
-    let keepers = server_limit::keepers(server, &zone, per_s.max(before), &records);
+    let keepers = server_limit::limit_owners(server, &zone, per_s.max(before), &records);
     let others = keepers
         .into_iter()
         .filter(|vm| vm.name != context.settings.vm);
@@ -108,11 +112,11 @@
 /// Applies a changed limit that another VM has seen.
 pub fn apply_peer_change(context: &Context, server: &BackendServerName, per_s: PerSecond) {
     match update(context, server, Some(per_s)) {
-        Some(News::Named(notice)) => publish(context, notice),
-        Some(News::Changed { before }) => {
+        Some(LimitChange::Named(notice)) => publish(context, notice),
+        Some(LimitChange::Changed { before }) => {
             tracing::info!(event = "limit_changed", %server, per_s, before);
         }
-        Some(News::Ended(_)) | None => {}
+        Some(LimitChange::Ended(_)) | None => {}
     }
 }
 
@@ -121,7 +125,7 @@
     let part = own_part(context, &notice.server, notice.per_s);
     let mut limits = context.limits.borrow_mut();
     let is_known = limits.per_s(&notice.server).is_some();
-    let is_news = limits.told(clock::now(), notice, part, fastrand::f64());
+    let is_news = limits.add_notice(clock::now(), notice, part, fastrand::f64());
     drop(limits);
     if !is_known {
         log_named(context, notice);
@@ -131,7 +135,7 @@
 
 /// Applies the withdrawal of a limit notice.
 pub fn apply_withdrawal(context: &Context, id: &str) {
-    let known = context.limits.borrow_mut().withdrawn(id);
+    let known = context.limits.borrow_mut().remove_notice(id);
     if let (true, Some(server)) = (known, LimitNotice::parse_id(id)) {
         tracing::info!(event = "limit_ended", server);
     }
@@ -143,7 +147,10 @@
         return;
     }
     let part = |server: &BackendServerName, per_s| own_part(context, server, per_s);
-    context.limits.borrow_mut().divide(clock::now(), part);
+    context
+        .limits
+        .borrow_mut()
+        .update_shares(clock::now(), part);
 }
 
 /// Returns how long a request must wait before it may be sent to a server; zero if it may be sent at once.
@@ -158,7 +165,7 @@
 /// Counts a request that is sent to a server against the server's limit.
 pub fn count_sent(context: &Context, upstream: &Upstream, now: Instant) {
     let mut limits = context.limits.borrow_mut();
-    limits.sent(now, &upstream.server.name, fastrand::f64());
+    limits.record_sent(now, &upstream.server.name, fastrand::f64());
 }
 
 /// Returns the servers of a service that announce limits.
@@ -175,14 +182,14 @@
 /// Returns whether this VM keeps a server's limit, or a part of it, and so grants turns.
 pub fn is_keeper(context: &Context, server: &BackendServerName) -> bool {
     let per_s = context.limits.borrow().per_s(server);
-    per_s.is_some_and(|per_s| matches!(own_part(context, server, per_s), Part::OneOf(_)))
+    per_s.is_some_and(|per_s| matches!(own_part(context, server, per_s), LimitShare::OneOf(_)))
 }
 
 /// Returns a random one of the VMs that keep a server's limit.
 pub fn pick_keeper(context: &Context, server: &BackendServerName) -> Option<VmEntry> {
     let per_s = context.limits.borrow().per_s(server)?;
     let records = context.readers.borrow().records();
-    let keepers = server_limit::keepers(server, &zone(context, server), per_s, &records);
+    let keepers = server_limit::limit_owners(server, &zone(context, server), per_s, &records);
     fastrand::choice(keepers).cloned()
 }
 
@@ -192,14 +199,14 @@
 }
 
 /// Returns the part of a server's limit that this VM may use.
-pub fn own_part(context: &Context, server: &BackendServerName, per_s: PerSecond) -> Part {
+pub fn own_part(context: &Context, server: &BackendServerName, per_s: PerSecond) -> LimitShare {
     if context.settings.peers.is_none() {
-        return Part::OneOf(1);
+        return LimitShare::OneOf(1);
     }
     let zone = zone(context, server);
     let records = context.readers.borrow().records();
     let (vm, vms) = (&context.settings.vm, context.vm_count.get());
-    server_limit::part(vm, vms, server, &zone, per_s, &records)
+    server_limit::limit_share(vm, vms, server, &zone, per_s, &records)
 }
 
 fn log_named(context: &Context, notice: &LimitNotice) {
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -8,7 +8,7 @@
 use kingcuploft::entry::fingerprint::Fingerprint;
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::notice_id::NoticeId;
-use kingcuploft::entry::quarantine::Told;
+use kingcuploft::entry::quarantine::ReportStatus;
 use kingcuploft::utils::HashSet;
 use tokio::sync::mpsc;
 
@@ -98,9 +98,9 @@
 pub async fn expire_outdated(context: Rc<Context>, store_access: Rc<StoreAccess>) {
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
-        let mut outdated = context.quarantine.borrow().outdated(clock::now());
+        let mut outdated = context.quarantine.borrow().expired_reports(clock::now());
         let is_in_use = |server: &str| context.with_servers(|servers| servers.takes_work(server));
-        outdated.extend(context.limits.borrow_mut().forget_gone(is_in_use));
+        outdated.extend(context.limits.borrow_mut().retain_in_use(is_in_use));
         for id in outdated.into_iter().filter(|_| store_access.is_reading()) {
             withdraw(&context, id);
         }
@@ -113,7 +113,7 @@
     notices.retain(|notice| match notice {
         Notice::Crash(report) => log_quarantine_change(context, report.fingerprint, || {
             let mut quarantine = context.quarantine.borrow_mut();
-            quarantine.told(now, report) == Told::News
+            quarantine.add_report(now, report) == ReportStatus::New
         }),
         Notice::Limit(notice) => limits::apply_notice(context, notice),
     });
@@ -149,7 +149,7 @@
         context.rewinds.note_withdrawn(clock::now(), id);
         match CrashReport::parse_id(id) {
             Some((fingerprint, _)) => log_quarantine_change(context, fingerprint, || {
-                context.quarantine.borrow_mut().withdrawn(id);
+                context.quarantine.borrow_mut().remove_report(id);
             }),
             None => limits::apply_withdrawal(context, id),
         }
@@ -183,8 +183,8 @@
 }
 
 fn apply_ids(context: &Context, ids: &HashSet<NoticeId>) {
-    context.quarantine.borrow_mut().all_told(ids);
-    context.limits.borrow_mut().all_told(ids);
+    context.quarantine.borrow_mut().remove_missing(ids);
+    context.limits.borrow_mut().remove_missing(ids);
     let all = Frame::AllNotices(stored(context));
     context.followers.send_notices(&all);
 }
@@ -199,7 +199,7 @@
 pub fn stored(context: &Context) -> Vec<Notice> {
     let quarantine = context.quarantine.borrow();
     let limits = context.limits.borrow();
-    let of_requests = quarantine.stored().map(Notice::Crash);
-    let of_servers = limits.stored().map(Notice::Limit);
+    let of_requests = quarantine.stored_reports().map(Notice::Crash);
+    let of_servers = limits.stored_notices().map(Notice::Limit);
     of_requests.chain(of_servers).collect()
 }
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kingcuploft::entry::server_limit::{ASK_AGAIN, Turn};
+use kingcuploft::entry::server_limit::{TURN_RETRY_DELAY, Turn};
 use kingcuploft::world::ids::BackendServerName;
 
 use super::peer_socket::PeerMessage;
@@ -24,7 +24,7 @@
     }
     let keeper = limits::pick_keeper(context, server);
     let (Some(keeper), Some(socket)) = (keeper, context.peer_socket.get()) else {
-        return Turn::TooLate(ASK_AGAIN);
+        return Turn::TooLate(TURN_RETRY_DELAY);
     };
     let (request_id, reply) = context.asked_turns.register();
     let message = PeerMessage::TurnRequest {
@@ -37,7 +37,7 @@
     context.asked_turns.cancel(request_id);
     match outcome {
         Ok(Ok(turn)) => turn,
-        Ok(Err(_)) | Err(_) => Turn::TooLate(ASK_AGAIN),
+        Ok(Err(_)) | Err(_) => Turn::TooLate(TURN_RETRY_DELAY),
     }
 }
 
--- a/crates/kingcuploft-entry/src/rewinds.rs
+++ b/crates/kingcuploft-entry/src/rewinds.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::era::Era;
-use kingcuploft::entry::evacuations::REWRITTEN_WITHIN;
+use kingcuploft::entry::evacuations::REWRITE_GRACE;
 use kingcuploft::entry::notice_id::NoticeId;
 use kingcuploft::utils::HashMap;
 
@@ -59,7 +59,7 @@
     /// Returns whether the store may still lack what was written after its copy was made.
     pub fn may_lack_writes(&self, now: Instant) -> bool {
         let last_rewind = self.last_rewind.get();
-        last_rewind.is_some_and(|at| now.saturating_duration_since(at) < REWRITTEN_WITHIN)
+        last_rewind.is_some_and(|at| now.saturating_duration_since(at) < REWRITE_GRACE)
     }
 
     /// Records that a notice was withdrawn: a copy may still hold it.
--- a/crates/kingcuploft-entry/src/server_updates.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -21,14 +21,14 @@
         [] => return,
         [server] => context.followers.send(&Frame::Server(server.clone())),
         several => {
-            let table = ServerTable::of(several.iter());
+            let table = ServerTable::from_servers(several.iter());
             context.followers.send(&Frame::Servers(table));
         }
     }
     let cold = cold_servers(&servers);
     let entries = servers.into_iter();
     let changes: Vec<Change> =
-        context.with_servers(|known| entries.filter_map(|s| known.told(s)).collect());
+        context.with_servers(|known| entries.filter_map(|s| known.update(s)).collect());
     log_changes(&changes);
     context.apply_server_changes(now, &changes);
     cold_servers::apply_store_report(context, &cold);
@@ -44,7 +44,7 @@
 /// Applies the removal of a backend server's entry, and forwards it.
 pub fn apply_removal(context: &Context, now: Instant, name: &str) {
     context.followers.send(&Frame::ServerGone(name.to_owned()));
-    if let Some(change) = context.with_servers(|servers| servers.gone(now, name)) {
+    if let Some(change) = context.with_servers(|servers| servers.remove(now, name)) {
         apply_change(context, now, &change);
     }
 }
@@ -65,9 +65,9 @@
     let cold = cold_servers(&news);
     let entries = servers.into_iter();
     let joined =
-        context.with_servers(|known| entries.filter_map(|s| known.told(s)).collect::<Vec<_>>());
+        context.with_servers(|known| entries.filter_map(|s| known.update(s)).collect::<Vec<_>>());
     let present = names.iter().map(String::as_str);
-    let gone = context.with_servers(|known| known.all_told(now, present));
+    let gone = context.with_servers(|known| known.remove_missing(now, present));
     let changes: Vec<Change> = joined.into_iter().chain(gone).collect();
     log_changes(&changes);
     context.apply_server_changes(now, &changes);
@@ -79,7 +79,7 @@
 /// Forwards the outcome of a complete list to the followers: the changes if they are few, or the whole table.
 fn forward_to_followers(context: &Context, news: &[BackendServer], changes: &[Change]) {
     if news.len() + changes.len() > MAX_CHANGES_SENT_SINGLY {
-        let table = context.with_servers(|servers| ServerTable::of(servers.present()));
+        let table = context.with_servers(|servers| ServerTable::from_servers(servers.present()));
         context.followers.send(&Frame::AllServers(table));
         return;
     }
--- a/crates/kingcuploft-entry/src/settings.rs
+++ b/crates/kingcuploft-entry/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kingcuploft::entry::repeats::RepeatBounds;
+use kingcuploft::entry::repeat_budget::RepeatBounds;
 use kingcuploft::world::ids::{AvailabilityZone, VmName};
 
 /// The settings of one entry VM.
@@ -74,5 +74,5 @@
     /// The path of the platform's readiness check.
     pub ready_path: &'static str,
     /// Parses the value of the load header.
-    pub parse_load: fn(&str) -> Option<kingcuploft::entry::placement::Reading>,
+    pub parse_load: fn(&str) -> Option<kingcuploft::entry::placement::LoadReading>,
 }
--- a/crates/kingcuploft-entry/src/store_fallback.rs
+++ b/crates/kingcuploft-entry/src/store_fallback.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::joining;
+use kingcuploft::entry::startup_delay;
 
 use crate::clock;
 use crate::context::Context;
@@ -25,7 +25,7 @@
         let patience = {
             let readers = context.readers.borrow();
             let record = readers.record(&context.settings.zone);
-            joining::patience(
+            startup_delay::store_read_delay(
                 &context.settings.vm,
                 record,
                 context.feed_promised.get(),
--- a/crates/kingcuploft-entry/src/store_watcher.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -13,7 +13,7 @@
 use kingcuploft::entry::configuration::{Configuration, ConfigurationVersion};
 use kingcuploft::entry::era::{Era, era_of};
 use kingcuploft::entry::notice::Notice;
-use kingcuploft::entry::zone_record::{MOST_NAMED, ZoneRecord};
+use kingcuploft::entry::zone_record::{MAX_NAMED_VMS, ZoneRecord};
 use kingcuploft::planted::{self, Planted};
 
 use crate::clock;
@@ -318,12 +318,12 @@
 
 /// Applies zone records, and forwards those that are news.
 pub fn apply_zone_records(context: &Context, records: Vec<ZoneRecord>) {
-    let news = context.readers.borrow_mut().told(records);
+    let news = context.readers.borrow_mut().update(records);
     if news.is_empty() {
         return;
     }
     let readers = context.readers.borrow();
-    if let Some(count) = readers.count() {
+    if let Some(count) = readers.vm_count() {
         let part = if planted::is_on(Planted::CountsTooFew) {
             5
         } else {
@@ -339,7 +339,7 @@
 
 /// Returns the addresses of the other VMs of the zone, if the record names all of them.
 fn zone_peers(context: &Context, record: Option<&ZoneRecord>) -> Vec<SocketAddr> {
-    let named_whole = record.filter(|record| record.count as usize <= MOST_NAMED);
+    let named_whole = record.filter(|record| record.count as usize <= MAX_NAMED_VMS);
     let vms = named_whole.into_iter().flat_map(|record| &record.vms);
     let others = vms.filter(|vm| vm.name != context.settings.vm);
     others.map(|vm| vm.address).collect()
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::verdict::AttemptEnd;
+use kingcuploft::entry::attempts::AttemptEnd;
 
 use super::Upstream;
 use crate::clock;
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::backend_servers::BackendServer;
-use kingcuploft::entry::failures::Failures;
-use kingcuploft::entry::placement::{Candidate, Reading};
+use kingcuploft::entry::failure_rate::FailureRate;
+use kingcuploft::entry::placement::{Candidate, LoadReading};
 use kingcuploft::utils::rendezvous::rendezvous;
 use kingcuploft::world::ids::VmName;
 
@@ -63,13 +63,13 @@
     cold_report_required_until: Cell<Option<Instant>>,
     idle_connections: RefCell<Vec<Connection>>,
     open_connections: std::rc::Rc<Cell<usize>>,
-    last_load_report: Cell<Option<(Instant, Reading)>>,
+    last_load_report: Cell<Option<(Instant, LoadReading)>>,
     probe_in_flight: Cell<bool>,
     awaits_late_answer: Cell<bool>,
     probe_backoff: Cell<Option<(Instant, Duration)>>,
     in_flight: RefCell<Vec<Instant>>,
     peer_sends: RefCell<Vec<Instant>>,
-    failures: RefCell<Failures>,
+    failures: RefCell<FailureRate>,
     running_suspects: Cell<u32>,
 }
 
@@ -135,7 +135,7 @@
     }
 
     /// Records a load report of the server.
-    pub fn record_load_report(&self, now: Instant, reading: Reading) {
+    pub fn record_load_report(&self, now: Instant, reading: LoadReading) {
         self.last_load_report.set(Some((now, reading)));
         if self.probe_backoff.take().is_some() {
             tracing::info!(event = "server_heard", server = %self.server.name);
@@ -143,7 +143,7 @@
     }
 
     /// Returns the last load report and its age.
-    pub fn load_report(&self, now: Instant) -> Option<(Duration, Reading)> {
+    pub fn load_report(&self, now: Instant) -> Option<(Duration, LoadReading)> {
         let (at, reading) = self.last_load_report.get()?;
         Some((now.saturating_duration_since(at), reading))
     }
@@ -243,7 +243,7 @@
 
     /// Records how a call ended, for the failure rate.
     pub fn record_outcome(&self, now: Instant, failed: bool) {
-        self.failures.borrow_mut().ended(now, failed);
+        self.failures.borrow_mut().record(now, failed);
     }
 
     /// Records that another VM of the zone has just sent a request to the server.
@@ -291,12 +291,12 @@
         Candidate {
             near: self.near,
             reading: reading.map(|(_, reading)| reading),
-            asked: self.probe_in_flight.get(),
-            unseen: unseen as u32,
-            own: own.len() as u32,
+            probe_pending: self.probe_in_flight.get(),
+            sent_since_reading: unseen as u32,
+            own_in_flight: own.len() as u32,
             slots: self.server.slots,
             cold: now < self.cold_until.get(),
-            failures: self.failures.borrow().share(now),
+            failure_rate: self.failures.borrow().rate(now),
             tried,
         }
     }
--- a/crates/kingcuploft-entry/tests/entry/cold.rs
+++ b/crates/kingcuploft-entry/tests/entry/cold.rs
@@ -83,10 +83,10 @@
         let before = servers[0].received.borrow().len();
         assert!(before > MAX_REQUESTS, "{before}");
         store.0.set_evacuated("thun", true);
-        wait_until(|| vms[0].context.evacuations.borrow().holds("thun")).await;
+        wait_until(|| vms[0].context.evacuations.borrow().is_evacuated("thun")).await;
         servers[0].cold_ms.set(3_000);
         store.0.set_evacuated("thun", false);
-        wait_until(|| !vms[0].context.evacuations.borrow().holds("thun")).await;
+        wait_until(|| !vms[0].context.evacuations.borrow().is_evacuated("thun")).await;
         assert_eq!(ask_from_all_callers(&vms).await, CALLER_COUNT);
         let seen = servers[0].received.borrow().len() - before;
         assert!(seen <= MAX_REQUESTS, "{seen}");
@@ -107,7 +107,7 @@
         wait_until(|| follower_count(&vms) == VM_COUNT - 1).await;
         server.cold_ms.set(3_000);
         store.0.set_evacuated("thun", false);
-        let holds = |vm: &Running| vm.context.evacuations.borrow().holds("thun");
+        let holds = |vm: &Running| vm.context.evacuations.borrow().is_evacuated("thun");
         wait_until(|| !vms.iter().any(holds)).await;
         ask_from_all_callers(&vms).await;
         let seen = server.received.borrow().len();
@@ -123,7 +123,7 @@
         let vms = [start("vm", &store).await];
         for is_evacuated in [true, false] {
             store.0.set_evacuated("thun", is_evacuated);
-            let holds = || vms[0].context.evacuations.borrow().holds("thun");
+            let holds = || vms[0].context.evacuations.borrow().is_evacuated("thun");
             wait_until(|| holds() == is_evacuated).await;
         }
         assert_eq!(ask_from_all_callers(&vms).await, CALLER_COUNT);
--- a/crates/kingcuploft-entry/tests/entry/evacuation.rs
+++ b/crates/kingcuploft-entry/tests/entry/evacuation.rs
@@ -50,11 +50,11 @@
         ask(&testbed, 6).await;
         assert_eq!([seen(0), seen(1)], [6, 0]);
         testbed.store.set_evacuated("thun", true);
-        wait_until(|| testbed.vm.context.evacuations.borrow().holds("thun")).await;
+        wait_until(|| testbed.vm.context.evacuations.borrow().is_evacuated("thun")).await;
         ask(&testbed, 6).await;
         assert_eq!([seen(0), seen(1)], [6, 6]);
         testbed.store.set_evacuated("thun", false);
-        wait_until(|| !testbed.vm.context.evacuations.borrow().holds("thun")).await;
+        wait_until(|| !testbed.vm.context.evacuations.borrow().is_evacuated("thun")).await;
         ask(&testbed, 6).await;
         assert_eq!([seen(0), seen(1)], [12, 6]);
     });
@@ -67,7 +67,7 @@
         let testbed = two_zones().await;
         for zone in ["thun", "bern"] {
             testbed.store.set_evacuated(zone, true);
-            wait_until(|| testbed.vm.context.evacuations.borrow().holds(zone)).await;
+            wait_until(|| testbed.vm.context.evacuations.borrow().is_evacuated(zone)).await;
         }
         let started_at = Instant::now();
         let answer = testbed.ask(&booking("b")).await;
@@ -80,7 +80,7 @@
         assert!(answer.has("retry-after: 2"), "{}", answer.head);
         assert_eq!(testbed.received_count(), 0);
         testbed.store.set_evacuated("bern", false);
-        wait_until(|| !testbed.vm.context.evacuations.borrow().holds("bern")).await;
+        wait_until(|| !testbed.vm.context.evacuations.borrow().is_evacuated("bern")).await;
         assert_eq!(testbed.ask(&booking("c")).await.status, 200);
     });
 }
@@ -96,9 +96,9 @@
             .await
             .unwrap();
         while !second.context.is_ready() {
-            assert!(!second.context.evacuations.borrow().holds("thun"));
+            assert!(!second.context.evacuations.borrow().is_evacuated("thun"));
             tokio::task::yield_now().await;
         }
-        assert!(second.context.evacuations.borrow().holds("thun"));
+        assert!(second.context.evacuations.borrow().is_evacuated("thun"));
     });
 }
--- a/crates/kingcuploft-entry/tests/links/interleavings.rs
+++ b/crates/kingcuploft-entry/tests/links/interleavings.rs
@@ -132,7 +132,7 @@
                 has_upstream, self.has_server,
                 "server at VM {at} after {actions:?}"
             );
-            let holds = host.context.evacuations.borrow().holds("zone-0");
+            let holds = host.context.evacuations.borrow().is_evacuated("zone-0");
             assert_eq!(
                 holds, self.is_evacuated,
                 "evacuation at VM {at} after {actions:?}"
--- a/crates/kingcuploft-entry/tests/links/rewinds.rs
+++ b/crates/kingcuploft-entry/tests/links/rewinds.rs
@@ -76,7 +76,7 @@
     );
     assert_eq!(count_using(&fleet, "leaves"), 0);
     let knows_evacuation = |context: &kingcuploft_entry::context::Context| {
-        context.evacuations.borrow().holds("zone-1")
+        context.evacuations.borrow().is_evacuated("zone-1")
     };
     assert_eq!(count_without(&fleet, knows_evacuation), 0);
     store.0.write_backend_server(server("young"));
--- a/crates/kingcuploft/src/entry/repeat_account.rs
+++ b/crates/kingcuploft/src/entry/repeat_account.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::repeats::RepeatBounds;
+use super::repeat_budget::RepeatBounds;
 use crate::world::ids::ServiceName;
 
 /// The steps in which a window is counted.
@@ -29,14 +29,14 @@
     }
 
     /// Adds what was kept of a time before.
-    pub fn add(&mut self, kept: &Kept, now: Instant, bounds: &RepeatBounds) {
+    pub fn add(&mut self, kept: &AccountSnapshot, now: Instant, bounds: &RepeatBounds) {
         for (age, count) in kept.ages(&kept.account.requests, now, bounds) {
             if age <= bounds.window {
                 self.add_requests(age, bounds, count);
             }
         }
         for (age, count) in kept.ages(&kept.account.repeats, now, bounds) {
-            if age <= bounds.repeat_counts_for() {
+            if age <= bounds.repeat_lifetime() {
                 self.add_repeats(age, bounds, count);
             }
         }
@@ -62,14 +62,14 @@
 
 /// An account as of a moment.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct AccountSnapshot {
     /// The account.
     pub account: Account,
     /// The moment.
     pub as_of: Instant,
 }
 
-impl Kept {
+impl AccountSnapshot {
     /// Returns the requests that may still be counted: each is taken for as old as its step allows.
     pub fn requests(&self, now: Instant, bounds: &RepeatBounds) -> usize {
         let ages = self.ages(&self.account.requests, now, bounds);
@@ -80,7 +80,7 @@
     /// Returns the repeats that must still be counted: each is taken for as young as its step allows.
     pub fn repeats(&self, now: Instant, bounds: &RepeatBounds) -> usize {
         let ages = self.ages(&self.account.repeats, now, bounds);
-        let counted = ages.filter(|(age, _)| *age <= bounds.repeat_counts_for());
+        let counted = ages.filter(|(age, _)| *age <= bounds.repeat_lifetime());
         counted.map(|(_, count)| count as usize).sum()
     }
 
@@ -100,7 +100,7 @@
 
 /// What one VM has used of the budget of repeats, as it tells others and these tell it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Used {
+pub struct UsageReport {
     /// For how many milliseconds more it matters what it did before, which it does not know.
     pub unknown_ms: u64,
     /// How many milliseconds ago the VM itself last said anything to the one that tells this.
@@ -120,9 +120,9 @@
     pub account: Account,
 }
 
-impl Used {
+impl UsageReport {
     /// Divides this into parts that each name so many services at most; one names none if there are none.
-    pub fn parts(mut self, most: usize) -> Vec<Self> {
+    pub fn split(mut self, most: usize) -> Vec<Self> {
         let (unknown_ms, heard_ms) = (self.unknown_ms, self.heard_ms);
         let mut parts = Vec::new();
         while self.accounts.len() > most {
