--- a/crates/kingcuploft-simulation/src/caller.rs
+++ b/crates/kingcuploft-simulation/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: each sends a request, may come back once, and notes what it got.
+//! Callers: each sends a request, may retry it once, and records the outcome of each attempt.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,63 +13,63 @@
 use crate::server::{DEADLY_PATH, answer_body};
 use crate::vm::Vm;
 
-/// The most bytes of an answer.
+/// The greatest size of an answer.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// How long after its time a caller still notes an answer.
+/// How long after its deadline a caller still records an answer.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(20);
 
-/// How often a caller asks.
+/// How many attempts a caller makes at most.
 const MAX_ATTEMPTS: u32 = 2;
 
-/// What became of one attempt.
+/// The outcome of one attempt.
 struct AttemptResult {
-    answer: Outcome,
-    /// When the caller may come back, if it was told.
-    come_back: Option<Duration>,
+    outcome: Outcome,
+    /// The pause before a retry that the answer asked for.
+    retry_after: Option<Duration>,
     /// Whether the request was handed to a VM.
     was_sent: bool,
 }
 
 /// One caller with one request.
 pub struct Caller {
-    /// Its link.
+    /// The host that it sends from.
     pub host: Rc<Host>,
-    /// What it notes.
+    /// Where it records its requests and their outcomes.
     pub history: Rc<History>,
-    /// The kind of its request.
+    /// The index of the request's kind.
     pub kind: KindIndex,
-    /// As `kind` says.
+    /// The kind itself.
     pub request_kind: RequestKind,
-    /// Whether servers end under it.
+    /// Whether the request crashes the server that runs it.
     pub is_deadly: bool,
 }
 
 impl Caller {
-    /// Asks, and comes back once where that is allowed; `entry` tells which VM each attempt reaches.
-    pub async fn send(self, entry: impl Fn(u32) -> Option<Rc<Vm>>) {
-        let until = Instant::now() + Duration::from_millis(self.request_kind.deadline_ms);
+    /// Sends the request and retries it once where that is allowed; `vm_for` returns the VM that each attempt reaches.
+    pub async fn send(self, vm_for: impl Fn(u32) -> Option<Rc<Vm>>) {
+        let deadline = Instant::now() + Duration::from_millis(self.request_kind.deadline_ms);
         for attempt in 0..MAX_ATTEMPTS {
-            let Some(vm) = entry(attempt) else {
+            let Some(vm) = vm_for(attempt) else {
                 return;
             };
-            let ended = self.attempt(&vm, until, attempt == 0).await;
-            let repeats = is_idempotent(self.request_kind.contract);
-            let again = match ended.answer {
+            let result = self.attempt(&vm, deadline, attempt == 0).await;
+            let may_run_again = is_idempotent(self.request_kind.contract);
+            let should_retry = match result.outcome {
                 Outcome::Complete | Outcome::Wrong => false,
                 Outcome::NotRun => true,
-                Outcome::Failed | Outcome::None => repeats || !ended.was_sent,
+                Outcome::Failed | Outcome::None => may_run_again || !result.was_sent,
             };
-            let left = until.saturating_duration_since(Instant::now());
-            if !again || left.is_zero() {
+            let left = deadline.saturating_duration_since(Instant::now());
+            if !should_retry || left.is_zero() {
                 return;
             }
-            let pause = ended.come_back.unwrap_or_default().min(left / 3);
+            let pause = result.retry_after.unwrap_or_default().min(left / 3);
             tokio::time::sleep(pause).await;
         }
     }
 
-    async fn attempt(&self, vm: &Vm, until: Instant, is_first: bool) -> AttemptResult {
+    async fn attempt(&self, vm: &Vm, deadline: Instant, is_first: bool) -> AttemptResult {
         let id = fastrand::u64(1..);
         self.history.requests.borrow_mut().push(Request {
             id,
@@ -79,42 +79,47 @@
             is_first,
             is_deadly: self.is_deadly,
         });
-        let ended =
-            tokio::time::timeout_at(until + LATE_ANSWER_GRACE, self.exchange(vm, id, until)).await;
-        let ended = ended.unwrap_or(AttemptResult {
-            answer: Outcome::None,
-            come_back: None,
+        let result = tokio::time::timeout_at(
+            deadline + LATE_ANSWER_GRACE,
+            self.exchange(vm, id, deadline),
+        )
+        .await;
+        let result = result.unwrap_or(AttemptResult {
+            outcome: Outcome::None,
+            retry_after: None,
             was_sent: true,
         });
-        self.history.answers.borrow_mut().push(Completion {
+        self.history.completions.borrow_mut().push(Completion {
             id,
             at: self.history.now(),
-            answer: ended.answer,
+            outcome: result.outcome,
         });
-        ended
+        result
     }
 
-    async fn exchange(&self, vm: &Vm, id: u64, until: Instant) -> AttemptResult {
+    async fn exchange(&self, vm: &Vm, id: u64, deadline: Instant) -> AttemptResult {
         let none = |was_sent| AttemptResult {
-            answer: Outcome::None,
-            come_back: None,
+            outcome: Outcome::None,
+            retry_after: None,
             was_sent,
         };
-        let Ok(mut connection) = Connection::open(&*self.host, vm.callers).await else {
+        let Ok(mut connection) = Connection::open(&*self.host, vm.caller_address).await else {
             return none(false);
         };
         let id = format!("{id:016x}");
-        let left_ms = until.saturating_duration_since(Instant::now()).as_millis();
+        let left_ms = deadline
+            .saturating_duration_since(Instant::now())
+            .as_millis();
         let method = match self.request_kind.contract {
             Contract::RetryFreely => "GET",
             Contract::AtMostOnce => "POST",
         };
         let name = &self.request_kind.name;
         let rest = if self.is_deadly { DEADLY_PATH } else { "x" };
-        let text = format!(
+        let request = format!(
             "{method} /{name}/{rest} HTTP/1.1\r\nHost: a.example\r\nx-id: {id}\r\nx-deadline-ms: {left_ms}\r\nContent-Length: 0\r\n\r\n"
         );
-        if connection.send(text.as_bytes()).await.is_err() {
+        if connection.send(request.as_bytes()).await.is_err() {
             return none(true);
         }
         match connection.receive(method, MAX_ANSWER_BYTES).await {
@@ -126,7 +131,7 @@
 
 fn classify(response: &Response, id: &str) -> AttemptResult {
     let headers = &response.head.headers;
-    let is_own = headers.get("x-id").is_none_or(|answered| answered == id);
+    let is_own = headers.get("x-id").is_none_or(|echoed_id| echoed_id == id);
     let answer = match response.head.status {
         200..300 if is_own && response.body == answer_body(id).as_bytes() => Outcome::Complete,
         200..300 => Outcome::Wrong,
@@ -136,8 +141,8 @@
     let seconds = headers.get("retry-after");
     let seconds = seconds.and_then(|seconds| seconds.parse::<f64>().ok());
     AttemptResult {
-        answer,
-        come_back: seconds.and_then(|s| Duration::try_from_secs_f64(s).ok()),
+        outcome: answer,
+        retry_after: seconds.and_then(|s| Duration::try_from_secs_f64(s).ok()),
         was_sent: true,
     }
 }
--- a/crates/kingcuploft-simulation/src/network.rs
+++ b/crates/kingcuploft-simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! The played network: who reaches whom, how long it takes, what is cut.
+//! The simulated network: who can reach whom, how long bytes take, and which links are cut.
 
 use std::cell::{Cell, RefCell};
 use std::io::{Error, ErrorKind};
@@ -15,37 +15,43 @@
 use crate::history::VmIndex;
 use crate::link::{self, LinkEnd, Nic};
 
-/// How long bytes take within a zone, to another one, and between callers and VMs.
+/// The delay of bytes within a zone.
 const DELAY_IN_ZONE: Duration = Duration::from_micros(100);
+
+/// The delay of bytes between two zones.
 const DELAY_BETWEEN_ZONES: Duration = Duration::from_micros(900);
+
+/// The delay of bytes between callers and VMs.
 const DELAY_TO_CALLERS: Duration = Duration::from_millis(3);
 
-/// How often a connection that can't be opened is tried again: opening packets are lost.
+/// How often a connection attempt over a cut link is repeated, since its opening packets are lost.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The speed of all links, which none of the days fills.
+/// The bandwidth of all links, which no day saturates.
 const LINK_MBIT_PER_S: u32 = 1000;
 
-/// A connection that was opened, and the VM that opened it.
+/// An accepted connection, and the VM that opened it, if one did.
 pub type AcceptedConnection = (LinkEnd, Option<VmIndex>);
 
-/// A datagram, and where it comes from.
+/// A datagram and its sender's address.
 pub type Datagram = (PeerMessage, SocketAddr);
 
+/// The receiver of the connections to an address.
 #[derive(Debug)]
 struct Listener {
     nic: Rc<Nic>,
     zone: usize,
-    accepts: UnboundedSender<AcceptedConnection>,
+    connections: UnboundedSender<AcceptedConnection>,
 }
 
-/// Where datagrams to an address go.
+/// The receiver of the datagrams to an address.
 #[derive(Clone, Debug)]
 struct Mailbox {
     nic: Rc<Nic>,
-    receives: UnboundedSender<Datagram>,
+    datagrams: UnboundedSender<Datagram>,
 }
 
+/// The addresses at which hosts listen.
 #[derive(Debug, Default)]
 struct Endpoints {
     listeners: RefCell<HashMap<SocketAddr, Listener>>,
@@ -56,35 +62,35 @@
 #[derive(Clone, Debug, Default)]
 pub struct Network(Rc<Endpoints>);
 
-/// Where a host is.
+/// The location of a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Location {
-    /// In a zone.
+    /// In an availability zone.
     Zone(usize),
-    /// With the callers.
+    /// Outside the zones, where the callers are.
     External,
 }
 
-/// The network as one host reaches it.
+/// A host's access to the network.
 #[derive(Clone, Debug)]
 pub struct Host {
     network: Network,
     location: Location,
     vm: Option<VmIndex>,
-    /// Its way to callers and servers.
+    /// The interface towards callers and servers.
     pub nic: Rc<Nic>,
-    /// Its way to other VMs and the store.
+    /// The interface towards other VMs and the store.
     pub peer_nic: Rc<Nic>,
-    /// Where other VMs reach it.
+    /// The address at which other VMs reach the host.
     pub peer_address: Cell<Option<SocketAddr>>,
 }
 
 impl Network {
     /// Returns a new host.
-    pub fn host(&self, place: Location, vm: Option<VmIndex>) -> Host {
+    pub fn host(&self, location: Location, vm: Option<VmIndex>) -> Host {
         Host {
             network: self.clone(),
-            location: place,
+            location,
             vm,
             nic: Rc::new(Nic::of(LINK_MBIT_PER_S)),
             peer_nic: Rc::new(Nic::of(LINK_MBIT_PER_S)),
@@ -100,23 +106,23 @@
 }
 
 impl Host {
-    /// Listens at an address, on its way to callers and servers.
-    pub fn listen(&self, address: SocketAddr, accepts: UnboundedSender<AcceptedConnection>) {
-        self.listen_on(&self.nic, address, accepts);
+    /// Listens at an address on the interface towards callers and servers.
+    pub fn listen(&self, address: SocketAddr, connections: UnboundedSender<AcceptedConnection>) {
+        self.listen_on(&self.nic, address, connections);
     }
 
-    /// Listens at an address, on its way to other VMs.
+    /// Listens at an address on the interface towards other VMs, for connections and datagrams.
     pub fn listen_to_peers(
         &self,
         address: SocketAddr,
-        accepts: UnboundedSender<AcceptedConnection>,
+        connections: UnboundedSender<AcceptedConnection>,
         datagrams: UnboundedSender<Datagram>,
     ) {
         self.peer_address.set(Some(address));
-        self.listen_on(&self.peer_nic, address, accepts);
+        self.listen_on(&self.peer_nic, address, connections);
         let mailbox = Mailbox {
             nic: self.peer_nic.clone(),
-            receives: datagrams,
+            datagrams,
         };
         let mut all = self.network.0.mailboxes.borrow_mut();
         all.insert(address, mailbox);
@@ -126,7 +132,7 @@
         &self,
         nic: &Rc<Nic>,
         address: SocketAddr,
-        accepts: UnboundedSender<AcceptedConnection>,
+        connections: UnboundedSender<AcceptedConnection>,
     ) {
         let zone = match self.location {
             Location::Zone(zone) => zone,
@@ -135,24 +141,24 @@
         let listener = Listener {
             nic: nic.clone(),
             zone,
-            accepts,
+            connections,
         };
         let mut all = self.network.0.listeners.borrow_mut();
         all.insert(address, listener);
     }
 
-    /// Cuts the host off from other VMs and the store, or ends that.
+    /// Cuts the host off from other VMs and the store, or ends the cut.
     pub fn cut_off(&self, is_cut: bool) {
         self.peer_nic.is_cut.set(is_cut);
     }
 
-    /// Takes its power away; a host that has it again is another one.
+    /// Takes the power away for good; the host that starts when power is back is a new one.
     pub fn lose_power(&self) {
         self.nic.is_powered_off.set(true);
         self.peer_nic.is_powered_off.set(true);
     }
 
-    /// Returns whether it reaches other VMs and the store.
+    /// Returns whether the host is cut off from other VMs and the store.
     pub fn is_cut_off(&self) -> bool {
         self.peer_nic.is_cut.get() || self.peer_nic.is_powered_off.get()
     }
@@ -171,20 +177,20 @@
             let found = {
                 let listeners = self.network.0.listeners.borrow();
                 let found = listeners.get(&address);
-                found.map(|to| (to.nic.clone(), to.accepts.clone(), self.delay(to.zone)))
+                found.map(|to| (to.nic.clone(), to.connections.clone(), self.delay(to.zone)))
             };
-            let Some((nic, accepts, delay)) = found else {
+            let Some((nic, connections, delay)) = found else {
                 tokio::time::sleep(2 * DELAY_BETWEEN_ZONES).await;
                 return Err(refused());
             };
-            let stops = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
-            if stops(own) || stops(&nic) {
+            let is_blocked = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
+            if is_blocked(own) || is_blocked(&nic) {
                 tokio::time::sleep(CONNECT_RETRY_INTERVAL).await;
                 continue;
             }
             tokio::time::sleep(2 * delay).await;
             let (here, there) = link::connect(own, &nic, delay);
-            accepts.send((there, self.vm)).map_err(|_| refused())?;
+            connections.send((there, self.vm)).map_err(|_| refused())?;
             return Ok(here);
         }
     }
@@ -208,23 +214,23 @@
 }
 
 impl PeerSender for Host {
-    fn send(&self, told: &PeerMessage, others: &[SocketAddr]) {
+    fn send(&self, message: &PeerMessage, addresses: &[SocketAddr]) {
         let Some(from) = self.peer_address.get() else {
             return;
         };
-        for other in others {
-            let found = self.network.0.mailboxes.borrow().get(other).cloned();
-            let Some(Mailbox { nic, receives }) = found else {
+        for address in addresses {
+            let found = self.network.0.mailboxes.borrow().get(address).cloned();
+            let Some(Mailbox { nic, datagrams }) = found else {
                 continue;
             };
-            let stops = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
-            if stops(&self.peer_nic) || stops(&nic) {
+            let is_blocked = |nic: &Nic| nic.is_cut.get() || nic.is_powered_off.get();
+            if is_blocked(&self.peer_nic) || is_blocked(&nic) {
                 continue;
             }
-            let told = told.clone();
+            let message = message.clone();
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(DELAY_BETWEEN_ZONES).await;
-                let _ = receives.send((told, from));
+                let _ = datagrams.send((message, from));
             });
         }
     }
