--- a/crates/kingcuploft/src/decisions/admission/mod.rs
+++ b/crates/kingcuploft/src/decisions/admission/mod.rs
@@ -25,7 +25,8 @@
 use crate::world::refusal::{Refusal, RefusalReason};
 
 /// The shortest and the longest `Retry-After` that a caller is given.
-const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(10));
+const RETRY_AFTER_RANGE: (Duration, Duration) =
+    (Duration::from_millis(10), Duration::from_secs(10));
 
 /// The `Retry-After` of a duplicate of a key that is being worked on.
 const KEY_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -213,13 +214,13 @@
             true => self.shares.charge(&waiting.caller, cost_us),
             false => 0,
         };
-        let place = self.queues[priority].push(waiting, start_us);
+        let position = self.queues[priority].push(waiting, start_us);
         self.latest_starts.insert((latest_start, request));
         self.entries.insert(
             request,
             QueueEntry {
                 priority,
-                position: place,
+                position,
                 cost_us,
                 latest_start,
             },
@@ -409,7 +410,7 @@
 /// The time is spread by a quarter to each side, by the request's number, so that callers who were refused together do
 /// not retry together.
 fn refused(reason: RefusalReason, request: RequestId, wait: Duration) -> Refusal {
-    let (shortest, longest) = RETRY_AFTER;
+    let (shortest, longest) = RETRY_AFTER_RANGE;
     let spread = (request.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 56) as f64 / 256.0;
     let after = wait.max(shortest).mul_f64(0.75 + spread / 2.0);
     Refusal::not_run(reason).retry_after(after.min(longest))
--- a/crates/kingcuploft/src/decisions/adoption.rs
+++ b/crates/kingcuploft/src/decisions/adoption.rs
@@ -114,7 +114,7 @@
     newest_announced: Generation,
     services: HashMap<ContentHash, KnownService>,
     earlier_roots: VecDeque<Root>,
-    fault: Option<String>,
+    last_error: Option<String>,
     awaits_sources: bool,
 }
 
@@ -265,7 +265,7 @@
             root: self.root_hash().cloned(),
             heard: self.newest_announced,
             missing: missing.map_or(0, |missing| missing.len()),
-            fault: self.fault.clone(),
+            fault: self.last_error.clone(),
         }
     }
 
@@ -323,7 +323,7 @@
         if self.earlier_roots.len() > MAX_EARLIER_ROOTS {
             self.earlier_roots.pop_front();
         }
-        self.fault = None;
+        self.last_error = None;
         let services = self.in_force.iter().flat_map(|known| &known.root.services);
         let used: HashSet<&ContentHash> = services.map(|part| &part.hash).collect();
         self.services.retain(|hash, _| used.contains(hash));
@@ -346,7 +346,7 @@
     }
 
     fn record_error<T>(&mut self, error: AdoptionError) -> Result<T, AdoptionError> {
-        self.fault = Some(error.to_string());
+        self.last_error = Some(error.to_string());
         Err(error)
     }
 }
--- a/crates/kingcuploft/src/decisions/claim/mod.rs
+++ b/crates/kingcuploft/src/decisions/claim/mod.rs
@@ -38,10 +38,10 @@
 use message::Verdict;
 
 /// When to retry for the result of an action that may be running.
-const IN_PROGRESS_RETRY: Duration = Duration::from_millis(500);
+const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// When to retry where the partition is full.
-const FULL_RETRY: Duration = Duration::from_secs(5);
+const FULL_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Returns the hash of an idempotency key; the same key of another service is another action.
 pub fn key_hash(service: &ServiceName, key: &str) -> ledger::KeyHash {
@@ -69,14 +69,14 @@
             retry_after: None,
         },
         Verdict::InProgress => {
-            Refusal::unknown(RefusalReason::KeyInProgress).retry_after(IN_PROGRESS_RETRY)
+            Refusal::unknown(RefusalReason::KeyInProgress).retry_after(IN_PROGRESS_RETRY_AFTER)
         }
         Verdict::EndUnknown => Refusal::unknown(RefusalReason::KeyInProgress),
         Verdict::Reused => Refusal::not_run(RefusalReason::KeyReused),
         Verdict::Unavailable { retry_after } => {
             Refusal::not_run(RefusalReason::StoreUnavailable).retry_after(*retry_after)
         }
-        Verdict::Full => Refusal::not_run(RefusalReason::Overloaded).retry_after(FULL_RETRY),
+        Verdict::Full => Refusal::not_run(RefusalReason::Overloaded).retry_after(FULL_RETRY_AFTER),
     };
     Some(refusal)
 }
--- a/crates/kingcuploft/src/decisions/claim/seal.rs
+++ b/crates/kingcuploft/src/decisions/claim/seal.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Staged {
     name: String,
-    what: StagedContent,
+    content: StagedContent,
     expires_ms: u64,
     /// The object's version, once it is written.
     version: Option<Version>,
@@ -65,7 +65,7 @@
         let threshold = 1.0 + context.rng.f64();
         let bytes = self.settings.seal_bytes as f64 * threshold;
         let segments = self.settings.segments_per_index as f64 * threshold;
-        let (what, value, expires_ms) = if head.segments.len() as f64 >= segments {
+        let (content, value, expires_ms) = if head.segments.len() as f64 >= segments {
             self.index(&head)
         } else if head.bytes() as f64 >= bytes {
             segment(&head)?
@@ -79,7 +79,7 @@
         );
         self.staged = Some(Staged {
             name: name.clone(),
-            what,
+            content,
             expires_ms,
             version: None,
         });
@@ -146,7 +146,7 @@
             self.staged = None;
             return;
         }
-        let applied = staged.version.is_some_and(|version| match &staged.what {
+        let applied = staged.version.is_some_and(|version| match &staged.content {
             StagedContent::Segment(segment) => apply_segment(head, staged, version, segment),
             StagedContent::Index(numbers) => apply_index(head, staged, version, numbers),
         });
@@ -162,7 +162,7 @@
         };
         let mut segments = known.head.segments.iter();
         let segment = segments.find(|segment| segment.name == staged.name);
-        match (staged.what, segment) {
+        match (staged.content, segment) {
             (StagedContent::Segment(content), Some(segment)) => {
                 let keys = content.entries.keys().copied();
                 self.sealed.add_segment(segment.clone(), keys);
--- a/crates/kingcuploft/src/decisions/concurrency.rs
+++ b/crates/kingcuploft/src/decisions/concurrency.rs
@@ -95,7 +95,7 @@
         &mut self,
         report: &CallReport,
         slots: u32,
-        usual: ServiceTime,
+        service_time: ServiceTime,
         requests_wait: bool,
     ) {
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -104,7 +104,9 @@
             (CallEnd::Answered { .. }, Some(load)) => {
                 f64::from(load.in_flight) > f64::from(slots) * self.settings.full_at
             }
-            (CallEnd::Answered { .. }, None) => self.is_above_baseline(report.latency, usual),
+            (CallEnd::Answered { .. }, None) => {
+                self.is_above_baseline(report.latency, service_time)
+            }
             _ => return,
         };
         let (rise, fall) = (self.settings.rise, self.settings.fall);
--- a/crates/kingcuploft/src/decisions/drain.rs
+++ b/crates/kingcuploft/src/decisions/drain.rs
@@ -35,10 +35,10 @@
         drain
     }
 
-    /// Carries over the reports received under an earlier manifest; `old_of` gives the earlier index of each backend
+    /// Carries over the reports received under an earlier manifest; `old_indexes` gives the earlier index of each backend
     /// server, `None` for one that is new.
-    pub fn take_over(&mut self, old: &Self, old_of: &[Option<usize>]) {
-        for (server, old_index) in old_of.iter().enumerate() {
+    pub fn carry_over(&mut self, old: &Self, old_indexes: &[Option<usize>]) {
+        for (server, old_index) in old_indexes.iter().enumerate() {
             let Some(old_index) = *old_index else {
                 continue;
             };
--- a/crates/kingcuploft/src/decisions/hedge.rs
+++ b/crates/kingcuploft/src/decisions/hedge.rs
@@ -115,15 +115,15 @@
 
     /// Records that a lookup was sent, which earns its share of a token. Returns after which time to check it, if it
     /// may be hedged.
-    pub fn lookup_sent(&mut self, usual: &ServiceTime) -> Option<Duration> {
+    pub fn lookup_sent(&mut self, service_time: &ServiceTime) -> Option<Duration> {
         if self.settings.budget_share <= 0.0 {
             return None;
         }
         let earned = (self.settings.budget_share * UNITS_PER_TOKEN as f64) as u64;
         let most = u64::from(self.settings.budget_most) * UNITS_PER_TOKEN;
         self.budget_units = (self.budget_units + earned).min(most);
-        usual.mean()?;
-        Some(usual.p90().max(self.min_delay()))
+        service_time.mean()?;
+        Some(service_time.p90().max(self.min_delay()))
     }
 
     /// Records how long a backend server took to answer.
@@ -134,9 +134,9 @@
         &mut self,
         server: &BackendServerName,
         took: Duration,
-        usual: &ServiceTime,
+        service_time: &ServiceTime,
     ) {
-        let median_s = usual.median().as_secs_f64();
+        let median_s = service_time.median().as_secs_f64();
         if median_s <= 0.0 {
             return;
         }
--- a/crates/kingcuploft/src/decisions/measuring.rs
+++ b/crates/kingcuploft/src/decisions/measuring.rs
@@ -35,8 +35,8 @@
     settings: MeasuringSettings,
     servers: Vec<ProbedServer>,
     /// The indexes of the servers whose prober this VM is.
-    own: Vec<usize>,
-    next: usize,
+    own_servers: Vec<usize>,
+    next_own: usize,
     earned_ms: f64,
     earning_since: Option<Instant>,
     check_at: Option<Instant>,
@@ -63,8 +63,8 @@
         Self {
             settings: service.policy.measuring.clone(),
             servers: servers.collect(),
-            own: Vec::new(),
-            next: 0,
+            own_servers: Vec::new(),
+            next_own: 0,
             earned_ms: 0.0,
             earning_since: None,
             check_at: None,
@@ -73,8 +73,8 @@
     }
 
     /// Carries over the earned budget and what is known of the servers from an earlier manifest.
-    pub fn take_over(&mut self, old: &Self, old_of: &[Option<usize>]) {
-        for (server, old_index) in self.servers.iter_mut().zip(old_of) {
+    pub fn carry_over(&mut self, old: &Self, old_indexes: &[Option<usize>]) {
+        for (server, old_index) in self.servers.iter_mut().zip(old_indexes) {
             if let Some(index) = old_index {
                 (server.last_report, server.probing) =
                     (old.servers[*index].last_report, old.servers[*index].probing);
@@ -93,9 +93,9 @@
         let servers = 0..self.servers.len();
         let own = servers.filter(|&i| prober(live, &self.servers[i].name) == Some(own));
         let own: Vec<usize> = own.collect();
-        if own != self.own {
+        if own != self.own_servers {
             self.settled_at = Some(now + Duration::from_millis(self.settings.settle_ms));
-            self.own = own;
+            self.own_servers = own;
         }
         // No probe is due before the view has settled, so the dispatcher need not wake earlier.
         self.check_at = self.settled_at.map(|settled_at| settled_at.max(now));
@@ -120,7 +120,7 @@
     /// Returns the next server to probe, if one needs it and the budget covers it.
     pub fn next_probe(&mut self, now: Instant) -> Option<usize> {
         self.check_at.take_if(|at| *at <= now)?;
-        if self.own.is_empty() {
+        if self.own_servers.is_empty() {
             return None;
         }
         self.check_at = Some(now + CHECK_INTERVAL);
@@ -137,14 +137,14 @@
 
     fn next_unreported(&mut self, now: Instant) -> Option<usize> {
         let idle = Duration::from_millis(self.settings.idle_ms);
-        for _ in 0..self.own.len().min(MAX_SERVERS_CHECKED) {
-            self.next = (self.next + 1) % self.own.len();
-            let server = &self.servers[self.own[self.next]];
+        for _ in 0..self.own_servers.len().min(MAX_SERVERS_CHECKED) {
+            self.next_own = (self.next_own + 1) % self.own_servers.len();
+            let server = &self.servers[self.own_servers[self.next_own]];
             let report_age = server
                 .last_report
                 .map(|at| now.saturating_duration_since(at));
             if !server.probing && report_age.is_none_or(|age| age >= idle) {
-                return Some(self.own[self.next]);
+                return Some(self.own_servers[self.next_own]);
             }
         }
         None
@@ -154,7 +154,11 @@
     fn earn(&mut self, now: Instant) {
         let since = self.earning_since.replace(now);
         let elapsed = since.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let slots: f64 = self.own.iter().map(|&i| self.servers[i].slots).sum();
+        let slots: f64 = self
+            .own_servers
+            .iter()
+            .map(|&i| self.servers[i].slots)
+            .sum();
         let earned_ms = elapsed.as_secs_f64()
             * 1000.0
             * slots
--- a/crates/kingcuploft/src/decisions/membership/mod.rs
+++ b/crates/kingcuploft/src/decisions/membership/mod.rs
@@ -114,8 +114,8 @@
         let mut suspected = Vec::new();
         for (name, known) in &mut self.members {
             let member = &mut known.member;
-            let doubted = member.address == address && self.unconfirmed.remove(name);
-            if doubted && member.state == MemberState::Live && !known.linked {
+            let was_unconfirmed = member.address == address && self.unconfirmed.remove(name);
+            if was_unconfirmed && member.state == MemberState::Live && !known.linked {
                 (member.state, known.last_heard) = (MemberState::Suspect, now);
                 suspected.push(name.clone());
             }
@@ -207,8 +207,8 @@
         self.merge_list(now, list);
         let listed: HashSet<&VmName> = list.iter().map(|member| &member.name).collect();
         for (name, known) in &self.members {
-            let missed = !known.linked && !listed.contains(name);
-            if missed && known.member.state == MemberState::Live {
+            let unknown_to_peer = !known.linked && !listed.contains(name);
+            if unknown_to_peer && known.member.state == MemberState::Live {
                 self.unconfirmed.insert(name.clone());
             }
         }
@@ -258,8 +258,8 @@
         let before = self.members.len();
         let forget = self.settings.forget_after();
         self.members.retain(|_, known| {
-            let out = matches!(known.member.state, MemberState::Gone | MemberState::Leaving);
-            !out || now.saturating_duration_since(known.last_heard) <= forget
+            let has_left = matches!(known.member.state, MemberState::Gone | MemberState::Leaving);
+            !has_left || now.saturating_duration_since(known.last_heard) <= forget
         });
         !changed.is_empty() || before != self.members.len()
     }
@@ -283,8 +283,8 @@
     pub fn digest(&self) -> u32 {
         let members = self.members.values();
         let live = members.filter(|known| known.member.state == MemberState::Live);
-        let lives = live.map(|known| known.hashes.incarnation);
-        lives.fold(self.own_hashes.incarnation, u64::wrapping_add) as u32
+        let hashes = live.map(|known| known.hashes.incarnation);
+        hashes.fold(self.own_hashes.incarnation, u64::wrapping_add) as u32
     }
 
     /// Takes a neighbour's digest; returns whether to read its whole list of members.
--- a/crates/kingcuploft/src/decisions/outlier.rs
+++ b/crates/kingcuploft/src/decisions/outlier.rs
@@ -44,10 +44,10 @@
         }
     }
 
-    /// Carries over the state known under an earlier manifest; `old_of` gives the earlier index of each backend server,
+    /// Carries over the state known under an earlier manifest; `old_indexes` gives the earlier index of each backend server,
     /// `None` for one that is new.
-    pub fn take_over(&mut self, old: &Self, old_of: &[Option<usize>]) {
-        for (server, old_index) in self.servers.iter_mut().zip(old_of) {
+    pub fn carry_over(&mut self, old: &Self, old_indexes: &[Option<usize>]) {
+        for (server, old_index) in self.servers.iter_mut().zip(old_indexes) {
             if let Some(index) = old_index {
                 server.clone_from(&old.servers[*index]);
             }
@@ -92,14 +92,14 @@
     }
 
     fn record_failure(&mut self, now: Instant, server: usize, available: usize) -> bool {
-        let (after, again) = (
+        let (after, previous) = (
             self.settings.eject_after,
             self.servers[server].ejected_until,
         );
         self.servers[server].failures += 1;
-        let due = after > 0 && (self.servers[server].failures >= after || again.is_some());
+        let due = after > 0 && (self.servers[server].failures >= after || previous.is_some());
         // A failure during the ejection belongs to a call that was sent before it, and tells nothing new.
-        let ejected_now = again.is_some_and(|ejected_until| ejected_until > now);
+        let ejected_now = previous.is_some_and(|ejected_until| ejected_until > now);
         if !due || ejected_now {
             return false;
         }
--- a/crates/kingcuploft/src/decisions/priority_scheduler.rs
+++ b/crates/kingcuploft/src/decisions/priority_scheduler.rs
@@ -19,8 +19,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PriorityScheduler {
     weights: [u32; PRIORITY_COUNT],
-    next: [u64; PRIORITY_COUNT],
-    now: u64,
+    /// The start tag of each priority's next turn.
+    next_start: [u64; PRIORITY_COUNT],
+    virtual_time: u64,
 }
 
 impl PriorityScheduler {
@@ -28,8 +29,8 @@
     pub fn new(settings: &AdmissionSettings) -> Self {
         Self {
             weights: weights(settings),
-            next: [0; PRIORITY_COUNT],
-            now: 0,
+            next_start: [0; PRIORITY_COUNT],
+            virtual_time: 0,
         }
     }
 
@@ -41,14 +42,14 @@
     /// Returns the priority to serve next among those that wait.
     pub fn next(&self, waits: impl Fn(usize) -> bool) -> Option<usize> {
         let waiting = (0..PRIORITY_COUNT).filter(|&i| waits(i));
-        waiting.min_by_key(|&i| self.next[i].max(self.now))
+        waiting.min_by_key(|&i| self.next_start[i].max(self.virtual_time))
     }
 
     /// Records that a priority was served.
     pub fn record_served(&mut self, priority: usize) {
-        let start = self.next[priority].max(self.now);
-        self.now = start;
-        self.next[priority] = start + UNIT_STRIDE / u64::from(self.weights[priority]);
+        let start = self.next_start[priority].max(self.virtual_time);
+        self.virtual_time = start;
+        self.next_start[priority] = start + UNIT_STRIDE / u64::from(self.weights[priority]);
     }
 }
 
--- a/crates/kingcuploft/src/decisions/selection.rs
+++ b/crates/kingcuploft/src/decisions/selection.rs
@@ -66,11 +66,11 @@
         }
     }
 
-    /// Carries over the state known under an earlier manifest; `old_of` gives the earlier index of each backend server,
+    /// Carries over the state known under an earlier manifest; `old_indexes` gives the earlier index of each backend server,
     /// `None` for one that is new.
-    pub fn take_over(&mut self, old: &Self, old_of: &[Option<usize>]) {
+    pub fn carry_over(&mut self, old: &Self, old_indexes: &[Option<usize>]) {
         self.typical_others = old.typical_others;
-        for (server, old_index) in self.servers.iter_mut().zip(old_of) {
+        for (server, old_index) in self.servers.iter_mut().zip(old_indexes) {
             if let Some(index) = old_index {
                 let (slots, rtt) = (server.slots, server.rtt);
                 server.clone_from(&old.servers[*index]);
--- a/crates/kingcuploft/src/dispatcher/service_state.rs
+++ b/crates/kingcuploft/src/dispatcher/service_state.rs
@@ -87,10 +87,10 @@
                 Hedge::new(&service.policy.hedge),
             ),
             Some(mut old) => {
-                selection.take_over(&old.selection, &old_of);
-                drain.take_over(&old.drain, &old_of);
-                measuring.take_over(&old.measuring, &old_of);
-                outlier.take_over(&old.outlier, &old_of);
+                selection.carry_over(&old.selection, &old_of);
+                drain.carry_over(&old.drain, &old_of);
+                measuring.carry_over(&old.measuring, &old_of);
+                outlier.carry_over(&old.outlier, &old_of);
                 old.admission.update_service(&service);
                 old.concurrency.update_service(&service);
                 old.retry.update_settings(&service.policy.retry);
