--- a/crates/kingcuploft/tests/claim_model/model.rs
+++ b/crates/kingcuploft/tests/claim_model/model.rs
@@ -35,8 +35,8 @@
     Held,
     Sent,
     Ended,
-    ToldNotRun,
-    ToldOther,
+    RefusedNotRun,
+    OtherVerdict,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -117,13 +117,13 @@
         event: impl FnOnce(&mut Partition, &mut EventContext<'_>, &mut Vec<Output>),
     ) {
         let mut rng = fastrand::Rng::with_seed(0);
-        let mut time = EventContext {
+        let mut context = EventContext {
             now: self.now,
             unix_ms: NOW_MS,
             rng: &mut rng,
         };
         let mut out = Vec::new();
-        event(&mut model.vms[vm], &mut time, &mut out);
+        event(&mut model.vms[vm], &mut context, &mut out);
         for output in out {
             match output {
                 Output::Store(operation) => model.calls[vm] = Some(operation),
@@ -133,10 +133,10 @@
         }
     }
 
-    fn order(&self, model: &mut Model, request: usize, order: ClaimCommand) {
+    fn command(&self, model: &mut Model, request: usize, command: ClaimCommand) {
         let vm = self.vm_of(request);
-        self.feed(model, vm, |partition, time, out| {
-            partition.handle_command(time, order, out);
+        self.feed(model, vm, |partition, context, out| {
+            partition.handle_command(context, command, out);
         });
     }
 
@@ -152,8 +152,8 @@
             self.store_moves(model, vm, &mut next);
             if model.vms[vm].next_due().is_some_and(|due| due <= self.now) {
                 let mut ticked = model.clone();
-                self.feed(&mut ticked, vm, |partition, time, out| {
-                    partition.tick(time, out);
+                self.feed(&mut ticked, vm, |partition, context, out| {
+                    partition.tick(context, out);
                 });
                 next.push(ticked);
             }
@@ -185,12 +185,12 @@
                     // A tick at any moment refuses the claim.
                     deadline: self.now,
                 };
-                self.order(&mut after, request, ClaimCommand::Claim(id, claim));
+                self.command(&mut after, request, ClaimCommand::Claim(id, claim));
             }
             Phase::Held => {
                 let mut released = model.clone();
-                released.requests[request] = Phase::ToldNotRun;
-                self.order(&mut released, request, ClaimCommand::Release(id));
+                released.requests[request] = Phase::RefusedNotRun;
+                self.command(&mut released, request, ClaimCommand::Release(id));
                 next.push(released);
                 after.requests[request] = Phase::Sent;
                 after.runs += 1;
@@ -202,12 +202,12 @@
                 let mut unknown = model.clone();
                 unknown.requests[request] = Phase::Ended;
                 let end = ClaimCommand::Acknowledge(id, EntryState::EndUnknown);
-                self.order(&mut unknown, request, end);
+                self.command(&mut unknown, request, end);
                 next.push(unknown);
                 after.requests[request] = Phase::Ended;
                 after.answered_by = Some(request as u8);
                 let end = EntryState::Answered(Arc::new(record(request)));
-                self.order(&mut after, request, ClaimCommand::Acknowledge(id, end));
+                self.command(&mut after, request, ClaimCommand::Acknowledge(id, end));
             }
             _ => return,
         }
@@ -254,8 +254,8 @@
 
     fn answer(&self, model: &mut Model, vm: usize, answer: StoreAnswer) {
         model.calls[vm] = None;
-        self.feed(model, vm, |partition, time, out| {
-            partition.handle_answer(time, answer, out);
+        self.feed(model, vm, |partition, context, out| {
+            partition.handle_answer(context, answer, out);
         });
     }
 
@@ -291,14 +291,14 @@
         }
         self.requests[request] = match verdict {
             Verdict::Held => Phase::Held,
-            Verdict::Unavailable { .. } | Verdict::Reused | Verdict::Full => Phase::ToldNotRun,
+            Verdict::Unavailable { .. } | Verdict::Reused | Verdict::Full => Phase::RefusedNotRun,
             Verdict::Replay(record) => {
                 if self.answered_by != record.body.first().copied() {
                     self.violation = Some("a recorded answer changed");
                 }
-                Phase::ToldOther
+                Phase::OtherVerdict
             }
-            Verdict::AlreadyRan | Verdict::InProgress | Verdict::EndUnknown => Phase::ToldOther,
+            Verdict::AlreadyRan | Verdict::InProgress | Verdict::EndUnknown => Phase::OtherVerdict,
         };
     }
 
@@ -353,8 +353,8 @@
     fn orphan_claim(&self) -> Option<&'static str> {
         let entry = self.head()?.entries.get(&KEY)?;
         let request = entry.claimant.nonce as usize;
-        let told_not_run = self.requests[request] == Phase::ToldNotRun;
-        told_not_run.then_some("an orphan claim blocks the key")
+        let was_refused_not_run = self.requests[request] == Phase::RefusedNotRun;
+        was_refused_not_run.then_some("an orphan claim blocks the key")
     }
 }
 
--- a/crates/kingcuploft/tests/claims/main.rs
+++ b/crates/kingcuploft/tests/claims/main.rs
@@ -90,7 +90,7 @@
         world.claim(fresh, 20_000 + key, u128::from(key));
         world.run(Duration::from_secs(1));
         assert_eq!(world.verdicts[&(20_000 + key)], Verdict::Held, "{key}");
-        world.order(fresh, ClaimCommand::Release(20_000 + key));
+        world.command(fresh, ClaimCommand::Release(20_000 + key));
     }
     world.run(Duration::from_secs(2));
     let after = world.objects.len();
@@ -157,7 +157,7 @@
     let stored = (1_000, StoredObject::Head(Arc::new(head)));
     world.objects.insert("claims/000/head".into(), stored);
     world.settle();
-    assert!(world.counted.contains(&ClaimEvent::Released));
+    assert!(world.events.contains(&ClaimEvent::Released));
     world.claim(1, 2, 7);
     world.settle();
     assert_eq!(world.verdicts[&2], Verdict::Held);
@@ -270,7 +270,7 @@
     }
     world.settle();
     assert_eq!(world.writes - before, 1);
-    assert!(world.counted.contains(&ClaimEvent::Group(100)));
+    assert!(world.events.contains(&ClaimEvent::Group(100)));
 }
 
 #[test]
--- a/crates/kingcuploft/tests/claims/world.rs
+++ b/crates/kingcuploft/tests/claims/world.rs
@@ -27,7 +27,7 @@
     pub(crate) writes: u64,
     pub(crate) conflicts: u64,
     pub(crate) verdicts: BTreeMap<ClaimId, Verdict>,
-    pub(crate) counted: Vec<ClaimEvent>,
+    pub(crate) events: Vec<ClaimEvent>,
     pub(crate) outage: Option<StoreFailure>,
     revision: Version,
     start: Instant,
@@ -44,7 +44,7 @@
             writes: 0,
             conflicts: 0,
             verdicts: BTreeMap::new(),
-            counted: Vec::new(),
+            events: Vec::new(),
             outage: None,
             revision: 0,
             start: Instant::now(),
@@ -73,9 +73,9 @@
         self.start + self.elapsed
     }
 
-    pub(crate) fn order(&mut self, vm: usize, order: ClaimCommand) {
-        self.feed(vm, |partition, time, out| {
-            partition.handle_command(time, order, out)
+    pub(crate) fn command(&mut self, vm: usize, command: ClaimCommand) {
+        self.feed(vm, |partition, context, out| {
+            partition.handle_command(context, command, out)
         });
     }
 
@@ -96,12 +96,12 @@
             window: WINDOW,
             deadline: self.now() + self.settings.timeout(),
         };
-        self.order(vm, ClaimCommand::Claim(id, claim));
+        self.command(vm, ClaimCommand::Claim(id, claim));
     }
 
     pub(crate) fn answer(&mut self, vm: usize, id: ClaimId, body: &[u8]) {
         let state = EntryState::Answered(Arc::new(record(body)));
-        self.order(vm, ClaimCommand::Acknowledge(id, state));
+        self.command(vm, ClaimCommand::Acknowledge(id, state));
     }
 
     /// Lets time pass in steps of 1 ms, each with at most one store call of each VM.
@@ -138,11 +138,11 @@
                     Some(failure) => StoreAnswer::Failed(failure),
                     None => self.apply(&call),
                 };
-                self.feed(vm, |partition, time, out| {
-                    partition.handle_answer(time, answer, out);
+                self.feed(vm, |partition, context, out| {
+                    partition.handle_answer(context, answer, out);
                 });
             }
-            self.feed(vm, |partition, time, out| partition.tick(time, out));
+            self.feed(vm, |partition, context, out| partition.tick(context, out));
         }
     }
 
@@ -154,13 +154,13 @@
         let unix_ms = START_MS + self.elapsed.as_millis() as u64;
         let now = self.now();
         let vm = &mut self.vms[vm];
-        let mut time = EventContext {
+        let mut context = EventContext {
             now,
             unix_ms: unix_ms.saturating_add_signed(vm.skew_ms),
             rng: &mut self.rng,
         };
         let mut out = Vec::new();
-        event(&mut vm.partition, &mut time, &mut out);
+        event(&mut vm.partition, &mut context, &mut out);
         for output in out {
             match output {
                 Output::Store(call) => vm.call = Some(call),
@@ -168,7 +168,7 @@
                     let before = self.verdicts.insert(id, verdict);
                     assert_eq!(before, None, "claim {id} is decided twice");
                 }
-                Output::Event(counted) => self.counted.push(counted),
+                Output::Event(event) => self.events.push(event),
             }
         }
     }
