--- a/crates/kingcuploft-entry/src/budgets.rs
+++ b/crates/kingcuploft-entry/src/budgets.rs
@@ -68,7 +68,7 @@
 
     /// Returns the greatest age of a load report by which a server may be selected.
     pub fn max_load_report_age(&self) -> Duration {
-        self.probe_budget.borrow().max_reading_age()
+        self.probe_budget.borrow().max_report_age()
     }
 
     /// Takes one repeat from the repeat budget; returns whether the budget allowed it.
--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::attempts::AttemptEnd;
-use kingcuploft::entry::placement::{Candidate, LoadReading};
+use kingcuploft::entry::placement::{Candidate, LoadReport};
 
 use super::active_request::ActiveRequest;
 use super::suspect::SuspectRun;
@@ -44,7 +44,7 @@
     upstream: Rc<Upstream>,
     at: Instant,
     left: Duration,
-    load_report: Option<(Duration, LoadReading)>,
+    load_report: Option<(Duration, LoadReport)>,
     candidate: Candidate,
     open: bool,
 }
@@ -73,7 +73,7 @@
         let (active, context) = (self.active, self.active.context);
         context.metrics.count_attempt(outcome.end.label());
         let succeeded = outcome.end == AttemptEnd::Succeeded;
-        if succeeded && self.candidate.reading.is_some() {
+        if succeeded && self.candidate.load_report.is_some() {
             let (slowness, slot) = (self.slowness(), self.candidate.slot());
             context.record_service_time(
                 &active.route,
--- a/crates/kingcuploft-entry/src/edge/selection.rs
+++ b/crates/kingcuploft-entry/src/edge/selection.rs
@@ -89,7 +89,7 @@
                     }
                 }
                 Step::Probe(further) => reach = further,
-                Step::AwaitProbes => {
+                Step::AwaitReports => {
                     let notified = self.context.load_report_received.notified();
                     let _ = tokio::time::timeout(LOAD_REPORT_POLL_INTERVAL, notified).await;
                 }
--- a/crates/kingcuploft-entry/src/peers/load_reports.rs
+++ b/crates/kingcuploft-entry/src/peers/load_reports.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::placement::LoadReading;
+use kingcuploft::entry::placement::LoadReport;
 use kingcuploft::world::ids::BackendServerName;
 
 use super::peer_socket::{PeerMessage, PeerSocket};
@@ -37,7 +37,7 @@
 pub fn share_report(
     context: &Context,
     server: &BackendServerName,
-    reading: LoadReading,
+    reading: LoadReport,
     cold_for: Option<Duration>,
 ) {
     let message = PeerMessage::LoadReport {
@@ -91,7 +91,7 @@
             slowness,
             cold_ms,
         } => {
-            let reading = LoadReading {
+            let reading = LoadReport {
                 running,
                 waiting,
                 slots,
--- a/crates/kingcuploft-entry/src/settings.rs
+++ b/crates/kingcuploft-entry/src/settings.rs
@@ -74,5 +74,5 @@
     /// The path of the platform's readiness check.
     pub ready_path: &'static str,
     /// Parses the value of the load header.
-    pub parse_load: fn(&str) -> Option<kingcuploft::entry::placement::LoadReading>,
+    pub parse_load: fn(&str) -> Option<kingcuploft::entry::placement::LoadReport>,
 }
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -10,7 +10,7 @@
 
 use kingcuploft::entry::backend_servers::BackendServer;
 use kingcuploft::entry::failure_rate::FailureRate;
-use kingcuploft::entry::placement::{Candidate, LoadReading};
+use kingcuploft::entry::placement::{Candidate, LoadReport};
 use kingcuploft::utils::rendezvous::rendezvous;
 use kingcuploft::world::ids::VmName;
 
@@ -63,7 +63,7 @@
     cold_report_required_until: Cell<Option<Instant>>,
     idle_connections: RefCell<Vec<Connection>>,
     open_connections: std::rc::Rc<Cell<usize>>,
-    last_load_report: Cell<Option<(Instant, LoadReading)>>,
+    last_load_report: Cell<Option<(Instant, LoadReport)>>,
     probe_in_flight: Cell<bool>,
     awaits_late_answer: Cell<bool>,
     probe_backoff: Cell<Option<(Instant, Duration)>>,
@@ -135,7 +135,7 @@
     }
 
     /// Records a load report of the server.
-    pub fn record_load_report(&self, now: Instant, reading: LoadReading) {
+    pub fn record_load_report(&self, now: Instant, reading: LoadReport) {
         self.last_load_report.set(Some((now, reading)));
         if self.probe_backoff.take().is_some() {
             tracing::info!(event = "server_heard", server = %self.server.name);
@@ -143,7 +143,7 @@
     }
 
     /// Returns the last load report and its age.
-    pub fn load_report(&self, now: Instant) -> Option<(Duration, LoadReading)> {
+    pub fn load_report(&self, now: Instant) -> Option<(Duration, LoadReport)> {
         let (at, reading) = self.last_load_report.get()?;
         Some((now.saturating_duration_since(at), reading))
     }
@@ -290,9 +290,9 @@
         };
         Candidate {
             near: self.near,
-            reading: reading.map(|(_, reading)| reading),
+            load_report: reading.map(|(_, reading)| reading),
             probe_pending: self.probe_in_flight.get(),
-            sent_since_reading: unseen as u32,
+            sent_since_report: unseen as u32,
             own_in_flight: own.len() as u32,
             slots: self.server.slots,
             cold: now < self.cold_until.get(),
--- a/crates/kingcuploft-simulation/src/header_names.rs
+++ b/crates/kingcuploft-simulation/src/header_names.rs
@@ -1,6 +1,6 @@
 //! The names of headers that the world's callers, servers and VMs use.
 
-use kingcuploft::entry::placement::LoadReading;
+use kingcuploft::entry::placement::LoadReport;
 use kingcuploft_entry::settings::WireNames;
 
 /// The names.
@@ -17,9 +17,9 @@
     parse_load: read_load,
 };
 
-fn read_load(value: &str) -> Option<LoadReading> {
+fn read_load(value: &str) -> Option<LoadReport> {
     let mut figures = value.split(',').map(|figure| figure.parse::<u32>().ok());
-    Some(LoadReading {
+    Some(LoadReport {
         running: figures.next()??,
         waiting: figures.next()??,
         slots: figures.next()??,
--- a/crates/kingcuploft/src/entry/placement.rs
+++ b/crates/kingcuploft/src/entry/placement.rs
@@ -17,7 +17,7 @@
 
 /// What a backend server said of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LoadReading {
+pub struct LoadReport {
     /// Requests it works on.
     pub running: u32,
     /// Requests that wait at it.
@@ -34,11 +34,11 @@
     /// Whether it is in the own availability zone.
     pub near: bool,
     /// The last reading, if it is young enough to choose by.
-    pub reading: Option<LoadReading>,
+    pub load_report: Option<LoadReport>,
     /// Whether a reading was asked for and has not come.
     pub probe_pending: bool,
     /// Own requests sent there since the reading was taken.
-    pub sent_since_reading: u32,
+    pub sent_since_report: u32,
     /// Own requests in flight there.
     pub own_in_flight: u32,
     /// How many requests it works on at once.
@@ -100,7 +100,7 @@
     /// Send it to this candidate.
     Send(usize),
     /// Wait for the readings asked for.
-    AwaitProbes,
+    AwaitReports,
     /// Ask more servers.
     Probe(ProbeScope),
     /// All are slow or full: look again after this time.
@@ -158,7 +158,7 @@
     pub fn expected_ms(&self, work_ms: f64, last_slot: f64) -> f64 {
         let slots = f64::from(self.slots.max(1));
         let busy = self.busy();
-        let slowness = self.reading.map_or(MEAN_SLOWNESS, |r| r.slowness);
+        let slowness = self.load_report.map_or(MEAN_SLOWNESS, |r| r.slowness);
         let last_slot = match self.slot() {
             Slot::Last | Slot::Queued => last_slot,
             Slot::Spare => 1.0,
@@ -189,28 +189,29 @@
 
     /// Returns how many requests the server has, or may have where it has not said.
     fn busy(&self) -> f64 {
-        match self.reading {
-            Some(reading) => f64::from(reading.running + reading.waiting + self.sent_since_reading),
+        match self.load_report {
+            Some(reading) => f64::from(reading.running + reading.waiting + self.sent_since_report),
             None => f64::from(self.own_in_flight) + f64::from(self.slots.max(1)) / 2.0,
         }
     }
 
     /// Returns when a request that is sent now would begin to run, in milliseconds.
-    fn wait_ms(&self, reading: &LoadReading, work_ms: f64) -> f64 {
+    fn wait_ms(&self, reading: &LoadReport, work_ms: f64) -> f64 {
         let slots = f64::from(reading.slots.max(1));
-        let busy = f64::from(reading.running + reading.waiting + self.sent_since_reading);
+        let busy = f64::from(reading.running + reading.waiting + self.sent_since_report);
         line_ms(busy, slots, work_ms * reading.slowness)
     }
 
     /// Returns whether it works at its usual speed, or nearly so. A slot of a slow server that is taken by a
     /// request which is late in any case is missed when the server turns fast, a tenth of a second later.
     fn is_usually_fast(&self) -> bool {
-        self.reading.is_some_and(|r| r.slowness <= MEAN_SLOWNESS)
+        self.load_report
+            .is_some_and(|r| r.slowness <= MEAN_SLOWNESS)
     }
 
     fn is_full(&self) -> bool {
-        let reading = self.reading;
-        reading.is_some_and(|r| r.running + r.waiting + self.sent_since_reading >= r.slots.max(1))
+        let reading = self.load_report;
+        reading.is_some_and(|r| r.running + r.waiting + self.sent_since_report >= r.slots.max(1))
     }
 }
 
@@ -230,7 +231,7 @@
     let candidates = &beside_the_best(candidates);
     let best = best(need, candidates, &mut chance);
     if let Some((at, expected_ms)) = best
-        && candidates[at].reading.is_some()
+        && candidates[at].load_report.is_some()
         && expected_ms <= good(need) * need.work_ms
         && (expected_ms <= need.target_left_ms || late_may_take(need, &candidates[at]))
     {
@@ -244,7 +245,7 @@
     };
     let open = near_open || far_open && need.scope != ProbeScope::Near;
     if open && need.probe_wait_ms < patience_ms {
-        return Step::AwaitProbes;
+        return Step::AwaitReports;
     }
     let one_will_do = best.is_some_and(|best| will_do(need, candidates, best));
     match need.scope {
@@ -260,7 +261,7 @@
     candidates: &[Candidate],
     (at, expected_ms): (usize, f64),
 ) -> bool {
-    let known = candidates[at].reading.is_some() && !candidates[at].is_full();
+    let known = candidates[at].load_report.is_some() && !candidates[at].is_full();
     known && expected_ms * WORK_MARGIN <= need.target_left_ms
 }
 
@@ -340,7 +341,7 @@
 
 /// Returns when a slot is likely to be free: at the server whose line ends first.
 fn come_back(need: &PlacementNeed, candidates: &[Candidate]) -> Duration {
-    let told = candidates.iter().filter_map(|c| Some((c, c.reading?)));
+    let told = candidates.iter().filter_map(|c| Some((c, c.load_report?)));
     let waits = told.map(|(c, reading)| c.wait_ms(&reading, need.work_ms));
     match waits.min_by(f64::total_cmp) {
         Some(wait_ms) => Duration::try_from_secs_f64(wait_ms / 1000.0)
--- a/crates/kingcuploft/src/entry/probe_budget.rs
+++ b/crates/kingcuploft/src/entry/probe_budget.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns how old a reading may be to choose by it: short while there is room to ask again.
-    pub fn max_reading_age(&self) -> Duration {
+    pub fn max_report_age(&self) -> Duration {
         SHORTEST_LIFE + (LONGEST_LIFE - SHORTEST_LIFE).mul_f64(1.0 - self.remaining_share())
     }
 
--- a/crates/kingcuploft/tests/entry/placement.rs
+++ b/crates/kingcuploft/tests/entry/placement.rs
@@ -3,7 +3,7 @@
 use kingcuploft::entry::failure_rate::FailureRate;
 use kingcuploft::entry::last_slot_slowdown::LastSlotSlowdown;
 use kingcuploft::entry::placement::{
-    Candidate, LoadReading, PlacementNeed, ProbeScope, Slot, Step, place,
+    Candidate, LoadReport, PlacementNeed, ProbeScope, Slot, Step, place,
 };
 use kingcuploft::entry::service_time::ServiceTime;
 use std::time::Instant;
@@ -26,14 +26,14 @@
 fn idle() -> Candidate {
     Candidate {
         near: true,
-        reading: Some(LoadReading {
+        load_report: Some(LoadReport {
             running: 0,
             waiting: 0,
             slots: 2,
             slowness: 1.0,
         }),
         probe_pending: false,
-        sent_since_reading: 0,
+        sent_since_report: 0,
         own_in_flight: 0,
         slots: 2,
         cold: false,
@@ -44,7 +44,7 @@
 
 fn with_load(running: u32, waiting: u32, slowness: f64) -> Candidate {
     Candidate {
-        reading: Some(LoadReading {
+        load_report: Some(LoadReport {
             running,
             waiting,
             slots: 2,
@@ -56,7 +56,7 @@
 
 fn unread(asked: bool) -> Candidate {
     Candidate {
-        reading: None,
+        load_report: None,
         probe_pending: asked,
         ..idle()
     }
@@ -91,7 +91,7 @@
 #[test]
 fn an_own_request_that_the_reading_does_not_count_counts() {
     let sent_to = Candidate {
-        sent_since_reading: 2,
+        sent_since_report: 2,
         ..idle()
     };
     assert_eq!(step(&need(), &[sent_to, idle()]), Step::Send(1));
@@ -100,7 +100,7 @@
 #[test]
 fn a_reading_that_is_on_its_way_is_waited_for() {
     let servers = [with_load(0, 0, 5.0), unread(true)];
-    assert_eq!(step(&need(), &servers), Step::AwaitProbes);
+    assert_eq!(step(&need(), &servers), Step::AwaitReports);
 }
 
 #[test]
--- a/crates/kingcuploft/tests/entry/probing.rs
+++ b/crates/kingcuploft/tests/entry/probing.rs
@@ -26,9 +26,9 @@
     let mut budget = ProbeBudget::new(start);
     let now = start + Duration::from_secs(8);
     assert!(budget.try_take(now, 60.0, 27, 14));
-    let rich = budget.max_reading_age();
+    let rich = budget.max_report_age();
     while budget.try_take(now, 60.0, 27, 14) {}
-    let poor = budget.max_reading_age();
+    let poor = budget.max_report_age();
     assert!(rich < Duration::from_millis(8), "{rich:?}");
     assert!(poor > Duration::from_millis(35), "{poor:?}");
 }
--- a/crates/kingcuploft/tests/fleet/fleet.rs
+++ b/crates/kingcuploft/tests/fleet/fleet.rs
@@ -8,7 +8,7 @@
 use kingcuploft::entry::attempts::{AttemptEnd, Attempts};
 use kingcuploft::entry::failure_rate::FailureRate;
 use kingcuploft::entry::last_slot_slowdown::LastSlotSlowdown;
-use kingcuploft::entry::placement::{LoadReading, ProbeScope, Slot};
+use kingcuploft::entry::placement::{LoadReport, ProbeScope, Slot};
 use kingcuploft::entry::probe_budget::ProbeBudget;
 use kingcuploft::entry::repeat_budget::RepeatBudget;
 use kingcuploft::entry::service_time::ServiceTime;
@@ -97,7 +97,7 @@
 
 #[derive(Clone, Default)]
 pub(crate) struct View {
-    pub(crate) reading: Option<(Micros, LoadReading)>,
+    pub(crate) reading: Option<(Micros, LoadReport)>,
     pub(crate) asked: bool,
     pub(crate) mute_until: Micros,
     pub(crate) sent: Vec<Micros>,
@@ -231,9 +231,9 @@
         }
     }
 
-    pub(crate) fn reading(&self, server: usize) -> LoadReading {
+    pub(crate) fn reading(&self, server: usize) -> LoadReport {
         let of = &self.servers[server];
-        LoadReading {
+        LoadReport {
             running: of.running.len() as u32,
             waiting: of.line.len() as u32,
             slots: self.world.slots,
--- a/crates/kingcuploft/tests/fleet/vm.rs
+++ b/crates/kingcuploft/tests/fleet/vm.rs
@@ -68,7 +68,7 @@
     }
 
     fn life(&self, vm: usize) -> Micros {
-        self.vms[vm].probing.max_reading_age().as_micros() as Micros
+        self.vms[vm].probing.max_report_age().as_micros() as Micros
     }
 
     fn usable(&self, request: usize, reach: ProbeScope) -> Vec<usize> {
@@ -103,9 +103,9 @@
         };
         Candidate {
             near: self.link(of.vm, server) == NEAR,
-            reading: reading.map(|(_, reading)| reading),
+            load_report: reading.map(|(_, reading)| reading),
             probe_pending: view.asked,
-            sent_since_reading: unseen as u32,
+            sent_since_report: unseen as u32,
             own_in_flight: view.sent.len() as u32,
             slots: self.world.slots,
             cold: false,
@@ -205,7 +205,7 @@
                 self.requests[request].reach = further;
                 self.at(self.now, Event::Choose(request));
             }
-            Step::AwaitProbes => self.at(self.now + AWAIT, Event::Choose(request)),
+            Step::AwaitReports => self.at(self.now + AWAIT, Event::Choose(request)),
             Step::Recheck(_) | Step::Refuse(_) if !self.world.parts.waits => {
                 self.choose_naively(request);
             }
@@ -225,7 +225,7 @@
         let (now, vm) = (self.now, self.requests[request].vm);
         let life = 3_600_000_000;
         let seen = self.candidate(request, server, life);
-        self.requests[request].sent = (now, seen.reading.map(|r| (r.slowness, seen.slot())));
+        self.requests[request].sent = (now, seen.load_report.map(|r| (r.slowness, seen.slot())));
         let last_slot = self.last_slot(vm);
         let expected_ms = {
             let of = &self.requests[request];
