--- a/crates/kingcuploft-simulation/src/log.rs
+++ b/crates/kingcuploft-simulation/src/log.rs
@@ -1,4 +1,4 @@
-//! The lines of a day: those of all VMs, with virtual time and the VM's name.
+//! Collects the log lines of all VMs of a day, with virtual time and the VM's name.
 
 use std::cell::{Cell, RefCell};
 use std::io::Write;
@@ -15,7 +15,7 @@
     static LINES: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Names the VM whose lines are written until this is dropped.
+/// Attributes log lines to a VM until it is dropped.
 pub struct VmScope(Option<VmIndex>);
 
 impl Drop for VmScope {
@@ -24,23 +24,27 @@
     }
 }
 
-/// Names the VM whose lines are written from now on.
+/// Attributes the log lines of this thread to a VM until the returned guard is dropped.
 pub fn enter_vm(vm: VmIndex) -> VmScope {
     VmScope(VM.replace(Some(vm)))
 }
 
+/// Writes the virtual time since `start_clock`, in seconds.
 struct VirtualTime;
 
 impl FormatTime for VirtualTime {
     fn format_time(&self, writer: &mut Writer<'_>) -> std::fmt::Result {
-        let passed = STARTED_AT.get().map(|begun| Instant::now() - begun);
-        write!(writer, "{:.4}", passed.unwrap_or_default().as_secs_f64())
+        let elapsed = STARTED_AT
+            .get()
+            .map(|started_at| Instant::now() - started_at);
+        write!(writer, "{:.4}", elapsed.unwrap_or_default().as_secs_f64())
     }
 }
 
-struct Line(Vec<u8>);
+/// Collects the bytes of one log line and appends it to the lines of this thread when dropped.
+struct LineBuffer(Vec<u8>);
 
-impl Write for Line {
+impl Write for LineBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.extend_from_slice(bytes);
         Ok(bytes.len())
@@ -51,7 +55,7 @@
     }
 }
 
-impl Drop for Line {
+impl Drop for LineBuffer {
     fn drop(&mut self) {
         if self.0.is_empty() {
             return;
@@ -65,8 +69,8 @@
     }
 }
 
-/// Plays something and returns the lines that were written meanwhile on this thread.
-pub fn capture<T>(play: impl FnOnce() -> T) -> (T, Vec<u8>) {
+/// Runs a function and returns the lines that this thread logged meanwhile.
+pub fn capture<T>(run: impl FnOnce() -> T) -> (T, Vec<u8>) {
     LINES.with_borrow_mut(Vec::clear);
     let subscriber = tracing_subscriber::fmt()
         .json()
@@ -75,13 +79,13 @@
         .with_current_span(false)
         .with_span_list(false)
         .with_timer(VirtualTime)
-        .with_writer(|| Line(Vec::new()))
+        .with_writer(|| LineBuffer(Vec::new()))
         .finish();
-    let played = tracing::subscriber::with_default(subscriber, play);
-    (played, LINES.take())
+    let result = tracing::subscriber::with_default(subscriber, run);
+    (result, LINES.take())
 }
 
-/// Counts the time of lines from now on.
+/// Starts the clock of the log lines at zero.
 pub fn start_clock() {
     STARTED_AT.set(Some(Instant::now()));
 }
--- a/crates/kingcuploft-simulation/src/rules/mod.rs
+++ b/crates/kingcuploft-simulation/src/rules/mod.rs
@@ -1,6 +1,6 @@
-//! The rules: each tells whether a day kept it, and how near the day came to its bound.
+//! The rules that every day must keep: each reports whether a day broke it, and how near the day came to its bound.
 //!
-//! They judge by what callers, servers and the store saw.
+//! The rules check only the history that callers, servers and the store observed.
 
 mod fleet;
 mod propagation;
@@ -13,40 +13,40 @@
 use crate::history::{Arrival, Completion, History, Outcome, Request};
 use crate::simulation::DayResult;
 
-/// A rule.
+/// The rules.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// All VMs together repeat a share of the requests, and an allowance.
+    /// All VMs together repeat at most a share of the requests plus an allowance.
     RepeatBudget,
-    /// A request that may run once runs once.
+    /// A request that may run only once runs at most once.
     AtMostOnce,
-    /// A caller that is told that its request has not run can rely on it.
+    /// A request that the caller was told has not run has indeed not run.
     TruthfulRefusals,
-    /// An answer is whole, and the caller's own.
+    /// A successful answer is complete and belongs to the caller's own request.
     WholeAnswers,
-    /// A leaving server gets nothing after its time.
+    /// A draining server gets no requests after its drain time.
     Draining,
-    /// A configuration is in force in time.
+    /// A configuration is in force on all VMs in time.
     ConfigurationInForce,
     /// A VM does not go back to an older configuration.
     NeverReverts,
-    /// An emptied zone gets nothing after its time.
+    /// An evacuated zone gets no requests after the evacuation time.
     Evacuations,
-    /// A cold server gets what it bears.
+    /// A cold server gets no more requests than it can take.
     ColdServers,
-    /// A server that names a limit gets so many requests at most.
+    /// A server that names a limit gets no more requests than that limit allows.
     NamedLimits,
-    /// A request under which servers end is kept from the others.
+    /// A request that crashes servers is quarantined and kept from the other servers.
     Quarantine,
-    /// Servers are probed so often at most.
+    /// Servers are probed at a bounded rate.
     Probes,
-    /// A planned stop cuts no request.
+    /// A planned stop interrupts no request.
     PlannedStops,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules.
     pub const ALL: [Self; 13] = [
         Self::RepeatBudget,
         Self::AtMostOnce,
@@ -69,7 +69,7 @@
 pub struct BoundUsage {
     /// The rule.
     pub rule: Rule,
-    /// The most that was used of what is allowed: the rule is broken above 1.
+    /// The greatest share of the allowed amount that was used; the rule is broken above 1.
     pub used: f64,
     /// Where that was.
     pub what: String,
@@ -81,6 +81,7 @@
         self.used > 1.0
     }
 
+    /// Returns the usage of a rule whose bound was not used at all.
     fn none(rule: Rule) -> Self {
         Self {
             rule,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Counts what must not happen at all: the first one breaks the rule.
+    /// Returns the usage of a rule that allows no violations: the first one breaks it.
     fn of_violations(rule: Rule, count: usize, what: String) -> Self {
         let used = match count {
             0 => 0.0,
@@ -98,6 +99,7 @@
         Self { rule, used, what }
     }
 
+    /// Returns the usage `used` of the same rule if it is greater than this one, else this one.
     fn or_greater(self, used: f64, what: impl FnOnce() -> String) -> Self {
         match used > self.used {
             true => Self {
@@ -110,30 +112,35 @@
     }
 }
 
-/// What was seen, found by request.
+/// The history of a day, indexed by request.
 struct IndexedHistory<'a> {
     deployment: &'a Deployment,
-    history: &'a History,
+    raw: &'a History,
     requests: Vec<Request>,
     arrivals: Vec<Arrival>,
-    answers: HashMap<u64, Completion>,
+    completions: HashMap<u64, Completion>,
 }
 
 impl<'a> IndexedHistory<'a> {
-    fn of(played: &'a DayResult) -> Self {
-        let seen = &*played.history;
-        let answers = seen.answers.borrow();
+    fn of(result: &'a DayResult) -> Self {
+        let raw = &*result.history;
+        let completions = raw.completions.borrow();
         Self {
-            deployment: &played.deployment,
-            history: seen,
-            requests: seen.requests.borrow().clone(),
-            arrivals: seen.arrivals.borrow().clone(),
-            answers: answers.iter().map(|answer| (answer.id, *answer)).collect(),
+            deployment: &result.deployment,
+            raw,
+            requests: raw.requests.borrow().clone(),
+            arrivals: raw.arrivals.borrow().clone(),
+            completions: completions
+                .iter()
+                .map(|completion| (completion.id, *completion))
+                .collect(),
         }
     }
 
     fn outcome(&self, id: u64) -> Option<Outcome> {
-        self.answers.get(&id).map(|answered| answered.answer)
+        self.completions
+            .get(&id)
+            .map(|completion| completion.outcome)
     }
 
     fn arrivals_by_request(&self) -> HashMap<u64, Vec<&Arrival>> {
@@ -145,34 +152,36 @@
     }
 }
 
-/// Judges a day by all rules.
-pub fn check(played: &DayResult) -> Vec<BoundUsage> {
-    let case = IndexedHistory::of(played);
-    let judged = Rule::ALL.map(|rule| match rule {
-        Rule::RepeatBudget => fleet::budget(&case),
-        Rule::AtMostOnce => requests::at_most_once(&case),
-        Rule::TruthfulRefusals => requests::truthful_refusals(&case),
-        Rule::WholeAnswers => requests::whole_answers(&case),
-        Rule::PlannedStops => requests::planned_stops(&case),
-        Rule::Draining => propagation::draining(&case),
-        Rule::ConfigurationInForce => propagation::configuration(&case),
-        Rule::NeverReverts => propagation::never_reverts(&case),
-        Rule::Evacuations => propagation::evacuations(&case),
-        Rule::ColdServers => fleet::cold_servers(&case),
-        Rule::NamedLimits => fleet::named_limits(&case),
-        Rule::Quarantine => requests::quarantine(&case),
-        Rule::Probes => fleet::probes(&case),
+/// Checks a day against all rules.
+pub fn check(result: &DayResult) -> Vec<BoundUsage> {
+    let history = IndexedHistory::of(result);
+    let usages = Rule::ALL.map(|rule| match rule {
+        Rule::RepeatBudget => fleet::budget(&history),
+        Rule::AtMostOnce => requests::at_most_once(&history),
+        Rule::TruthfulRefusals => requests::truthful_refusals(&history),
+        Rule::WholeAnswers => requests::whole_answers(&history),
+        Rule::PlannedStops => requests::planned_stops(&history),
+        Rule::Draining => propagation::draining(&history),
+        Rule::ConfigurationInForce => propagation::configuration(&history),
+        Rule::NeverReverts => propagation::never_reverts(&history),
+        Rule::Evacuations => propagation::evacuations(&history),
+        Rule::ColdServers => fleet::cold_servers(&history),
+        Rule::NamedLimits => fleet::named_limits(&history),
+        Rule::Quarantine => requests::quarantine(&history),
+        Rule::Probes => fleet::probes(&history),
     });
-    judged.to_vec()
+    usages.to_vec()
 }
 
-/// Returns the share of first requests that were answered whole in the end, by their callers' own count.
-pub fn answered_share(played: &DayResult) -> f64 {
-    let case = IndexedHistory::of(played);
-    let asked = case.requests.iter();
-    let asked = asked.filter(|request| request.is_first && !request.is_deadly);
-    let asked = asked.count();
-    let whole = case.requests.iter();
-    let whole = whole.filter(|request| case.outcome(request.id) == Some(Outcome::Complete));
-    whole.count() as f64 / asked.max(1) as f64
+/// Returns the share of the callers' first requests, deadly ones left out, that got a complete answer in the end, retries
+/// included.
+pub fn answered_share(result: &DayResult) -> f64 {
+    let history = IndexedHistory::of(result);
+    let first_requests = history.requests.iter();
+    let first_requests = first_requests.filter(|request| request.is_first && !request.is_deadly);
+    let first_requests = first_requests.count();
+    let complete = history.requests.iter();
+    let complete =
+        complete.filter(|request| history.outcome(request.id) == Some(Outcome::Complete));
+    complete.count() as f64 / first_requests.max(1) as f64
 }
--- a/crates/kingcuploft-simulation/src/server.rs
+++ b/crates/kingcuploft-simulation/src/server.rs
@@ -1,4 +1,4 @@
-//! A backend server: slots, a queue, a speed that jumps, and faults.
+//! A simulated backend server with slots, a queue, a varying speed and faults.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -19,50 +19,54 @@
 use crate::link::LinkEnd;
 use crate::network::{AcceptedConnection, Host};
 
-/// How often a server's speed is drawn anew, how often it is slow, and how slow.
+/// How often a server's speed changes at random.
 const SPEED_INTERVAL: Duration = Duration::from_millis(150);
+
+/// The probability that a server is slow for one interval.
 const SLOW_SHARE: f64 = 0.25;
+
+/// The duration of slow work as a multiple of the usual one.
 const SLOW_FACTOR: f64 = 5.0;
 
-/// What the path of a request ends with under which servers end.
+/// Requests whose path ends with this word crash the server that runs them.
 pub const DEADLY_PATH: &str = "deadly";
 
-/// The most bytes of a request's body.
+/// The greatest size of a request's body.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// How a server fails.
+/// The faults of a server that disruptions switch on.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// The part of the requests that it refuses.
+    /// The share of the requests that it refuses.
     pub refused_share: Cell<f64>,
-    /// The part of the requests whose answers it loses.
+    /// The share of the requests whose answers it loses.
     pub lost_answer_share: Cell<f64>,
-    /// How many times as long its work takes; 0 is usual.
+    /// The duration of its work as a multiple of the usual one; 0 leaves the usual speed.
     pub slow_factor: Cell<f64>,
-    /// How many requests a second it names as its limit.
+    /// The limit that it names, in requests per second.
     pub limit: Cell<Option<f64>>,
 }
 
 /// One backend server.
 #[derive(Debug)]
 pub struct Server {
-    /// Its number.
+    /// The index.
     pub index: usize,
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its service.
+    /// The service.
     pub service: Service,
-    /// Its zone.
+    /// The index of the zone.
     pub zone: usize,
-    /// Where it is reached.
+    /// The address at which it is reached.
     pub address: SocketAddr,
-    /// How it fails.
+    /// The faults.
     pub faults: Faults,
     /// Until when it is cold.
     pub cold_until: Cell<Option<Instant>>,
-    /// Whether it has ended.
+    /// Whether it has stopped.
     pub has_stopped: Cell<bool>,
-    /// Whether it leaves.
+    /// Whether it drains.
     pub is_draining: Cell<bool>,
     kinds: Rc<Vec<RequestKind>>,
     history: Rc<History>,
@@ -73,7 +77,7 @@
     crash_sender: UnboundedSender<usize>,
 }
 
-/// What becomes of a connection after a request.
+/// Whether a connection stays open after a request.
 enum AfterRequest {
     Keep,
     Close,
@@ -109,16 +113,16 @@
             tasks: RefCell::default(),
             crash_sender,
         });
-        let (accepts, mut accepted) = mpsc::unbounded_channel::<AcceptedConnection>();
-        host.listen(address, accepts);
-        let own = server.clone();
+        let (connections, mut accepted) = mpsc::unbounded_channel::<AcceptedConnection>();
+        host.listen(address, connections);
+        let accepting_server = server.clone();
         let accepting = tokio::task::spawn_local(async move {
             while let Some((end, vm)) = accepted.recv().await {
-                let server = own.clone();
+                let server = accepting_server.clone();
                 let serving = tokio::task::spawn_local(async move {
                     server.serve(end, vm.unwrap_or(usize::MAX)).await;
                 });
-                let mut tasks = own.tasks.borrow_mut();
+                let mut tasks = accepting_server.tasks.borrow_mut();
                 tasks.retain(|task| !task.is_finished());
                 tasks.push(serving.abort_handle());
             }
@@ -127,7 +131,7 @@
         server
     }
 
-    /// Ends the server: its connections close.
+    /// Stops the server and closes its connections.
     pub fn stop(&self) {
         self.has_stopped.set(true);
         for task in self.tasks.take() {
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Returns for how much longer it is cold.
+    /// Returns for how much longer the server is cold.
     pub fn cold_for(&self) -> Duration {
         let until = self.cold_until.get();
         until.map_or(Duration::ZERO, |until| {
@@ -143,11 +147,11 @@
         })
     }
 
-    /// Returns how many times as long work takes now.
+    /// Returns the current duration of work as a multiple of the usual one.
     fn slowness(&self) -> f64 {
-        let draw = self.history.now().as_millis() / SPEED_INTERVAL.as_millis();
-        let mut rng = fastrand::Rng::with_seed(draw as u64 * 7919 + self.index as u64);
-        // The first draws of near seeds are alike.
+        let interval = self.history.now().as_millis() / SPEED_INTERVAL.as_millis();
+        let mut rng = fastrand::Rng::with_seed(interval as u64 * 7919 + self.index as u64);
+        // The first numbers drawn from similar seeds are alike.
         rng.u64(..);
         let noise = match rng.f64() < SLOW_SHARE {
             true => SLOW_FACTOR,
@@ -165,11 +169,11 @@
     async fn serve(&self, mut end: LinkEnd, vm: usize) {
         let mut buffer = BytesMut::new();
         while let Some(head) = read_request(&mut end, &mut buffer).await {
-            let next = match head.target.starts_with("/health") {
+            let after = match head.target.starts_with("/health") {
                 true => self.answer_probe(&mut end).await,
                 false => self.answer(&mut end, &head, vm).await,
             };
-            if let AfterRequest::Close = next {
+            if let AfterRequest::Close = after {
                 return;
             }
         }
@@ -236,7 +240,7 @@
         write(end, &self.complete_answer(&id)).await
     }
 
-    /// Returns the whole answer to a request; its body is what its caller checks.
+    /// Returns the complete answer to a request; the caller checks its body.
     fn complete_answer(&self, id: &str) -> String {
         let (name, load, body) = (&self.name, self.load(), answer_body(id));
         let limit = self.faults.limit.get();
@@ -247,7 +251,7 @@
         )
     }
 
-    /// Waits for a slot and works; returns whether the connection is still open then.
+    /// Waits for a slot and works; returns whether the connection is still open at the end.
     async fn work(&self, end: &mut LinkEnd, kind: usize, arrival: usize) -> bool {
         let waiting = CountGuard::increment(&self.waiting);
         let mut byte = [0; 1];
@@ -283,7 +287,7 @@
     }
 }
 
-/// Counts one until it is dropped.
+/// Holds a count one higher until it is dropped.
 struct CountGuard<'a>(&'a Cell<u32>);
 
 impl<'a> CountGuard<'a> {
--- a/crates/kingcuploft-simulation/src/vm.rs
+++ b/crates/kingcuploft-simulation/src/vm.rs
@@ -1,11 +1,11 @@
-//! One entry VM: the product's own code, from its start to its end, again and again.
+//! One entry VM: runs the product's own code from its start to its end, any number of times.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context as Polling, Poll, Waker};
+use std::task::{Context as TaskContext, Poll, Waker};
 use std::time::Duration;
 
 use kingcuploft_entry::context::Context;
@@ -31,7 +31,7 @@
 /// How often backend servers write their entries.
 const HEARTBEAT: Duration = Duration::from_millis(1500);
 
-/// What stands still while it is frozen.
+/// Whether a process is frozen, and the waker that resumes it.
 #[derive(Debug, Default)]
 struct Freeze {
     is_frozen: Cell<bool>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// A VM's process: nothing of it runs while it is frozen, and its lines bear its name.
+/// A VM's process: it is not polled while it is frozen, and its log lines carry the VM's name.
 struct FreezableProcess {
     vm: VmIndex,
     freeze: Rc<Freeze>,
@@ -57,17 +57,17 @@
 impl Future for FreezableProcess {
     type Output = ();
 
-    fn poll(mut self: Pin<&mut Self>, polling: &mut Polling<'_>) -> Poll<()> {
+    fn poll(mut self: Pin<&mut Self>, task_context: &mut TaskContext<'_>) -> Poll<()> {
         if self.freeze.is_frozen.get() {
-            *self.freeze.waker.borrow_mut() = Some(polling.waker().clone());
+            *self.freeze.waker.borrow_mut() = Some(task_context.waker().clone());
             return Poll::Pending;
         }
-        let _named = log::enter_vm(self.vm);
-        self.running.as_mut().poll(polling)
+        let _scope = log::enter_vm(self.vm);
+        self.running.as_mut().poll(task_context)
     }
 }
 
-/// What there is of a VM while it runs.
+/// The parts of a VM that exist while it runs.
 #[derive(Debug)]
 struct RunningVm {
     host: Host,
@@ -80,22 +80,22 @@
 /// One entry VM.
 #[derive(Debug)]
 pub struct Vm {
-    /// Its number.
+    /// The index.
     pub index: VmIndex,
-    /// Its zone.
+    /// The index of the zone.
     pub zone: usize,
-    /// Where callers reach it.
-    pub callers: SocketAddr,
-    peers: SocketAddr,
+    /// The address at which callers reach the VM.
+    pub caller_address: SocketAddr,
+    peer_address: SocketAddr,
     network: Network,
     store: TestStore,
     bounds: Bounds,
     cpu_milli: u32,
-    life: RefCell<Option<RunningVm>>,
+    running: RefCell<Option<RunningVm>>,
 }
 
 impl Vm {
-    /// Returns a VM that does not run yet.
+    /// Returns a VM that is not running yet.
     pub fn new(
         index: VmIndex,
         zone: usize,
@@ -107,8 +107,8 @@
         Self {
             index,
             zone,
-            callers: ([127, 0, 0, 1], port).into(),
-            peers: ([127, 0, 1, 1], port).into(),
+            caller_address: ([127, 0, 0, 1], port).into(),
+            peer_address: ([127, 0, 1, 1], port).into(),
             network: network.clone(),
             store: TestStore::separate_client(store),
             bounds: Bounds {
@@ -118,20 +118,20 @@
                 probes_per_server_s: deployment.bounds.probes_per_s,
             },
             cpu_milli: 200 + (index % 3) as u32 * 100,
-            life: RefCell::default(),
+            running: RefCell::default(),
         }
     }
 
-    /// Starts it; it knows nothing.
+    /// Starts the VM without any previous knowledge; `all_start` tells it whether the whole fleet starts.
     pub fn start(&self, all_start: bool) {
         let host = self
             .network
             .host(Location::Zone(self.zone), Some(self.index));
-        let (accepts, mut callers) = mpsc::unbounded_channel();
-        host.listen(self.callers, accepts);
-        let (accepts, mut peers) = mpsc::unbounded_channel();
-        let (receives, mut datagrams) = mpsc::unbounded_channel();
-        host.listen_to_peers(self.peers, accepts, receives);
+        let (connections, mut callers) = mpsc::unbounded_channel();
+        host.listen(self.caller_address, connections);
+        let (connections, mut peers) = mpsc::unbounded_channel();
+        let (datagram_sender, mut datagrams) = mpsc::unbounded_channel();
+        host.listen_to_peers(self.peer_address, connections, datagram_sender);
         let network = Rc::new(host.clone());
         let context =
             Context::with_network(network.clone(), self.settings(all_start), HEADER_NAMES);
@@ -139,19 +139,19 @@
         let _ = context.peer_socket.set(network);
         let (freeze, stop) = (Rc::new(Freeze::default()), Rc::new(Notify::new()));
         let store = Rc::new(StoreClient::new(self.store.clone(), host.clone()));
-        let (own, stopping, dial) = (context.clone(), stop.clone(), host.clone());
-        let address = self.peers;
+        let (process_context, stop_request, dial) = (context.clone(), stop.clone(), host.clone());
+        let address = self.peer_address;
         let main = async move {
-            let context = own;
+            let context = process_context;
             tracing::info!(event = "started", vm = %context.settings.vm, zone = %context.settings.zone);
-            let pulse = Rc::new(StoreAccess::default());
-            run::join_peers(&context, &store, &pulse, address, dial);
+            let store_access = Rc::new(StoreAccess::default());
+            run::join_peers(&context, &store, &store_access, address, dial);
             let is_closed = Rc::new(Cell::new(false));
-            let stops = async {
-                stopping.notified().await;
+            let stopping_as_planned = async {
+                stop_request.notified().await;
                 run::stop(&context, || is_closed.set(true)).await;
             };
-            let serves = async {
+            let serving = async {
                 loop {
                     tokio::select! {
                         biased;
@@ -159,20 +159,20 @@
                             tokio::task::spawn_local(connection::serve(context.clone(), end));
                         }
                         Some((end, _)) = peers.recv() => {
-                            let (context, pulse) = (context.clone(), pulse.clone());
+                            let (context, store_access) = (context.clone(), store_access.clone());
                             tokio::task::spawn_local(async move {
-                                let _ = feeder::handle_connection(&context, &pulse, end).await;
+                                let _ = feeder::handle_connection(&context, &store_access, end).await;
                             });
                         }
-                        Some((told, from)) = datagrams.recv() => load_reports::handle_message(&context, &told, from),
+                        Some((message, from)) = datagrams.recv() => load_reports::handle_message(&context, &message, from),
                         else => return,
                     }
                 }
             };
             tokio::select! {
                 biased;
-                () = serves => {}
-                () = stops => {}
+                () = serving => {}
+                () = stopping_as_planned => {}
             }
         };
         let tasks = LocalSet::new();
@@ -182,7 +182,7 @@
             running: Box::pin(async move { tasks.run_until(main).await }),
         };
         let process = tokio::task::spawn_local(process).abort_handle();
-        *self.life.borrow_mut() = Some(RunningVm {
+        *self.running.borrow_mut() = Some(RunningVm {
             host,
             freeze,
             context,
@@ -196,12 +196,12 @@
             vm: format!("vm-{}", self.index).into(),
             zone: format!("zone-{}", self.zone).into(),
             region: Vec::new(),
-            callers: self.callers,
-            readiness: self.callers,
-            peers: Some(self.peers),
+            callers: self.caller_address,
+            readiness: self.caller_address,
+            peers: Some(self.peer_address),
             control: None,
             seeds: Vec::new(),
-            store: self.callers,
+            store: self.caller_address,
             cpu_milli: self.cpu_milli,
             memory_bytes: MEMORY_BYTES,
             all_start,
@@ -210,62 +210,67 @@
         }
     }
 
-    /// Ends its process at once; what it knew is gone. Its connections close.
+    /// Kills the process: its state is lost and its connections close.
     pub fn kill(&self) {
-        self.network.stop_listening(self.callers);
-        self.network.stop_listening(self.peers);
-        if let Some(life) = self.life.borrow_mut().take() {
-            life.process.abort();
+        self.network.stop_listening(self.caller_address);
+        self.network.stop_listening(self.peer_address);
+        if let Some(running) = self.running.borrow_mut().take() {
+            running.process.abort();
         }
     }
 
-    /// Takes its power away: its connections fall silent.
+    /// Takes the power away: the process ends and its connections fall silent without closing.
     pub fn lose_power(&self) {
-        if let Some(life) = self.life.borrow_mut().take() {
-            life.host.lose_power();
-            life.process.abort();
+        if let Some(running) = self.running.borrow_mut().take() {
+            running.host.lose_power();
+            running.process.abort();
         }
     }
 
-    /// Has it stand still, or go on.
+    /// Freezes the process, or lets it go on.
     pub fn freeze(&self, is_frozen: bool) {
-        if let Some(life) = &*self.life.borrow() {
-            life.freeze.set(is_frozen);
+        if let Some(running) = &*self.running.borrow() {
+            running.freeze.set(is_frozen);
         }
     }
 
-    /// Cuts it off from other VMs and the store, or ends that.
+    /// Cuts the VM off from other VMs and the store, or ends the cut.
     pub fn cut_off(&self, is_cut: bool) {
-        if let Some(life) = &*self.life.borrow() {
-            life.host.cut_off(is_cut);
+        if let Some(running) = &*self.running.borrow() {
+            running.host.cut_off(is_cut);
         }
     }
 
-    /// Asks it to stop as planned.
+    /// Asks the VM to stop as planned.
     pub fn stop(&self) {
-        if let Some(life) = &*self.life.borrow() {
-            life.stop.notify_one();
+        if let Some(running) = &*self.running.borrow() {
+            running.stop.notify_one();
         }
     }
 
-    /// Returns whether it runs, also if it stands still.
+    /// Returns whether the process exists, frozen or not.
     pub fn is_running(&self) -> bool {
-        let life = self.life.borrow();
-        life.as_ref()
-            .is_some_and(|life| !life.process.is_finished())
+        let running = self.running.borrow();
+        running
+            .as_ref()
+            .is_some_and(|running| !running.process.is_finished())
     }
 
-    /// Returns how many VMs it counts, if it runs.
+    /// Returns how many VMs this one counts in the fleet; `None` if it is not running.
     pub fn known_vms(&self) -> Option<usize> {
-        let life = self.life.borrow();
-        life.as_ref().map(|life| life.context.vm_count.get())
+        let running = self.running.borrow();
+        running
+            .as_ref()
+            .map(|running| running.context.vm_count.get())
     }
 
-    /// Returns whether it answers that it is ready.
+    /// Returns whether the VM answers that it is ready.
     pub fn is_ready(&self) -> bool {
-        let life = self.life.borrow();
-        let ready = |life: &RunningVm| !life.freeze.is_frozen.get() && life.context.is_ready();
-        life.as_ref()
-            .is_some_and(|life| !life.process.is_finished() && ready(life))
+        let running = self.running.borrow();
+        let ready =
+            |running: &RunningVm| !running.freeze.is_frozen.get() && running.context.is_ready();
+        running
+            .as_ref()
+            .is_some_and(|running| !running.process.is_finished() && ready(running))
     }
 }
