--- a/crates/kingcuploft/src/decisions/claim/partition.rs
+++ b/crates/kingcuploft/src/decisions/claim/partition.rs
@@ -31,7 +31,7 @@
     /// Distinguishes the names of this VM's sealed objects from those of other VMs.
     pub(super) owner: u64,
     pub(super) settings: Arc<ClaimSettings>,
-    pub(super) known: Option<KnownHead>,
+    pub(super) known_head: Option<KnownHead>,
     /// The least version of the head that the store is known to hold.
     pub(super) min_version: Version,
     pub(super) must_read: bool,
@@ -40,7 +40,7 @@
     /// Whether the head may name sealed objects whose keys are not known yet.
     pub(super) keys_missing: bool,
     pub(super) sealed: SealedKeys,
-    pub(super) waiting: BTreeMap<ClaimId, PendingClaim>,
+    pub(super) pending: BTreeMap<ClaimId, PendingClaim>,
     pub(super) held: BTreeMap<ClaimId, (KeyHash, Claimant)>,
     /// The keys of claims that wait or are held, with the fingerprint of the content they were claimed for.
     pub(super) local_fingerprints: BTreeMap<KeyHash, Fingerprint>,
@@ -48,9 +48,10 @@
     pub(super) abandoned: Vec<AbandonedClaim>,
     pub(super) staged: Option<Staged>,
     pub(super) garbage: Vec<Garbage>,
-    pub(super) sealed_objects_named: u64,
-    pub(super) open: Option<(OpenCall, Instant)>,
-    pub(super) pace: WritePacing,
+    /// How many sealed objects this VM has named; makes the next name unique.
+    pub(super) sealed_count: u64,
+    pub(super) open_call: Option<(OpenCall, Instant)>,
+    pub(super) pacing: WritePacing,
     started: Instant,
     flushing: bool,
     last_write: Option<Instant>,
@@ -74,22 +75,22 @@
             number,
             owner,
             settings,
-            known: None,
+            known_head: None,
             min_version: 0,
             must_read: false,
             contended: false,
             keys_missing: false,
             sealed: SealedKeys::default(),
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             held: BTreeMap::new(),
             local_fingerprints: BTreeMap::new(),
             ends: Vec::new(),
             abandoned: Vec::new(),
             staged: None,
             garbage: Vec::new(),
-            sealed_objects_named: 0,
-            open: None,
-            pace: WritePacing::default(),
+            sealed_count: 0,
+            open_call: None,
+            pacing: WritePacing::default(),
             started: now,
             flushing: false,
             last_write: None,
@@ -127,7 +128,7 @@
         answer: StoreAnswer,
         out: &mut Vec<Output>,
     ) {
-        let Some((open, _)) = self.open.take() else {
+        let Some((open, _)) = self.open_call.take() else {
             return;
         };
         self.last_answer = Some(context.now);
@@ -143,7 +144,7 @@
 
     /// Refuses claims whose deadline has passed and calls the store where that is due.
     pub fn tick(&mut self, context: &mut EventContext<'_>, out: &mut Vec<Output>) {
-        let over = self.waiting.iter();
+        let over = self.pending.iter();
         let over = over.filter(|(_, waiting)| waiting.claim.deadline <= context.now);
         let over: Vec<ClaimId> = over.map(|(id, _)| *id).collect();
         for id in over {
@@ -154,14 +155,14 @@
 
     /// Returns when the next tick is due.
     pub fn next_due(&self) -> Option<Instant> {
-        let give_up = self.waiting.values().map(|waiting| waiting.claim.deadline);
+        let give_up = self.pending.values().map(|waiting| waiting.claim.deadline);
         self.work_due().into_iter().chain(give_up).min()
     }
 
     /// Returns whether nothing is left to write.
     pub fn is_idle(&self) -> bool {
-        self.open.is_none()
-            && self.waiting.is_empty()
+        self.open_call.is_none()
+            && self.pending.is_empty()
             && self.ends.is_empty()
             && self.abandoned.is_empty()
     }
@@ -193,7 +194,7 @@
             write_sent: false,
             head_read: false,
         };
-        self.waiting.insert(id, waiting);
+        self.pending.insert(id, waiting);
     }
 
     /// Decides a claim without the store, where what is known is final.
@@ -204,7 +205,7 @@
                 false => Verdict::Reused,
             });
         }
-        if let Some(known) = &self.known
+        if let Some(known) = &self.known_head
             && let Some(entry) = known.head.entries.get(&claim.key)
             && entry.expires_ms > context.unix_ms
         {
@@ -222,7 +223,7 @@
                 .max(PROBE_INTERVAL);
             return Some(self.undecided(claim, retry_after));
         }
-        let began = self.open.as_ref().map(|(_, began)| *began);
+        let began = self.open_call.as_ref().map(|(_, began)| *began);
         let slow =
             |began| context.now.saturating_duration_since(began) > self.settings.slow_store();
         let slow = began.is_some_and(slow);
@@ -232,7 +233,7 @@
     /// Returns the verdict on a claim that the store did not decide. A key that was seen claimed by an earlier request
     /// may have run: "not run" is said only of a key that was not seen.
     fn undecided(&self, claim: &Claim, retry_after: Duration) -> Verdict {
-        let entries = self.known.iter().map(|known| &known.head.entries);
+        let entries = self.known_head.iter().map(|known| &known.head.entries);
         let mut entries = entries.filter_map(|entries| entries.get(&claim.key));
         let seen = entries.any(|entry| entry.claimant != claim.claimant);
         match seen || self.sealed.keys.contains_key(&claim.key) {
@@ -256,7 +257,7 @@
 
     /// Decides a waiting claim.
     pub(super) fn decide(&mut self, id: ClaimId, verdict: Verdict, out: &mut Vec<Output>) {
-        let Some(waiting) = self.waiting.remove(&id) else {
+        let Some(waiting) = self.pending.remove(&id) else {
             return;
         };
         match verdict {
@@ -273,7 +274,7 @@
     /// write may have carried the claim, it is released once it is found. Without that, a resend through any VM would
     /// be told "in progress" for the whole window.
     fn refuse_undecided(&mut self, id: ClaimId, retry_after: Duration, out: &mut Vec<Output>) {
-        let Some(waiting) = self.waiting.get(&id) else {
+        let Some(waiting) = self.pending.get(&id) else {
             return;
         };
         let verdict = self.undecided(&waiting.claim, retry_after);
@@ -337,7 +338,7 @@
     /// Refuses all claims that wait: the store is probed, and no claim waits for the probe.
     fn store_went_down(&mut self, now: Instant, retry_after: Duration, out: &mut Vec<Output>) {
         self.down_until = Some(now + retry_after);
-        let ids: Vec<ClaimId> = self.waiting.keys().copied().collect();
+        let ids: Vec<ClaimId> = self.pending.keys().copied().collect();
         for id in ids {
             self.refuse_undecided(id, retry_after.max(PROBE_INTERVAL), out);
         }
@@ -345,19 +346,19 @@
 
     /// Returns when the store should be called next.
     fn work_due(&self) -> Option<Instant> {
-        if self.open.is_some() {
+        if self.open_call.is_some() {
             return None;
         }
         if let Some(probe) = self.down_until {
             return Some(probe.max(self.backoff_until.unwrap_or(probe)));
         }
         let settings = &self.settings;
-        let claims = self.waiting.values().map(|w| w.since + settings.linger());
+        let claims = self.pending.values().map(|w| w.since + settings.linger());
         let ends = self
             .ends
             .iter()
             .map(|end| end.since + settings.end_linger());
-        let maintenance = self.known.is_none()
+        let maintenance = self.known_head.is_none()
             || self.keys_missing
             || !self.abandoned.is_empty()
             || !self.garbage.is_empty();
@@ -366,7 +367,10 @@
         if self.flushing {
             return Some(self.backoff_until.unwrap_or(self.started));
         }
-        let pace_ms = self.known.as_ref().map_or(0, |known| known.head.pace_ms);
+        let pace_ms = self
+            .known_head
+            .as_ref()
+            .map_or(0, |known| known.head.pace_ms);
         let pause = Duration::from_millis(pace_ms.max(settings.shortest_pace_ms));
         let paced = self.last_write.map(|last| last + pause);
         Some(
@@ -376,14 +380,14 @@
     }
 
     fn step(&mut self, context: &mut EventContext<'_>, out: &mut Vec<Output>) {
-        if self.open.is_some() || self.work_due().is_none_or(|due| due > context.now) {
+        if self.open_call.is_some() || self.work_due().is_none_or(|due| due > context.now) {
             return;
         }
         if let Some((open, operation)) = self.next(context, out) {
             if matches!(open, OpenCall::Write { .. }) {
                 self.last_write = Some(context.now);
             }
-            self.open = Some((open, context.now));
+            self.open_call = Some((open, context.now));
             out.push(Output::Store(operation));
         }
     }
@@ -393,7 +397,7 @@
         context: &mut EventContext<'_>,
         out: &mut Vec<Output>,
     ) -> Option<(OpenCall, Operation)> {
-        if self.must_read || self.known.is_none() || self.down_until.is_some() {
+        if self.must_read || self.known_head.is_none() || self.down_until.is_some() {
             return Some(self.read_head());
         }
         self.load_missing_keys()
--- a/crates/kingcuploft/src/decisions/claim/read.rs
+++ b/crates/kingcuploft/src/decisions/claim/read.rs
@@ -59,7 +59,7 @@
             Some((version, StoredObject::Head(head))) => (version, head),
             _ => (0, Arc::default()),
         };
-        let known = self.known.as_ref().map(|known| known.version);
+        let known = self.known_head.as_ref().map(|known| known.version);
         if version < self.min_version.max(known.unwrap_or_default()) {
             out.push(Output::Event(ClaimEvent::StaleRead));
             self.must_read = true;
@@ -67,7 +67,7 @@
         }
         self.must_read = false;
         self.reset_backoff();
-        for waiting in self.waiting.values_mut() {
+        for waiting in self.pending.values_mut() {
             waiting.head_read = true;
         }
         if known == Some(version) {
@@ -80,7 +80,7 @@
     /// Takes a newer head: every earlier write of this VM is decided by it.
     fn adopt(&mut self, context: &EventContext<'_>, known: KnownHead) {
         self.min_version = known.version;
-        self.pace.observe_writes(context.now, known.head.writes);
+        self.pacing.observe_writes(context.now, known.head.writes);
         for abandoned in std::mem::take(&mut self.abandoned) {
             let entry = known.head.entries.get(&abandoned.key);
             if entry.is_some_and(|entry| entry.claimant == abandoned.claimant) {
@@ -92,7 +92,7 @@
                 });
             }
         }
-        self.known = Some(known);
+        self.known_head = Some(known);
         self.keys_missing = true;
         self.forget_dropped_segments();
     }
@@ -106,7 +106,7 @@
         out: &mut Vec<Output>,
     ) {
         self.reset_backoff();
-        self.pace.record_written();
+        self.pacing.record_written();
         out.push(Output::Event(ClaimEvent::Group(claims.len() + ends)));
         for end in self.ends.drain(..ends) {
             out.push(Output::Event(match end.state {
@@ -115,7 +115,7 @@
             }));
         }
         self.must_read = self.contended;
-        if let Some(before) = self.known.take() {
+        if let Some(before) = self.known_head.take() {
             self.queue_garbage(&before.head, &known.head);
         }
         if self.staged_object_named(&known) {
@@ -137,10 +137,10 @@
         out: &mut Vec<Output>,
     ) {
         out.push(Output::Event(ClaimEvent::Conflict));
-        self.pace.record_conflict();
+        self.pacing.record_conflict();
         self.contended = true;
         self.must_read = true;
-        let known = self.known.as_ref().map_or(0, |known| known.version);
+        let known = self.known_head.as_ref().map_or(0, |known| known.version);
         self.min_version = found.unwrap_or_default().max(known + 1);
         self.back_off(context);
     }
@@ -148,7 +148,7 @@
     /// Returns the read of a sealed object whose keys are not known yet: no key can be claimed before all earlier ones
     /// are known.
     pub(super) fn load_missing_keys(&mut self) -> Option<(OpenCall, Operation)> {
-        let head = Arc::clone(&self.known.as_ref()?.head);
+        let head = Arc::clone(&self.known_head.as_ref()?.head);
         for index in &head.indexes {
             let mut numbers = index.first..=index.last;
             if numbers.all(|number| self.sealed.segments.contains_key(&number)) {
@@ -176,7 +176,10 @@
         name: String,
         found: Option<(Version, StoredObject)>,
     ) {
-        let mut segments = self.known.iter().flat_map(|known| &known.head.segments);
+        let mut segments = self
+            .known_head
+            .iter()
+            .flat_map(|known| &known.head.segments);
         let segment = segments.find(|segment| segment.name == name);
         match (found, segment.cloned()) {
             (Some((_, StoredObject::Segment(sealed))), Some(segment)) => {
@@ -204,12 +207,12 @@
         context: &EventContext<'_>,
         out: &mut Vec<Output>,
     ) -> Option<(OpenCall, Operation)> {
-        let known = self.known.clone()?;
+        let known = self.known_head.clone()?;
         let mut lookup = None;
         let mut stale = false;
-        let ids: Vec<ClaimId> = self.waiting.keys().copied().collect();
+        let ids: Vec<ClaimId> = self.pending.keys().copied().collect();
         for id in ids {
-            let waiting = &self.waiting[&id];
+            let waiting = &self.pending[&id];
             let claim = &waiting.claim;
             let entry = known.head.entries.get(&claim.key);
             let Some(entry) = entry.filter(|entry| entry.expires_ms > context.unix_ms) else {
@@ -260,9 +263,9 @@
             self.must_read = true;
             return self.back_off(context);
         };
-        let ids: Vec<ClaimId> = self.waiting.keys().copied().collect();
+        let ids: Vec<ClaimId> = self.pending.keys().copied().collect();
         for id in ids {
-            let claim = &self.waiting[&id].claim;
+            let claim = &self.pending[&id].claim;
             if self.sealed.keys.get(&claim.key) != Some(&number) {
                 continue;
             }
@@ -281,7 +284,7 @@
 
     /// Drops the sealed segments that a newer head does not name any more.
     fn forget_dropped_segments(&mut self) {
-        let Some(known) = &self.known else {
+        let Some(known) = &self.known_head else {
             return;
         };
         let head: &Head = &known.head;
--- a/crates/kingcuploft/src/decisions/claim/seal.rs
+++ b/crates/kingcuploft/src/decisions/claim/seal.rs
@@ -58,10 +58,10 @@
         &mut self,
         context: &mut EventContext<'_>,
     ) -> Option<(OpenCall, Operation)> {
-        if self.staged.is_some() || (self.waiting.is_empty() && self.ends.is_empty()) {
+        if self.staged.is_some() || (self.pending.is_empty() && self.ends.is_empty()) {
             return None;
         }
-        let head = Arc::clone(&self.known.as_ref()?.head);
+        let head = Arc::clone(&self.known_head.as_ref()?.head);
         let threshold = 1.0 + context.rng.f64();
         let bytes = self.settings.seal_bytes as f64 * threshold;
         let segments = self.settings.segments_per_index as f64 * threshold;
@@ -72,10 +72,10 @@
         } else {
             return None;
         };
-        self.sealed_objects_named += 1;
+        self.sealed_count += 1;
         let name = format!(
             "claims/{:03}/sealed-{:016x}-{}",
-            self.number, self.owner, self.sealed_objects_named
+            self.number, self.owner, self.sealed_count
         );
         self.staged = Some(Staged {
             name: name.clone(),
--- a/crates/kingcuploft/src/decisions/claim/write.rs
+++ b/crates/kingcuploft/src/decisions/claim/write.rs
@@ -14,7 +14,7 @@
         context: &EventContext<'_>,
         out: &mut Vec<Output>,
     ) -> Option<(OpenCall, Operation)> {
-        let known = self.known.clone()?;
+        let known = self.known_head.clone()?;
         let mut head = (*known.head).clone();
         self.drop_expired(&mut head, context.unix_ms);
         self.ends.retain(|end| applies(end, &head));
@@ -28,7 +28,7 @@
             return None;
         }
         head.writes += 1;
-        self.pace.adjust_pause(&mut head, &self.settings);
+        self.pacing.adjust_pause(&mut head, &self.settings);
         let head = Arc::new(head);
         let put = Operation::Put {
             name: Self::head_name(self.number),
@@ -54,9 +54,9 @@
     ) -> Vec<ClaimId> {
         let slack_ms = self.settings.clock_slack_s * 1000;
         let mut bytes = head.bytes();
-        let mut claims = Vec::with_capacity(self.waiting.len());
+        let mut claims = Vec::with_capacity(self.pending.len());
         let mut full = Vec::new();
-        for (id, waiting) in &mut self.waiting {
+        for (id, waiting) in &mut self.pending {
             let claim = &waiting.claim;
             let window_ms = claim.window.as_millis() as u64;
             let entry = Entry {
--- a/crates/kingcuploft/src/decisions/drain.rs
+++ b/crates/kingcuploft/src/decisions/drain.rs
@@ -35,8 +35,8 @@
         drain
     }
 
-    /// Carries over the reports received under an earlier manifest; `old_indexes` gives the earlier index of each backend
-    /// server, `None` for one that is new.
+    /// Carries over the reports received under an earlier manifest; `old_indexes` gives the earlier index of each
+    /// backend server, `None` for one that is new.
     pub fn carry_over(&mut self, old: &Self, old_indexes: &[Option<usize>]) {
         for (server, old_index) in old_indexes.iter().enumerate() {
             let Some(old_index) = *old_index else {
--- a/crates/kingcuploft/src/decisions/measuring.rs
+++ b/crates/kingcuploft/src/decisions/measuring.rs
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Carries over the earned budget and what is known of the servers from an earlier manifest.
+    /// Carries over the earned budget and what is known of the servers from an earlier manifest; `old_indexes` gives
+    /// the earlier index of each backend server, `None` for one that is new.
     pub fn carry_over(&mut self, old: &Self, old_indexes: &[Option<usize>]) {
         for (server, old_index) in self.servers.iter_mut().zip(old_indexes) {
             if let Some(index) = old_index {
--- a/crates/kingcuploft/src/decisions/membership/mod.rs
+++ b/crates/kingcuploft/src/decisions/membership/mod.rs
@@ -191,10 +191,10 @@
     /// Takes a peer's whole list. Its entries are not passed on as gossip: the VMs that have them told the others long
     /// ago.
     pub fn merge_list(&mut self, now: Instant, list: &[Member]) {
-        let news = self.gossip.clone();
+        let queued = self.gossip.clone();
         list.iter()
             .for_each(|member| self.apply_gossip(now, member));
-        self.gossip = news;
+        self.gossip = queued;
     }
 
     /// Takes a peer's whole list where the views have differed for long.
@@ -237,8 +237,8 @@
                 true => Some(known.monitored_since.unwrap_or(now)),
                 false => None,
             };
-            let long = |since| now.saturating_duration_since(since) > settings.suspect_after();
-            let monitors = known.linked || known.monitored_since.is_some_and(long);
+            let is_long = |since| now.saturating_duration_since(since) > settings.suspect_after();
+            let monitors = known.linked || known.monitored_since.is_some_and(is_long);
             let next = match state {
                 MemberState::Live if monitors && silent > settings.suspect_after() => {
                     MemberState::Suspect
--- a/crates/kingcuploft/src/decisions/selection.rs
+++ b/crates/kingcuploft/src/decisions/selection.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Carries over the state known under an earlier manifest; `old_indexes` gives the earlier index of each backend server,
-    /// `None` for one that is new.
+    /// Carries over the state known under an earlier manifest; `old_indexes` gives the earlier index of each backend
+    /// server, `None` for one that is new.
     pub fn carry_over(&mut self, old: &Self, old_indexes: &[Option<usize>]) {
         self.typical_others = old.typical_others;
         for (server, old_index) in self.servers.iter_mut().zip(old_indexes) {
