--- a/crates/kingcuploft-entry/src/peers/feed.rs
+++ b/crates/kingcuploft-entry/src/peers/feed.rs
@@ -42,6 +42,7 @@
     protocol_version: ProtocolVersion,
     /// The version of the configuration that the follower has.
     version: Option<ConfigurationVersion>,
+    /// Which parts of the next configuration it has.
     arrived: Option<AssemblyProgress>,
 }
 
@@ -65,8 +66,8 @@
     /// Sends a snapshot and then all changes, until the link ends.
     pub(super) async fn run(mut self, hello: &Hello, mut queue: Queue) -> std::io::Result<()> {
         if !sync_status(self.context, self.store_access).is_complete() {
-            let whole = tokio::time::timeout(SYNC_TIMEOUT, self.wait_until_synced());
-            whole.await.map_err(|_| timed_out())??;
+            let synced = tokio::time::timeout(SYNC_TIMEOUT, self.wait_until_synced());
+            synced.await.map_err(|_| timed_out())??;
             // The snapshot includes what was queued meanwhile.
             queue.clear();
         }
@@ -74,14 +75,14 @@
         while let Some(outgoing) = queue.next().await {
             match outgoing {
                 Outgoing::Line(line) => write_line(&mut self.stream, &line).await?,
-                Outgoing::Alive(_) if self.takes_parts() => self.send(&Frame::Alive).await?,
+                Outgoing::Alive(_) if self.supports_parts() => self.send(&Frame::Alive).await?,
                 Outgoing::Alive(line) => write_line(&mut self.stream, &line).await?,
-                Outgoing::NewerVersion(version) if self.takes_parts() => {
+                Outgoing::NewerVersion(version) if self.supports_parts() => {
                     self.send(&Frame::NewerVersion(version)).await?;
                 }
                 Outgoing::NewerVersion(_) => {}
                 Outgoing::Configuration => self.send_configuration().await?,
-                Outgoing::SinceVersion(release, line) if self.protocol_version >= release => {
+                Outgoing::SinceVersion(version, line) if self.protocol_version >= version => {
                     write_line(&mut self.stream, &line).await?;
                 }
                 Outgoing::SinceVersion(..) => {}
@@ -90,10 +91,11 @@
         Ok(())
     }
 
-    fn takes_parts(&self) -> bool {
+    fn supports_parts(&self) -> bool {
         self.protocol_version >= FIRST_VERSION_WITH_PARTS
     }
 
+    /// Sends all that the follower lacks.
     async fn send_snapshot(&mut self, hello: &Hello) -> std::io::Result<()> {
         let own = sync_status(self.context, self.store_access);
         let digest = self.context.with_servers(|servers| servers.digest());
@@ -171,10 +173,10 @@
         {
             return Ok(());
         }
-        if !self.takes_parts() {
+        if !self.supports_parts() {
             self.version = Some(current.version);
-            let whole = Frame::Configuration(Box::new((*current).clone())).to_line();
-            return write_line(&mut self.stream, &whole).await;
+            let full = Frame::Configuration(Box::new((*current).clone())).to_line();
+            return write_line(&mut self.stream, &full).await;
         }
         self.send(&Frame::NewerVersion(current.version)).await?;
         let arrived = self.arrived.take();
@@ -219,7 +221,7 @@
                 permit = &mut permit => return permit.map_err(|_| timed_out()),
                 () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
             }
-            let alive = match self.takes_parts() {
+            let alive = match self.supports_parts() {
                 true => Frame::Alive.to_line(),
                 false => Vec::new(),
             };
@@ -232,6 +234,7 @@
     }
 }
 
+/// Returns once this VM has synchronized all that requests are routed by.
 async fn wait_until_complete(context: &Context, store_access: &StoreAccess) {
     loop {
         let advanced = context.position_advanced.notified();
--- a/crates/kingcuploft-entry/src/peers/feeder.rs
+++ b/crates/kingcuploft-entry/src/peers/feeder.rs
@@ -84,6 +84,7 @@
     }
 }
 
+/// Feeds a VM that asks for it until its link ends, unless it is redirected or rejected.
 async fn feed(
     context: &Rc<Context>,
     store_access: &StoreAccess,
@@ -104,13 +105,13 @@
     if is_follower_ahead(&hello, &own) {
         refresh(context, store_access);
     }
-    let ended = tokio::select! {
+    let result = tokio::select! {
         biased;
-        ended = Feed::new(context, store_access, &hello, stream).run(&hello, queue) => ended,
+        result = Feed::new(context, store_access, &hello, stream).run(&hello, queue) => result,
         () = receive(context, store_access, id, lines) => Ok(()),
     };
     context.followers.remove(id);
-    ended
+    result
 }
 
 /// Returns whether a VM that asks to be fed knows a later revision of the store.
--- a/crates/kingcuploft-entry/src/peers/follower.rs
+++ b/crates/kingcuploft-entry/src/peers/follower.rs
@@ -123,13 +123,13 @@
     tokio::select! {
         biased;
         result = receive(context, store_access, feeder, lines) => result,
-        result = report_descendants(context, write) => result,
+        result = report_to_feeder(context, write) => result,
     }
 }
 
 /// Reports to the feeder, until the link fails: how many VMs are fed through this one, each time that changes; this
 /// VM's configuration, if the feeder asks for it; and that a follower is ahead.
-async fn report_descendants(
+async fn report_to_feeder(
     context: &Context,
     mut stream: impl AsyncWrite + Unpin,
 ) -> Result<(), LinkError> {
--- a/crates/kingcuploft-entry/src/peers/followers.rs
+++ b/crates/kingcuploft-entry/src/peers/followers.rs
@@ -81,7 +81,7 @@
 #[derive(Debug)]
 struct Follower {
     id: FollowerId,
-    fed: FollowerLoad,
+    load: FollowerLoad,
     queue: mpsc::Sender<Outgoing>,
     queued_bytes: Rc<Cell<usize>>,
 }
@@ -95,14 +95,14 @@
             }
             Outgoing::NewerVersion(_) | Outgoing::Configuration => 0,
         };
-        let waiting = self.queued_bytes.get();
-        let has_room = waiting == 0 || waiting + bytes <= MAX_QUEUED_BYTES;
+        let queued = self.queued_bytes.get();
+        let has_room = queued == 0 || queued + bytes <= MAX_QUEUED_BYTES;
         if !has_room || self.queue.try_send(outgoing.clone()).is_err() {
-            let vm = &self.fed.vm.name;
-            tracing::info!(event = "follower_dropped", %vm, waiting_bytes = waiting);
+            let vm = &self.load.vm.name;
+            tracing::info!(event = "follower_dropped", %vm, waiting_bytes = queued);
             return false;
         }
-        self.queued_bytes.set(waiting + bytes);
+        self.queued_bytes.set(queued + bytes);
         true
     }
 }
@@ -116,7 +116,7 @@
     all: RefCell<Vec<Follower>>,
     next_id: Cell<FollowerId>,
     server_snapshot: RefCell<Weak<Vec<u8>>>,
-    parts: RefCell<HashMap<ChangeKey, Weak<Vec<Line>>>>,
+    lines_by_change: RefCell<HashMap<ChangeKey, Weak<Vec<Line>>>>,
     /// The permits for long writes.
     pub long_writes: Semaphore,
     /// Notified when a follower joins or leaves, or the number of VMs fed through one changes.
@@ -139,7 +139,7 @@
             all: RefCell::default(),
             next_id: Cell::new(0),
             server_snapshot: RefCell::default(),
-            parts: RefCell::default(),
+            lines_by_change: RefCell::default(),
             long_writes: Semaphore::new(MAX_LONG_WRITES),
             changed: Notify::new(),
         }
@@ -164,7 +164,7 @@
     /// Sends the latest configuration to all followers, first to those through which most others are fed.
     pub fn send_configuration(&self) {
         let mut all = self.all.borrow_mut();
-        all.sort_by_key(|follower| std::cmp::Reverse(follower.fed.descendants));
+        all.sort_by_key(|follower| std::cmp::Reverse(follower.load.descendants));
         drop(all);
         self.enqueue_all(&Outgoing::Configuration);
     }
@@ -224,15 +224,15 @@
 
     /// Returns the encoded parts of a change, shared by the followers that it is sent to at the same time.
     pub fn change_lines(&self, change: &ConfigurationChange) -> Rc<Vec<Line>> {
-        let mut shared = self.parts.borrow_mut();
+        let mut shared = self.lines_by_change.borrow_mut();
         let key = (change.from, change.to);
-        if let Some(parts) = shared.get(&key).and_then(Weak::upgrade) {
-            return parts;
+        if let Some(lines) = shared.get(&key).and_then(Weak::upgrade) {
+            return lines;
         }
         let parts = change.parts().into_iter();
         let lines = parts.map(|part| Rc::new(Frame::Part(Box::new(part)).to_line()));
         let lines = Rc::new(lines.collect());
-        shared.retain(|_, parts| parts.strong_count() > 0);
+        shared.retain(|_, lines| lines.strong_count() > 0);
         shared.insert(key, Rc::downgrade(&lines));
         lines
     }
@@ -240,8 +240,8 @@
     /// Returns how many bytes the longest queue of a follower holds.
     pub fn max_queued_bytes(&self) -> usize {
         let all = self.all.borrow();
-        let waiting = all.iter().map(|follower| follower.queued_bytes.get());
-        waiting.max().unwrap_or(0)
+        let queued = all.iter().map(|follower| follower.queued_bytes.get());
+        queued.max().unwrap_or(0)
     }
 
     /// Drops the encoded entries of the backend servers, as they have changed.
@@ -259,15 +259,15 @@
         self.all.borrow().len()
     }
 
-    /// Returns how many VMs of a zone are fed through this one, at first or second hand.
+    /// Returns how many VMs of a zone are fed through this one, directly or indirectly.
     pub fn descendants(&self, zone: &AvailabilityZone) -> u32 {
-        dissemination::descendants(zone, &self.fed())
+        dissemination::descendants(zone, &self.follower_loads())
     }
 
     /// Returns the followers that are VMs of a zone.
     pub fn vms(&self, zone: &AvailabilityZone) -> Vec<VmEntry> {
         let all = self.all.borrow();
-        let vms = all.iter().map(|follower| follower.fed.vm.clone());
+        let vms = all.iter().map(|follower| follower.load.vm.clone());
         vms.filter(|vm| vm.zone == *zone).collect()
     }
 
@@ -282,35 +282,35 @@
         self.changed.notify_waiters();
     }
 
-    /// Decides about a VM that asks to be fed and through which `below` VMs are fed already. For one that is admitted,
-    /// all that is sent from now on is queued.
+    /// Decides about a VM that asks to be fed, and through which `descendants` VMs are fed already. For one that is
+    /// admitted, all that is sent from now on is queued.
     pub fn admit(
         &self,
         vm: VmEntry,
-        below: u32,
+        descendants: u32,
         zone: &AvailabilityZone,
         path: &[VmName],
     ) -> Admitted {
         // A VM whose link broke may reconnect before the end of its old link is noticed.
         self.all
             .borrow_mut()
-            .retain(|follower| follower.fed.vm.name != vm.name);
-        match dissemination::admit(&vm, zone, path, &self.fed()) {
-            Admission::Accept => self.add(vm, below),
-            Admission::Redirect(at) => self.redirect(at),
+            .retain(|follower| follower.load.vm.name != vm.name);
+        match dissemination::admit(&vm, zone, path, &self.follower_loads()) {
+            Admission::Accept => self.add(vm, descendants),
+            Admission::Redirect(index) => self.redirect(index),
             Admission::Reject => Admitted::Rejected,
         }
     }
 
-    fn add(&self, vm: VmEntry, below: u32) -> Admitted {
+    fn add(&self, vm: VmEntry, descendants: u32) -> Admitted {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         let queued_bytes = Rc::new(Cell::new(0));
         let id = self.next_id.replace(self.next_id.get() + 1);
         let follower = Follower {
             id,
-            fed: FollowerLoad {
+            load: FollowerLoad {
                 vm,
-                descendants: below,
+                descendants,
                 redirected: 0,
             },
             queue: sender,
@@ -325,21 +325,21 @@
         Admitted::Accepted(id, queue)
     }
 
-    fn redirect(&self, at: usize) -> Admitted {
+    fn redirect(&self, index: usize) -> Admitted {
         let mut all = self.all.borrow_mut();
-        let Some(follower) = all.get_mut(at) else {
+        let Some(follower) = all.get_mut(index) else {
             return Admitted::Rejected;
         };
-        follower.fed.redirected += 1;
-        Admitted::Redirected(follower.fed.vm.clone())
+        follower.load.redirected += 1;
+        Admitted::Redirected(follower.load.vm.clone())
     }
 
     /// Records how many VMs are fed through a follower.
-    pub fn set_descendants(&self, id: FollowerId, below: u32) {
+    pub fn set_descendants(&self, id: FollowerId, descendants: u32) {
         let mut all = self.all.borrow_mut();
         if let Some(follower) = all.iter_mut().find(|follower| follower.id == id) {
-            follower.fed.descendants = below;
-            follower.fed.redirected = 0;
+            follower.load.descendants = descendants;
+            follower.load.redirected = 0;
         }
         drop(all);
         self.changed.notify_waiters();
@@ -351,8 +351,8 @@
         self.changed.notify_waiters();
     }
 
-    fn fed(&self) -> Vec<FollowerLoad> {
+    fn follower_loads(&self) -> Vec<FollowerLoad> {
         let all = self.all.borrow();
-        all.iter().map(|follower| follower.fed.clone()).collect()
+        all.iter().map(|follower| follower.load.clone()).collect()
     }
 }
--- a/crates/kingcuploft-entry/src/peers/frame.rs
+++ b/crates/kingcuploft-entry/src/peers/frame.rs
@@ -32,7 +32,7 @@
     /// The sender feeds as many followers as it may, and redirects the receiver to one of them.
     #[serde(rename = "Elsewhere")]
     Redirect(VmEntry),
-    /// How many VMs are fed through the sender, at first or second hand; a follower reports it to its feeder.
+    /// How many VMs are fed through the sender, directly or indirectly; a follower reports it to its feeder.
     #[serde(rename = "Below")]
     Descendants(u32),
     /// A VM that asks to follow the sender knows a later revision of the store than the sender.
@@ -89,7 +89,7 @@
     /// The latest revision of the evacuations that it knows.
     #[serde(default)]
     pub evacuations: Option<Revision>,
-    /// How many VMs are fed through it, at first or second hand.
+    /// How many VMs are fed through it, directly or indirectly.
     #[serde(rename = "below")]
     pub descendants: u32,
     /// The version of the configuration that the parts of a change may build on; none if it needs the whole
--- a/crates/kingcuploft-entry/src/store_sync/zone_leader.rs
+++ b/crates/kingcuploft-entry/src/store_sync/zone_leader.rs
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Creates the zone's record, hands the zone over to a larger VM, or writes the record anew if it misleads.
+    /// Creates the zone's record, hands the zone over to a larger VM, or replaces a record that no longer describes the
+    /// zone.
     async fn maintain_record(&self, leading_since: Instant) {
         let Some(old) = self.own_zone_record() else {
             return self.claim().await;
@@ -67,7 +68,7 @@
             store_watcher::apply_zone_records(self.context, vec![record]);
         }
         let has_lost_followers = seen.followers.is_empty() && holds > 1;
-        self.doubt_stored_version();
+        self.reset_stored_version_after_rewind();
         if let Some(record) = self
             .own_zone_record()
             .filter(|r| r.version > self.stored_version.get() && !has_lost_followers)
@@ -133,7 +134,7 @@
 
     /// Assumes that the store holds no record if it was restored from an older copy since the record was written. The
     /// copy may hold an older record, and a list that may be stale may still return the record from before.
-    fn doubt_stored_version(&self) {
+    fn reset_stored_version_after_rewind(&self) {
         if self.stored_at_rewind.get() != self.context.rewinds.count() {
             self.stored_version.set(0);
         }
