--- a/crates/kingcuploft-simulation/src/day.rs
+++ b/crates/kingcuploft-simulation/src/day.rs
@@ -89,7 +89,7 @@
 pub enum DisruptionKind {
     /// Entry VMs are killed and restart after half a second or after `for_ms`, whichever is longer.
     VmsKilled,
-    /// Entry VMs lose power and restart when it is back.
+    /// Entry VMs lose power, so that their connections fall silent without closing, and restart when it is back.
     VmsLosePower,
     /// Entry VMs are paused: their processes don't run.
     VmsFrozen,
@@ -105,7 +105,7 @@
     ServersSlow,
     /// Servers crash without notice, and others start in their place.
     ServersCrash,
-    /// Servers announce that they drain, and stop later.
+    /// Servers announce that they drain and stop later; others start in their place.
     ServersLeave,
     /// Cold servers start beside the present ones.
     ServersStart,
--- a/crates/kingcuploft-simulation/src/header_names.rs
+++ b/crates/kingcuploft-simulation/src/header_names.rs
@@ -14,15 +14,16 @@
     cold_ms: "x-cold-ms",
     not_run: "x-not-run",
     ready_path: "/ready",
-    parse_load: read_load,
+    parse_load,
 };
 
-fn read_load(value: &str) -> Option<LoadReport> {
-    let mut figures = value.split(',').map(|figure| figure.parse::<u32>().ok());
+/// Parses a load report: running requests, waiting requests, slots and, optionally, the slowness in percent.
+fn parse_load(value: &str) -> Option<LoadReport> {
+    let mut fields = value.split(',').map(|field| field.parse::<u32>().ok());
     Some(LoadReport {
-        running: figures.next()??,
-        waiting: figures.next()??,
-        slots: figures.next()??,
-        slowness: f64::from(figures.next().flatten().unwrap_or(100)) / 100.0,
+        running: fields.next()??,
+        waiting: fields.next()??,
+        slots: fields.next()??,
+        slowness: f64::from(fields.next().flatten().unwrap_or(100)) / 100.0,
     })
 }
--- a/crates/kingcuploft-simulation/src/main.rs
+++ b/crates/kingcuploft-simulation/src/main.rs
@@ -252,7 +252,9 @@
         let day = read_day(options, path)?;
         let day = planted_fault::run_with(options.planted, || shrink::shrink(&day, rule));
         let usages = planted_fault::run_with(options.planted, || check_day(&day))?;
-        any_broken |= usages.iter().any(|d| d.rule == rule && d.is_broken());
+        any_broken |= usages
+            .iter()
+            .any(|usage| usage.rule == rule && usage.is_broken());
         print!("{}", day.to_text());
     }
     Ok(any_broken)
--- a/crates/kingcuploft-simulation/src/planted_fault.rs
+++ b/crates/kingcuploft-simulation/src/planted_fault.rs
@@ -5,9 +5,9 @@
 pub use kingcuploft::planted::Planted;
 
 /// Runs a function while a fault is enabled in this thread's VMs.
-pub fn run_with<T>(fault: Option<Planted>, act: impl FnOnce() -> T) -> T {
+pub fn run_with<T>(fault: Option<Planted>, run: impl FnOnce() -> T) -> T {
     planted::set(fault);
-    let done = act();
+    let result = run();
     planted::set(None);
-    done
+    result
 }
--- a/crates/kingcuploft-simulation/src/rules/mod.rs
+++ b/crates/kingcuploft-simulation/src/rules/mod.rs
@@ -21,7 +21,7 @@
     RepeatBudget,
     /// A request that may run only once runs at most once.
     AtMostOnce,
-    /// A request that the caller was told has not run has indeed not run.
+    /// A request that was refused as not run has indeed not run.
     TruthfulRefusals,
     /// A successful answer is complete and belongs to the caller's own request.
     WholeAnswers,
--- a/crates/kingcuploft-simulation/src/search.rs
+++ b/crates/kingcuploft-simulation/src/search.rs
@@ -119,14 +119,14 @@
     /// Runs the search; calls `progress` with the number of days run whenever a day is the first to break a rule.
     pub fn run(&self, progress: impl Fn(usize, &BoundUsage) + Sync) -> SearchResult {
         let result = Mutex::new(SearchResult::default());
-        let (started_at, next, is_done) =
+        let (started_at, next_number, is_done) =
             (Instant::now(), AtomicUsize::new(0), AtomicBool::new(false));
         thread::scope(|scope| {
             for _ in 0..self.jobs.max(1) {
                 scope.spawn(|| {
                     while !is_done.load(Ordering::Relaxed) && started_at.elapsed() < self.time_limit
                     {
-                        let number = next.fetch_add(1, Ordering::Relaxed);
+                        let number = next_number.fetch_add(1, Ordering::Relaxed);
                         if number >= self.max_days {
                             return;
                         }
--- a/crates/kingcuploft-simulation/src/shrink.rs
+++ b/crates/kingcuploft-simulation/src/shrink.rs
@@ -8,9 +8,12 @@
 /// The duration of each disruption is halved at most this many times.
 const MAX_HALVINGS: usize = 3;
 
+/// Returns whether the day breaks the rule; a day that can't be run breaks none.
 fn breaks(day: &Day, rule: Rule) -> bool {
     let usages = check_day(day).unwrap_or_default();
-    usages.iter().any(|d| d.rule == rule && d.is_broken())
+    usages
+        .iter()
+        .any(|usage| usage.rule == rule && usage.is_broken())
 }
 
 /// Returns the day without the disruptions, durations and length that it can lose while it still breaks the rule.
@@ -40,6 +43,7 @@
     }
 }
 
+/// Returns the day without the disruptions that are not needed to break the rule.
 fn without_unneeded_disruptions(day: &Day, rule: Rule) -> Day {
     let mut smallest = day.clone();
     let mut at = 0;
