--- a/crates/kingcuploft-entry/src/active_configuration.rs
+++ b/crates/kingcuploft-entry/src/active_configuration.rs
@@ -88,15 +88,15 @@
     /// Returns an error if the part can't be read.
     pub fn add_part(&self, part: ChangePart) -> Result<PartOutcome, PartError> {
         let current = self.current();
-        let taken = self
+        let outcome = self
             .arriving
             .borrow_mut()
             .add_part(part, current.as_deref())?;
-        if matches!(taken, PartOutcome::Mismatch) {
+        if matches!(outcome, PartOutcome::Mismatch) {
             self.needs_full_configuration.set(true);
             self.arriving.borrow_mut().reset();
         }
-        Ok(taken)
+        Ok(outcome)
     }
 
     /// Returns the version to which another VM may send a delta, or `None` if this VM needs the whole configuration.
--- a/crates/kingcuploft-entry/src/budgets.rs
+++ b/crates/kingcuploft-entry/src/budgets.rs
@@ -28,7 +28,7 @@
 impl Context {
     /// Counts a request for a service; the repeat budget is a share of the requests.
     pub fn count_request(&self, now: Instant, service: &ServiceName) {
-        self.repeats.borrow_mut().record_request(now, service);
+        self.repeat_budget.borrow_mut().record_request(now, service);
     }
 
     /// Takes one probe from the probe budget; returns whether the budget allowed it.
@@ -46,8 +46,8 @@
     /// Returns whether the log budget allows a line about a request that succeeded. Logs from time to time how many
     /// such lines were left out.
     pub fn writes_ordinary_line(&self, now: Instant) -> bool {
-        let taken = self.log_budget.borrow_mut().admit(now);
-        match taken {
+        let decision = self.log_rate_limiter.borrow_mut().admit(now);
+        match decision {
             LogDecision::Write => return true,
             LogDecision::Drop => {}
             LogDecision::DropAndReport(count) => tracing::info!(event = "ordinary_left_out", count),
@@ -73,55 +73,61 @@
 
     /// Takes one repeat from the repeat budget; returns whether the budget allowed it.
     pub fn take_repeat(&self, now: Instant, service: &ServiceName) -> bool {
-        self.take_repeat_share(now, service).allows_repeat()
+        self.take_from_repeat_budget(now, service).allows_repeat()
     }
 
     /// Takes one repeat from the repeat budget, counts it by what was wrong with the earlier send, and logs the figures
     /// behind the decision. Returns whether the budget allowed it.
     pub fn request_repeat(&self, wanted: &WantedRepeat<'_>) -> bool {
         let now = clock::now();
-        let standing = self.take_repeat_share(now, wanted.service);
-        let room = standing.allows_repeat();
+        let status = self.take_from_repeat_budget(now, wanted.service);
+        let is_allowed = status.allows_repeat();
         tracing::info!(
             event = "repeat",
             request = wanted.request,
             after = wanted.after,
             attempts = wanted.attempts,
-            room,
+            room = is_allowed,
             service = %wanted.service,
-            used = standing.used,
-            allowed = standing.allowed,
+            used = status.used,
+            allowed = status.allowed,
             vms = self.vm_count.get(),
             up_ms = clock::since(self.started_at).as_millis() as u64,
         );
-        let reason = if room { wanted.after } else { "no_budget" };
+        let reason = if is_allowed {
+            wanted.after
+        } else {
+            "no_budget"
+        };
         self.metrics.count_repeat(reason);
-        room
+        is_allowed
     }
 
-    fn take_repeat_share(&self, now: Instant, service: &ServiceName) -> BudgetStatus {
+    fn take_from_repeat_budget(&self, now: Instant, service: &ServiceName) -> BudgetStatus {
         let bounds = self.bounds.get().repeats;
-        let mut repeats = self.repeats.borrow_mut();
-        let standing = repeats.try_take(now, service, &bounds, self.vm_count.get());
-        if standing.allows_repeat() {
+        let mut repeats = self.repeat_budget.borrow_mut();
+        let status = repeats.try_take(now, service, &bounds, self.vm_count.get());
+        if status.allows_repeat() {
             self.repeat_taken.notify_one();
         }
-        standing
+        status
     }
 
     /// Returns the usage of the repeat budget that other VMs store for this VM.
     pub fn repeats_used(&self) -> UsageReport {
         let bounds = self.bounds.get().repeats;
-        self.repeats.borrow_mut().report(clock::now(), &bounds)
+        self.repeat_budget
+            .borrow_mut()
+            .report(clock::now(), &bounds)
     }
 
     /// Returns for how much longer the usage before this VM's start matters while no other VM has reported it.
     pub fn repeats_unknown_for(&self) -> Duration {
-        self.repeats.borrow().unknown_for(clock::now())
+        self.repeat_budget.borrow().unknown_for(clock::now())
     }
 
     /// Adopts the usage that another VM has stored for this one; returns whether it was unknown.
     pub fn recover_repeats(&self, used: &UsageReport) -> bool {
-        self.repeats.borrow_mut().recover(clock::now(), used)
+        self.repeat_budget.borrow_mut().recover(clock::now(), used)
     }
 }
--- a/crates/kingcuploft-entry/src/cold_servers.rs
+++ b/crates/kingcuploft-entry/src/cold_servers.rs
@@ -35,33 +35,33 @@
     asked_at: Instant,
 ) {
     if !cold_for.is_zero() {
-        let turned = mark_cold(context, upstream, cold_for);
-        return log_turned_cold(context, turned.as_slice());
+        let newly_cold = mark_cold(context, upstream, cold_for);
+        return log_turned_cold(context, newly_cold.as_slice());
     }
     upstream.set_not_cold(asked_at);
     let server = &upstream.server.name;
-    let part = |per_s| limits::own_part(context, server, per_s);
-    let mut all = context.limits.borrow_mut();
-    if all.record_warm(clock::now(), server, asked_at, part) {
+    let share = |per_s| limits::own_share(context, server, per_s);
+    let mut limits = context.limits.borrow_mut();
+    if limits.record_warm(clock::now(), server, asked_at, share) {
         log_turned_warm(std::slice::from_ref(server));
     }
 }
 
 /// Applies how much longer servers are cold by their entries in the platform's store.
 pub fn apply_store_report(context: &Context, cold: &[(BackendServerName, Duration)]) {
-    let turned = cold.iter().filter_map(|(server, cold_for)| {
+    let newly_cold = cold.iter().filter_map(|(server, cold_for)| {
         let upstream = context.upstream(server)?;
         mark_cold(context, &upstream, *cold_for)
     });
-    let turned: Vec<_> = turned.collect();
-    log_turned_cold(context, &turned);
+    let newly_cold: Vec<_> = newly_cold.collect();
+    log_turned_cold(context, &newly_cold);
 }
 
 /// Applies the cold-start limits of a configuration that has just come into force to the servers that are cold.
 pub fn apply_configuration(context: &Context) {
     let now = clock::now();
-    let all = context.all_upstreams().into_iter();
-    let cold = all.map(|upstream| (upstream.server.name.clone(), upstream.cold_for(now)));
+    let upstreams = context.all_upstreams().into_iter();
+    let cold = upstreams.map(|upstream| (upstream.server.name.clone(), upstream.cold_for(now)));
     let cold: Vec<_> = cold.filter(|(_, cold_for)| !cold_for.is_zero()).collect();
     apply_store_report(context, &cold);
 }
@@ -72,18 +72,18 @@
     upstream.set_cold_until(now + cold_for);
     let cold_start = cold_start(context, &upstream.server.service)?;
     let server = &upstream.server.name;
-    let part = |per_s| limits::own_part(context, server, per_s);
+    let share = |per_s| limits::own_share(context, server, per_s);
     let (per_s, chance) = (cold_start.per_s(), fastrand::f64());
-    let mut all = context.limits.borrow_mut();
-    let turned = all.record_cold(now, server, per_s, cold_for, part, chance);
-    (turned == ColdChange::Cold).then(|| (server.clone(), cold_for))
+    let mut limits = context.limits.borrow_mut();
+    let newly_cold = limits.record_cold(now, server, per_s, cold_for, share, chance);
+    (newly_cold == ColdChange::Cold).then(|| (server.clone(), cold_for))
 }
 
-fn log_turned_cold(context: &Context, turned: &[NewlyCold]) {
-    if turned.len() > MAX_SERVERS_LOGGED_SINGLY {
-        return tracing::info!(event = "servers_cold", count = turned.len());
+fn log_turned_cold(context: &Context, newly_cold: &[NewlyCold]) {
+    if newly_cold.len() > MAX_SERVERS_LOGGED_SINGLY {
+        return tracing::info!(event = "servers_cold", count = newly_cold.len());
     }
-    for (server, cold_for) in turned {
+    for (server, cold_for) in newly_cold {
         let cold_ms = cold_for.as_millis() as u64;
         let per_s = context.limits.borrow().per_s(server);
         tracing::info!(event = "server_cold", %server, cold_ms, per_s);
@@ -104,8 +104,8 @@
     if context.limits.borrow().cold_count() == 0 {
         return;
     }
-    let part = |server: &BackendServerName, per_s| limits::own_part(context, server, per_s);
-    let warm = context.limits.borrow_mut().expire_cold(now, part);
+    let share = |server: &BackendServerName, per_s| limits::own_share(context, server, per_s);
+    let warm = context.limits.borrow_mut().expire_cold(now, share);
     log_turned_warm(&warm);
 }
 
@@ -115,8 +115,8 @@
 /// prefer them, and they would get the zone's whole load at once.
 pub fn require_cold_reports(context: &Context, zone: &AvailabilityZone) {
     let now = clock::now();
-    let all = context.all_upstreams().into_iter();
-    for upstream in all.filter(|upstream| upstream.server.zone == *zone) {
+    let upstreams = context.all_upstreams().into_iter();
+    for upstream in upstreams.filter(|upstream| upstream.server.zone == *zone) {
         if let Some(cold_start) = cold_start(context, &upstream.server.service) {
             upstream.require_cold_report(now, cold_start.lasts);
         }
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -69,7 +69,7 @@
     /// The datagram socket to the other VMs.
     pub peer_socket: OnceCell<Rc<dyn PeerSender>>,
     /// What other VMs have used of the repeat budget, stored for them in case they restart.
-    pub repeat_copies: RefCell<AccountReplicas>,
+    pub account_replicas: RefCell<AccountReplicas>,
     /// Wakes the task that sends this VM's usage of the repeat budget to other VMs.
     pub repeat_taken: Notify,
     /// The addresses of the other VMs of the zone.
@@ -89,7 +89,7 @@
     /// The rate limits that servers announce.
     pub limits: RefCell<ServerLimits>,
     /// The turns at rate-limited servers that this VM has requested from others.
-    pub asked_turns: PendingTurns,
+    pub pending_turns: PendingTurns,
     /// The queue of notices that wait to be written to the store.
     pub notice_writes: NoticeWriteQueue,
     /// How many connections of callers are open.
@@ -117,13 +117,13 @@
     pub(crate) servers: RefCell<BackendServers>,
     servers_listed: Cell<bool>,
     upstreams: RefCell<HashMap<ServiceName, Vec<Rc<Upstream>>>>,
-    dealers: RefCell<HashMap<RuleName, WeightedSelector>>,
+    selectors: RefCell<HashMap<RuleName, WeightedSelector>>,
     service_times: RefCell<HashMap<(RuleName, ServiceName), ServiceTime>>,
-    last_slots: RefCell<HashMap<ServiceName, LastSlotSlowdown>>,
-    pub(crate) repeats: RefCell<RepeatBudget>,
-    patience: RefCell<HashMap<RuleName, CallerTimeouts>>,
+    last_slot_slowdowns: RefCell<HashMap<ServiceName, LastSlotSlowdown>>,
+    pub(crate) repeat_budget: RefCell<RepeatBudget>,
+    caller_timeouts: RefCell<HashMap<RuleName, CallerTimeouts>>,
     pub(crate) probe_budget: RefCell<ProbeBudget>,
-    pub(crate) log_budget: RefCell<LogRateLimiter>,
+    pub(crate) log_rate_limiter: RefCell<LogRateLimiter>,
 }
 
 impl Context {
@@ -156,7 +156,7 @@
             metrics: Metrics::default(),
             readers: RefCell::default(),
             peer_socket: OnceCell::new(),
-            repeat_copies: RefCell::default(),
+            account_replicas: RefCell::default(),
             repeat_taken: Notify::new(),
             zone_peers: RefCell::default(),
             followers: Followers::default(),
@@ -172,7 +172,7 @@
             rewinds: Rewinds::default(),
             evacuations: RefCell::default(),
             limits: RefCell::new(ServerLimits::started_at(clock::now())),
-            asked_turns: PendingTurns::default(),
+            pending_turns: PendingTurns::default(),
             notice_writes: NoticeWriteQueue::default(),
             callers: Cell::new(0),
             started_at: clock::now(),
@@ -182,13 +182,13 @@
             servers: RefCell::default(),
             servers_listed: Cell::new(false),
             upstreams: RefCell::default(),
-            dealers: RefCell::default(),
+            selectors: RefCell::default(),
             service_times: RefCell::default(),
-            last_slots: RefCell::default(),
-            repeats: RefCell::new(repeats),
-            patience: RefCell::default(),
+            last_slot_slowdowns: RefCell::default(),
+            repeat_budget: RefCell::new(repeats),
+            caller_timeouts: RefCell::default(),
             probe_budget: RefCell::new(ProbeBudget::new(clock::now())),
-            log_budget: RefCell::default(),
+            log_rate_limiter: RefCell::default(),
         }
     }
 
@@ -230,8 +230,8 @@
     }
 
     /// Calls `news` with the table of backend servers and returns its result.
-    pub fn with_servers<T>(&self, news: impl FnOnce(&mut BackendServers) -> T) -> T {
-        news(&mut self.servers.borrow_mut())
+    pub fn with_servers<T>(&self, operation: impl FnOnce(&mut BackendServers) -> T) -> T {
+        operation(&mut self.servers.borrow_mut())
     }
 
     /// Returns the revision up to which a collection of the store is known.
@@ -351,11 +351,11 @@
 
     /// Returns the destination of the next request of a route, by the weights of its destinations.
     pub fn next_destination(&self, route: &Route) -> Option<Destination> {
-        let mut dealers = self.dealers.borrow_mut();
-        let dealer = dealers
+        let mut selectors = self.selectors.borrow_mut();
+        let selector = selectors
             .entry(route.name.clone())
             .or_insert_with(|| WeightedSelector::new(fastrand::f64()));
-        dealer.select(&route.destinations).cloned()
+        selector.select(&route.destinations).cloned()
     }
 
     /// Returns the estimated service time of a route at a service, in milliseconds, on a server of normal speed.
@@ -368,8 +368,8 @@
     /// Returns the factor by which work takes longer on a server of a service when it takes the server's last free
     /// slot.
     pub fn last_slot_factor(&self, service: &ServiceName) -> f64 {
-        let last_slots = self.last_slots.borrow();
-        last_slots
+        let last_slot_slowdowns = self.last_slot_slowdowns.borrow();
+        last_slot_slowdowns
             .get(service)
             .copied()
             .unwrap_or_default()
@@ -387,15 +387,17 @@
         slot: Slot,
     ) {
         let mut times = self.service_times.borrow_mut();
-        let mut last_slots = self.last_slots.borrow_mut();
+        let mut last_slot_slowdowns = self.last_slot_slowdowns.borrow_mut();
         let time = times.entry((route.name.clone(), service.clone()));
-        let last_slot = last_slots.entry(service.clone()).or_default();
-        time.or_default().record(took, slowness, slot, last_slot);
+        let slowdown = last_slot_slowdowns.entry(service.clone()).or_default();
+        time.or_default().record(took, slowness, slot, slowdown);
     }
 
     /// Records how long a caller of a route will wait; returns how long it has waited already, at earlier attempts.
-    pub fn waited_before(&self, route: &Route, patience: Duration) -> Duration {
-        let mut all = self.patience.borrow_mut();
-        all.entry(route.name.clone()).or_default().record(patience)
+    pub fn waited_before(&self, route: &Route, caller_timeout: Duration) -> Duration {
+        let mut all = self.caller_timeouts.borrow_mut();
+        all.entry(route.name.clone())
+            .or_default()
+            .record(caller_timeout)
     }
 }
--- a/crates/kingcuploft-entry/src/edge/active_request.rs
+++ b/crates/kingcuploft-entry/src/edge/active_request.rs
@@ -88,11 +88,13 @@
                 Some(DEFAULT_RETRY_AFTER),
             );
         };
-        let patience = request.patience(&context.wire_names);
-        let waited_before = patience.map_or(Duration::ZERO, |patience| {
-            context.waited_before(&route, patience)
+        let caller_timeout = request.caller_timeout(&context.wire_names);
+        let waited_before = caller_timeout.map_or(Duration::ZERO, |caller_timeout| {
+            context.waited_before(&route, caller_timeout)
+        });
+        let allowed = caller_timeout.map_or(route.timeout, |caller_timeout| {
+            caller_timeout.min(route.timeout)
         });
-        let allowed = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
         context.count_request(request.arrived, &destination.service);
         Routed::Active(Self {
             deadline: request.arrived + allowed,
--- a/crates/kingcuploft-entry/src/edge/hedge.rs
+++ b/crates/kingcuploft-entry/src/edge/hedge.rs
@@ -74,14 +74,14 @@
         let now = clock::now();
         let age = upstream.load_report(now).map(|(age, _)| age);
         let need = self.need(now, now, ProbeScope::Far);
-        let look = HedgeCheck {
+        let check = HedgeCheck {
             server_answers: age
                 .is_some_and(|age| age <= now - asked_at + self.context.max_load_report_age()),
             probe_budget_left: self.context.probe_budget_left(),
             deadline_left_ms: need.deadline_left_ms,
             work_ms: need.work_ms,
         };
-        if !hedging::should_hedge(&look) || !self.attempts.may_send(1) {
+        if !hedging::should_hedge(&check) || !self.attempts.may_send(1) {
             return None;
         }
         let other_upstreams: Vec<_> = self.candidate_upstreams(now, ProbeScope::Far);
@@ -94,15 +94,15 @@
         let now = clock::now();
         let max_age =
             self.context.max_load_report_age() + HEDGE_LOAD_REPORT_WAIT + LOAD_REPORT_POLL_INTERVAL;
-        let seen = other_upstreams
+        let candidates = other_upstreams
             .iter()
             .map(|u| u.candidate(now, max_age, self.is_excluded(u, now)));
-        let candidates: Vec<Candidate> = seen.collect();
+        let candidates: Vec<Candidate> = candidates.collect();
         let need = self.need(now, now, ProbeScope::Near);
         let Step::Send(at) = place(&need, &candidates, fastrand::f64) else {
             return None;
         };
-        let after = match look.server_answers {
+        let after = match check.server_answers {
             true => "late",
             false => "silent",
         };
--- a/crates/kingcuploft-entry/src/edge/limited_servers.rs
+++ b/crates/kingcuploft-entry/src/edge/limited_servers.rs
@@ -30,7 +30,7 @@
     pub(super) async fn take_turn(
         &mut self,
         disconnect: &CallerDisconnect,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Rc<Upstream>, Duration> {
         let mut limited = limits::limited_upstreams(self.context, &self.service);
         let share = self.context.connection_share(&self.service);
@@ -41,12 +41,12 @@
             let limits = self.context.limits.borrow();
             is_open
                 && !self.was_tried(upstream)
-                && limits.may_have_turn(now, &upstream.server.name, patience)
+                && limits.may_have_turn(now, &upstream.server.name, max_wait)
         });
         fastrand::shuffle(&mut limited);
         let mut earliest = MAX_RETRY_AFTER;
         for upstream in limited.into_iter().take(MAX_SERVERS_ASKED) {
-            match turns::request(self.context, &upstream.server.name, patience).await {
+            match turns::request(self.context, &upstream.server.name, max_wait).await {
                 Turn::After(after) => {
                     tokio::select! {
                         biased;
@@ -59,7 +59,7 @@
                 Turn::TooLate(after) => {
                     let (now, server) = (clock::now(), &upstream.server.name);
                     let mut limits = self.context.limits.borrow_mut();
-                    limits.defer_turns(now, server, after, patience);
+                    limits.defer_turns(now, server, after, max_wait);
                     earliest = earliest.min(after);
                 }
             }
--- a/crates/kingcuploft-entry/src/edge/request.rs
+++ b/crates/kingcuploft-entry/src/edge/request.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns how long the caller waits after the request's arrival, if a header says so.
-    pub fn patience(&self, wire_names: &WireNames) -> Option<Duration> {
+    pub fn caller_timeout(&self, wire_names: &WireNames) -> Option<Duration> {
         let value = self.head.headers.get(wire_names.deadline_ms)?;
         let millis: f64 = value.parse().ok()?;
         let valid = millis.is_finite() && millis >= 0.0;
--- a/crates/kingcuploft-entry/src/edge/selection.rs
+++ b/crates/kingcuploft-entry/src/edge/selection.rs
@@ -40,7 +40,7 @@
     /// Selects the server for the next attempt.
     pub(super) async fn select_upstream(&mut self, disconnect: &CallerDisconnect) -> Selection {
         let mut search_began = clock::now();
-        let mut reach = ProbeScope::Near;
+        let mut scope = ProbeScope::Near;
         let mut rounds = 0;
         let mut asked_for_turn = false;
         loop {
@@ -60,7 +60,7 @@
                 return Selection::Evacuated(after);
             }
             let now = clock::now();
-            let upstreams = self.candidate_upstreams(now, reach);
+            let upstreams = self.candidate_upstreams(now, scope);
             let has_limited = !limits::limited_upstreams(self.context, &self.service).is_empty();
             if upstreams.is_empty() && has_limited {
                 return match self.take_turn(disconnect, self.remaining_wait()).await {
@@ -75,7 +75,7 @@
                 .iter()
                 .map(|u| u.candidate(now, max_age, self.is_excluded(u, now)))
                 .collect();
-            let need = self.need(now, search_began, reach);
+            let need = self.need(now, search_began, scope);
             match place(&need, &candidates, fastrand::f64) {
                 Step::Send(at) => return Selection::Upstream(upstreams[at].clone()),
                 Step::Refuse(retry_after) => {
@@ -88,7 +88,7 @@
                         return Selection::Upstream(upstream);
                     }
                 }
-                Step::Probe(further) => reach = further,
+                Step::Probe(further) => scope = further,
                 Step::AwaitReports => {
                     let notified = self.context.load_report_received.notified();
                     let _ = tokio::time::timeout(LOAD_REPORT_POLL_INTERVAL, notified).await;
@@ -116,7 +116,7 @@
 
     /// Returns the servers to select from. Of the own zone these are the first in this VM's order that answer probes,
     /// or of all servers if none does; of the other zones those that are cheapest to probe.
-    pub(super) fn candidate_upstreams(&self, now: Instant, reach: ProbeScope) -> Vec<Rc<Upstream>> {
+    pub(super) fn candidate_upstreams(&self, now: Instant, scope: ProbeScope) -> Vec<Rc<Upstream>> {
         let mut all = self.context.upstreams(&self.service);
         let share = self.context.connection_share(&self.service);
         all.retain(|upstream| upstream.has_connection_available(share));
@@ -135,11 +135,11 @@
             all = without_suspect;
         }
         let (mut near, mut others): (Vec<_>, Vec<_>) = all.into_iter().partition(|u| u.near);
-        let asked = probe_fanout(near.len(), others.len(), reach);
+        let fanout = probe_fanout(near.len(), others.len(), scope);
         let max_age = self.context.max_load_report_age();
         others.sort_by_cached_key(|u| u.probe_cost(now, max_age));
-        near.truncate(asked.near);
-        others.truncate(asked.far);
+        near.truncate(fanout.near);
+        others.truncate(fanout.far);
         near.append(&mut others);
         near
     }
@@ -150,15 +150,15 @@
             return;
         };
         let health_path = &service.health_path;
-        let asked = upstreams.iter().filter(|_| fastrand::f64() < share);
-        asked.for_each(|upstream| probe::start(self.context, upstream, health_path));
+        let sampled = upstreams.iter().filter(|_| fastrand::f64() < share);
+        sampled.for_each(|upstream| probe::start(self.context, upstream, health_path));
     }
 
     pub(super) fn need(
         &self,
         now: Instant,
         search_began: Instant,
-        reach: ProbeScope,
+        scope: ProbeScope,
     ) -> PlacementNeed {
         let millis = |d: Duration| d.as_secs_f64() * 1000.0;
         let left = |until: Instant| match until >= now {
@@ -170,7 +170,7 @@
             target_left_ms: left(self.target),
             deadline_left_ms: left(self.deadline),
             probe_wait_ms: millis(now - search_began),
-            scope: reach,
+            scope,
             last_slot_slowdown: self.context.last_slot_factor(&self.service),
             probe_budget_left: self.context.probe_budget_left(),
             is_caller_retry: self.is_returning,
--- a/crates/kingcuploft-entry/src/evacuation.rs
+++ b/crates/kingcuploft-entry/src/evacuation.rs
@@ -48,8 +48,8 @@
     apply(context, |evacuations| evacuations.expire(now));
 }
 
-fn apply(context: &Context, news: impl FnOnce(&mut Evacuations) -> Vec<Change>) {
-    let changes = news(&mut context.evacuations.borrow_mut());
+fn apply(context: &Context, operation: impl FnOnce(&mut Evacuations) -> Vec<Change>) {
+    let changes = operation(&mut context.evacuations.borrow_mut());
     if changes.is_empty() {
         return;
     }
--- a/crates/kingcuploft-entry/src/http/body.rs
+++ b/crates/kingcuploft-entry/src/http/body.rs
@@ -125,13 +125,13 @@
     }
 
     fn take(&mut self, bytes: &mut BytesMut, left: usize) -> Result<usize, BodyError> {
-        let taken = left.min(bytes.len());
-        if self.body.len() + taken > self.max_bytes {
+        let consumed = left.min(bytes.len());
+        if self.body.len() + consumed > self.max_bytes {
             return Err(BodyError::TooLong);
         }
-        self.body.extend_from_slice(&bytes[..taken]);
-        bytes.advance(taken);
-        Ok(left - taken)
+        self.body.extend_from_slice(&bytes[..consumed]);
+        bytes.advance(consumed);
+        Ok(left - consumed)
     }
 
     fn line(&mut self, bytes: &mut BytesMut) -> Result<bool, BodyError> {
--- a/crates/kingcuploft-entry/src/http/client.rs
+++ b/crates/kingcuploft-entry/src/http/client.rs
@@ -212,8 +212,8 @@
                 None if self.buffer.len() > MAX_HEAD_BYTES => return Err(ReceiveError::Malformed),
                 None => {}
             }
-            let begun = !self.buffer.is_empty();
-            match (self.read().await?, begun) {
+            let has_begun = !self.buffer.is_empty();
+            match (self.read().await?, has_begun) {
                 (0, true) => return Err(ReceiveError::Truncated),
                 (0, false) => return Err(ReceiveError::Closed),
                 _ => {}
--- a/crates/kingcuploft-entry/src/http/headers.rs
+++ b/crates/kingcuploft-entry/src/http/headers.rs
@@ -59,11 +59,11 @@
 
     /// Returns the end-to-end headers, which are forwarded: all but the hop-by-hop headers.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        let kept = self.list.iter().filter(|(name, _)| {
+        let forwarded = self.list.iter().filter(|(name, _)| {
             let hop = HOP_BY_HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop));
             !hop && !self.has_token("connection", name)
         });
-        kept.map(|(name, value)| (name.as_str(), value.as_slice()))
+        forwarded.map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 }
 
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -76,9 +76,9 @@
     server: &BackendServerName,
     per_s: Option<PerSecond>,
 ) -> Option<LimitChange> {
-    let part = |per_s| own_part(context, server, per_s);
+    let share = |per_s| own_share(context, server, per_s);
     let mut limits = context.limits.borrow_mut();
-    limits.record_named(clock::now(), server, per_s, part, fastrand::f64())
+    limits.record_named(clock::now(), server, per_s, share, fastrand::f64())
 }
 
 fn publish(context: &Context, notice: LimitNotice) {
@@ -122,10 +122,10 @@
 
 /// Applies a limit notice from the store; returns whether it is news.
 pub fn apply_notice(context: &Context, notice: &LimitNotice) -> bool {
-    let part = own_part(context, &notice.server, notice.per_s);
+    let share = own_share(context, &notice.server, notice.per_s);
     let mut limits = context.limits.borrow_mut();
     let is_known = limits.per_s(&notice.server).is_some();
-    let is_news = limits.add_notice(clock::now(), notice, part, fastrand::f64());
+    let is_news = limits.add_notice(clock::now(), notice, share, fastrand::f64());
     drop(limits);
     if !is_known {
         log_named(context, notice);
@@ -146,11 +146,11 @@
     if context.limits.borrow().is_empty() {
         return;
     }
-    let part = |server: &BackendServerName, per_s| own_part(context, server, per_s);
+    let share = |server: &BackendServerName, per_s| own_share(context, server, per_s);
     context
         .limits
         .borrow_mut()
-        .update_shares(clock::now(), part);
+        .update_shares(clock::now(), share);
 }
 
 /// Returns how long a request must wait before it may be sent to a server; zero if it may be sent at once.
@@ -182,7 +182,7 @@
 /// Returns whether this VM keeps a server's limit, or a part of it, and so grants turns.
 pub fn is_keeper(context: &Context, server: &BackendServerName) -> bool {
     let per_s = context.limits.borrow().per_s(server);
-    per_s.is_some_and(|per_s| matches!(own_part(context, server, per_s), LimitShare::OneOf(_)))
+    per_s.is_some_and(|per_s| matches!(own_share(context, server, per_s), LimitShare::OneOf(_)))
 }
 
 /// Returns a random one of the VMs that keep a server's limit.
@@ -199,7 +199,7 @@
 }
 
 /// Returns the part of a server's limit that this VM may use.
-pub fn own_part(context: &Context, server: &BackendServerName, per_s: PerSecond) -> LimitShare {
+pub fn own_share(context: &Context, server: &BackendServerName, per_s: PerSecond) -> LimitShare {
     if context.settings.peers.is_none() {
         return LimitShare::OneOf(1);
     }
@@ -210,11 +210,11 @@
 }
 
 fn log_named(context: &Context, notice: &LimitNotice) {
-    let part = own_part(context, &notice.server, notice.per_s);
+    let share = own_share(context, &notice.server, notice.per_s);
     tracing::info!(
         event = "limit_named",
         server = %notice.server,
         per_s = notice.per_s,
-        part = ?part,
+        part = ?share,
     );
 }
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -130,7 +130,7 @@
 ) -> T {
     let is_refused = || context.quarantine.borrow().is_refused(fingerprint);
     let before = is_refused();
-    let taken = apply();
+    let result = apply();
     match (before, is_refused()) {
         (false, true) => {
             tracing::info!(event = "quarantined", fingerprint = %format_args!("{fingerprint:016x}"));
@@ -140,7 +140,7 @@
         }
         _ => {}
     }
-    taken
+    result
 }
 
 /// Applies the withdrawal of notices, and forwards it always: followers may still know what this VM has forgotten.
--- a/crates/kingcuploft-entry/src/peers/repeat_replication.rs
+++ b/crates/kingcuploft-entry/src/peers/repeat_replication.rs
@@ -99,13 +99,13 @@
 
 /// Keeps a copy of what another VM has used.
 pub fn store_copy(context: &Context, vm: &VmName, used: &UsageReport) {
-    let mut copies = context.repeat_copies.borrow_mut();
+    let mut copies = context.account_replicas.borrow_mut();
     copies.store(clock::now(), vm.clone(), used.clone());
 }
 
 /// Sends a VM that has just started what is kept for it.
 pub fn send_copies(context: &Context, vm: &VmName, from: SocketAddr) {
-    let copy = context.repeat_copies.borrow_mut().get(clock::now(), vm);
+    let copy = context.account_replicas.borrow_mut().get(clock::now(), vm);
     for used in copy
         .into_iter()
         .flat_map(|used| used.split(MAX_SERVICES_PER_DATAGRAM))
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -26,7 +26,7 @@
     let (Some(keeper), Some(socket)) = (keeper, context.peer_socket.get()) else {
         return Turn::TooLate(TURN_RETRY_DELAY);
     };
-    let (request_id, reply) = context.asked_turns.register();
+    let (request_id, reply) = context.pending_turns.register();
     let message = PeerMessage::TurnRequest {
         server: server.clone(),
         max_wait_ms: max_wait.as_millis() as u64,
@@ -34,7 +34,7 @@
     };
     socket.send(&message, &[keeper.address]);
     let outcome = tokio::time::timeout(REPLY_TIMEOUT, reply).await;
-    context.asked_turns.cancel(request_id);
+    context.pending_turns.cancel(request_id);
     match outcome {
         Ok(Ok(turn)) => turn,
         Ok(Err(_)) | Err(_) => Turn::TooLate(TURN_RETRY_DELAY),
@@ -72,5 +72,5 @@
         true => Turn::After(after),
         false => Turn::TooLate(after),
     };
-    context.asked_turns.complete(request_id, turn);
+    context.pending_turns.complete(request_id, turn);
 }
--- a/crates/kingcuploft-entry/src/run.rs
+++ b/crates/kingcuploft-entry/src/run.rs
@@ -104,7 +104,7 @@
 ) -> Result<Running, StartError> {
     let callers = listen(settings.callers)?;
     let ready = listen(settings.readiness)?;
-    let at = |listener: &TcpListener, asked| listener.local_addr().unwrap_or(asked);
+    let at = |listener: &TcpListener, requested| listener.local_addr().unwrap_or(requested);
     let addresses = (
         at(&callers, settings.callers),
         at(&ready, settings.readiness),
--- a/crates/kingcuploft-entry/src/server_updates.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -67,8 +67,8 @@
     let joined =
         context.with_servers(|known| entries.filter_map(|s| known.update(s)).collect::<Vec<_>>());
     let present = names.iter().map(String::as_str);
-    let gone = context.with_servers(|known| known.remove_missing(now, present));
-    let changes: Vec<Change> = joined.into_iter().chain(gone).collect();
+    let removed = context.with_servers(|known| known.remove_missing(now, present));
+    let changes: Vec<Change> = joined.into_iter().chain(removed).collect();
     log_changes(&changes);
     context.apply_server_changes(now, &changes);
     cold_servers::apply_store_report(context, &cold);
--- a/crates/kingcuploft-entry/src/store_fallback.rs
+++ b/crates/kingcuploft-entry/src/store_fallback.rs
@@ -16,13 +16,13 @@
 ///
 /// When the whole fleet starts for the first time there are no callers yet, and the VM keeps waiting for the others.
 pub(crate) async fn read_store_if_uninformed(context: Rc<Context>, store_access: Rc<StoreAccess>) {
-    let begun = clock::now();
+    let started_at = clock::now();
     let chance = fastrand::f64();
     if context.settings.all_start {
         return;
     }
     while !context.is_ready() && !context.is_stopping() {
-        let patience = {
+        let delay = {
             let readers = context.readers.borrow();
             let record = readers.record(&context.settings.zone);
             startup_delay::store_read_delay(
@@ -32,7 +32,7 @@
                 chance,
             )
         };
-        if clock::since(begun) >= patience {
+        if clock::since(started_at) >= delay {
             return store_access.start_reading();
         }
         tokio::time::sleep(READINESS_POLL_INTERVAL).await;
--- a/crates/kingcuploft-entry/src/store_liveness.rs
+++ b/crates/kingcuploft-entry/src/store_liveness.rs
@@ -62,8 +62,8 @@
                 false => tracing::warn!(event = "store_away"),
             }
             // Followers learn it at once, as one of them may still reach the store.
-            let standing = sync_status(&context, &store_access);
-            context.followers.send(&Frame::Status(standing));
+            let status = sync_status(&context, &store_access);
+            context.followers.send(&Frame::Status(status));
         }
         store_access.probe_completed();
         if reached.is_some_and(|reached| lag.is_too_long(clock::now(), reached, &context)) {
--- a/crates/kingcuploft-entry/src/store_watcher.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -91,8 +91,8 @@
                 is_history_gone = false;
                 wait = WATCH_TIMEOUT;
                 context.set_position(collection, revision);
-                let standing = sync_status(&context, &store_access);
-                context.followers.send(&Frame::Status(standing));
+                let status = sync_status(&context, &store_access);
+                context.followers.send(&Frame::Status(status));
             }
             Err(StoreError::HistoryGone) => {
                 tracing::info!(event = "history_gone", collection = collection.label());
@@ -293,8 +293,8 @@
 /// Records that the store answers again, and forwards that if it is news: a follower that has just joined may never
 /// have lost the store, and would keep a leaving server in use for the grace period of a lapsed entry.
 pub fn note_store_return(context: &Context) {
-    let news = context.with_servers(|servers| servers.store_returned(clock::now()));
-    if news {
+    let is_news = context.with_servers(|servers| servers.store_returned(clock::now()));
+    if is_news {
         tracing::info!(event = "store_back");
         context.followers.send(&Frame::StoreReturned);
     }
@@ -318,23 +318,23 @@
 
 /// Applies zone records, and forwards those that are news.
 pub fn apply_zone_records(context: &Context, records: Vec<ZoneRecord>) {
-    let news = context.readers.borrow_mut().update(records);
-    if news.is_empty() {
+    let updates = context.readers.borrow_mut().update(records);
+    if updates.is_empty() {
         return;
     }
     let readers = context.readers.borrow();
     if let Some(count) = readers.vm_count() {
-        let part = if planted::is_on(Planted::CountsTooFew) {
+        let divisor = if planted::is_on(Planted::CountsTooFew) {
             5
         } else {
             1
         };
-        context.vm_count.set((count / part).max(1));
+        context.vm_count.set((count / divisor).max(1));
     }
     *context.zone_peers.borrow_mut() = zone_peers(context, readers.record(&context.settings.zone));
     drop(readers);
     limits::redistribute(context);
-    context.followers.send(&Frame::Zones(news));
+    context.followers.send(&Frame::Zones(updates));
 }
 
 /// Returns the addresses of the other VMs of the zone, if the record names all of them.
--- a/crates/kingcuploft-entry/src/upstream/probe.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe.rs
@@ -116,7 +116,7 @@
     let is_pooled = upstream.has_idle_connection();
     let mut connection = upstream.connect(network).await.ok()?;
     step.set(if is_pooled {
-        ProbeStep::Kept
+        ProbeStep::Pooled
     } else {
         ProbeStep::New
     });
--- a/crates/kingcuploft-entry/src/upstream/probe_step.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe_step.rs
@@ -8,7 +8,7 @@
     /// Waiting for the answer on a new connection.
     New,
     /// Waiting for the answer on a pooled connection.
-    Kept,
+    Pooled,
     /// The answer held no load report.
     Unreadable,
 }
@@ -19,7 +19,7 @@
         match self {
             Self::Connecting => "connecting",
             Self::New => "new connection",
-            Self::Kept => "kept connection",
+            Self::Pooled => "kept connection",
             Self::Unreadable => "no load told",
         }
     }
