--- a/crates/kingcuploft-simulation/src/simulation.rs
+++ b/crates/kingcuploft-simulation/src/simulation.rs
@@ -1,4 +1,5 @@
-//! Plays a day.
+//! Runs a day: starts the fleet, the servers and the store, applies the disruptions, generates the callers' requests
+//! and records the history that the rules check.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,58 +25,62 @@
 /// How long VMs run before the first request.
 const WARM_UP: Duration = Duration::from_secs(6);
 
-/// How long after the last request the day ends.
+/// How long the day goes on after the last request.
 const WIND_DOWN: Duration = Duration::from_secs(5);
 
-/// How many callers a zone has.
+/// How many distinct callers each zone has.
 const CALLERS_PER_ZONE: u64 = 48;
 
-/// For how long after a change it is looked by which version each VM serves, how often, and how long one look may take.
+/// For how long after a configuration change the VMs are checked for the new version.
 const VERSION_CHECKS_FOR: Duration = Duration::from_secs(6);
+
+/// How often each VM is checked during that time.
 const VERSION_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// How long one check may take.
 const VERSION_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why a day can't be played.
+/// Why a day can't be run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// Its deployment is not known.
-    #[error("no deployment is called {0}")]
+    /// The day names a deployment that does not exist.
+    #[error("there is no deployment {0}")]
     Deployment(String),
-    /// The system gave no timers.
-    #[error("no timers: {0}")]
+    /// The asynchronous runtime could not be built.
+    #[error("the asynchronous runtime can't be built: {0}")]
     Timers(#[from] std::io::Error),
 }
 
-/// A day that was played.
+/// The result of a day.
 #[derive(Debug)]
 pub struct DayResult {
-    /// What was played.
+    /// The deployment that was simulated.
     pub deployment: Rc<Deployment>,
-    /// What was seen.
+    /// What callers, servers and the operator observed.
     pub history: Rc<History>,
-    /// How many VMs each VM counts in the end; none of one that does not run.
+    /// How many VMs each VM counts in the fleet at the end; `None` for a VM that is not running.
     pub known_vms: Vec<Option<usize>>,
-    /// The VMs' lines.
+    /// The log lines of all VMs.
     pub lines: Vec<u8>,
 }
 
-/// The world while it is played.
+/// The state of a running simulation.
 pub struct Simulation {
-    /// What is played.
+    /// The deployment that is simulated.
     pub deployment: Rc<Deployment>,
-    /// What is seen.
+    /// What callers, servers and the operator observe.
     pub history: Rc<History>,
     /// The store.
     pub store: TestStore,
     /// The operator.
     pub operator: Operator,
-    /// The VMs.
+    /// The entry VMs, by index.
     pub vms: Vec<Rc<Vm>>,
-    /// All servers that there ever were.
+    /// All servers that were ever started, by index; stopped ones stay in the list.
     pub servers: RefCell<Vec<Rc<Server>>>,
-    /// How many times the usual callers ask.
+    /// The request rate as a multiple of the deployment's usual rate.
     pub load_factor: Cell<f64>,
-    /// The part of the requests of the first kind under which servers end.
+    /// The share of the requests of the first kind that crash the server that runs them.
     pub deadly_share: Cell<f64>,
     crash_sender: UnboundedSender<usize>,
     crash_receiver: RefCell<UnboundedReceiver<usize>>,
@@ -84,21 +89,21 @@
     callers: Rc<Host>,
 }
 
-/// Plays a day.
+/// Runs a day and collects the log lines of its VMs.
 ///
 /// # Errors
 ///
-/// Returns an error if it can't be played.
+/// Returns an error if the deployment is unknown or the runtime can't be built.
 pub fn run(day: &Day) -> Result<DayResult, RunError> {
-    let (played, lines) = log::capture(|| run_unlogged(day));
-    Ok(DayResult { lines, ..played? })
+    let (result, lines) = log::capture(|| run_unlogged(day));
+    Ok(DayResult { lines, ..result? })
 }
 
-/// Plays a day, and leaves out what its VMs write.
+/// Runs a day without collecting the log lines of its VMs.
 ///
 /// # Errors
 ///
-/// Returns an error if it can't be played.
+/// Returns an error if the deployment is unknown or the runtime can't be built.
 pub fn run_unlogged(day: &Day) -> Result<DayResult, RunError> {
     let unknown = || RunError::Deployment(day.deployment.clone());
     let deployment = Rc::new(day.deployment().ok_or_else(unknown)?);
@@ -106,16 +111,16 @@
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build()?;
     let tasks = tokio::task::LocalSet::new();
-    let (seen, counted) = tasks.block_on(&runtime, async {
-        let world = Rc::new(Simulation::new(deployment.clone()));
-        world.run(day).await;
-        let counted = world.vms.iter().map(|vm| vm.known_vms());
-        (world.history.clone(), counted.collect())
+    let (history, known_vms) = tasks.block_on(&runtime, async {
+        let simulation = Rc::new(Simulation::new(deployment.clone()));
+        simulation.run(day).await;
+        let known_vms = simulation.vms.iter().map(|vm| vm.known_vms());
+        (simulation.history.clone(), known_vms.collect())
     });
     Ok(DayResult {
         deployment,
-        history: seen,
-        known_vms: counted,
+        history,
+        known_vms,
         lines: Vec::new(),
     })
 }
@@ -123,8 +128,8 @@
 impl Simulation {
     fn new(deployment: Rc<Deployment>) -> Self {
         let (network, store) = (Network::default(), TestStore::default());
-        let (ends_under, ending) = mpsc::unbounded_channel();
-        let seen = Rc::new(History::default());
+        let (crash_sender, crash_receiver) = mpsc::unbounded_channel();
+        let history = Rc::new(History::default());
         let zones = deployment.zones.iter().enumerate();
         let zones = zones.flat_map(|(zone, vms)| std::iter::repeat_n(zone, *vms));
         let vms = zones
@@ -132,16 +137,16 @@
             .map(|(index, zone)| Rc::new(Vm::new(index, zone, &deployment, &network, &store)));
         let vms: Vec<_> = vms.collect();
         Self {
-            operator: Operator::new(deployment.clone(), store.clone(), seen.clone()),
+            operator: Operator::new(deployment.clone(), store.clone(), history.clone()),
             balancer: Balancer::new(vms.clone()),
             callers: Rc::new(network.host(Location::External, None)),
             servers: RefCell::default(),
             load_factor: Cell::new(1.0),
             deadly_share: Cell::new(0.0),
-            crash_sender: ends_under,
-            crash_receiver: RefCell::new(ending),
+            crash_sender,
+            crash_receiver: RefCell::new(crash_receiver),
             deployment,
-            history: seen,
+            history,
             store,
             vms,
             network,
@@ -160,30 +165,31 @@
         for vm in &self.vms {
             vm.start(true);
         }
-        let world = self.clone();
-        tokio::task::spawn_local(async move { world.balancer.run().await });
+        let simulation = self.clone();
+        tokio::task::spawn_local(async move { simulation.balancer.run().await });
         tokio::time::sleep(WARM_UP).await;
         log::start_clock();
         self.history.start_clock();
         for disruption in &day.disruptions {
-            let (world, disruption) = (self.clone(), disruption.clone());
+            let (simulation, disruption) = (self.clone(), disruption.clone());
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(disruption.at()).await;
-                disruptions::apply(&world, &disruption).await;
+                disruptions::apply(&simulation, &disruption).await;
             });
         }
-        let world = self.clone();
-        let ending = tokio::task::spawn_local(async move { world.crash_reported_servers().await });
-        let world = self.clone();
-        let looking = tokio::task::spawn_local(async move { world.check_versions().await });
+        let simulation = self.clone();
+        let crashing =
+            tokio::task::spawn_local(async move { simulation.crash_reported_servers().await });
+        let simulation = self.clone();
+        let checking = tokio::task::spawn_local(async move { simulation.check_versions().await });
         self.generate_load(Duration::from_millis(day.length_ms))
             .await;
         tokio::time::sleep(WIND_DOWN).await;
-        looking.abort();
-        ending.abort();
+        checking.abort();
+        crashing.abort();
     }
 
-    /// Ends the servers that deadly requests reach.
+    /// Crashes each server that reports that it got a deadly request.
     async fn crash_reported_servers(self: &Rc<Self>) {
         loop {
             let next =
@@ -193,15 +199,15 @@
             };
             let server = self.servers.borrow()[index].clone();
             if !server.has_stopped.get() {
-                let world = self.clone();
+                let simulation = self.clone();
                 tokio::task::spawn_local(async move {
-                    disruptions::crash_servers(&world, &[server]).await
+                    disruptions::crash_servers(&simulation, &[server]).await
                 });
             }
         }
     }
 
-    /// Starts a server; returns it.
+    /// Starts a server and registers it with the store; returns `None` if the service is unknown.
     pub fn start_server(&self, service: &str, zone: usize, is_cold: bool) -> Option<Rc<Server>> {
         let service = self.deployment.service(service)?;
         let index = self.servers.borrow().len();
@@ -216,10 +222,10 @@
             self.history.clone(),
             self.crash_sender.clone(),
         );
-        let lasts = Duration::from_millis(service.cold_ms);
+        let duration = Duration::from_millis(service.cold_ms);
         let cold = (is_cold && service.cold_per_s > 0.0).then(|| {
-            server.cold_until.set(Some(Instant::now() + lasts));
-            (self.history.now(), self.history.now() + lasts)
+            server.cold_until.set(Some(Instant::now() + duration));
+            (self.history.now(), self.history.now() + duration)
         });
         self.history.servers.borrow_mut().push(ServerHistory {
             service: service.name.clone(),
@@ -233,16 +239,16 @@
         Some(server)
     }
 
-    /// Ends a server; nobody listens at its address any more.
+    /// Stops a server and closes its listening address.
     pub fn stop_server(&self, server: &Server) {
         server.stop();
         self.network.stop_listening(server.address);
     }
 
-    async fn generate_load(self: &Rc<Self>, lasts: Duration) {
+    async fn generate_load(self: &Rc<Self>, duration: Duration) {
         let kinds = self.deployment.kinds.clone();
         let per_s: f64 = kinds.iter().map(|kind| kind.per_s).sum();
-        while self.history.now() < lasts {
+        while self.history.now() < duration {
             let pause_s = -(1.0 - fastrand::f64()).ln() / (per_s * self.load_factor.get());
             tokio::time::sleep(Duration::from_secs_f64(pause_s)).await;
             let mut drawn = fastrand::f64() * per_s;
@@ -259,10 +265,14 @@
                 is_deadly: kind == 0 && fastrand::f64() < self.deadly_share.get(),
             };
             let zone = fastrand::usize(0..self.deployment.zones.len());
-            let (world, of_zone) = (self.clone(), fastrand::u64(0..CALLERS_PER_ZONE));
+            let (simulation, caller_index) = (self.clone(), fastrand::u64(0..CALLERS_PER_ZONE));
             tokio::task::spawn_local(async move {
-                let entry = |attempt| world.balancer.vm_for(zone, of_zone * 7 + 3, attempt);
-                caller.send(entry).await;
+                let vm_for = |attempt| {
+                    simulation
+                        .balancer
+                        .vm_for(zone, caller_index * 7 + 3, attempt)
+                };
+                caller.send(vm_for).await;
             });
             let running = self.servers.borrow();
             let running = running
@@ -274,43 +284,43 @@
         }
     }
 
-    /// Looks by which version each VM serves.
+    /// Asks each running VM for the newest version's route at intervals, for a while after each configuration change.
     async fn check_versions(self: &Rc<Self>) {
         loop {
             tokio::time::sleep(VERSION_CHECK_INTERVAL).await;
             let version = self.operator.version();
-            let accepted = self.history.last_configuration_change();
-            if accepted.is_none_or(|at| self.history.now() > at + VERSION_CHECKS_FOR) {
+            let changed_at = self.history.last_configuration_change();
+            if changed_at.is_none_or(|at| self.history.now() > at + VERSION_CHECKS_FOR) {
                 continue;
             }
             for vm in self.vms.iter().filter(|vm| vm.is_running()) {
-                let (world, vm) = (self.clone(), vm.clone());
+                let (simulation, vm) = (self.clone(), vm.clone());
                 tokio::task::spawn_local(async move {
-                    let at = world.history.now();
-                    let looked = tokio::time::timeout(
+                    let at = simulation.history.now();
+                    let checked = tokio::time::timeout(
                         VERSION_CHECK_TIMEOUT,
-                        world.has_version(&vm, version),
+                        simulation.has_version(&vm, version),
                     );
-                    if let Ok(Some(has_route)) = looked.await {
-                        let mut served_by = world.history.version_checks.borrow_mut();
-                        served_by.push((vm.index, version, at, has_route));
+                    if let Ok(Some(has_route)) = checked.await {
+                        let mut checks = simulation.history.version_checks.borrow_mut();
+                        checks.push((vm.index, version, at, has_route));
                     }
                 });
             }
         }
     }
 
-    /// Returns whether a VM has the route that a version adds, if it says so.
+    /// Returns whether a VM has the route that a version adds; `None` if its answer does not show it.
     async fn has_version(&self, vm: &Vm, version: u64) -> Option<bool> {
-        let opening = Connection::open(&*self.callers, vm.callers);
+        let opening = Connection::open(&*self.callers, vm.caller_address);
         let mut connection = opening.await.ok()?;
         let path = version_route_name(version);
-        let text = format!("GET /{path}/ HTTP/1.1\r\nHost: a.example\r\nx-id: look\r\n\r\n");
+        let request = format!("GET /{path}/ HTTP/1.1\r\nHost: a.example\r\nx-id: look\r\n\r\n");
         self.history
             .version_check_times
             .borrow_mut()
             .push(self.history.now());
-        connection.send(text.as_bytes()).await.ok()?;
+        connection.send(request.as_bytes()).await.ok()?;
         let response = connection.receive("GET", 1 << 16).await.ok()?;
         match response.head.status {
             404 => Some(false),
