--- a/crates/kingcuploft-entry/src/edge/active_request.rs
+++ b/crates/kingcuploft-entry/src/edge/active_request.rs
@@ -34,8 +34,10 @@
     pub(super) configuration: Arc<Configuration>,
     pub(super) route: Arc<Route>,
     pub(super) service: ServiceName,
+    /// When the caller stops waiting.
     pub(super) deadline: Instant,
-    pub(super) target: Instant,
+    /// When the route's target latency is exceeded, counted from the caller's first attempt.
+    pub(super) target_at: Instant,
     /// Whether the caller made an earlier attempt at the same request.
     pub(super) is_returning: bool,
     /// Whether this VM holds the one trial of a quarantined request.
@@ -98,7 +100,7 @@
         context.count_request(request.arrived, &destination.service);
         Routed::Active(Self {
             deadline: request.arrived + allowed,
-            target: (request.arrived + route.target)
+            target_at: (request.arrived + route.target)
                 .checked_sub(waited_before)
                 .unwrap_or(request.arrived),
             is_returning: waited_before > Duration::ZERO,
--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -28,7 +28,7 @@
         let run = SuspectRun::begin(self, upstream);
         let outcome = exchange::attempt(self.context, upstream, self.request, left).await;
         record.finish(&outcome);
-        self.record_run_end(upstream, outcome.end, run.known_ends)
+        self.record_run_end(upstream, outcome.end, run.known_crashes)
             .await;
         outcome
     }
--- a/crates/kingcuploft-entry/src/edge/connection.rs
+++ b/crates/kingcuploft-entry/src/edge/connection.rs
@@ -29,7 +29,7 @@
 const READ_BUFFER_BYTES: usize = 4096;
 
 /// How much longer than allowed a connection may be idle, so that a request that the caller sends within the
-/// announced time does not meet a closed connection.
+/// allowed time does not meet a closed connection.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 /// How long a closing connection is read on after its last answer: closing with unread bytes would reset the connection
--- a/crates/kingcuploft-entry/src/edge/limited_servers.rs
+++ b/crates/kingcuploft-entry/src/edge/limited_servers.rs
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the `Retry-After` for the caller if no turn comes within `patience`.
+    /// Returns the `Retry-After` for the caller if no turn comes within `max_wait`.
     pub(super) async fn take_turn(
         &mut self,
         disconnect: &CallerDisconnect,
@@ -72,7 +72,7 @@
     /// late.
     pub(super) fn remaining_wait(&self) -> Duration {
         let work_ms = self.context.work_ms(&self.route, &self.service);
-        let left = self.target.saturating_duration_since(clock::now());
+        let left = self.target_at.saturating_duration_since(clock::now());
         left.saturating_sub(Duration::from_secs_f64(work_ms * WORK_MARGIN / 1000.0))
     }
 }
--- a/crates/kingcuploft-entry/src/edge/selection.rs
+++ b/crates/kingcuploft-entry/src/edge/selection.rs
@@ -108,6 +108,7 @@
         self.was_tried(upstream) || upstream.awaits_cold_report(now)
     }
 
+    /// Returns whether an attempt at the server was made already.
     pub(super) fn was_tried(&self, upstream: &Rc<Upstream>) -> bool {
         self.tried_upstreams
             .iter()
@@ -154,6 +155,7 @@
         sampled.for_each(|upstream| probe::start(self.context, upstream, health_path));
     }
 
+    /// Returns what the request requires of a server, for placement.
     pub(super) fn need(
         &self,
         now: Instant,
@@ -167,7 +169,7 @@
         };
         PlacementNeed {
             work_ms: self.context.work_ms(&self.route, &self.service),
-            target_left_ms: left(self.target),
+            target_left_ms: left(self.target_at),
             deadline_left_ms: left(self.deadline),
             probe_wait_ms: millis(now - search_began),
             scope,
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -42,7 +42,7 @@
             .admit(clock::now(), fingerprint);
         match admission {
             // A run that hangs must not delay the others beyond the target latency.
-            Admission::Wait if clock::now() < self.target => QuarantineDecision::Wait,
+            Admission::Wait if clock::now() < self.target_at => QuarantineDecision::Wait,
             Admission::Unrestricted | Admission::Exclusive | Admission::Wait => {
                 QuarantineDecision::Send
             }
@@ -70,16 +70,16 @@
         !quarantine.is_empty() && quarantine.is_suspect(self.request.fingerprint())
     }
 
-    /// Records how a run ended. `known` is the number of consecutive crashes that were known when the run started.
+    /// Records how a run ended. `known_crashes` is the number of consecutive crashes that were known when the run started.
     pub(super) async fn record_run_end(
         &self,
         upstream: &Rc<Upstream>,
         end: AttemptEnd,
-        known: u32,
+        known_crashes: u32,
     ) {
         match end {
             AttemptEnd::Succeeded if self.is_suspect() => self.clear_suspicion(),
-            AttemptEnd::Lost => self.check_server_after_loss(upstream, known).await,
+            AttemptEnd::Lost => self.check_server_after_loss(upstream, known_crashes).await,
             _ => {}
         }
     }
@@ -100,14 +100,14 @@
     }
 
     /// Checks whether the server that lost an answer has crashed, and reports the crash to the other VMs if so.
-    async fn check_server_after_loss(&self, upstream: &Rc<Upstream>, known: u32) {
+    async fn check_server_after_loss(&self, upstream: &Rc<Upstream>, known_crashes: u32) {
         let found = crash_check::check(&*self.context.network, upstream).await;
         let fingerprint = self.request.fingerprint();
         let server = &upstream.server.name;
         let report = (found == CrashCheck::Ended).then(|| {
             notices::log_quarantine_change(self.context, fingerprint, || {
                 let mut quarantine = self.context.quarantine.borrow_mut();
-                quarantine.record_crash(clock::now(), fingerprint, server, known)
+                quarantine.record_crash(clock::now(), fingerprint, server, known_crashes)
             })
         });
         tracing::info!(
@@ -132,7 +132,7 @@
     fingerprint: Option<Fingerprint>,
     _guard: Option<SuspectGuard>,
     /// How many consecutive crashes under the request were known when the run started.
-    pub(super) known_ends: u32,
+    pub(super) known_crashes: u32,
 }
 
 impl<'a> SuspectRun<'a> {
@@ -142,7 +142,7 @@
         let begins = |fp| active.context.quarantine.borrow_mut().record_start(fp);
         Self {
             context: active.context,
-            known_ends: fingerprint.map_or(0, begins),
+            known_crashes: fingerprint.map_or(0, begins),
             _guard: suspect.then(|| upstream.track_suspect()),
             fingerprint,
         }
--- a/crates/kingcuploft-entry/src/evacuation.rs
+++ b/crates/kingcuploft-entry/src/evacuation.rs
@@ -15,21 +15,21 @@
 /// The `Retry-After` for a service all of whose servers are in evacuated zones: nobody knows when an evacuation ends.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Applies the start of a zone's evacuation, and forwards it if it is news.
+/// Applies the start of a zone's evacuation, and forwards it if it is new.
 pub fn apply_begin(context: &Context, zone: AvailabilityZone) {
     apply(context, |evacuations| {
         evacuations.add(zone).into_iter().collect()
     });
 }
 
-/// Applies the end of a zone's evacuation, and forwards it if it is news.
+/// Applies the end of a zone's evacuation, and forwards it if it is new.
 pub fn apply_end(context: &Context, zone: &str) {
     apply(context, |evacuations| {
         evacuations.remove(zone).into_iter().collect()
     });
 }
 
-/// Applies the complete list of evacuations in the store, and forwards what is news.
+/// Applies the complete list of evacuations in the store, and forwards what is new.
 pub fn apply_full_list(context: &Context, zones: impl Iterator<Item = AvailabilityZone>) {
     let zones: HashSet<AvailabilityZone> = zones.collect();
     apply(context, |evacuations| {
@@ -37,7 +37,7 @@
     });
 }
 
-/// Applies the list of evacuations from the feeder, and forwards what is news.
+/// Applies the list of evacuations from the feeder, and forwards what is new.
 pub fn apply_feeder_list(context: &Context, zones: Vec<AvailabilityZone>) {
     let zones: HashSet<AvailabilityZone> = zones.into_iter().collect();
     apply(context, |evacuations| evacuations.sync_with_feeder(&zones));
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AnswerKind {
     /// The answer to a request that was executed; without the header the server has no limit any more.
-    OfRequest,
+    ExecutedRequest,
     /// Any other answer, which may lack the header although the limit holds.
     Other,
 }
@@ -34,17 +34,17 @@
     headers: &Headers,
     answer: AnswerKind,
 ) {
-    let named = headers.get(context.wire_names.limit);
-    let named = named.filter(|_| !planted::is_on(Planted::IgnoresLimits));
-    let per_s = named.and_then(parse_limit);
-    match (named, per_s, answer) {
+    let value = headers.get(context.wire_names.limit);
+    let value = value.filter(|_| !planted::is_on(Planted::IgnoresLimits));
+    let per_s = value.and_then(parse_limit);
+    match (value, per_s, answer) {
         (Some(value), None, _) => {
             if context.writes_ordinary_line(clock::now()) {
                 tracing::info!(event = "limit_unreadable", %server, value);
             }
         }
         (None, _, AnswerKind::Other) => {}
-        (None, _, AnswerKind::OfRequest) if context.limits.borrow().is_empty() => {}
+        (None, _, AnswerKind::ExecutedRequest) if context.limits.borrow().is_empty() => {}
         _ => apply_limit(context, server, per_s),
     }
 }
@@ -60,7 +60,7 @@
         Some(LimitChange::Changed { before }) => {
             let per_s = per_s.unwrap_or_default();
             tracing::info!(event = "limit_changed", %server, per_s, before);
-            notify_keepers(context, server, per_s, before);
+            notify_limit_owners(context, server, per_s, before);
         }
         Some(LimitChange::Ended(id)) => {
             tracing::info!(event = "limit_ended", %server);
@@ -87,9 +87,9 @@
     context.notice_writes.send(NoticeWrite::Create(notice));
 }
 
-/// Tells the VMs that keep a limit, or kept it before, that it has changed: they grant its turns, and may send no
+/// Tells the VMs that own a limit, or owned it before, that it has changed: they grant its turns, and may send no
 /// request to the server themselves.
-fn notify_keepers(
+fn notify_limit_owners(
     context: &Context,
     server: &BackendServerName,
     per_s: PerSecond,
@@ -100,8 +100,8 @@
     };
     let records = context.readers.borrow().records();
     let zone = zone(context, server);
-    let keepers = server_limit::limit_owners(server, &zone, per_s.max(before), &records);
-    let others = keepers
+    let owners = server_limit::limit_owners(server, &zone, per_s.max(before), &records);
+    let others = owners
         .into_iter()
         .filter(|vm| vm.name != context.settings.vm);
     let others: Vec<_> = others.map(|vm| vm.address).collect();
@@ -120,7 +120,7 @@
     }
 }
 
-/// Applies a limit notice from the store; returns whether it is news.
+/// Applies a limit notice from the store; returns whether it is new.
 pub fn apply_notice(context: &Context, notice: &LimitNotice) -> bool {
     let share = own_share(context, &notice.server, notice.per_s);
     let mut limits = context.limits.borrow_mut();
@@ -179,18 +179,18 @@
     upstreams
 }
 
-/// Returns whether this VM keeps a server's limit, or a part of it, and so grants turns.
-pub fn is_keeper(context: &Context, server: &BackendServerName) -> bool {
+/// Returns whether this VM owns a server's limit, or a part of it, and so grants turns.
+pub fn is_limit_owner(context: &Context, server: &BackendServerName) -> bool {
     let per_s = context.limits.borrow().per_s(server);
     per_s.is_some_and(|per_s| matches!(own_share(context, server, per_s), LimitShare::OneOf(_)))
 }
 
-/// Returns a random one of the VMs that keep a server's limit.
-pub fn pick_keeper(context: &Context, server: &BackendServerName) -> Option<VmEntry> {
+/// Returns a random one of the VMs that own a server's limit.
+pub fn pick_limit_owner(context: &Context, server: &BackendServerName) -> Option<VmEntry> {
     let per_s = context.limits.borrow().per_s(server)?;
     let records = context.readers.borrow().records();
-    let keepers = server_limit::limit_owners(server, &zone(context, server), per_s, &records);
-    fastrand::choice(keepers).cloned()
+    let owners = server_limit::limit_owners(server, &zone(context, server), per_s, &records);
+    fastrand::choice(owners).cloned()
 }
 
 fn zone(context: &Context, server: &BackendServerName) -> AvailabilityZone {
--- a/crates/kingcuploft-entry/src/notices.rs
+++ b/crates/kingcuploft-entry/src/notices.rs
@@ -107,7 +107,7 @@
     }
 }
 
-/// Applies notices from the store, and forwards those that are news.
+/// Applies notices from the store, and forwards those that are new.
 pub fn apply_notices(context: &Context, mut notices: Vec<Notice>) {
     let now = clock::now();
     notices.retain(|notice| match notice {
@@ -122,7 +122,8 @@
     }
 }
 
-/// Calls `apply` with news of a request, and logs whether that started or ended the request's quarantine.
+/// Calls `apply`, which changes what is known of a request, and logs whether that started or ended the request's
+/// quarantine.
 pub fn log_quarantine_change<T>(
     context: &Context,
     fingerprint: Fingerprint,
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -18,11 +18,11 @@
 
 /// Requests a turn at a server for a request that may wait `max_wait` at most.
 pub async fn request(context: &Context, server: &BackendServerName, max_wait: Duration) -> Turn {
-    if limits::is_keeper(context, server) {
+    if limits::is_limit_owner(context, server) {
         let mut limits = context.limits.borrow_mut();
         return limits.give_turn(clock::now(), server, max_wait);
     }
-    let keeper = limits::pick_keeper(context, server);
+    let keeper = limits::pick_limit_owner(context, server);
     let (Some(keeper), Some(socket)) = (keeper, context.peer_socket.get()) else {
         return Turn::TooLate(TURN_RETRY_DELAY);
     };
--- a/crates/kingcuploft-entry/src/server_updates.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -13,7 +13,7 @@
 /// The most changes that are sent and logged one by one when they come together.
 const MAX_CHANGES_SENT_SINGLY: usize = 4;
 
-/// Applies entries of backend servers, and forwards those that are news: a list repeats what is known, and hundreds of
+/// Applies entries of backend servers, and forwards those that are new: a list repeats what is known, and hundreds of
 /// frames at once exceed a follower's queue.
 pub fn apply_servers(context: &Context, now: Instant, mut servers: Vec<BackendServer>) {
     context.with_servers(|known| servers.retain(|server| !known.is_known(server)));
@@ -49,7 +49,7 @@
     }
 }
 
-/// Applies a complete list of the backend servers, and forwards what is news. `servers` are the readable entries,
+/// Applies a complete list of the backend servers, and forwards what is new. `servers` are the readable entries,
 /// `names` the names of all entries.
 ///
 /// Load pattern: after an outage every VM learns of hundreds of servers at once. Each is applied alone, but they are
--- a/crates/kingcuploft-entry/src/store_watcher.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -283,14 +283,14 @@
     }
 }
 
-/// Records that a version of the configuration exists, and forwards that if it is news.
+/// Records that a version of the configuration exists, and forwards that if it was unknown.
 pub fn note_configuration_version(context: &Context, version: ConfigurationVersion) {
     if context.active_configuration.note_version(version) {
         context.followers.send_newer_version(version);
     }
 }
 
-/// Records that the store answers again, and forwards that if it is news: a follower that has just joined may never
+/// Records that the store answers again, and forwards that if it was unknown: a follower that has just joined may never
 /// have lost the store, and would keep a leaving server in use for the grace period of a lapsed entry.
 pub fn note_store_return(context: &Context) {
     let is_news = context.with_servers(|servers| servers.store_returned(clock::now()));
@@ -316,7 +316,7 @@
     context.evacuations.borrow_mut().store_rewound(now);
 }
 
-/// Applies zone records, and forwards those that are news.
+/// Applies zone records, and forwards those that are new.
 pub fn apply_zone_records(context: &Context, records: Vec<ZoneRecord>) {
     let updates = context.readers.borrow_mut().update(records);
     if updates.is_empty() {
--- a/crates/kingcuploft-entry/src/upstream/exchange.rs
+++ b/crates/kingcuploft-entry/src/upstream/exchange.rs
@@ -120,7 +120,7 @@
     let (end, detail) = classify(context, &response);
     if response.head.status != MISDIRECTED_STATUS {
         let answer = match end {
-            AttemptEnd::Succeeded => limits::AnswerKind::OfRequest,
+            AttemptEnd::Succeeded => limits::AnswerKind::ExecutedRequest,
             _ => limits::AnswerKind::Other,
         };
         let server = &upstream.server.name;
