--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -229,7 +229,7 @@
         self.stop_requested.notify_waiters();
     }
 
-    /// Calls `news` with the table of backend servers and returns its result.
+    /// Calls `operation` with the table of backend servers and returns its result.
     pub fn with_servers<T>(&self, operation: impl FnOnce(&mut BackendServers) -> T) -> T {
         operation(&mut self.servers.borrow_mut())
     }
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// Divides the limits anew after the known VMs have changed.
+/// Divides the limits again after the known VMs have changed.
 pub fn redistribute(context: &Context) {
     if context.limits.borrow().is_empty() {
         return;
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -184,11 +184,12 @@
         }
     }
 
-    /// Keeps work from the server until it has reported whether it is cold, or for the time `lasts`, after which it
+    /// Keeps work from the server until it has reported whether it is cold, or for the time `max_cold_time`, after which it
     /// can't be cold any more.
-    pub fn require_cold_report(&self, now: Instant, lasts: Duration) {
+    pub fn require_cold_report(&self, now: Instant, max_cold_time: Duration) {
         self.cold_report_required_at.set(now);
-        self.cold_report_required_until.set(Some(now + lasts));
+        self.cold_report_required_until
+            .set(Some(now + max_cold_time));
         self.last_load_report.set(None);
     }
 
--- a/crates/kingcuploft-entry/src/upstream/probe.rs
+++ b/crates/kingcuploft-entry/src/upstream/probe.rs
@@ -48,7 +48,7 @@
 /// Sends a probe and records its result.
 ///
 /// Load pattern: a new connection takes a slot for a moment, and at a server with all slots taken it waits for one.
-/// Such a server is not dead but full. If the probe were given up, its connection would be opened anew again and again,
+/// Such a server is not dead but full. If the probe were given up, its connection would be opened again and again,
 /// each time at the price of a slot's time. So the server counts as unresponsive after [`PROBE_TIMEOUT`], but the
 /// answer is still waited for: it brings a connection on which the next probe is answered at once.
 async fn probe(context: &Context, upstream: &Rc<Upstream>, request: &[u8]) {
