--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -93,7 +93,7 @@
     /// The queue of notices that wait to be written to the store.
     pub notice_writes: NoticeWriteQueue,
     /// How many connections of callers are open.
-    pub callers: Cell<usize>,
+    pub caller_connections: Cell<usize>,
     positions: RefCell<HashMap<Collection, Revision>>,
     /// Wakes tasks that wait until this VM knows a later revision of the store.
     pub position_advanced: Notify,
@@ -138,7 +138,7 @@
         settings: EntrySettings,
         wire_names: WireNames,
     ) -> Self {
-        let is_first = settings.all_start || settings.peers.is_none();
+        let is_first = settings.is_first_start || settings.peer_address.is_none();
         let is_first = is_first || planted::is_on(Planted::ForgetsRepeats);
         let repeats = match is_first {
             true => RepeatBudget::for_first_start(),
@@ -174,7 +174,7 @@
             limits: RefCell::new(ServerLimits::started_at(clock::now())),
             pending_turns: PendingTurns::default(),
             notice_writes: NoticeWriteQueue::default(),
-            callers: Cell::new(0),
+            caller_connections: Cell::new(0),
             started_at: clock::now(),
             stopping: Cell::new(None),
             closes_idle: Cell::new(false),
--- a/crates/kingcuploft-entry/src/edge/connection.rs
+++ b/crates/kingcuploft-entry/src/edge/connection.rs
@@ -67,7 +67,9 @@
 where
     S: AsyncRead + AsyncWrite + 'static,
 {
-    context.callers.set(context.callers.get() + 1);
+    context
+        .caller_connections
+        .set(context.caller_connections.get() + 1);
     let (reader, writer) = tokio::io::split(stream);
     let (answers, queue) = mpsc::channel(MAX_PIPELINED_REQUESTS);
     let state = Rc::new(ConnectionState::default());
@@ -91,7 +93,9 @@
     }
     drop(reading);
     let _ = writing.await;
-    context.callers.set(context.callers.get() - 1);
+    context
+        .caller_connections
+        .set(context.caller_connections.get() - 1);
 }
 
 enum ReadEnd {
--- a/crates/kingcuploft-entry/src/gauges.rs
+++ b/crates/kingcuploft-entry/src/gauges.rs
@@ -10,7 +10,9 @@
         let servers = self.with_servers(|servers| servers.in_use_count());
         self.metrics.servers.set(servers as i64);
         self.metrics.vms.set(self.vm_count.get() as i64);
-        self.metrics.callers.set(self.callers.get() as i64);
+        self.metrics
+            .callers
+            .set(self.caller_connections.get() as i64);
         let probes_left = (self.probe_budget_left() * 1000.0) as i64;
         self.metrics.probes_left.set(probes_left);
         let quarantined = self.quarantine.borrow().refused();
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -200,7 +200,7 @@
 
 /// Returns the part of a server's limit that this VM may use.
 pub fn own_share(context: &Context, server: &BackendServerName, per_s: PerSecond) -> LimitShare {
-    if context.settings.peers.is_none() {
+    if context.settings.peer_address.is_none() {
         return LimitShare::OneOf(1);
     }
     let zone = zone(context, server);
--- a/crates/kingcuploft-entry/src/run.rs
+++ b/crates/kingcuploft-entry/src/run.rs
@@ -59,9 +59,9 @@
     /// The state that its tasks share.
     pub context: Rc<Context>,
     /// The address at which callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// The address of the platform's readiness check.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     accepting: JoinHandle<()>,
 }
 
@@ -102,23 +102,23 @@
     vocabulary: WireNames,
     store: S,
 ) -> Result<Running, StartError> {
-    let callers = listen(settings.callers)?;
-    let ready = listen(settings.readiness)?;
+    let callers = listen(settings.caller_address)?;
+    let ready = listen(settings.readiness_address)?;
     let at = |listener: &TcpListener, requested| listener.local_addr().unwrap_or(requested);
     let addresses = (
-        at(&callers, settings.callers),
-        at(&ready, settings.readiness),
+        at(&callers, settings.caller_address),
+        at(&ready, settings.readiness_address),
     );
     tracing::info!(event = "started", vm = %settings.vm, zone = %settings.zone);
     let context = Rc::new(Context::new(settings, vocabulary));
     let store = Rc::new(store);
     let store_access = Rc::new(StoreAccess::default());
     tokio::task::spawn_local(readiness::serve(context.clone(), ready));
-    if let Some(address) = context.settings.metrics {
+    if let Some(address) = context.settings.metrics_address {
         let listener = listen(address)?;
         tokio::task::spawn_local(readiness::serve(context.clone(), listener));
     }
-    match context.settings.peers {
+    match context.settings.peer_address {
         Some(address) => {
             let address = listen_to_peers(&context, &store_access, address).await?;
             join_peers(&context, &store, &store_access, address, dial::Tcp);
@@ -128,8 +128,8 @@
     let accepting = tokio::task::spawn_local(accept(context.clone(), callers));
     Ok(Running {
         context,
-        callers: addresses.0,
-        readiness: addresses.1,
+        caller_address: addresses.0,
+        readiness_address: addresses.1,
         accepting,
     })
 }
@@ -160,17 +160,23 @@
     let started_at = clock::now();
     let last = started_at + context.bounds.get().stop_within.saturating_sub(EXIT_MARGIN);
     context.begin_stop(started_at);
-    tracing::info!(event = "stopping", callers = context.callers.get());
+    tracing::info!(
+        event = "stopping",
+        callers = context.caller_connections.get()
+    );
     if planted::is_on(Planted::StopsAtOnce) {
         return;
     }
     tokio::time::sleep(ACCEPT_WHILE_STOPPING).await;
     stop_accepting();
     context.close_idle_connections();
-    while context.callers.get() > 0 && clock::now() < last {
+    while context.caller_connections.get() > 0 && clock::now() < last {
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
-    tracing::info!(event = "stopped", callers_left = context.callers.get());
+    tracing::info!(
+        event = "stopped",
+        callers_left = context.caller_connections.get()
+    );
 }
 
 /// Starts the tasks that read the store, and the task that writes this VM's notices to it.
@@ -253,7 +259,7 @@
         store_access.clone(),
         listener,
     ));
-    if let Some(address) = context.settings.control {
+    if let Some(address) = context.settings.control_address {
         let listener = listen(address)?;
         tokio::task::spawn_local(feeder::serve(
             context.clone(),
--- a/crates/kingcuploft-entry/src/settings.rs
+++ b/crates/kingcuploft-entry/src/settings.rs
@@ -16,25 +16,25 @@
     /// The zones of the VM's region, which forward the store's contents to each other; empty if all zones do.
     pub region: Vec<AvailabilityZone>,
     /// The address at which callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// The address of the metrics endpoint; `None` for a VM without one.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_address: Option<SocketAddr>,
     /// The address of the platform's readiness check.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// The address for the links between VMs; `None` for a VM that runs alone.
-    pub peers: Option<SocketAddr>,
+    pub peer_address: Option<SocketAddr>,
     /// The address at which this VM answers VMs that know it as a seed from their settings; `None` if it is no seed.
-    pub control: Option<SocketAddr>,
+    pub control_address: Option<SocketAddr>,
     /// The addresses of the seeds, which may be outdated or down.
     pub seeds: Vec<SocketAddr>,
     /// The address of the platform's store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// The VM's processor, in thousandths of a core.
     pub cpu_milli: u32,
     /// The VM's memory, in bytes.
     pub memory_bytes: usize,
     /// Whether the whole fleet starts now, for the first time.
-    pub all_start: bool,
+    pub is_first_start: bool,
     /// The settings that may change while the VM runs.
     pub bounds: Bounds,
 }
--- a/crates/kingcuploft-entry/src/store_fallback.rs
+++ b/crates/kingcuploft-entry/src/store_fallback.rs
@@ -18,7 +18,7 @@
 pub(crate) async fn read_store_if_uninformed(context: Rc<Context>, store_access: Rc<StoreAccess>) {
     let started_at = clock::now();
     let chance = fastrand::f64();
-    if context.settings.all_start {
+    if context.settings.is_first_start {
         return;
     }
     while !context.is_ready() && !context.is_stopping() {
--- a/crates/kingcuploft-entry/src/store_liveness.rs
+++ b/crates/kingcuploft-entry/src/store_liveness.rs
@@ -97,7 +97,7 @@
 fn will_be_fed(context: &Context) -> bool {
     let settings = &context.settings;
     let is_seed = settings
-        .control
+        .control_address
         .is_some_and(|own| settings.seeds.contains(&own));
     let readers = context.readers.borrow();
     let record = readers.record(&settings.zone);
--- a/crates/kingcuploft-entry/src/store_sync/mod.rs
+++ b/crates/kingcuploft-entry/src/store_sync/mod.rs
@@ -79,7 +79,7 @@
     };
     let fallback = store_fallback::read_store_if_uninformed(context.clone(), store_access.clone());
     let fallback = tokio::task::spawn_local(fallback);
-    if context.settings.all_start {
+    if context.settings.is_first_start {
         tokio::time::sleep(startup_delay::claim_delay(&own, fastrand::f64())).await;
     }
     sync.discover_vms().await;
@@ -105,7 +105,7 @@
 impl<S: Store, D: Dial + Clone + 'static> StoreSync<'_, S, D> {
     /// Follows a feeder or reads the store, whichever this VM's source is, until the process ends.
     async fn follow_or_read(&self) {
-        if !self.context.settings.all_start {
+        if !self.context.settings.is_first_start {
             self.sync_from_peer_once().await;
         }
         let mut fed_at = clock::now();
@@ -187,7 +187,8 @@
     async fn discover_vms(&self) {
         let settings = &self.context.settings;
         loop {
-            let records = seeds::query(self.network, &settings.seeds, settings.control).await;
+            let records =
+                seeds::query(self.network, &settings.seeds, settings.control_address).await;
             store_watcher::apply_zone_records(self.context, records);
             if self.own_zone_record().is_some() {
                 return;
--- a/crates/kingcuploft-entry/tests/entry/cold.rs
+++ b/crates/kingcuploft-entry/tests/entry/cold.rs
@@ -44,7 +44,7 @@
 async fn ask_from_all_callers(vms: &[Running]) -> usize {
     let mut callers = Vec::new();
     for at in 0..CALLER_COUNT {
-        callers.push(Caller::connect(vms[at % vms.len()].callers).await);
+        callers.push(Caller::connect(vms[at % vms.len()].caller_address).await);
     }
     for (at, caller) in callers.iter_mut().enumerate() {
         caller.send(&lookup(&format!("r{at}"))).await;
--- a/crates/kingcuploft-entry/tests/entry/following.rs
+++ b/crates/kingcuploft-entry/tests/entry/following.rs
@@ -20,7 +20,7 @@
 /// Starts a VM of a zone, for which it is known that it has repeated nothing before.
 pub(crate) async fn start_in_zone(name: &str, store: &TestStore) -> Running {
     let settings = EntrySettings {
-        peers: Some(([127, 0, 0, 1], 0).into()),
+        peer_address: Some(([127, 0, 0, 1], 0).into()),
         ..settings(name)
     };
     let vm = run::start(settings, HEADER_NAMES, store.clone())
@@ -131,7 +131,7 @@
         store.0.write_configuration(configuration(1));
         let start = |at: usize| {
             let settings = EntrySettings {
-                peers: Some(([127, 0, 0, 1], 0).into()),
+                peer_address: Some(([127, 0, 0, 1], 0).into()),
                 // Each VM is in a zone of its own, so that none learns of the others from a reader.
                 zone: format!("zone-{at}").into(),
                 ..settings(&format!("vm-{at}"))
@@ -198,7 +198,7 @@
 /// Starts a VM of a zone; all zones are in one region.
 async fn start_of(zone: &str, name: &str, store: &TestStore) -> Running {
     let settings = EntrySettings {
-        peers: Some(([127, 0, 0, 1], 0).into()),
+        peer_address: Some(([127, 0, 0, 1], 0).into()),
         zone: zone.into(),
         ..settings(name)
     };
@@ -272,8 +272,8 @@
         let control = seed.local_addr().unwrap();
         drop(seed);
         let running = EntrySettings {
-            peers: Some(([127, 0, 0, 1], 0).into()),
-            control: Some(control),
+            peer_address: Some(([127, 0, 0, 1], 0).into()),
+            control_address: Some(control),
             ..settings("running")
         };
         let running = run::start(running, HEADER_NAMES, store.clone())
@@ -282,7 +282,7 @@
         wait_until(|| running.context.is_ready() && !store.0.zones.borrow().is_empty()).await;
         store.0.silent.set(true);
         let added = EntrySettings {
-            peers: Some(([127, 0, 0, 1], 0).into()),
+            peer_address: Some(([127, 0, 0, 1], 0).into()),
             seeds: vec![control],
             ..settings("added")
         };
--- a/crates/kingcuploft-entry/tests/entry/limits.rs
+++ b/crates/kingcuploft-entry/tests/entry/limits.rs
@@ -53,7 +53,7 @@
     let mut failed = 0;
     let mut callers = Vec::new();
     for vm in vms {
-        callers.push(Caller::connect(vm.callers).await);
+        callers.push(Caller::connect(vm.caller_address).await);
     }
     for at in 0.. {
         if started_at.elapsed() >= time {
--- a/crates/kingcuploft-entry/tests/entry/operating.rs
+++ b/crates/kingcuploft-entry/tests/entry/operating.rs
@@ -31,7 +31,7 @@
     run_test(async {
         let testbed = Testbed::with(&[Behavior::LoseAnswer, Behavior::LoseAnswer]).await;
         assert_eq!(testbed.ask(&lookup("r1")).await.status, 502);
-        let mut scraper = Caller::connect(testbed.vm.readiness).await;
+        let mut scraper = Caller::connect(testbed.vm.readiness_address).await;
         scraper
             .send("GET /metrics HTTP/1.1\r\nHost: vm\r\n\r\n")
             .await;
--- a/crates/kingcuploft-entry/tests/entry/quarantine.rs
+++ b/crates/kingcuploft-entry/tests/entry/quarantine.rs
@@ -35,7 +35,7 @@
 }
 
 async fn ask(vm: &Running, request: &str) -> Answer {
-    let mut caller = Caller::connect(vm.callers).await;
+    let mut caller = Caller::connect(vm.caller_address).await;
     caller.send(request).await;
     caller.answer().await.expect("an answer")
 }
@@ -173,7 +173,7 @@
                 .set(Behavior::AnswerAfter(Duration::from_millis(50)));
         }
         for vm in &vms {
-            let mut caller = Caller::connect(vm.callers).await;
+            let mut caller = Caller::connect(vm.caller_address).await;
             caller.send(&lookup("r")).await;
             let runs = |s: &&TestServer| s.runs.get() > 0 && !s.has_ended.get();
             wait_until(|| servers.iter().any(|s| runs(&s))).await;
--- a/crates/kingcuploft-entry/tests/entry/stopping.rs
+++ b/crates/kingcuploft-entry/tests/entry/stopping.rs
@@ -6,7 +6,7 @@
 use crate::testbed::{Caller, Testbed, lookup, run_test, wait_until};
 
 async fn ready_status(testbed: &Testbed) -> u16 {
-    let mut platform = Caller::connect(testbed.vm.readiness).await;
+    let mut platform = Caller::connect(testbed.vm.readiness_address).await;
     platform
         .send("GET /ready HTTP/1.1\r\nHost: vm\r\n\r\n")
         .await;
@@ -38,7 +38,7 @@
         assert!(answer.has("connection: close"));
         assert!(idle.answer().await.is_none());
         stopping.await.unwrap();
-        assert_eq!(context.callers.get(), 0);
+        assert_eq!(context.caller_connections.get(), 0);
     });
 }
 
--- a/crates/kingcuploft-entry/tests/entry/store_faults.rs
+++ b/crates/kingcuploft-entry/tests/entry/store_faults.rs
@@ -100,7 +100,7 @@
         let vm = started.await.unwrap();
         tokio::time::sleep(Duration::from_millis(100)).await;
         assert!(!vm.context.is_ready());
-        let mut caller = crate::testbed::Caller::connect(vm.callers).await;
+        let mut caller = crate::testbed::Caller::connect(vm.caller_address).await;
         caller.send(&lookup("r1")).await;
         let answer = caller.answer().await.unwrap();
         assert_eq!(answer.status, 503);
@@ -116,7 +116,7 @@
         let store = TestStore(testbed.store.clone(), std::rc::Rc::default());
         store.0.refuses_writes.set(true);
         let settings = EntrySettings {
-            peers: Some(([127, 0, 0, 1], 0).into()),
+            peer_address: Some(([127, 0, 0, 1], 0).into()),
             ..settings("added")
         };
         let added = run::start(settings, HEADER_NAMES, store).await.unwrap();
--- a/crates/kingcuploft-entry/tests/entry/testbed.rs
+++ b/crates/kingcuploft-entry/tests/entry/testbed.rs
@@ -59,7 +59,7 @@
     }
 
     pub(crate) async fn caller(&self) -> Caller {
-        Caller::connect(self.vm.callers).await
+        Caller::connect(self.vm.caller_address).await
     }
 
     /// Sends one request on a connection of its own, and returns the answer.
@@ -96,16 +96,16 @@
         vm: name.into(),
         zone: "thun".into(),
         region: Vec::new(),
-        callers: any,
-        readiness: any,
-        peers: None,
-        control: None,
+        caller_address: any,
+        readiness_address: any,
+        peer_address: None,
+        control_address: None,
         seeds: Vec::new(),
-        store: any,
+        store_address: any,
         cpu_milli: 200,
         memory_bytes: MEMORY_BYTES,
-        all_start: false,
-        metrics: None,
+        is_first_start: false,
+        metrics_address: None,
         bounds: Bounds {
             stop_within: Duration::from_secs(6),
             repeats: RepeatBounds {
