--- a/crates/kingcuploft/src/entry/account_replicas.rs
+++ b/crates/kingcuploft/src/entry/account_replicas.rs
@@ -1,7 +1,7 @@
-//! What other VMs have used of the budget of repeats, kept for them until they ask.
+//! Replicas of other VMs' repeat accounts, kept until these VMs ask for them.
 //!
-//! Load pattern: most VMs are killed at the same moment, again and again within one window, while servers refuse what
-//! they get. Each would begin its part of the allowance anew.
+//! Load pattern: most VMs are killed at the same moment, again and again within one window, while servers refuse their
+//! requests. Without replicas each VM would start with a full share of the allowance.
 
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
@@ -13,18 +13,17 @@
 use crate::utils::rendezvous::rendezvous;
 use crate::world::ids::{ServiceName, VmName};
 
-/// How many VMs keep the account of one: of six of which more than half fail at the same moment, one is left in 19 of
-/// 20 cases.
-const HOLDERS: usize = 6;
+/// Number of replicas: if more than half of all VMs fail at the same moment, one of six survives in 19 of 20 cases.
+const REPLICA_COUNT: usize = 6;
 
-/// How long a VM is remembered that says nothing more: one that comes back later has used nothing since.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// How long a silent VM is remembered: one that comes back later has used nothing since.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// The most VMs that are remembered.
-const MOST_VMS: usize = 4096;
+/// Maximum number of VMs that are remembered.
+const MAX_VMS: usize = 4096;
 
-/// Returns the VMs that keep the account of this one, spread over the zones, where these records name some VMs. All that
-/// know the same records agree on them.
+/// Returns the VMs that hold the replicas of this VM's account, spread over the zones, given the zone records. All VMs
+/// with the same records agree on them.
 pub fn replica_holders(own: &VmName, records: &[ZoneRecord]) -> Vec<VmEntry> {
     let mut ranked = Vec::new();
     for record in records {
@@ -34,53 +33,54 @@
         ranked.extend(of_zone.into_iter().enumerate());
     }
     ranked.sort_by_key(|(place, (hash, _))| (*place, Reverse(*hash)));
-    let first = ranked.into_iter().take(HOLDERS);
+    let first = ranked.into_iter().take(REPLICA_COUNT);
     first.map(|(_, (_, vm))| vm.clone()).collect()
 }
 
-/// By how much the ends of what is not known may differ by the time that messages take.
-const SLACK: Duration = Duration::from_millis(500);
+/// Tolerance between two ends of the unknown time, which differ by the delay of messages.
+const UNKNOWN_TIME_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// What one VM told.
+/// What one VM reported.
 #[derive(Clone, Debug)]
-struct Copy {
+struct Replica {
     heard: Instant,
     unknown_until: Instant,
     accounts: HashMap<ServiceName, AccountSnapshot>,
 }
 
-/// The accounts of other VMs.
+/// The replicas of other VMs' accounts.
 #[derive(Debug, Default)]
 pub struct AccountReplicas {
-    copies: HashMap<VmName, Copy>,
+    replicas: HashMap<VmName, Replica>,
 }
 
 impl AccountReplicas {
-    /// Keeps what a VM tells. It is left aside from one that has restarted and does not know what is kept here.
+    /// Stores a VM's report. A report of a VM that has restarted and does not know what is stored here is ignored.
     pub fn store(&mut self, now: Instant, vm: VmName, used: UsageReport) {
         let unknown_until = now + Duration::from_millis(used.unknown_ms);
-        let known = self.copies.get(&vm);
-        let knows_less =
-            known.is_some_and(|known| unknown_until > known.unknown_until.max(now) + SLACK);
+        let known = self.replicas.get(&vm);
+        let knows_less = known.is_some_and(|known| {
+            unknown_until > known.unknown_until.max(now) + UNKNOWN_TIME_TOLERANCE
+        });
         if knows_less {
             return;
         }
-        if self.copies.len() >= MOST_VMS {
+        if self.replicas.len() >= MAX_VMS {
             self.forget(now);
         }
-        if self.copies.len() >= MOST_VMS && !self.copies.contains_key(&vm) {
+        if self.replicas.len() >= MAX_VMS && !self.replicas.contains_key(&vm) {
             return;
         }
-        let copy = self.copies.entry(vm).or_insert_with(|| Copy {
+        let replica = self.replicas.entry(vm).or_insert_with(|| Replica {
             heard: now,
             unknown_until,
             accounts: HashMap::default(),
         });
-        copy.heard = now;
-        copy.unknown_until = unknown_until;
+        replica.heard = now;
+        replica.unknown_until = unknown_until;
         for told in used.accounts {
             let account = told.account;
-            copy.accounts.insert(
+            replica.accounts.insert(
                 told.service,
                 AccountSnapshot {
                     account,
@@ -90,38 +90,41 @@
         }
     }
 
-    /// Returns what a VM told.
+    /// Returns what a VM reported.
     pub fn get(&mut self, now: Instant, vm: &VmName) -> Option<UsageReport> {
         self.forget(now);
-        let copy = self.copies.get(vm)?;
-        let accounts = copy.accounts.iter().map(|(service, kept)| ServiceAccount {
-            service: service.clone(),
-            age_ms: now.saturating_duration_since(kept.as_of).as_millis() as u64,
-            account: kept.account.clone(),
-        });
-        let unknown_for = copy.unknown_until.saturating_duration_since(now);
+        let replica = self.replicas.get(vm)?;
+        let accounts = replica
+            .accounts
+            .iter()
+            .map(|(service, kept)| ServiceAccount {
+                service: service.clone(),
+                age_ms: now.saturating_duration_since(kept.as_of).as_millis() as u64,
+                account: kept.account.clone(),
+            });
+        let unknown_for = replica.unknown_until.saturating_duration_since(now);
         Some(UsageReport {
             unknown_ms: unknown_for.as_millis() as u64,
-            heard_ms: now.saturating_duration_since(copy.heard).as_millis() as u64,
+            heard_ms: now.saturating_duration_since(replica.heard).as_millis() as u64,
             accounts: accounts.collect(),
         })
     }
 
-    /// Returns how many VMs are remembered.
+    /// Returns the number of VMs that are remembered.
     pub fn len(&self) -> usize {
-        self.copies.len()
+        self.replicas.len()
     }
 
-    /// Returns whether none is.
+    /// Returns whether no VM is remembered.
     pub fn is_empty(&self) -> bool {
-        self.copies.is_empty()
+        self.replicas.is_empty()
     }
 
     fn forget(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) >= REMEMBERED;
-        self.copies.retain(|_, copy| {
-            copy.accounts.retain(|_, kept| !is_old(kept.as_of));
-            !is_old(copy.heard)
+        let is_old = |at: Instant| now.saturating_duration_since(at) >= RETENTION;
+        self.replicas.retain(|_, replica| {
+            replica.accounts.retain(|_, kept| !is_old(kept.as_of));
+            !is_old(replica.heard)
         });
     }
 }
--- a/crates/kingcuploft/src/entry/configuration.rs
+++ b/crates/kingcuploft/src/entry/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: which request goes to which service, and within which bounds.
+//! The configuration in force: which request goes to which service, and within which limits.
 
 use std::borrow::Borrow;
 use std::hash::{Hash, Hasher};
@@ -11,24 +11,24 @@
 use crate::world::contract::Contract;
 use crate::world::ids::{RuleName, ServiceName};
 
-/// Numbers the configurations; a greater one is newer.
+/// The version number of a configuration; a greater one is newer.
 pub type ConfigurationVersion = u64;
 
-/// One configuration, whole.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(from = "Parts", into = "Parts")]
 pub struct Configuration {
     /// Its version.
     pub version: ConfigurationVersion,
-    /// The routes of each host; each prefix has one.
+    /// The routes of each host, by path prefix.
     hosts: HashMap<String, HashSet<ByPrefix>>,
     /// The services, by name.
     pub services: HashMap<ServiceName, Service>,
-    /// What callers may send, and how long they may take.
+    /// The limits on what callers send, and on how long they take.
     pub limits: Limits,
 }
 
-/// A route, found by its prefix.
+/// A route that is hashed and compared by its prefix.
 #[derive(Clone, Debug)]
 struct ByPrefix(Arc<Route>);
 
@@ -52,52 +52,52 @@
 
 impl Eq for ByPrefix {}
 
-/// What is known of a service beside its backend servers.
+/// The properties of a service other than its backend servers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Service {
-    /// The path that tells health and load.
+    /// The path of its health and load endpoint.
     pub health_path: String,
     /// How many connections one backend server accepts from all callers together.
     pub most_connections: u32,
-    /// What its backend servers bear just after their start; none if they bear all at once.
+    /// The limits of its backend servers just after their start; none if they take full load at once.
     #[serde(default)]
     pub cold_start: Option<ColdStart>,
 }
 
 impl Hash for Service {
-    /// VMs of earlier releases, which know no cold starts, compute the same digest.
+    /// Leaves out cold starts: VMs of earlier releases, which don't know them, compute the same digest.
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.health_path.hash(state);
         self.most_connections.hash(state);
     }
 }
 
-/// What a backend server bears while it is cold.
+/// The limits of a backend server while it is cold.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct ColdStart {
     /// How long it is cold after its start.
     pub lasts: Duration,
-    /// How many requests it bears in a thousand seconds, from all callers together.
+    /// How many requests it accepts in a thousand seconds, from all callers together.
     pub per_1000_s: u64,
 }
 
 impl ColdStart {
-    /// Returns how many requests it bears in a second.
+    /// Returns how many requests per second it accepts.
     pub fn per_s(&self) -> f64 {
         self.per_1000_s as f64 / 1000.0
     }
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Limits {
-    /// The most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// The most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// How long a request's head may take.
+    /// Maximum time in which a request's head must arrive.
     pub header_timeout: Duration,
-    /// How long a connection may stay idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -117,21 +117,21 @@
 pub struct Route {
     /// Its name.
     pub name: RuleName,
-    /// The host it belongs to, in lower case.
+    /// Its host, in lower case.
     pub host: String,
-    /// The prefix of the paths it takes; it ends with a slash.
+    /// The prefix of the paths that it matches; it ends with a slash.
     pub path_prefix: String,
     /// Whether its requests may run more than once.
     pub contract: Contract,
-    /// The time within which an answer is worth its full value.
+    /// The target latency, within which an answer has its full value.
     pub target: Duration,
-    /// The longest time a caller is kept waiting.
+    /// The maximum time that a caller waits for an answer.
     pub timeout: Duration,
-    /// The most backend servers that one request may be sent to.
+    /// Maximum number of backend servers that one request may be sent to.
     pub most_attempts: u32,
-    /// Its rank, 0 is the highest.
+    /// Its priority, 0 is the highest.
     pub priority: u32,
-    /// Where its requests go, with weights.
+    /// The services that its requests go to, with weights.
     pub destinations: Vec<Destination>,
 }
 
@@ -140,12 +140,12 @@
 pub struct Destination {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the other destinations'.
+    /// Its weight, relative to the other destinations'.
     pub weight: u32,
 }
 
 impl Configuration {
-    /// Builds a configuration of its parts. Of several routes with the same host and prefix the first holds.
+    /// Builds a configuration. Of several routes with the same host and prefix the first takes effect.
     pub fn new(
         version: ConfigurationVersion,
         routes: Vec<Route>,
@@ -165,18 +165,18 @@
         configuration
     }
 
-    /// Returns the routes of a host, to add to.
+    /// Returns the routes of a host, which is added if missing.
     fn of_host(&mut self, host: &str) -> &mut HashSet<ByPrefix> {
         self.hosts.entry(host.to_owned()).or_default()
     }
 
-    /// Puts a route in the place of the one with its host and prefix.
+    /// Adds a route, which replaces the one with the same host and prefix.
     pub(super) fn write(&mut self, route: Arc<Route>) {
         let host = route.host.clone();
         self.of_host(&host).replace(ByPrefix(route));
     }
 
-    /// Takes a route out.
+    /// Removes a route.
     pub(super) fn remove(&mut self, host: &str, path_prefix: &str) {
         if let Some(of_host) = self.hosts.get_mut(host) {
             of_host.remove(path_prefix);
@@ -191,7 +191,7 @@
         self.hosts.get(host)?.get(path_prefix).map(|route| &route.0)
     }
 
-    /// Takes the routes that another configuration has as well from that one, so that they are kept once.
+    /// Shares the routes that are equal in another configuration, so that they are stored once.
     pub fn share_routes(&mut self, other: &Self) {
         let same = self.shared_routes().filter_map(|own| {
             let route = other.route_at(&own.host, &own.path_prefix)?;
@@ -201,7 +201,7 @@
         same.into_iter().for_each(|route| self.write(route));
     }
 
-    /// Returns a hash of all but the version, whatever the order of the routes and services.
+    /// Returns a hash of everything but the version, independent of the order of routes and services.
     pub fn digest(&self) -> u64 {
         let routes = self.routes().map(digest);
         let services = self.services.iter().map(|service| digest(&service));
@@ -209,7 +209,7 @@
         all.fold(0, u64::wrapping_add)
     }
 
-    /// Finds the route of a request: of its host, the one with the longest prefix of its path.
+    /// Returns the route of a request: among its host's routes, the one with the longest prefix of its path.
     pub fn route(&self, host: &str, target: &str) -> Option<&Arc<Route>> {
         let host = host.trim().to_ascii_lowercase();
         let name = host
@@ -232,13 +232,13 @@
         self.hosts.values().flatten().map(|route| &route.0)
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(HashSet::len).sum()
     }
 }
 
-/// A configuration as VMs of earlier releases tell it each other.
+/// A configuration as VMs of earlier releases send it to each other.
 #[derive(Deserialize, Serialize)]
 struct Parts {
     version: ConfigurationVersion,
@@ -264,34 +264,36 @@
     }
 }
 
-/// The fraction of the golden ratio: its multiples, modulo 1, fill the unit interval evenly from
-/// the first few on.
-const GOLDEN: f64 = 0.618_033_988_749_894_9;
+/// The fractional part of the golden ratio: its multiples, modulo 1, fill the unit interval evenly from the first few
+/// on.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
-/// Deals the requests of a route to its destinations by weight.
+/// Distributes the requests of a route among its destinations by weight.
 ///
-/// Load pattern: a VM sees a few requests a second of a route. Drawn at random, the shares of some hundred
-/// requests are far off the weights; a sequence that fills the interval evenly keeps to them.
+/// Load pattern: a VM sees a few requests per second of a route. With random selection the shares of some hundred
+/// requests are far from the weights; a low-discrepancy sequence keeps to them.
 #[derive(Clone, Copy, Debug)]
 pub struct WeightedSelector {
-    at: f64,
+    point: f64,
 }
 
 impl WeightedSelector {
-    /// Begins at a point of the unit interval that differs between VMs.
+    /// Creates a selector that starts at a point of the unit interval that differs between VMs.
     pub fn new(from: f64) -> Self {
-        Self { at: from.fract() }
+        Self {
+            point: from.fract(),
+        }
     }
 
     /// Returns the destination of the next request.
     pub fn select<'a>(&mut self, destinations: &'a [Destination]) -> Option<&'a Destination> {
         let total: u64 = destinations.iter().map(|d| u64::from(d.weight)).sum();
-        self.at = (self.at + GOLDEN).fract();
-        let mut left = self.at * total as f64;
-        let dealt = destinations.iter().find(|destination| {
+        self.point = (self.point + GOLDEN_RATIO_FRACTION).fract();
+        let mut left = self.point * total as f64;
+        let selected = destinations.iter().find(|destination| {
             left -= f64::from(destination.weight);
             left < 0.0
         });
-        dealt.or(destinations.iter().rfind(|d| d.weight > 0))
+        selected.or(destinations.iter().rfind(|d| d.weight > 0))
     }
 }
--- a/crates/kingcuploft/src/entry/configuration_change.rs
+++ b/crates/kingcuploft/src/entry/configuration_change.rs
@@ -1,8 +1,9 @@
-//! What differs between two configurations, as the VMs tell it each other.
+//! The difference between two configurations, as VMs send it to each other.
 //!
-//! Load pattern: an operator changes one value of thousands of routes, or adds a thousand, and every VM has to know within
-//! seconds, over links of small machines. What is told is what changed, in parts of a bounded size: a link that breaks
-//! goes on with the next part, and a small VM serves requests between two of them.
+//! Load pattern: an operator changes one value of thousands of routes, or adds a thousand, and every VM has to apply
+//! the change within seconds, over the network links of small machines. Only the difference is sent, in parts of
+//! bounded size: a transfer over a broken link resumes with the next part, and a small VM serves requests between two
+//! parts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,26 +17,26 @@
 use crate::world::contract::Contract;
 use crate::world::ids::{RuleName, ServiceName};
 
-/// The most routes that one part tells.
-const MOST_IN_PART: usize = 256;
+/// Maximum number of routes in one part.
+const MAX_ROUTES_PER_PART: usize = 256;
 
-/// What leads from one configuration to another.
+/// A change that leads from one configuration to another.
 #[derive(Clone, Debug)]
 pub struct ConfigurationChange {
-    /// The version that it changes; none for one that tells all.
+    /// The version that the change applies to; none for a full configuration.
     pub from: Option<ConfigurationVersion>,
-    /// The version that it leads to.
+    /// The version that the change leads to.
     pub to: ConfigurationVersion,
     written: Vec<Arc<Route>>,
     removed: Vec<RouteKey>,
     ending: Ending,
 }
 
-/// The host and the prefix of a route.
+/// The host and the path prefix of a route.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RouteKey(String, String);
 
-/// What the last part of a change tells.
+/// The content of the last part of a change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Ending {
     /// The services, if they differ.
@@ -49,19 +50,19 @@
 /// One part of a change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ChangePart {
-    /// The version that the change begins at; none for one that tells all.
+    /// The version that the change applies to; none for a full configuration.
     pub from: Option<ConfigurationVersion>,
-    /// The version that it leads to.
+    /// The version that the change leads to.
     pub to: ConfigurationVersion,
-    /// The number of this part, from 0 on.
+    /// The index of this part, from 0 on.
     pub at: u32,
     written: RouteTable,
     removed: Vec<RouteKey>,
-    /// What the last part tells.
+    /// Present in the last part only.
     ending: Option<Ending>,
 }
 
-/// Routes, with what many of them have in common named once.
+/// A table of routes in which repeated values are stored once.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 struct RouteTable {
     hosts: Vec<String>,
@@ -69,11 +70,11 @@
     rows: Vec<Row>,
 }
 
-/// A route: name, place of its host, prefix, place of its kind.
+/// A route: name, index of its host, prefix, index of its kind.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct Row(RuleName, usize, String, usize);
 
-/// What a route has but names.
+/// The properties of a route other than its name, host and prefix.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct RouteKind {
     contract: Contract,
@@ -84,16 +85,16 @@
     destinations: Vec<Destination>,
 }
 
-/// A part can't be read.
+/// A part can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum PartError {
-    /// A row names a host or a kind that is not in the table.
+    /// A row refers to a host or a kind that is not in the table.
     #[error("route {0}: its host or kind is not in the table")]
     UnknownIndex(RuleName),
 }
 
 impl ConfigurationChange {
-    /// Returns what leads from a configuration to another.
+    /// Returns the change that leads from one configuration to another.
     pub fn between(old: &Configuration, new: &Configuration) -> Self {
         let is_new = |route: &&Arc<Route>| {
             let known = old.route_at(&route.host, &route.path_prefix);
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Returns what tells all of a configuration.
+    /// Returns the change that contains a full configuration.
     pub fn whole(new: &Configuration) -> Self {
         Self {
             from: None,
@@ -130,17 +131,17 @@
         }
     }
 
-    /// Returns how many routes it writes or removes.
+    /// Returns how many routes the change writes or removes.
     pub fn route_count(&self) -> usize {
         self.written.len() + self.removed.len()
     }
 
-    /// Splits it into parts. Two VMs split the same change in the same way.
+    /// Splits the change into parts. All VMs split the same change in the same way.
     pub fn parts(&self) -> Vec<ChangePart> {
-        let count = self.route_count().div_ceil(MOST_IN_PART).max(1);
+        let count = self.route_count().div_ceil(MAX_ROUTES_PER_PART).max(1);
         let part = |at: usize| {
-            let begin = at * MOST_IN_PART;
-            let end = begin + MOST_IN_PART;
+            let begin = at * MAX_ROUTES_PER_PART;
+            let end = begin + MAX_ROUTES_PER_PART;
             ChangePart {
                 from: self.from,
                 to: self.to,
@@ -157,7 +158,7 @@
         (0..count).map(part).collect()
     }
 
-    /// Begins a change that is told part by part.
+    /// Creates an empty change, to which its parts are added.
     pub(super) fn begin(part: &ChangePart) -> Self {
         Self {
             from: part.from,
@@ -172,11 +173,11 @@
         }
     }
 
-    /// Takes the next part in; returns whether it was the last.
+    /// Adds the next part; returns whether it was the last.
     ///
     /// # Errors
     ///
-    /// Returns an error if the part can't be read.
+    /// Returns an error if the part can't be decoded.
     pub(super) fn extend(&mut self, part: ChangePart) -> Result<bool, PartError> {
         self.removed.extend(part.removed);
         self.written.extend(part.written.routes()?);
@@ -187,7 +188,8 @@
         Ok(is_last)
     }
 
-    /// Returns the configuration that it leads to from this one, if it does.
+    /// Applies the change to a configuration; returns `None` if it has another version or the result has another
+    /// digest.
     pub(super) fn apply(self, old: Option<&Configuration>) -> Option<Configuration> {
         let mut new = match self.from {
             None => Configuration::default(),
@@ -204,7 +206,7 @@
         if let Some(limits) = self.ending.limits {
             new.limits = limits;
         }
-        // A release that hashes otherwise is believed where it tells all.
+        // A full configuration is accepted even if another release computes another digest.
         let holds = self.from.is_none() || new.digest() == self.ending.digest;
         holds.then_some(new)
     }
@@ -220,8 +222,8 @@
     fn of(routes: &[Arc<Route>]) -> Self {
         let mut table = Self::default();
         for route in routes {
-            let host = place(&mut table.hosts, &route.host);
-            let kind = place(&mut table.kinds, &RouteKind::of(route));
+            let host = index_of(&mut table.hosts, &route.host);
+            let kind = index_of(&mut table.kinds, &RouteKind::of(route));
             let row = Row(route.name.clone(), host, route.path_prefix.clone(), kind);
             table.rows.push(row);
         }
@@ -267,20 +269,20 @@
     }
 }
 
-/// Returns routes in the order of their hosts and prefixes.
+/// Returns routes ordered by host and prefix.
 fn sorted<'a>(routes: impl Iterator<Item = &'a Arc<Route>>) -> Vec<Arc<Route>> {
     let mut routes: Vec<_> = routes.cloned().collect();
     routes.sort_unstable_by(|a, b| (&a.host, &a.path_prefix).cmp(&(&b.host, &b.path_prefix)));
     routes
 }
 
-/// Returns what a list holds of a range that may reach beyond it.
+/// Returns the part of a range that lies within a list.
 fn within<T>(list: &[T], begin: usize, end: usize) -> &[T] {
     &list[begin.min(list.len())..end.min(list.len())]
 }
 
-/// Returns the place of a value in a list, to which it is added if it is not there.
-fn place<T: Clone + PartialEq>(list: &mut Vec<T>, value: &T) -> usize {
+/// Returns the index of a value in a list, to which it is added if missing.
+fn index_of<T: Clone + PartialEq>(list: &mut Vec<T>, value: &T) -> usize {
     match list.iter().position(|known| known == value) {
         Some(at) => at,
         None => {
--- a/crates/kingcuploft/src/entry/repeat_account.rs
+++ b/crates/kingcuploft/src/entry/repeat_account.rs
@@ -1,4 +1,4 @@
-//! What one VM did of requests and repeats within the last window, short enough to be told to another.
+//! The account of one VM's requests and repeats within the last window, compact enough to be sent to another VM.
 
 use std::time::{Duration, Instant};
 
@@ -7,10 +7,10 @@
 use super::repeat_budget::RepeatBounds;
 use crate::world::ids::ServiceName;
 
-/// The steps in which a window is counted.
+/// Number of time steps that a window is divided into.
 const STEPS: u32 = 20;
 
-/// One VM's requests for a service and their repeats, by the step in which they were, the latest first.
+/// One VM's requests for a service and their repeats, counted per time step, the latest step first.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Account {
     requests: Vec<u32>,
@@ -18,17 +18,17 @@
 }
 
 impl Account {
-    /// Adds requests that came so long ago.
+    /// Adds requests of this age.
     pub fn add_requests(&mut self, age: Duration, bounds: &RepeatBounds, count: u32) {
         add(&mut self.requests, age, bounds, count);
     }
 
-    /// Adds repeats that were made so long ago.
+    /// Adds repeats of this age.
     pub fn add_repeats(&mut self, age: Duration, bounds: &RepeatBounds, count: u32) {
         add(&mut self.repeats, age, bounds, count);
     }
 
-    /// Adds what was kept of a time before.
+    /// Adds the counts of a snapshot.
     pub fn add(&mut self, kept: &AccountSnapshot, now: Instant, bounds: &RepeatBounds) {
         for (age, count) in kept.ages(&kept.account.requests, now, bounds) {
             if age <= bounds.window {
@@ -60,24 +60,24 @@
     bounds.window / STEPS
 }
 
-/// An account as of a moment.
+/// An account at a point in time.
 #[derive(Clone, Debug)]
 pub struct AccountSnapshot {
     /// The account.
     pub account: Account,
-    /// The moment.
+    /// The point in time.
     pub as_of: Instant,
 }
 
 impl AccountSnapshot {
-    /// Returns the requests that may still be counted: each is taken for as old as its step allows.
+    /// Returns the requests that may still be counted: each is assumed to be as old as its step allows.
     pub fn requests(&self, now: Instant, bounds: &RepeatBounds) -> usize {
         let ages = self.ages(&self.account.requests, now, bounds);
         let counted = ages.filter(|(age, _)| *age + step(bounds) <= bounds.window);
         counted.map(|(_, count)| count as usize).sum()
     }
 
-    /// Returns the repeats that must still be counted: each is taken for as young as its step allows.
+    /// Returns the repeats that must still be counted: each is assumed to be as recent as its step allows.
     pub fn repeats(&self, now: Instant, bounds: &RepeatBounds) -> usize {
         let ages = self.ages(&self.account.repeats, now, bounds);
         let counted = ages.filter(|(age, _)| *age <= bounds.repeat_lifetime());
@@ -98,30 +98,30 @@
     }
 }
 
-/// What one VM has used of the budget of repeats, as it tells others and these tell it.
+/// One VM's use of the repeat budget, as it is sent to its replicas and back.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageReport {
-    /// For how many milliseconds more it matters what it did before, which it does not know.
+    /// For how many more milliseconds repeats from before the VM's start count, which the VM does not know.
     pub unknown_ms: u64,
-    /// How many milliseconds ago the VM itself last said anything to the one that tells this.
+    /// How many milliseconds ago the sender of this report last received anything from the VM.
     pub heard_ms: u64,
-    /// Its accounts with services that it repeated requests to.
+    /// The accounts of the services to which it repeated requests.
     pub accounts: Vec<ServiceAccount>,
 }
 
-/// The account with one service.
+/// The account of one service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServiceAccount {
     /// The service.
     pub service: ServiceName,
-    /// How many milliseconds ago it was told.
+    /// How many milliseconds ago it was reported.
     pub age_ms: u64,
-    /// The account as of then.
+    /// The account at that time.
     pub account: Account,
 }
 
 impl UsageReport {
-    /// Divides this into parts that each name so many services at most; one names none if there are none.
+    /// Splits the report into parts of at most `most` services each; a report without services is one part.
     pub fn split(mut self, most: usize) -> Vec<Self> {
         let (unknown_ms, heard_ms) = (self.unknown_ms, self.heard_ms);
         let mut parts = Vec::new();
--- a/crates/kingcuploft/src/entry/repeat_budget.rs
+++ b/crates/kingcuploft/src/entry/repeat_budget.rs
@@ -1,13 +1,12 @@
-//! How often requests may be sent to a second backend server.
+//! The budget of repeats: how often requests may be sent to a second backend server.
 //!
-//! Load pattern: servers fail, every request is sent twice, and the servers that are left get twice
-//! the load and fail too. All VMs together may repeat a share of the requests and a fixed allowance
-//! in each window. No VM asks another: a share of the own requests adds up to the share of all, and
-//! the allowance is divided by the most VMs there may be. A wrong count of VMs that is too high
-//! costs repeats; one that is too low is covered by a guard.
+//! Load pattern: servers fail, every request is sent twice, and the remaining servers get twice the load and fail too.
+//! All VMs together may repeat a share of the requests plus a fixed allowance in each window. VMs don't coordinate: the
+//! shares of each VM's own requests add up to the share of all, and the allowance is divided by the number of VMs. Too
+//! high a VM count costs repeats; too low a count is covered by a safety factor.
 //!
-//! A VM that restarts goes on with what others kept of its account. Until it has that, and nothing is
-//! known of what it used, it leaves its part of the allowance for a window.
+//! A VM that restarts continues from the replicas of its account on other VMs. Until it has one, and while it is
+//! unknown what it used before, it leaves its share of the allowance unused for one window.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -16,39 +15,39 @@
 use crate::utils::HashMap;
 use crate::world::ids::ServiceName;
 
-/// The part of the budget that is used: requests and repeats of one window are counted by the VM
-/// and by the servers at slightly different moments.
-const GUARD: f64 = 0.8;
+/// Fraction of the budget that is used: the VM and the servers count the requests and repeats of one window at slightly
+/// different moments.
+const SAFETY_FACTOR: f64 = 0.8;
 
-/// How long before its start a VM must have been heard for it to be known what it did until then: it says something more
-/// often, and is away for some seconds at most when it restarts.
-const IN_TOUCH: Duration = Duration::from_secs(4);
+/// Maximum time between a VM's last message to a replica and its start for that replica to be complete: a VM sends
+/// something more often, and is away for some seconds at most when it restarts.
+const MAX_CONTACT_GAP: Duration = Duration::from_secs(4);
 
-/// What is heard within this time is heard at once.
-const AT_ONCE: Duration = Duration::from_millis(1500);
+/// Messages received within this time count as received at the same time.
+const SAME_TIME_TOLERANCE: Duration = Duration::from_millis(1500);
 
 /// The bounds on repeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepeatBounds {
-    /// Repeats allowed for each request.
+    /// Repeats allowed per request.
     pub ratio: f64,
-    /// Repeats allowed beside these, for all VMs together.
+    /// Additional repeats allowed per window, for all VMs together.
     pub allowance: f64,
     /// The window over which both are counted.
     pub window: Duration,
 }
 
 impl RepeatBounds {
-    /// Returns for how long a repeat counts: the servers may see it later than the VM.
+    /// Returns for how long a repeat counts: longer than the window, as the servers may see it later than the VM.
     pub fn repeat_lifetime(&self) -> Duration {
         self.window + self.window / 10
     }
 }
 
-/// What a VM has used of its part of the budget, and how much that part is.
+/// A VM's use of its share of the budget, and the size of that share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetStatus {
-    /// Repeats of the window.
+    /// Repeats in the window.
     pub used: usize,
     /// Repeats allowed in the window.
     pub allowed: f64,
@@ -63,14 +62,14 @@
 
 /// The requests for one service and their repeats, on one VM.
 #[derive(Debug, Default)]
-struct Counted {
+struct ServiceCounts {
     requests: VecDeque<Instant>,
     repeats: VecDeque<Instant>,
     /// What this VM did before it restarted.
     before: Option<AccountSnapshot>,
 }
 
-impl Counted {
+impl ServiceCounts {
     fn forget(&mut self, now: Instant, bounds: &RepeatBounds) {
         forget(&mut self.requests, now, bounds.window);
         forget(&mut self.repeats, now, bounds.repeat_lifetime());
@@ -82,7 +81,7 @@
         let requests = self.requests.len() + before.map_or(0, |kept| kept.requests(now, bounds));
         BudgetStatus {
             used: self.repeats.len() + before.map_or(0, |kept| kept.repeats(now, bounds)),
-            allowed: GUARD * (bounds.ratio * requests as f64 + share),
+            allowed: SAFETY_FACTOR * (bounds.ratio * requests as f64 + share),
         }
     }
 
@@ -103,49 +102,52 @@
     }
 }
 
-/// The repeats of one VM.
+/// The repeat budget of one VM.
 #[derive(Debug)]
 pub struct RepeatBudget {
-    services: HashMap<ServiceName, Counted>,
-    /// What is not known of the time before the start; none on a VM that has not run before.
-    past: Option<Past>,
+    services: HashMap<ServiceName, ServiceCounts>,
+    /// What is unknown of the time before the start; none on a VM that has not run before.
+    prior_run: Option<PriorRun>,
 }
 
-/// What a VM that may have run before knows of that.
+/// What a VM that may have run before knows of its earlier run.
 #[derive(Clone, Copy, Debug)]
-struct Past {
-    begun: Instant,
-    /// Until when it matters what the VM did before, which nobody has told it.
+struct PriorRun {
+    started_at: Instant,
+    /// Until when repeats from before the start count, of which no replica has reported yet.
     unknown_until: Instant,
-    /// When the VM had last said anything to the one by which it goes.
+    /// When the VM had last sent anything to the replica whose report is used.
     heard: Option<Instant>,
 }
 
-impl Past {
-    /// Returns whether what was heard so lately counts: the VM has not said it since its start, the one that heard it was
-    /// in touch with it until about then, and nobody has heard it say anything later.
-    fn counts(&self, heard: Instant) -> bool {
-        let is_before = heard <= self.begun;
-        let is_late = heard + IN_TOUCH >= self.begun;
-        let is_latest = self.heard.is_none_or(|known| heard + AT_ONCE >= known);
+impl PriorRun {
+    /// Returns whether a report of a replica that last received a message at `heard` is valid: this VM has not sent
+    /// that message since its start, the replica was in contact with it until shortly before the start, and no other
+    /// replica received a later message.
+    fn is_valid(&self, heard: Instant) -> bool {
+        let is_before = heard <= self.started_at;
+        let is_late = heard + MAX_CONTACT_GAP >= self.started_at;
+        let is_latest = self
+            .heard
+            .is_none_or(|known| heard + SAME_TIME_TOLERANCE >= known);
         is_before && is_late && is_latest
     }
 }
 
 impl RepeatBudget {
-    /// Begins on a VM that starts together with all others, for the first time.
+    /// Creates the budget of a VM that starts together with all others, for the first time.
     pub fn for_first_start() -> Self {
         Self {
             services: HashMap::default(),
-            past: None,
+            prior_run: None,
         }
     }
 
-    /// Begins on a VM that may have run before.
+    /// Creates the budget of a VM that may have run before.
     pub fn after_restart(now: Instant, bounds: &RepeatBounds) -> Self {
         Self {
-            past: Some(Past {
-                begun: now,
+            prior_run: Some(PriorRun {
+                started_at: now,
                 unknown_until: now + bounds.repeat_lifetime(),
                 heard: None,
             }),
@@ -158,7 +160,7 @@
         self.counted(service).requests.push_back(now);
     }
 
-    /// Returns what is used at a service of the part of one of so many VMs.
+    /// Returns the use of the budget for a service, as one of `vms` VMs.
     pub fn status(
         &mut self,
         now: Instant,
@@ -173,7 +175,7 @@
         self.counted(service).standing(now, bounds, share)
     }
 
-    /// Counts a repeat, if one more is allowed; returns what was used before it.
+    /// Counts a repeat if one more is allowed; returns the use of the budget before it.
     pub fn try_take(
         &mut self,
         now: Instant,
@@ -188,13 +190,13 @@
         standing
     }
 
-    /// Returns for how much longer it matters what the VM did before it started, which nobody has told it.
+    /// Returns for how much longer repeats from before the start count, of which no replica has reported yet.
     pub fn unknown_for(&self, now: Instant) -> Duration {
-        let until = self.past.map(|past| past.unknown_until);
+        let until = self.prior_run.map(|prior_run| prior_run.unknown_until);
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Returns what others may keep for this VM: its accounts with services that it repeated requests to.
+    /// Returns the report for the replicas: the accounts of the services to which this VM repeated requests.
     pub fn report(&mut self, now: Instant, bounds: &RepeatBounds) -> UsageReport {
         let unknown_ms = self.unknown_for(now).as_millis() as u64;
         let accounts = self.services.iter_mut();
@@ -210,31 +212,37 @@
         }
     }
 
-    /// Goes on with what another VM has kept; returns whether that is news.
+    /// Continues from another VM's replica; returns whether it contained news.
     pub fn recover(&mut self, now: Instant, used: &UsageReport) -> bool {
         let ago = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
         let heard = ago(used.heard_ms);
-        let Some(past) = self.past.as_mut().filter(|past| past.counts(heard)) else {
+        let Some(prior_run) = self
+            .prior_run
+            .as_mut()
+            .filter(|prior_run| prior_run.is_valid(heard))
+        else {
             return false;
         };
         let until = now + Duration::from_millis(used.unknown_ms);
-        let is_later = past.heard.is_none_or(|known| heard > known + AT_ONCE);
-        let mut is_news = is_later || until < past.unknown_until;
+        let is_later = prior_run
+            .heard
+            .is_none_or(|known| heard > known + SAME_TIME_TOLERANCE);
+        let mut is_news = is_later || until < prior_run.unknown_until;
         if is_news {
-            past.unknown_until = until;
-            past.heard = Some(heard);
+            prior_run.unknown_until = until;
+            prior_run.heard = Some(heard);
         }
-        let begun = past.begun;
-        for told in &used.accounts {
-            let as_of = ago(told.age_ms);
-            let counted = self.counted(&told.service);
+        let started_at = prior_run.started_at;
+        for reported in &used.accounts {
+            let as_of = ago(reported.age_ms);
+            let counted = self.counted(&reported.service);
             let is_newer = counted
                 .before
                 .as_ref()
                 .is_none_or(|kept| kept.as_of < as_of);
-            if is_newer && as_of <= begun {
+            if is_newer && as_of <= started_at {
                 counted.before = Some(AccountSnapshot {
-                    account: told.account.clone(),
+                    account: reported.account.clone(),
                     as_of,
                 });
                 is_news = true;
@@ -243,7 +251,7 @@
         is_news
     }
 
-    fn counted(&mut self, service: &ServiceName) -> &mut Counted {
+    fn counted(&mut self, service: &ServiceName) -> &mut ServiceCounts {
         self.services.entry(service.clone()).or_default()
     }
 }
--- a/crates/kingcuploft/src/entry/zone_record.rs
+++ b/crates/kingcuploft/src/entry/zone_record.rs
@@ -1,9 +1,9 @@
-//! What the platform's store holds of the VMs of one availability zone, and when that is written anew.
+//! The record in the platform's store of the VMs of one availability zone, and the rules for rewriting it.
 //!
-//! Load pattern: VMs restart by the hundred, and each write is a call that the platform counts. What changes with
-//! every start is not written: the record names the VM that reads and a few that take its place, and counts the
-//! others. It is written when it would mislead: another VM reads, most of those that it names are gone, the zone has
-//! grown.
+//! Load pattern: VMs restart by the hundred, and the platform counts each write as a call. So the record does not hold
+//! what changes with every start: it names the VM that reads the store for its zone and a few that take its place, and
+//! counts the others. It is rewritten when it would mislead: another VM reads, most of the named VMs are gone, or the
+//! zone has grown or shrunk.
 
 use std::cmp::Reverse;
 use std::hash::{Hash, Hasher};
@@ -15,40 +15,40 @@
 use super::vm_entry::VmEntry;
 use crate::world::ids::{AvailabilityZone, VmName};
 
-/// The most VMs that a record names: the reader, and those that take its place. Zones of up to so many VMs are named
-/// whole.
+/// Maximum number of VMs that a record names: the reader and those that take its place. Zones of up to this size are
+/// named completely.
 pub const MAX_NAMED_VMS: usize = 8;
 
-/// How many more a record names that can reach none of the others.
-const MOST_APPENDED: usize = 3;
+/// Number of additional VMs that a record may name because they can reach none of the others.
+const MAX_EXTRA_VMS: usize = 3;
 
-/// A zone that has grown or shrunk by this part of its count is counted anew.
-const GROWTH: f64 = 0.03;
+/// The count is rewritten when it changes by more than this fraction.
+const COUNT_TOLERANCE: f64 = 0.03;
 
-/// How long a lower count is seen before it holds: longer than a restart of all VMs, after which they all use what
-/// they may use together.
-const SHRINK_AFTER: Duration = Duration::from_secs(30);
+/// How long a lower count must be observed before it takes effect: longer than a restart of all VMs, after which they
+/// all use their shares of the common limits again.
+const SHRINK_DELAY: Duration = Duration::from_secs(30);
 
-/// How long after its first record a zone counts as counted: its VMs find it within that time.
+/// How long after its first record a zone's count is considered complete: its VMs find the record within that time.
 pub const SETTLE_TIME: Duration = Duration::from_millis(2000);
 
-/// The VMs of one zone, as the store holds them.
+/// The VMs of one zone, as recorded in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ZoneRecord {
     /// The zone.
     pub zone: AvailabilityZone,
-    /// Greater with each change.
+    /// Rises with each change.
     pub version: u64,
-    /// The VM that reads, then those that take its place, in this order.
+    /// The VM that reads the store, then those that take its place, in this order.
     pub vms: Vec<VmEntry>,
-    /// How many VMs there are.
+    /// The number of VMs in the zone.
     pub count: u32,
-    /// Whether the count holds: the VMs of the zone have had time to be counted.
+    /// Whether the count is complete: the VMs of the zone have had time to be counted.
     pub settled: bool,
 }
 
 impl ZoneRecord {
-    /// Returns the first record of a zone.
+    /// Returns the first record of a zone, which names only this VM.
     pub fn first(own: &VmEntry) -> Self {
         Self {
             zone: own.zone.clone(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns whether it names this VM first.
+    /// Returns whether the record names this VM first.
     pub fn is_led_by(&self, vm: &VmName) -> bool {
         self.vms.first().is_some_and(|first| first.name == *vm)
     }
@@ -69,25 +69,25 @@
     }
 }
 
-/// What the VM that reads for a zone sees of it.
+/// The zone as seen by the VM that reads the store for it.
 #[derive(Clone, Debug)]
 pub struct ZoneView {
     /// The VM itself.
     pub own: VmEntry,
-    /// The VMs that follow it at first hand.
+    /// The VMs that follow it directly.
     pub followers: Vec<VmEntry>,
-    /// How many VMs follow it at first or second hand.
+    /// The number of VMs that follow it directly or indirectly.
     pub descendants: u32,
 }
 
-/// The count of a zone's VMs, which grows at once and shrinks late.
+/// The count of a zone's VMs, which grows at once and shrinks with a delay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ZoneCount {
     lower_since: Option<(Instant, u32)>,
 }
 
 impl ZoneCount {
-    /// Returns the count that holds, of the recorded and the one that is seen.
+    /// Returns the effective count, given the recorded count and the observed one.
     pub fn stable_count(&mut self, now: Instant, recorded: u32, seen: u32) -> u32 {
         if seen >= recorded {
             self.lower_since = None;
@@ -95,15 +95,15 @@
         }
         let (since, most) = self.lower_since.unwrap_or((now, seen));
         self.lower_since = Some((since, most.max(seen)));
-        match now.saturating_duration_since(since) >= SHRINK_AFTER {
+        match now.saturating_duration_since(since) >= SHRINK_DELAY {
             true => most.max(seen),
             false => recorded,
         }
     }
 }
 
-/// Returns the record that takes the place of `old`, if that would mislead; `count` is what holds now, `settled`
-/// whether the zone's VMs have had time to be counted.
+/// Returns the record that replaces `old`, if `old` would mislead; `count` is the effective count, `settled` whether
+/// the zone's VMs have had time to be counted.
 pub fn refreshed(
     old: &ZoneRecord,
     seen: &ZoneView,
@@ -111,27 +111,27 @@
     settled: bool,
 ) -> Option<ZoneRecord> {
     let leads = old.vms.first() == Some(&seen.own);
-    // One that nobody follows may be cut off from a reader that is well.
+    // A VM without followers may be cut off from a reader that is alive.
     if !leads && seen.followers.is_empty() && (old.count > 1 || !old.settled) {
         return None;
     }
-    let grown = f64::from(count) > f64::from(old.count) * (1.0 + GROWTH);
-    let shrunk = f64::from(count) < f64::from(old.count) * (1.0 - GROWTH);
+    let grown = f64::from(count) > f64::from(old.count) * (1.0 + COUNT_TOLERANCE);
+    let shrunk = f64::from(count) < f64::from(old.count) * (1.0 - COUNT_TOLERANCE);
     let settles = settled && !old.settled;
     let misleads = grown || shrunk || names_too_few(old, seen);
-    // Until a new zone has settled it changes with every VM that finds it.
+    // Until a new zone has settled, its record would change with every VM that finds it.
     let misleads = !leads || settles || old.settled && misleads;
     misleads.then(|| ZoneRecord {
         zone: old.zone.clone(),
         version: old.version + 1,
-        vms: named(old, seen),
+        vms: named_vms(old, seen),
         count,
         settled: old.settled || settled,
     })
 }
 
-/// Returns whether fewer of the named VMs are there than half of those that could be named, or a VM could be named
-/// beside them.
+/// Returns whether less than half of the VMs that could be named are named and alive, or another VM could be named as
+/// well.
 fn names_too_few(old: &ZoneRecord, seen: &ZoneView) -> bool {
     let others = seen.followers.iter();
     let alive = others.filter(|vm| old.names(&vm.name)).count();
@@ -140,9 +140,9 @@
     has_room || 2 * alive < could
 }
 
-/// Returns the VMs that a new record names: the VM itself, those that are named and follow it, then the others by
-/// size; where there is room, also those that are named and not there now, as they may come back.
-fn named(old: &ZoneRecord, seen: &ZoneView) -> Vec<VmEntry> {
+/// Returns the VMs that a new record names: this VM, the followers that are already named, then the other followers by
+/// size; if there is room, also the named VMs that are not there now, as they may come back.
+fn named_vms(old: &ZoneRecord, seen: &ZoneView) -> Vec<VmEntry> {
     let mut vms = vec![seen.own.clone()];
     let (mut kept, mut new): (Vec<_>, Vec<_>) = seen
         .followers
@@ -160,7 +160,7 @@
     vms
 }
 
-/// Returns the record by which a VM reads in place of the first.
+/// Returns the record that makes `own` the reader of the zone.
 pub fn with_leader(old: &ZoneRecord, own: &VmEntry) -> ZoneRecord {
     let others = old.vms.iter().filter(|vm| vm.name != own.name);
     let mut vms = vec![own.clone()];
@@ -172,10 +172,10 @@
     }
 }
 
-/// Returns the record that also names, last, a VM that can reach none of those that it names, if there is room: others
-/// that can't reach them either find each other so, and those that can are not misled.
+/// Returns the record that also names, last, a VM that can reach none of the named ones, if there is room. Other VMs
+/// that can't reach the named ones then find each other, and those that can are not misled.
 pub fn with_unreachable_vm(old: &ZoneRecord, own: &VmEntry) -> Option<ZoneRecord> {
-    if old.names(&own.name) || old.vms.len() >= MAX_NAMED_VMS + MOST_APPENDED {
+    if old.names(&own.name) || old.vms.len() >= MAX_NAMED_VMS + MAX_EXTRA_VMS {
         return None;
     }
     let mut record = old.clone();
@@ -184,10 +184,10 @@
     Some(record)
 }
 
-/// Returns the record that hands the zone to a larger VM that follows this one, if there is any.
+/// Returns the record that hands the zone over to a larger VM that follows this one, if there is one.
 ///
-/// Failure: the small VMs of a zone are back first after an outage, and one of them reads. With a tenth of a core and
-/// dozens of followers it misses its heartbeats while it tells them all of hundreds of servers.
+/// Failure: the small VMs of a zone restart first after an outage, and one of them becomes the reader. With a tenth of
+/// a core and dozens of followers it misses its heartbeats while it sends them hundreds of servers.
 pub fn handed_to_larger(old: &ZoneRecord, seen: &ZoneView) -> Option<ZoneRecord> {
     let largest = seen.followers.iter().min_by_key(|vm| reader_rank(vm))?;
     if largest.cpu_milli <= seen.own.cpu_milli {
@@ -196,7 +196,8 @@
     Some(with_leader(old, largest))
 }
 
-/// Returns a VM's place in the order of those that may read. The largest come first.
+/// Returns a VM's sort key among those that may read the store: the largest come first, those of the same size in the
+/// order of a hash of their names.
 pub fn reader_rank(vm: &VmEntry) -> (Reverse<u32>, u64) {
     let mut hasher = FxHasher::default();
     vm.name.hash(&mut hasher);
