--- a/crates/kingcuploft/src/entry/backend_servers.rs
+++ b/crates/kingcuploft/src/entry/backend_servers.rs
@@ -1,10 +1,9 @@
-//! Which backend servers may be sent work, by what the platform's store says of them.
+//! The backend servers that may be sent requests, by their entries in the platform's store.
 //!
-//! Failures: a server leaves and must get no new work; an old report of a leaving server arrives
-//! after its notice and would bring it back; entries lapse while the store is away though their
-//! servers are well. The guards: a leaving server stays out for good, until the platform tells of a
-//! later start under its name; entries that lapse around an outage of the store are kept in use for
-//! a short grace after its return, and only then count as gone.
+//! Failures: a draining server must get no new requests, and a stale entry that arrives after the news would bring it
+//! back; entries expire while the store is unavailable though their servers are healthy. The guards: a draining server
+//! stays out for good, until the platform reports a later start under its name; servers whose entries expire around an
+//! outage of the store stay in use for a short grace period after its return, and only then count as gone.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,10 +14,10 @@
 use crate::utils::{HashMap, digest};
 use crate::world::ids::{AvailabilityZone, BackendServerName, ServiceName};
 
-/// When a server's process started, as far as the platform tells; greater is later.
+/// When a server's process started, as reported by the platform; greater is later.
 pub type StartedAt = u64;
 
-/// One backend server, as the platform's store tells of it.
+/// One backend server, as recorded in the platform's store.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(from = "Row", into = "Row")]
 pub struct BackendServer {
@@ -26,22 +25,22 @@
     pub name: BackendServerName,
     /// Its service.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: AvailabilityZone,
-    /// How many requests it works on at once.
+    /// How many requests it runs at once.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     pub draining: bool,
-    /// How much longer it is slow after its start.
+    /// How much longer it is cold after its start.
     pub cold_for: Duration,
-    /// When it started, if that is told.
+    /// When it started, if known.
     pub started_at: Option<StartedAt>,
 }
 
-/// A server as the VMs tell it each other: a row without field names, for a VM that joins is told all of
-/// them. Name, service, address, zone, slots, whether it is leaving, cold time in ms, start.
+/// A server as VMs send it to each other: a row without field names, as a VM that joins is sent all of them. Name,
+/// service, address, zone, slots, whether it is draining, cold time in ms, start.
 #[derive(Deserialize, Serialize)]
 struct Row(
     BackendServerName,
@@ -85,27 +84,26 @@
     }
 }
 
-/// How long entries that lapsed around an outage are still used after the store's return: the
-/// platform brings the entries of live servers back within about 2 s.
+/// Grace period after the store's return for servers whose entries expired around an outage: the platform restores the
+/// entries of live servers within about 2 s.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(1900);
 
-/// How long after its return the store still counts as just returned.
-const JUST_RETURNED: Duration = Duration::from_millis(2000);
+/// How long after its return the store counts as just returned.
+const JUST_RETURNED_PERIOD: Duration = Duration::from_millis(2000);
 
-/// How long a server that is gone is remembered, so that a late report of it does not bring it back:
-/// far longer than any such report is late.
-const REMEMBER_GONE: Duration = Duration::from_secs(300);
+/// How long a removed server is remembered, so that a delayed entry does not bring it back: far longer than any delay.
+const REMOVED_RETENTION: Duration = Duration::from_secs(300);
 
-/// What a piece of news changed.
+/// A change of the usable servers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// The server is new, or another life under a known name.
+    /// The server is new, or has restarted under a known name.
     Joined(BackendServerName),
-    /// Something of a usable server changed.
+    /// A property of a usable server changed.
     Updated(BackendServerName),
-    /// The server gets no new work from now on.
+    /// The server gets no new requests from now on.
     Left(BackendServerName),
-    /// The server's entry lapsed; it is used until the grace ends.
+    /// The server's entry expired; it stays in use until the grace period ends.
     Lapsed(BackendServerName),
 }
 
@@ -120,7 +118,7 @@
         }
     }
 
-    /// Returns the server that it is about.
+    /// Returns the server that changed.
     pub fn server(&self) -> &BackendServerName {
         match self {
             Self::Joined(name) | Self::Updated(name) | Self::Left(name) | Self::Lapsed(name) => {
@@ -133,137 +131,143 @@
 #[derive(Clone, Debug)]
 struct Known {
     server: BackendServer,
-    standing: Standing,
-    /// When its entry went, if it did.
-    gone_at: Option<Instant>,
+    state: ServerState,
+    /// When its entry was removed, if it was.
+    removed_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Standing {
+enum ServerState {
     InUse,
     LapsesAt(Instant),
     Draining,
     Gone,
-    /// It went before the store came back from a copy, which may hold its entry until then.
-    GoneBeforeCopy(Instant),
-    /// It went before that, and the copy holds its entry.
+    /// It was removed before the store was restored from a copy, which may hold its entry until this time.
+    GoneBeforeRestore(Instant),
+    /// It was removed before that, and the restored copy holds its entry.
     DoubtedUntil(Instant),
 }
 
-/// All backend servers heard of.
+/// All known backend servers.
 #[derive(Debug, Default)]
 pub struct BackendServers {
     known: HashMap<BackendServerName, Known>,
-    returned: Option<Instant>,
+    store_returned_at: Option<Instant>,
 }
 
 impl BackendServers {
-    /// Takes note that the store answers again after it did not; returns whether that is news.
+    /// Records that the store answers again after an outage; returns whether that is news.
     ///
-    /// Failure: each call that waited for the store sees its return, one after the other, and another VM
-    /// tells of its own. Were the grace of lapsed entries counted from the last word, a server that left
-    /// just after the return would get new work for longer than it may. So what follows within the grace
-    /// is the same return.
+    /// Failure: each call that waited for the store notices its return, one after the other, and other VMs report
+    /// theirs. If the grace period of expired entries started over with each report, a server that left just after the
+    /// return would get new requests for longer than allowed. So reports within the grace period belong to the same
+    /// return.
     pub fn store_returned(&mut self, now: Instant) -> bool {
         let known = self.has_just_returned(now);
         if !known {
-            self.returned = Some(now);
+            self.store_returned_at = Some(now);
         }
         !known
     }
 
-    /// Takes note that the store came back from a copy, where entries that nobody writes lapse after this time.
+    /// Records that the store was restored from a copy, in which entries that nobody renews expire after `lapse_after`.
     ///
-    /// Failures: a server that joined after the copy was made is missing, and is taken for gone; one that went after it is
-    /// back, and gets work for as long as its entry takes to lapse again. So the first are used until they have had time to
-    /// write, as after an outage, and the second only if their entries last.
+    /// Failures: a server that joined after the copy was made is missing, and would count as gone; one that left after
+    /// the copy was made is back, and would get requests until its entry expires again. So the former stay in use until
+    /// they have had time to write their entries, as after an outage, and the latter get requests only if their entries
+    /// last.
     pub fn store_rewound(&mut self, now: Instant, lapse_after: Duration) {
-        self.returned = Some(now);
+        self.store_returned_at = Some(now);
         for known in self.known.values_mut() {
-            if known.standing == Standing::Gone {
-                known.standing = Standing::GoneBeforeCopy(now + lapse_after);
+            if known.state == ServerState::Gone {
+                known.state = ServerState::GoneBeforeRestore(now + lapse_after);
             }
         }
     }
 
     fn has_just_returned(&self, now: Instant) -> bool {
-        let returned = self.returned;
-        returned.is_some_and(|at| now.saturating_duration_since(at) < JUST_RETURNED)
+        let store_returned_at = self.store_returned_at;
+        store_returned_at.is_some_and(|at| now.saturating_duration_since(at) < JUST_RETURNED_PERIOD)
     }
 
-    /// Takes an entry in.
+    /// Adds or updates an entry.
     pub fn update(&mut self, server: BackendServer) -> Option<Change> {
         let name = server.name.clone();
         let Some(known) = self.known.get_mut(&name) else {
-            let standing = standing_of(&server);
+            let state = state_of(&server);
             let known = Known {
                 server,
-                standing,
-                gone_at: None,
+                state,
+                removed_at: None,
             };
             self.known.insert(name.clone(), known);
-            return (standing == Standing::InUse).then_some(Change::Joined(name));
+            return (state == ServerState::InUse).then_some(Change::Joined(name));
         };
-        known.gone_at = None;
+        known.removed_at = None;
         let is_later_start = server.started_at > known.server.started_at;
-        if known.standing == Standing::Draining && !is_later_start {
+        if known.state == ServerState::Draining && !is_later_start {
             return None;
         }
-        let before = known.standing;
-        if let Standing::GoneBeforeCopy(until) | Standing::DoubtedUntil(until) = before
+        let before = known.state;
+        if let ServerState::GoneBeforeRestore(until) | ServerState::DoubtedUntil(until) = before
             && !is_later_start
         {
-            known.standing = match standing_of(&server) {
-                Standing::Draining => Standing::Draining,
-                _ => Standing::DoubtedUntil(until),
+            known.state = match state_of(&server) {
+                ServerState::Draining => ServerState::Draining,
+                _ => ServerState::DoubtedUntil(until),
             };
             known.server = server;
             return None;
         }
         let moved = known.server.address != server.address || is_later_start;
         let same = known.server == server;
-        known.standing = standing_of(&server);
+        known.state = state_of(&server);
         known.server = server;
-        match (before, known.standing) {
-            (Standing::Gone | Standing::GoneBeforeCopy(_), Standing::InUse) => {
+        match (before, known.state) {
+            (ServerState::Gone | ServerState::GoneBeforeRestore(_), ServerState::InUse) => {
                 Some(Change::Joined(name))
             }
-            (Standing::DoubtedUntil(_), Standing::InUse) => Some(Change::Joined(name)),
-            (_, Standing::InUse) if moved => Some(Change::Joined(name)),
-            (Standing::InUse, Standing::InUse) if same => None,
-            (_, Standing::InUse) => Some(Change::Updated(name)),
-            (Standing::Gone | Standing::GoneBeforeCopy(_) | Standing::DoubtedUntil(_), _) => None,
+            (ServerState::DoubtedUntil(_), ServerState::InUse) => Some(Change::Joined(name)),
+            (_, ServerState::InUse) if moved => Some(Change::Joined(name)),
+            (ServerState::InUse, ServerState::InUse) if same => None,
+            (_, ServerState::InUse) => Some(Change::Updated(name)),
+            (
+                ServerState::Gone
+                | ServerState::GoneBeforeRestore(_)
+                | ServerState::DoubtedUntil(_),
+                _,
+            ) => None,
             _ => Some(Change::Left(name)),
         }
     }
 
-    /// Takes in that an entry is gone.
+    /// Removes an entry.
     pub fn remove(&mut self, now: Instant, name: &str) -> Option<Change> {
         let just_returned = self.has_just_returned(now);
         let known = self.known.get_mut(name)?;
-        known.gone_at.get_or_insert(now);
-        match known.standing {
-            Standing::InUse if just_returned => {
-                let until = self.returned.unwrap_or(now) + LAPSE_GRACE;
-                known.standing = Standing::LapsesAt(until);
+        known.removed_at.get_or_insert(now);
+        match known.state {
+            ServerState::InUse if just_returned => {
+                let until = self.store_returned_at.unwrap_or(now) + LAPSE_GRACE;
+                known.state = ServerState::LapsesAt(until);
                 Some(Change::Lapsed(known.server.name.clone()))
             }
-            Standing::InUse => {
-                known.standing = Standing::Gone;
+            ServerState::InUse => {
+                known.state = ServerState::Gone;
                 Some(Change::Left(known.server.name.clone()))
             }
-            Standing::DoubtedUntil(until) => {
-                known.standing = Standing::GoneBeforeCopy(until);
+            ServerState::DoubtedUntil(until) => {
+                known.state = ServerState::GoneBeforeRestore(until);
                 None
             }
-            Standing::LapsesAt(_)
-            | Standing::Draining
-            | Standing::Gone
-            | Standing::GoneBeforeCopy(_) => None,
+            ServerState::LapsesAt(_)
+            | ServerState::Draining
+            | ServerState::Gone
+            | ServerState::GoneBeforeRestore(_) => None,
         }
     }
 
-    /// Takes in which entries there are at all; the others are gone.
+    /// Removes the entries that are not among `names`, the full list of the store.
     pub fn remove_missing<'a>(
         &mut self,
         now: Instant,
@@ -280,74 +284,77 @@
             .collect()
     }
 
-    /// Ends the graces that are over.
+    /// Ends the grace periods that are over.
     pub fn expire(&mut self, now: Instant) -> Vec<Change> {
         let mut changes = Vec::new();
         for known in self.known.values_mut() {
             let name = &known.server.name;
-            match known.standing {
-                Standing::LapsesAt(at) if at <= now => {
-                    known.standing = Standing::Gone;
+            match known.state {
+                ServerState::LapsesAt(at) if at <= now => {
+                    known.state = ServerState::Gone;
                     changes.push(Change::Left(name.clone()));
                 }
-                Standing::GoneBeforeCopy(at) if at <= now => known.standing = Standing::Gone,
-                Standing::DoubtedUntil(at) if at <= now => {
-                    known.standing = Standing::InUse;
+                ServerState::GoneBeforeRestore(at) if at <= now => known.state = ServerState::Gone,
+                ServerState::DoubtedUntil(at) if at <= now => {
+                    known.state = ServerState::InUse;
                     changes.push(Change::Joined(name.clone()));
                 }
                 _ => {}
             }
         }
-        let forgotten = |at: Instant| now.saturating_duration_since(at) > REMEMBER_GONE;
-        self.known.retain(|_, known| match known.standing {
-            Standing::Draining | Standing::Gone | Standing::GoneBeforeCopy(_) => {
-                !known.gone_at.is_some_and(forgotten)
+        let forgotten = |at: Instant| now.saturating_duration_since(at) > REMOVED_RETENTION;
+        self.known.retain(|_, known| match known.state {
+            ServerState::Draining | ServerState::Gone | ServerState::GoneBeforeRestore(_) => {
+                !known.removed_at.is_some_and(forgotten)
             }
-            Standing::InUse | Standing::LapsesAt(_) | Standing::DoubtedUntil(_) => true,
+            ServerState::InUse | ServerState::LapsesAt(_) | ServerState::DoubtedUntil(_) => true,
         });
         changes
     }
 
-    /// Returns whether a server may be sent work now.
+    /// Returns whether a server may be sent requests now.
     pub fn takes_work(&self, name: &str) -> bool {
         let known = self.known.get(name);
-        known.is_some_and(|k| matches!(k.standing, Standing::InUse | Standing::LapsesAt(_)))
+        known.is_some_and(|k| matches!(k.state, ServerState::InUse | ServerState::LapsesAt(_)))
     }
 
-    /// Returns whether this is what is known of a server already.
+    /// Returns whether a server is already known exactly like this.
     pub fn is_known(&self, server: &BackendServer) -> bool {
         let known = self.known.get(&server.name);
-        known.is_some_and(|known| known.gone_at.is_none() && known.server == *server)
+        known.is_some_and(|known| known.removed_at.is_none() && known.server == *server)
     }
 
-    /// Returns a server that is known.
+    /// Returns a known server.
     pub fn get(&self, name: &str) -> Option<&BackendServer> {
         self.known.get(name).map(|known| &known.server)
     }
 
-    /// Returns the servers whose entries are there.
+    /// Returns the servers whose entries are present.
     pub fn present(&self) -> impl Iterator<Item = &BackendServer> {
-        let present = self.known.values().filter(|known| known.gone_at.is_none());
+        let present = self
+            .known
+            .values()
+            .filter(|known| known.removed_at.is_none());
         present.map(|known| &known.server)
     }
 
-    /// Returns a hash of the servers whose entries are there, whatever their order.
+    /// Returns a hash of the servers whose entries are present, independent of their order.
     pub fn digest(&self) -> u64 {
         self.present().map(digest).fold(0, u64::wrapping_add)
     }
 
-    /// Returns how many servers may be sent work.
+    /// Returns the number of servers that may be sent requests.
     pub fn in_use_count(&self) -> usize {
-        let standings = self.known.values().map(|known| known.standing);
-        standings
-            .filter(|s| matches!(s, Standing::InUse | Standing::LapsesAt(_)))
+        let states = self.known.values().map(|known| known.state);
+        states
+            .filter(|s| matches!(s, ServerState::InUse | ServerState::LapsesAt(_)))
             .count()
     }
 }
 
-fn standing_of(server: &BackendServer) -> Standing {
+fn state_of(server: &BackendServer) -> ServerState {
     match server.draining && !planted::is_on(Planted::ChoosesLeavingServers) {
-        true => Standing::Draining,
-        false => Standing::InUse,
+        true => ServerState::Draining,
+        false => ServerState::InUse,
     }
 }
--- a/crates/kingcuploft/src/entry/quarantine.rs
+++ b/crates/kingcuploft/src/entry/quarantine.rs
@@ -1,12 +1,12 @@
-//! Which requests are kept from the backend servers, as servers end under them.
+//! Quarantine of requests that crash backend servers.
 //!
-//! Load pattern: a request crashes each server that begins to run it, and comes again at any VM, many times a second.
-//! Sent on like any other, it ends all servers of its service, again and again. A server that ends for another
-//! reason takes innocent requests with it, and some of these are asked for by many callers.
+//! Load pattern: a request crashes each server that runs it, and is sent again to any VM, many times a second.
+//! Forwarded like any other, it crashes all servers of its service, again and again. A server that crashes for another
+//! reason takes innocent requests with it, and some of these are sent by many callers.
 //!
-//! A request under which a server ended is suspect, and runs alone. It is cleared by the first answer. If the next server
-//! ends under it as well, it is refused, and tried again at ever longer pauses, by one VM of all. Servers that end
-//! together count once: only a run that began when the last end was known counts one more.
+//! A request under which a server crashed is suspect, and runs alone. The first answer clears it. If the next server
+//! crashes under it as well, the request is refused, and one VM of all tries it again after ever longer pauses. Servers
+//! that crash together count once: only a run that began when the last crash was known counts as another one.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,10 +16,10 @@
 use super::notice_id::NoticeId;
 use crate::utils::{HashMap, HashSet};
 
-/// How many servers end in a row before a request is refused: one may end for any reason.
-const MOST_ENDS: u32 = 2;
+/// Number of consecutive crashes after which a request is refused: a single server may crash for any reason.
+const MAX_CRASHES: u32 = 2;
 
-/// The pauses before a refused request is tried again; the last is repeated.
+/// The pauses before a refused request is tried again; the last one repeats.
 const PAUSES: [Duration; 4] = [
     Duration::from_secs(15),
     Duration::from_secs(2 * 60),
@@ -27,59 +27,59 @@
     Duration::from_secs(24 * 3600),
 ];
 
-/// What the reports of trials begin with, in place of a server's name.
-const TRIAL: &str = "trial-";
+/// Prefix of a trial's name, which takes the place of the server's name in a report.
+const TRIAL_PREFIX: &str = "trial-";
 
-/// When a caller may come back whose request another VM has just begun to try.
-const TRIAL_UNDER_WAY: Duration = Duration::from_secs(1);
+/// Retry delay for a caller whose request another VM has just begun to try.
+const TRIAL_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How long a suspect is remembered that does not come again.
-const SUSPECT_FOR: Duration = Duration::from_secs(60);
+/// How long a suspect request is remembered after its last report.
+const SUSPECT_TTL: Duration = Duration::from_secs(60);
 
-/// How long a refused request is remembered that is not tried again.
-const REFUSED_FOR: Duration = Duration::from_secs(48 * 3600);
+/// How long a refused request is remembered after its last report.
+const REFUSED_TTL: Duration = Duration::from_secs(48 * 3600);
 
-/// The most requests that are remembered: a few megabytes.
-const MOST_SUSPECTS: usize = 16 * 1024;
+/// Maximum number of requests that are remembered: a few megabytes.
+const MAX_SUSPECTS: usize = 16 * 1024;
 
 /// Whether a request may be sent to a server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
     /// It may.
     Unrestricted,
-    /// It may, and no other run of it at this VM meanwhile.
+    /// It may, and no other run of it may start at this VM meanwhile.
     Exclusive,
-    /// Another run of it is under way at this VM.
+    /// Another run of it is in progress at this VM.
     Wait,
-    /// It may be tried by whoever writes this report first.
+    /// It may be tried by the VM that first writes this report to the store.
     Trial(CrashReport),
-    /// It may not; the caller may come back after this time.
+    /// It may not; the caller may retry after this time.
     Refuse(Duration),
 }
 
-/// Whether a report was there before.
+/// Whether a report was known before.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportStatus {
-    /// It is news.
+    /// It is new.
     New,
     /// It was known.
     Known,
 }
 
-/// Where a report is known from.
+/// The origin of a report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Source {
-    /// This VM has seen it, and the store may not have it yet.
-    Seen,
-    /// The store has it.
+    /// This VM has observed the crash, and the store may not have the report yet.
+    Observed,
+    /// The store has the report.
     Store,
 }
 
 #[derive(Clone, Debug)]
 struct Suspect {
     reports: HashMap<Arc<str>, (u32, Source)>,
-    /// When the last report was heard of.
-    last: Instant,
+    /// When the last new report arrived.
+    last_report_at: Instant,
     running: u32,
 }
 
@@ -89,19 +89,23 @@
         rows.max().unwrap_or(0)
     }
 
-    /// The same by servers alone: a trial counts with the server that ends under it.
-    fn ended_in_a_row(&self) -> u32 {
-        let servers = self.reports.iter().filter(|(of, _)| !of.starts_with(TRIAL));
+    /// Returns the number of consecutive crashes by the reports of servers alone: a trial counts with the server that
+    /// crashes under it.
+    fn crashes_in_a_row(&self) -> u32 {
+        let servers = self
+            .reports
+            .iter()
+            .filter(|(of, _)| !of.starts_with(TRIAL_PREFIX));
         let rows = servers.map(|(_, (in_a_row, _))| *in_a_row);
         rows.max().unwrap_or(0)
     }
 
     fn is_refused(&self) -> bool {
-        self.in_a_row() >= MOST_ENDS
+        self.in_a_row() >= MAX_CRASHES
     }
 }
 
-/// The requests under which servers ended.
+/// The requests under which servers crashed.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
@@ -113,13 +117,13 @@
         self.suspects.is_empty()
     }
 
-    /// Returns how many requests are refused.
+    /// Returns the number of refused requests.
     pub fn refused(&self) -> usize {
         let suspects = self.suspects.values();
         suspects.filter(|suspect| suspect.is_refused()).count()
     }
 
-    /// Returns whether servers have ended under a request.
+    /// Returns whether servers have crashed under a request.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.suspects.contains_key(&fingerprint)
     }
@@ -130,7 +134,7 @@
         suspect.is_some_and(Suspect::is_refused)
     }
 
-    /// Says whether a request may be sent now.
+    /// Decides whether a request may be sent now.
     pub fn admit(&self, now: Instant, fingerprint: Fingerprint) -> Admission {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return Admission::Unrestricted;
@@ -142,37 +146,38 @@
             };
         }
         let in_a_row = suspect.in_a_row();
-        let rest = pause(in_a_row).saturating_sub(now.saturating_duration_since(suspect.last));
+        let rest =
+            pause(in_a_row).saturating_sub(now.saturating_duration_since(suspect.last_report_at));
         match rest.is_zero() {
             false => Admission::Refuse(rest),
-            true if suspect.running > 0 => Admission::Refuse(TRIAL_UNDER_WAY),
+            true if suspect.running > 0 => Admission::Refuse(TRIAL_RETRY_DELAY),
             true => Admission::Trial(trial(fingerprint, in_a_row + 1)),
         }
     }
 
-    /// Returns when the caller may come back of a request that another VM tries.
+    /// Returns the retry delay for the caller of a request that another VM is trying.
     pub fn trial_retry_delay() -> Duration {
-        TRIAL_UNDER_WAY
+        TRIAL_RETRY_DELAY
     }
 
-    /// Takes note that a request begins to run; returns how many servers are known to have ended in a row under it.
+    /// Records that a request starts to run; returns the number of consecutive crashes known under it.
     pub fn record_start(&mut self, fingerprint: Fingerprint) -> u32 {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return 0;
         };
         suspect.running += 1;
-        suspect.ended_in_a_row()
+        suspect.crashes_in_a_row()
     }
 
-    /// Takes note that a run has ended, however it did.
+    /// Records that a run has ended, with whatever result.
     pub fn record_end(&mut self, fingerprint: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.running = suspect.running.saturating_sub(1);
         }
     }
 
-    /// Takes in that a server ended under a run that began when so many ends in a row were known; returns what the others
-    /// are to be told.
+    /// Records that a server crashed under a run that started when `known` consecutive crashes were known; returns the
+    /// report for the other VMs.
     pub fn record_crash(
         &mut self,
         now: Instant,
@@ -185,11 +190,11 @@
             of: server.clone(),
             in_a_row: known + 1,
         };
-        self.add(now, &report, Source::Seen);
+        self.add(now, &report, Source::Observed);
         report
     }
 
-    /// Takes in that a request was answered: servers did not end of it. Returns the reports to withdraw.
+    /// Records that a request was answered, so it does not crash servers. Returns the reports to withdraw.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> Vec<NoticeId> {
         let suspect = self.suspects.remove(&fingerprint);
         let reports = suspect.into_iter().flat_map(|suspect| suspect.reports);
@@ -201,12 +206,12 @@
         ids.map(|report| report.id()).collect()
     }
 
-    /// Takes in a report that the store has.
+    /// Adds a report that the store has.
     pub fn add_report(&mut self, now: Instant, report: &CrashReport) -> ReportStatus {
         self.add(now, report, Source::Store)
     }
 
-    /// Takes in that the store no longer has a report; returns whether it was known.
+    /// Removes a report that the store no longer has; returns whether it was known.
     pub fn remove_report(&mut self, id: &str) -> bool {
         let Some((fingerprint, of)) = CrashReport::parse_id(id) else {
             return false;
@@ -221,7 +226,7 @@
         known
     }
 
-    /// Takes in all reports that the store has; returns those that it has no longer.
+    /// Applies the full list of report keys that the store has; returns the keys of the removed reports.
     pub fn remove_missing(&mut self, ids: &HashSet<NoticeId>) -> Vec<NoticeId> {
         let gone: Vec<NoticeId> = self
             .stored_reports()
@@ -247,25 +252,25 @@
         })
     }
 
-    /// Returns the reports of requests that did not come again for so long that they are forgotten.
+    /// Returns the keys of the reports that have expired, as their requests were not sent again for long.
     pub fn expired_reports(&self, now: Instant) -> Vec<NoticeId> {
         let old = self.stored_reports().filter(|report| {
             self.suspects
                 .get(&report.fingerprint)
-                .is_some_and(|suspect| is_old(now, suspect))
+                .is_some_and(|suspect| is_expired(now, suspect))
         });
         old.map(|report| report.id()).collect()
     }
 
     fn add(&mut self, now: Instant, report: &CrashReport, source: Source) -> ReportStatus {
         let is_new = !self.suspects.contains_key(&report.fingerprint);
-        if is_new && self.suspects.len() >= MOST_SUSPECTS {
+        if is_new && self.suspects.len() >= MAX_SUSPECTS {
             return ReportStatus::Known;
         }
         let suspects = self.suspects.entry(report.fingerprint);
         let suspect = suspects.or_insert_with(|| Suspect {
             reports: HashMap::default(),
-            last: now,
+            last_report_at: now,
             running: 0,
         });
         let entry = (report.in_a_row, source);
@@ -273,40 +278,40 @@
             Some((in_a_row, before)) => {
                 let kept = match before {
                     Source::Store => Source::Store,
-                    Source::Seen => source,
+                    Source::Observed => source,
                 };
                 let most = in_a_row.max(report.in_a_row);
                 suspect.reports.insert(report.of.clone(), (most, kept));
                 match (before, source) {
-                    (Source::Seen, Source::Store) => ReportStatus::New,
+                    (Source::Observed, Source::Store) => ReportStatus::New,
                     _ => ReportStatus::Known,
                 }
             }
             None => {
-                suspect.last = now;
+                suspect.last_report_at = now;
                 ReportStatus::New
             }
         }
     }
 }
 
-fn is_old(now: Instant, suspect: &Suspect) -> bool {
-    let age = now.saturating_duration_since(suspect.last);
+fn is_expired(now: Instant, suspect: &Suspect) -> bool {
+    let age = now.saturating_duration_since(suspect.last_report_at);
     match suspect.is_refused() {
-        true => age >= REFUSED_FOR,
-        false => age >= SUSPECT_FOR,
+        true => age >= REFUSED_TTL,
+        false => age >= SUSPECT_TTL,
     }
 }
 
 fn pause(in_a_row: u32) -> Duration {
-    let at = in_a_row.saturating_sub(MOST_ENDS) as usize;
+    let at = in_a_row.saturating_sub(MAX_CRASHES) as usize;
     PAUSES[at.min(PAUSES.len() - 1)]
 }
 
 fn trial(fingerprint: Fingerprint, in_a_row: u32) -> CrashReport {
     CrashReport {
         fingerprint,
-        of: format!("{TRIAL}{in_a_row}").into(),
+        of: format!("{TRIAL_PREFIX}{in_a_row}").into(),
         in_a_row,
     }
 }
--- a/crates/kingcuploft/src/entry/server_limits.rs
+++ b/crates/kingcuploft/src/entry/server_limits.rs
@@ -1,8 +1,8 @@
-//! The limits of backend servers: those that they name, which this VM has heard of or others have told it, and those of
-//! servers that have just started and are cold.
+//! The rate limits of backend servers: those that they name themselves, as heard by this VM or reported by others, and
+//! those of servers that have just started and are cold.
 //!
-//! Load pattern: a zone's servers come back together and look idle, so that all VMs choose them first; each bears a few
-//! requests a second, and ends under more. A cold server is dealt with like one that names what it bears, until it is warm.
+//! Load pattern: a zone's servers restart together and look idle, so that all VMs choose them first; each accepts a few
+//! requests a second, and crashes under more. A cold server is treated like one that names a limit, until it is warm.
 
 use std::time::{Duration, Instant};
 
@@ -13,48 +13,49 @@
 use crate::utils::{HashMap, HashSet};
 use crate::world::ids::BackendServerName;
 
-/// How long a limit holds at least: an answer that the server gave just before it named the limit may come after it.
-const HOLDS_AT_LEAST: Duration = Duration::from_millis(500);
+/// Minimum time for which a limit is kept: an answer that the server gave just before it named the limit may arrive
+/// after it.
+const MIN_LIMIT_DURATION: Duration = Duration::from_millis(500);
 
-/// What an answer of a server says that is news.
+/// A change of the limit that a server names in its answers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitChange {
     /// It names a limit for the first time.
     Named(LimitNotice),
-    /// It names another than before.
+    /// It names another limit than before.
     Changed {
-        /// What it named before.
+        /// The previous limit.
         before: PerSecond,
     },
-    /// It names none any more.
+    /// It names no limit any more.
     Ended(NoticeId),
 }
 
-/// What a server has named.
+/// The limit that a server has named.
 #[derive(Clone, Copy, Debug)]
 struct Named {
     per_s: PerSecond,
     since: Instant,
-    /// Whether the store has it.
+    /// Whether the store has its notice.
     is_stored: bool,
 }
 
-/// What a server bears while it is cold.
+/// The limit of a cold server.
 #[derive(Clone, Copy, Debug)]
 struct Cold {
     per_s: PerSecond,
-    noted: Instant,
+    recorded_at: Instant,
     until: Instant,
 }
 
-/// The limit of a server, by what it has named, by being cold, or by the lesser of both.
+/// The limit of a server: the one that it named, that of its cold start, or the lower of both.
 #[derive(Clone, Debug)]
 struct Known {
     limit: ServerLimit,
     named: Option<Named>,
     cold: Option<Cold>,
-    /// When the next turn is that is not given, as far as is known.
-    turn_at: Instant,
+    /// The earliest time of the next available turn, as far as known.
+    next_turn_at: Instant,
 }
 
 impl Known {
@@ -63,53 +64,55 @@
             limit,
             named: None,
             cold: None,
-            turn_at: now,
+            next_turn_at: now,
         }
     }
 
-    /// Returns what the server takes, if anything limits it.
+    /// Returns the server's limit, if there is one.
     fn per_s(&self) -> Option<PerSecond> {
         let named = self.named.map(|named| named.per_s);
         let cold = self.cold.map(|cold| cold.per_s);
         named.into_iter().chain(cold).min_by(f64::total_cmp)
     }
 
-    /// Goes by what limits the server now.
-    fn renew(&mut self, now: Instant, part: impl FnOnce(PerSecond) -> LimitShare) {
+    /// Applies the limit that is effective now.
+    fn renew(&mut self, now: Instant, share: impl FnOnce(PerSecond) -> LimitShare) {
         if let Some(per_s) = self.per_s() {
-            self.limit.update(now, per_s, part(per_s));
+            self.limit.update(now, per_s, share(per_s));
         }
     }
 }
 
-/// Whether a server turned cold.
+/// Whether a server became cold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ColdChange {
     /// It was not known to be cold.
     Cold,
-    /// It was, and is for longer or shorter.
+    /// It was already cold; the remaining time has changed.
     StillCold,
 }
 
-/// The limits of servers.
+/// The limits of all servers.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLimits {
     known: HashMap<BackendServerName, Known>,
-    /// When the VM began, if it matters.
-    begun: Option<Instant>,
+    /// When the VM started, if it may have run before.
+    started_at: Option<Instant>,
 }
 
 impl ServerLimits {
-    /// Returns those of a VM that has just begun, and may have run before: it has saved nothing.
+    /// Creates the limits of a VM that has just started, and may have run before: its token buckets are empty.
     pub fn started_at(now: Instant) -> Self {
         Self {
-            begun: Some(now),
+            started_at: Some(now),
             ..Self::default()
         }
     }
 
     fn up_for(&self, now: Instant) -> Duration {
-        let up_for = self.begun.map(|begun| now.saturating_duration_since(begun));
+        let up_for = self
+            .started_at
+            .map(|started_at| now.saturating_duration_since(started_at));
         up_for.unwrap_or(Duration::MAX)
     }
 
@@ -118,48 +121,48 @@
         self.known.is_empty()
     }
 
-    /// Returns how many servers name one.
+    /// Returns the number of servers that name a limit.
     pub fn len(&self) -> usize {
         let named = self.known.values().filter(|known| known.named.is_some());
         named.count()
     }
 
-    /// Returns how many servers are cold.
+    /// Returns the number of cold servers.
     pub fn cold_count(&self) -> usize {
         let cold = self.known.values().filter(|known| known.cold.is_some());
         cold.count()
     }
 
-    /// Returns what a server takes, if it has a limit.
+    /// Returns a server's limit, if it has one.
     pub fn per_s(&self, server: &str) -> Option<PerSecond> {
         self.known.get(server).map(|known| known.limit.per_s())
     }
 
-    /// Takes in what a server's answer names; `part` says which part of a limit this VM uses.
+    /// Records the limit that a server's answer names; `share` returns the share of a limit that this VM uses.
     pub fn record_named(
         &mut self,
         now: Instant,
         server: &BackendServerName,
         named: Option<PerSecond>,
-        part: impl FnOnce(PerSecond) -> LimitShare,
+        share: impl FnOnce(PerSecond) -> LimitShare,
         chance: f64,
     ) -> Option<LimitChange> {
         let Some(per_s) = named else {
-            return self.names_none(now, server, part);
+            return self.names_none(now, server, share);
         };
         let cold = self.known.get(server).and_then(|known| known.cold);
         let takes = cold.map_or(per_s, |cold| cold.per_s.min(per_s));
-        let part = part(takes);
+        let share = share(takes);
         let known = self.known.entry(server.clone());
         let known =
-            known.or_insert_with(|| Known::new(now, ServerLimit::new(now, takes, part, chance)));
+            known.or_insert_with(|| Known::new(now, ServerLimit::new(now, takes, share, chance)));
         let before = known.named;
         known.named = Some(Named {
             per_s,
             since: before.map_or(now, |named| named.since),
             is_stored: before.is_some_and(|named| named.is_stored),
         });
-        known.limit.update(now, takes, part);
+        known.limit.update(now, takes, share);
         let server = server.clone();
         match before.map(|named| named.per_s) {
             None => Some(LimitChange::Named(LimitNotice { server, per_s })),
@@ -172,89 +175,95 @@
         &mut self,
         now: Instant,
         server: &BackendServerName,
-        part: impl FnOnce(PerSecond) -> LimitShare,
+        share: impl FnOnce(PerSecond) -> LimitShare,
     ) -> Option<LimitChange> {
         let known = self.known.get_mut(server)?;
         let named = known.named?;
-        if now.saturating_duration_since(named.since) < HOLDS_AT_LEAST {
+        if now.saturating_duration_since(named.since) < MIN_LIMIT_DURATION {
             return None;
         }
         known.named = None;
-        self.settle(now, server, part);
+        self.apply_remaining(now, server, share);
         Some(LimitChange::Ended(limit_notice::id(server)))
     }
 
-    /// Goes by what still limits a server, or forgets it.
-    fn settle(&mut self, now: Instant, server: &str, part: impl FnOnce(PerSecond) -> LimitShare) {
+    /// Applies a server's remaining limit, or removes the server if there is none.
+    fn apply_remaining(
+        &mut self,
+        now: Instant,
+        server: &str,
+        share: impl FnOnce(PerSecond) -> LimitShare,
+    ) {
         let Some(known) = self.known.get_mut(server) else {
             return;
         };
         match known.per_s() {
-            Some(_) => known.renew(now, part),
+            Some(_) => known.renew(now, share),
             None => {
                 self.known.remove(server);
             }
         }
     }
 
-    /// Takes in that a server is cold for so long, and bears so much meanwhile.
+    /// Records that a server is cold for `lasts`, and accepts `per_s` requests per second meanwhile.
     ///
-    /// Its slots are free at first, so the VMs that keep the limit have saved a request each.
+    /// Its slots are free at first, so the bucket of each VM that owns the limit starts with one request.
     pub fn record_cold(
         &mut self,
         now: Instant,
         server: &BackendServerName,
         per_s: PerSecond,
         lasts: Duration,
-        part: impl FnOnce(PerSecond) -> LimitShare,
+        share: impl FnOnce(PerSecond) -> LimitShare,
         chance: f64,
     ) -> ColdChange {
         let named = self.known.get(server).and_then(|known| known.named);
         let takes = named.map_or(per_s, |named| named.per_s.min(per_s));
-        let part = part(takes);
+        let share = share(takes);
         let up_for = self.up_for(now);
         let known = self.known.entry(server.clone());
         let known = known.or_insert_with(|| {
-            let limit = ServerLimit::new(now, takes, part, chance);
+            let limit = ServerLimit::new(now, takes, share, chance);
             Known::new(now, limit.with_saved_tokens(up_for))
         });
         let before = known.cold.replace(Cold {
             per_s,
-            noted: now,
+            recorded_at: now,
             until: now + lasts,
         });
-        known.limit.update(now, takes, part);
+        known.limit.update(now, takes, share);
         match before {
             None => ColdChange::Cold,
             Some(_) => ColdChange::StillCold,
         }
     }
 
-    /// Takes in that a server, asked at this moment, said that it is not cold; returns whether it was known to be.
+    /// Records that a server that was probed at `asked_at` said that it is not cold; returns whether it was known to be
+    /// cold.
     pub fn record_warm(
         &mut self,
         now: Instant,
         server: &str,
         asked_at: Instant,
-        part: impl FnOnce(PerSecond) -> LimitShare,
+        share: impl FnOnce(PerSecond) -> LimitShare,
     ) -> bool {
         let Some(known) = self.known.get_mut(server) else {
             return false;
         };
-        // What it said before it turned cold may come after.
-        if known.cold.is_none_or(|cold| cold.noted > asked_at) {
+        // An answer from before it became cold may arrive later.
+        if known.cold.is_none_or(|cold| cold.recorded_at > asked_at) {
             return false;
         }
         known.cold = None;
-        self.settle(now, server, part);
+        self.apply_remaining(now, server, share);
         true
     }
 
-    /// Ends the limits of servers that are cold no longer; returns these.
+    /// Ends the limits of servers that are no longer cold, and returns these servers.
     pub fn expire_cold(
         &mut self,
         now: Instant,
-        part: impl Fn(&BackendServerName, PerSecond) -> LimitShare,
+        share: impl Fn(&BackendServerName, PerSecond) -> LimitShare,
     ) -> Vec<BackendServerName> {
         let is_over = |known: &&mut Known| known.cold.is_some_and(|cold| cold.until <= now);
         let mut over = Vec::new();
@@ -265,22 +274,23 @@
             }
         }
         for server in &over {
-            self.settle(now, server, |per_s| part(server, per_s));
+            self.apply_remaining(now, server, |per_s| share(server, per_s));
         }
         over
     }
 
-    /// Takes in a notice that the store has; returns whether it is news. What the server itself has named holds.
+    /// Adds a notice that the store has; returns whether it is news. A limit that this VM heard from the server itself
+    /// takes precedence.
     pub fn add_notice(
         &mut self,
         now: Instant,
         notice: &LimitNotice,
-        part: LimitShare,
+        share: LimitShare,
         chance: f64,
     ) -> bool {
         let known = self.known.entry(notice.server.clone());
         let known = known
-            .or_insert_with(|| Known::new(now, ServerLimit::new(now, notice.per_s, part, chance)));
+            .or_insert_with(|| Known::new(now, ServerLimit::new(now, notice.per_s, share, chance)));
         if let Some(named) = &mut known.named {
             return !std::mem::replace(&mut named.is_stored, true);
         }
@@ -289,11 +299,11 @@
             since: now,
             is_stored: true,
         });
-        known.renew(now, |_| part);
+        known.renew(now, |_| share);
         true
     }
 
-    /// Takes in that the store no longer has a notice; returns whether it was known.
+    /// Removes a notice that the store no longer has; returns whether it was known.
     pub fn remove_notice(&mut self, id: &str) -> bool {
         let Some(server) = LimitNotice::parse_id(id) else {
             return false;
@@ -302,14 +312,14 @@
             return false;
         };
         let was_named = known.named.take().is_some();
-        // One that is cold as well goes by the same limit until it is warm.
+        // A server that is cold as well keeps the same limit until it is warm.
         if known.cold.is_none() {
             self.known.remove(server);
         }
         was_named
     }
 
-    /// Takes in all notices that the store has; returns those that it has no longer.
+    /// Applies the full list of notice keys that the store has; returns the keys of the removed notices.
     pub fn remove_missing(&mut self, ids: &HashSet<NoticeId>) -> Vec<NoticeId> {
         let stored = self.stored_notices().map(|notice| notice.id());
         let gone: Vec<NoticeId> = stored.filter(|id| !ids.contains(id)).collect();
@@ -330,7 +340,7 @@
         })
     }
 
-    /// Forgets servers that are not in use; returns the notices that the store has of them.
+    /// Removes servers that are not in use; returns the keys of their notices in the store.
     pub fn retain_in_use(&mut self, is_in_use: impl Fn(&str) -> bool) -> Vec<NoticeId> {
         let stored = self
             .stored_notices()
@@ -340,54 +350,55 @@
         gone
     }
 
-    /// Returns when the next request may be sent to a server: at once if that is zero.
+    /// Returns how long the next request to a server has to wait; zero if it may be sent at once.
     pub fn wait(&mut self, now: Instant, server: &str, chance: f64) -> Duration {
         let known = self.known.get_mut(server);
         known.map_or(Duration::ZERO, |known| known.limit.wait(now, chance))
     }
 
-    /// Gives a turn at a server to a request that waits so long at most.
-    pub fn give_turn(&mut self, now: Instant, server: &str, patience: Duration) -> Turn {
+    /// Gives a turn at a server to a request that can wait for `max_wait`.
+    pub fn give_turn(&mut self, now: Instant, server: &str, max_wait: Duration) -> Turn {
         let known = self.known.get_mut(server);
         known.map_or(Turn::TooLate(TURN_RETRY_DELAY), |known| {
-            known.limit.give_turn(now, patience)
+            known.limit.give_turn(now, max_wait)
         })
     }
 
-    /// Returns whether there may be a turn at a server for a request that waits so long at most.
-    pub fn may_have_turn(&self, now: Instant, server: &str, patience: Duration) -> bool {
+    /// Returns whether a turn at a server may be available for a request that can wait for `max_wait`.
+    pub fn may_have_turn(&self, now: Instant, server: &str, max_wait: Duration) -> bool {
         let known = self.known.get(server);
-        known.is_some_and(|known| known.turn_at <= now + patience)
+        known.is_some_and(|known| known.next_turn_at <= now + max_wait)
     }
 
-    /// Takes in that the next turn at a server is after this time, which was too late for a request that waits so long.
-    pub fn defer_turns(&mut self, now: Instant, server: &str, after: Duration, patience: Duration) {
+    /// Records that the next turn at a server comes after the time `after`, which was too late for a request that could
+    /// wait for `max_wait`.
+    pub fn defer_turns(&mut self, now: Instant, server: &str, after: Duration, max_wait: Duration) {
         let Some(known) = self.known.get_mut(server) else {
             return;
         };
-        // A keeper that has not been told of the limit, or does not answer, gives no turn at all.
-        known.turn_at = match after > patience {
+        // An owner that does not know the limit yet, or does not answer, gives no turn at all.
+        known.next_turn_at = match after > max_wait {
             true => now + after,
-            false => now + patience + TURN_RETRY_DELAY,
+            false => now + max_wait + TURN_RETRY_DELAY,
         };
     }
 
-    /// Takes note that a request is sent to a server.
+    /// Records that a request is sent to a server.
     pub fn record_sent(&mut self, now: Instant, server: &str, chance: f64) {
         if let Some(known) = self.known.get_mut(server) {
             known.limit.record_sent(now, chance);
         }
     }
 
-    /// Takes in that it may have changed which part of the limits this VM uses.
+    /// Recomputes the shares of all limits that this VM uses.
     pub fn update_shares(
         &mut self,
         now: Instant,
-        part: impl Fn(&BackendServerName, PerSecond) -> LimitShare,
+        share: impl Fn(&BackendServerName, PerSecond) -> LimitShare,
     ) {
         for (server, known) in &mut self.known {
             let per_s = known.limit.per_s();
-            known.limit.update(now, per_s, part(server, per_s));
+            known.limit.update(now, per_s, share(server, per_s));
         }
     }
 }
