--- a/crates/kingcuploft-entry/src/active_configuration.rs
+++ b/crates/kingcuploft-entry/src/active_configuration.rs
@@ -8,7 +8,7 @@
 use kingcuploft::entry::change_log::ChangeLog;
 use kingcuploft::entry::configuration::{Configuration, ConfigurationVersion};
 use kingcuploft::entry::configuration_change::{ChangePart, ConfigurationChange, PartError};
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::planted::{self, PlantedFault};
 use tokio::sync::Notify;
 
 use crate::clock;
@@ -49,7 +49,7 @@
     pub fn adopt(&self, mut configuration: Configuration) -> bool {
         let mut current = self.current.borrow_mut();
         let (version, routes) = (configuration.version, configuration.route_count());
-        let keeps_old = current.is_some() && planted::is_on(Planted::KeepsOldConfiguration);
+        let keeps_old = current.is_some() && planted::is_on(PlantedFault::KeepsOldConfiguration);
         if keeps_old || current.as_ref().is_some_and(|c| c.version >= version) {
             return false;
         }
--- a/crates/kingcuploft-entry/src/budgets.rs
+++ b/crates/kingcuploft-entry/src/budgets.rs
@@ -6,7 +6,7 @@
 use kingcuploft::entry::probe_budget;
 use kingcuploft::entry::repeat_account::UsageReport;
 use kingcuploft::entry::repeat_budget::BudgetStatus;
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::planted::{self, PlantedFault};
 use kingcuploft::world::ids::ServiceName;
 
 use crate::clock;
@@ -33,7 +33,7 @@
 
     /// Takes one probe from the probe budget; returns whether the budget allowed it.
     pub fn take_probe(&self, now: Instant) -> bool {
-        if planted::is_on(Planted::ProbesUnbounded) {
+        if planted::is_on(PlantedFault::ProbesUnbounded) {
             return true;
         }
         let servers = self.servers.borrow().in_use_count();
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -22,7 +22,7 @@
 use kingcuploft::entry::server_limits::ServerLimits;
 use kingcuploft::entry::service_time::ServiceTime;
 use kingcuploft::entry::vm_entry::VmEntry;
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::planted::{self, PlantedFault};
 use kingcuploft::utils::{HashMap, HashSet};
 use kingcuploft::world::ids::{RuleName, ServiceName, VmName};
 use tokio::sync::Notify;
@@ -139,7 +139,7 @@
         wire_names: WireNames,
     ) -> Self {
         let is_first = settings.is_first_start || settings.peer_address.is_none();
-        let is_first = is_first || planted::is_on(Planted::ForgetsRepeats);
+        let is_first = is_first || planted::is_on(PlantedFault::ForgetsRepeats);
         let repeats = match is_first {
             true => RepeatBudget::for_first_start(),
             false => RepeatBudget::after_restart(clock::now(), &settings.bounds.repeats),
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -8,7 +8,7 @@
 use kingcuploft::entry::fingerprint::Fingerprint;
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::quarantine::{Admission, Quarantine};
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::planted::{self, PlantedFault};
 
 use super::active_request::ActiveRequest;
 use crate::clock;
@@ -31,7 +31,7 @@
     /// Returns whether the request may be sent.
     pub(super) async fn check_quarantine(&mut self) -> QuarantineDecision {
         let is_quarantine_empty = self.context.quarantine.borrow().is_empty();
-        if self.is_trial || is_quarantine_empty || planted::is_on(Planted::SendsSuspects) {
+        if self.is_trial || is_quarantine_empty || planted::is_on(PlantedFault::SendsSuspects) {
             return QuarantineDecision::Send;
         }
         let fingerprint = self.request.fingerprint();
--- a/crates/kingcuploft-entry/src/limits.rs
+++ b/crates/kingcuploft-entry/src/limits.rs
@@ -8,7 +8,7 @@
 use kingcuploft::entry::server_limit::{self, LimitShare, PerSecond};
 use kingcuploft::entry::server_limits::{LimitChange, LimitNotice};
 use kingcuploft::entry::vm_entry::VmEntry;
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::planted::{self, PlantedFault};
 use kingcuploft::world::ids::{AvailabilityZone, BackendServerName, ServiceName};
 
 use crate::clock;
@@ -35,7 +35,7 @@
     answer: AnswerKind,
 ) {
     let value = headers.get(context.wire_names.limit);
-    let value = value.filter(|_| !planted::is_on(Planted::IgnoresLimits));
+    let value = value.filter(|_| !planted::is_on(PlantedFault::IgnoresLimits));
     let per_s = value.and_then(parse_limit);
     match (value, per_s, answer) {
         (Some(value), None, _) => {
@@ -156,7 +156,7 @@
 /// Returns how long a request must wait before it may be sent to a server; zero if it may be sent at once.
 pub fn wait_before_send(context: &Context, upstream: &Upstream, now: Instant) -> Duration {
     let mut limits = context.limits.borrow_mut();
-    if limits.is_empty() || planted::is_on(Planted::ForgetsColdServers) {
+    if limits.is_empty() || planted::is_on(PlantedFault::ForgetsColdServers) {
         return Duration::ZERO;
     }
     limits.wait(now, &upstream.server.name, fastrand::f64())
--- a/crates/kingcuploft-entry/src/peers/feed.rs
+++ b/crates/kingcuploft-entry/src/peers/feed.rs
@@ -7,7 +7,7 @@
 use kingcuploft::entry::change_assembly::AssemblyProgress;
 use kingcuploft::entry::configuration::ConfigurationVersion;
 use kingcuploft::entry::server_table::ServerTable;
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::planted::{self, PlantedFault};
 use tokio::io::AsyncWrite;
 use tokio::sync::SemaphorePermit;
 
@@ -110,7 +110,7 @@
         let records = self.context.readers.borrow().records();
         snapshot.extend(Frame::Zones(records).to_line());
         if self.protocol_version >= FIRST_VERSION_WITH_EVACUATIONS {
-            let frame = match planted::is_on(Planted::JoinersLackEvacuations) {
+            let frame = match planted::is_on(PlantedFault::JoinersLackEvacuations) {
                 true => Frame::Evacuations(Vec::new()),
                 false => evacuation::to_frame(self.context),
             };
--- a/crates/kingcuploft-entry/src/run.rs
+++ b/crates/kingcuploft-entry/src/run.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kingcuploft::entry::vm_entry::VmEntry;
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::planted::{self, PlantedFault};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::JoinHandle;
@@ -164,7 +164,7 @@
         event = "stopping",
         callers = context.caller_connections.get()
     );
-    if planted::is_on(Planted::StopsAtOnce) {
+    if planted::is_on(PlantedFault::StopsAtOnce) {
         return;
     }
     tokio::time::sleep(ACCEPT_WHILE_STOPPING).await;
--- a/crates/kingcuploft-entry/src/store_watcher.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -14,7 +14,7 @@
 use kingcuploft::entry::era::{Era, era_of};
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::zone_record::{MAX_NAMED_VMS, ZoneRecord};
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::planted::{self, PlantedFault};
 
 use crate::clock;
 use crate::cold_servers;
@@ -324,7 +324,7 @@
     }
     let readers = context.readers.borrow();
     if let Some(count) = readers.vm_count() {
-        let divisor = if planted::is_on(Planted::CountsTooFew) {
+        let divisor = if planted::is_on(PlantedFault::CountsTooFew) {
             5
         } else {
             1
--- a/crates/kingcuploft-platform/src/manifest_root.rs
+++ b/crates/kingcuploft-platform/src/manifest_root.rs
@@ -5,7 +5,8 @@
 //! takes effect once, or it meets the version that another write, perhaps its own, left behind.
 
 use kingcuploft::manifest::root::{
-    ContentHash, PAST_APPLIES, PastApply, Root, ServiceChange, ServiceObject, ServiceRef, objects,
+    ContentHash, MAX_PAST_APPLIES, PastApply, Root, ServiceChange, ServiceObject, ServiceRef,
+    service_objects,
 };
 use kingcuploft::manifest::{Manifest, Service};
 use kingcuploft::utils::HashSet;
@@ -195,7 +196,7 @@
         if self.base.is_some_and(|base| base != before.generation) {
             return Ok(lost(&before, &[]));
         }
-        let objects = objects(&self.manifest);
+        let objects = service_objects(&self.manifest);
         let root = self.root(&before, &objects);
         let text = root.text();
         for (what, bytes) in sizes(&objects, &text) {
@@ -231,7 +232,7 @@
                 },
             );
         }
-        past.truncate(PAST_APPLIES);
+        past.truncate(MAX_PAST_APPLIES);
         let services = objects.iter().map(|object| ServiceRef {
             name: object.name.clone(),
             hash: object.hash.clone(),
--- a/crates/kingcuploft-simulation/src/main.rs
+++ b/crates/kingcuploft-simulation/src/main.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kingcuploft_simulation::day::Day;
-use kingcuploft_simulation::planted_fault::{self, Planted};
+use kingcuploft_simulation::planted_fault::{self, PlantedFault};
 use kingcuploft_simulation::rules::{self, BoundUsage, Rule};
 use kingcuploft_simulation::search::{Search, SearchResult, check_day};
 use kingcuploft_simulation::{plot, shrink, simulation};
@@ -37,7 +37,7 @@
     seed: Option<u64>,
     log: Option<PathBuf>,
     json: bool,
-    planted: Option<Planted>,
+    planted: Option<PlantedFault>,
     deployment: Option<String>,
     max_days: Option<usize>,
     seconds: Option<u64>,
@@ -101,11 +101,11 @@
     Ok(options)
 }
 
-fn parse_planted(name: &str) -> Result<Planted, lexopt::Error> {
-    let found = Planted::ALL
+fn parse_planted(name: &str) -> Result<PlantedFault, lexopt::Error> {
+    let found = PlantedFault::ALL
         .into_iter()
         .find(|fault| format!("{fault:?}") == name);
-    found.ok_or_else(|| format!("--planted: {name} is none of {:?}", Planted::ALL).into())
+    found.ok_or_else(|| format!("--planted: {name} is none of {:?}", PlantedFault::ALL).into())
 }
 
 fn parse_rule(name: &str) -> Result<Rule, lexopt::Error> {
--- a/crates/kingcuploft-simulation/src/planted_fault.rs
+++ b/crates/kingcuploft-simulation/src/planted_fault.rs
@@ -2,10 +2,10 @@
 //! detect it.
 
 use kingcuploft::planted;
-pub use kingcuploft::planted::Planted;
+pub use kingcuploft::planted::PlantedFault;
 
 /// Runs a function while a fault is enabled in this thread's VMs.
-pub fn run_with<T>(fault: Option<Planted>, run: impl FnOnce() -> T) -> T {
+pub fn run_with<T>(fault: Option<PlantedFault>, run: impl FnOnce() -> T) -> T {
     planted::set(fault);
     let result = run();
     planted::set(None);
--- a/crates/kingcuploft-simulation/src/search.rs
+++ b/crates/kingcuploft-simulation/src/search.rs
@@ -12,7 +12,7 @@
 
 use crate::day::Day;
 use crate::generator;
-use crate::planted_fault::{self, Planted};
+use crate::planted_fault::{self, PlantedFault};
 use crate::rules::{self, BoundUsage, Rule};
 use crate::simulation;
 
@@ -43,7 +43,7 @@
     /// Whether the search stops at the first day that breaks a rule.
     pub stops_at_first: bool,
     /// The fault that is planted in the VMs, if any.
-    pub planted: Option<Planted>,
+    pub planted: Option<PlantedFault>,
 }
 
 /// A day and its usage of one rule's bound.
--- a/crates/kingcuploft-simulation/tests/corpus.rs
+++ b/crates/kingcuploft-simulation/tests/corpus.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use kingcuploft_simulation::day::Day;
-use kingcuploft_simulation::planted_fault::{self, Planted};
+use kingcuploft_simulation::planted_fault::{self, PlantedFault};
 use kingcuploft_simulation::rules::BoundUsage;
 use kingcuploft_simulation::search::check_day;
 
@@ -18,12 +18,12 @@
     files
 }
 
-fn broken(file: &Path, planted: Option<Planted>) -> Vec<BoundUsage> {
+fn broken(file: &Path, planted: Option<PlantedFault>) -> Vec<BoundUsage> {
     broken_with(file, 0, planted)
 }
 
 /// Runs a day with its seed raised by `seed_offset` and returns the rules that it breaks.
-fn broken_with(file: &Path, seed_offset: u64, planted: Option<Planted>) -> Vec<BoundUsage> {
+fn broken_with(file: &Path, seed_offset: u64, planted: Option<PlantedFault>) -> Vec<BoundUsage> {
     let text = std::fs::read_to_string(file).expect("a day");
     let mut day = Day::read(&file.display().to_string(), &text).expect("a day");
     day.seed += seed_offset;
@@ -42,7 +42,7 @@
 
 #[test]
 fn each_planted_fault_breaks_a_rule_on_its_day_and_nothing_breaks_without_it() {
-    for fault in Planted::ALL {
+    for fault in PlantedFault::ALL {
         let name = format!("{fault:?}");
         let file = days("planted").into_iter();
         let mut file = file.filter(|file| file.file_stem().is_some_and(|stem| *stem == *name));
@@ -62,5 +62,5 @@
     let mut file = file.filter(|file| file.ends_with("killed-twice-while-servers-refuse.yaml"));
     let file = file.next().expect("the day");
     assert_eq!(broken(&file, None), []);
-    assert!(!broken(&file, Some(Planted::ForgetsRepeats)).is_empty());
+    assert!(!broken(&file, Some(PlantedFault::ForgetsRepeats)).is_empty());
 }
--- a/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use hyper::{HeaderMap, StatusCode};
 use kingcuploft::decisions::claim::ledger::KeyHash;
-use kingcuploft::dispatcher::ClaimEnd;
+use kingcuploft::dispatcher::ClaimResult;
 use kingcuploft::utils::HashMap;
 use kingcuploft::world::vm::Vm;
 use kingcuploft_platform::client::{Client, ClientSettings};
@@ -108,9 +108,9 @@
                 last = Instant::now();
                 let mut began = began.lock().unwrap_or_else(PoisonError::into_inner);
                 if let Some(at) = began.remove(&request) {
-                    claimed.add(at, end == ClaimEnd::Held);
+                    claimed.add(at, end == ClaimResult::Held);
                 }
-                if end == ClaimEnd::Held {
+                if end == ClaimResult::Held {
                     running.push_back((Instant::now() + RUN, request));
                 }
             }
--- a/crates/kingcuploft-standins/src/experiments/peer_slope.rs
+++ b/crates/kingcuploft-standins/src/experiments/peer_slope.rs
@@ -296,7 +296,7 @@
         );
     }
     let manifest: Manifest = reader::read("experiment", &text).unwrap_or_default();
-    kingcuploft::manifest::root::objects(&manifest)
+    kingcuploft::manifest::root::service_objects(&manifest)
 }
 
 fn root(generation: u64, objects: &[ServiceObject]) -> Root {
--- a/crates/kingcuploft-standins/src/experiments/propagation.rs
+++ b/crates/kingcuploft-standins/src/experiments/propagation.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft::manifest::reader;
-use kingcuploft::manifest::root::{Root, objects};
+use kingcuploft::manifest::root::{Root, service_objects};
 use kingcuploft_platform::manifest_root::ROOT_KEY;
 use kingcuploft_platform::{ListedVm, VmState};
 use kingcuploftd::daemon::Daemon;
@@ -155,7 +155,7 @@
     shared
         .manifest
         .learn(shared, "an operator", |a| a.root_text(&root.text()));
-    for object in objects(&manifest) {
+    for object in service_objects(&manifest) {
         let learn = |text: &str| {
             shared.manifest.learn(shared, "an operator", |a| {
                 a.service_text(&object.hash, text)
--- a/crates/kingcuploft-standins/src/virtual_fleet/calls.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/calls.rs
@@ -164,7 +164,7 @@
         }
         let latency = self.now - call.sent;
         let report = CallReport { latency, ..report };
-        self.tell(call.node, Event::Ended(call.attempt, report));
+        self.tell(call.node, Event::AttemptEnded(call.attempt, report));
     }
 
     /// Ends a call at its deadline; the server drops it too, as it knows the deadline.
@@ -178,7 +178,7 @@
             latency: self.now - call.sent,
             ..report(CallEnd::TimedOut)
         };
-        self.tell(call.node, Event::Ended(call.attempt, report));
+        self.tell(call.node, Event::AttemptEnded(call.attempt, report));
     }
 
     pub(super) fn cancel(&mut self, node: usize, attempt: AttemptId) {
--- a/crates/kingcuploft-standins/src/virtual_fleet/changes.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/changes.rs
@@ -112,7 +112,7 @@
         let live = self.nodes.iter().filter(|node| node.accepts);
         let live: Vec<VmName> = live.map(|node| node.name.clone()).collect();
         for node in 0..self.nodes.len() {
-            self.tell(node, Event::Membership(live.clone()));
+            self.tell(node, Event::MembershipChanged(live.clone()));
         }
     }
 
@@ -176,6 +176,6 @@
     pub(super) fn drain_heard(&mut self, node: usize, server: usize) {
         let service = &self.run.deployment.service;
         let server = service.backend_servers[server].name.clone();
-        self.tell(node, Event::Draining(service.name.clone(), server));
+        self.tell(node, Event::ServerDraining(service.name.clone(), server));
     }
 }
--- a/crates/kingcuploft-standins/src/virtual_fleet/claims.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/claims.rs
@@ -1,6 +1,6 @@
 //! A fake of the claims' duty: one claim per idempotency key, settled after a fixed delay.
 
-use kingcuploft::dispatcher::ClaimEnd;
+use kingcuploft::dispatcher::ClaimResult;
 use kingcuploft::utils::HashMap;
 use kingcuploft::world::ids::IdempotencyKey;
 use kingcuploft::world::refusal::{Refusal, RefusalReason};
@@ -21,16 +21,18 @@
 
 impl FakeClaims {
     /// Claims a key.
-    pub fn claim(&mut self, key: &IdempotencyKey) -> ClaimEnd {
+    pub fn claim(&mut self, key: &IdempotencyKey) -> ClaimResult {
         match self.claims.get(key) {
             None => {
                 self.claims.insert(key.clone(), Claim::Held);
-                ClaimEnd::Held
+                ClaimResult::Held
+            }
+            Some(Claim::Recorded) => ClaimResult::Replayed,
+            Some(Claim::Held) => {
+                ClaimResult::Refused(Refusal::not_run(RefusalReason::KeyInProgress))
             }
-            Some(Claim::Recorded) => ClaimEnd::Replayed,
-            Some(Claim::Held) => ClaimEnd::Refused(Refusal::not_run(RefusalReason::KeyInProgress)),
             Some(Claim::Unknown) => {
-                ClaimEnd::Refused(Refusal::unknown(RefusalReason::KeyInProgress))
+                ClaimResult::Refused(Refusal::unknown(RefusalReason::KeyInProgress))
             }
         }
     }
--- a/crates/kingcuploft-standins/src/virtual_fleet/fleet.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/fleet.rs
@@ -5,9 +5,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::dispatcher::{Action, Arrival, ClaimEnd, Dispatcher, Event, PeerNotes, Probed};
+use kingcuploft::dispatcher::{
+    Action, Arrival, ClaimResult, Dispatcher, Event, PeerNotes, ProbeResult,
+};
 use kingcuploft::manifest::routing::Route;
-use kingcuploft::manifest::{Accepted, Manifest};
+use kingcuploft::manifest::{AcceptedManifest, Manifest};
 use kingcuploft::utils::HashMap;
 use kingcuploft::world::backend_server::CallReport;
 use kingcuploft::world::ids::{
@@ -25,7 +27,7 @@
 #[derive(Debug)]
 pub(super) enum Happening {
     Step(usize),
-    Claimed(usize, RequestId, ClaimEnd),
+    Claimed(usize, RequestId, ClaimResult),
     ReachServer(JobId),
     Finish(usize, JobId),
     ReachVm(JobId, CallReport),
@@ -35,7 +37,7 @@
     DrainHeard(usize, usize),
     NotesHeard(usize, PeerNotes),
     ProbeReaches(usize, usize, JobId),
-    Probed(usize, Probed),
+    Probed(usize, ProbeResult),
     Tick(usize),
 }
 
@@ -202,12 +204,12 @@
     }
 
     pub(super) fn adopt(&mut self, node: usize) {
-        let accepted = Accepted {
+        let accepted = AcceptedManifest {
             generation: self.generation,
             manifest: Arc::clone(&self.manifest),
         };
-        self.tell(node, Event::LiveVms(self.run.deployment.vms as u32));
-        self.tell(node, Event::Adopted(accepted));
+        self.tell(node, Event::LiveVmCount(self.run.deployment.vms as u32));
+        self.tell(node, Event::ManifestAdopted(accepted));
     }
 
     fn arrive(&mut self, ask: usize) {
@@ -275,12 +277,12 @@
             Happening::Timeout(job) => self.time_out(job),
             Happening::CancelAtServer(server, job) => self.cancel_at_server(server, job),
             Happening::Ended(node, attempt, report) => {
-                self.tell(node, Event::Ended(attempt, report));
+                self.tell(node, Event::AttemptEnded(attempt, report));
             }
             Happening::DrainHeard(node, server) => self.drain_heard(node, server),
             Happening::ProbeReaches(node, server, job) => self.probe_reaches(node, server, job),
             Happening::Probed(node, probed) => self.tell(node, Event::Probed(probed)),
-            Happening::NotesHeard(node, notes) => self.tell(node, Event::Told(notes)),
+            Happening::NotesHeard(node, notes) => self.tell(node, Event::NotesReceived(notes)),
             Happening::Tick(node) => {
                 if self.nodes[node].tick.is_some_and(|tick| tick <= self.now) {
                     self.nodes[node].tick = None;
@@ -309,11 +311,11 @@
             Action::Refuse(request, refusal) => {
                 self.end(node, request, End::Refused(refusal.reason, refusal.outcome));
             }
-            Action::TellDraining(_, server) => self.tell_draining(node, &server),
+            Action::ShareDraining(_, server) => self.tell_draining(node, &server),
             Action::Probe(probe) => self.send_probe(node, &probe),
-            Action::TellPeers(notes) => self.tell_peers(node, &notes),
-            Action::Retried(_, _) => self.cost.retries += 1,
-            Action::Hedged(..) => {}
+            Action::ShareNotes(notes) => self.tell_peers(node, &notes),
+            Action::CountRetry(_, _) => self.cost.retries += 1,
+            Action::CountHedge(..) => {}
         }
     }
 
@@ -333,11 +335,11 @@
     }
 
     /// Hands a claim's end over; the claims' duty itself answers what must not be sent.
-    fn claimed(&mut self, node: usize, request: RequestId, end: ClaimEnd) {
+    fn claimed(&mut self, node: usize, request: RequestId, end: ClaimResult) {
         match end {
-            ClaimEnd::Held => {}
-            ClaimEnd::Replayed => self.end(node, request, End::Answered),
-            ClaimEnd::Refused(refusal) => {
+            ClaimResult::Held => {}
+            ClaimResult::Replayed => self.end(node, request, End::Answered),
+            ClaimResult::Refused(refusal) => {
                 self.end(node, request, End::Refused(refusal.reason, refusal.outcome));
             }
         }
--- a/crates/kingcuploft-standins/src/virtual_fleet/probes.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/probes.rs
@@ -1,6 +1,6 @@
 //! Probes between VMs and backend servers; each takes slot time like a call.
 
-use kingcuploft::dispatcher::{Probe, Probed};
+use kingcuploft::dispatcher::{Probe, ProbeResult};
 use kingcuploft::world::backend_server::LoadReport;
 
 use super::fleet::{Fleet, Happening};
@@ -38,7 +38,7 @@
         let service = &self.run.deployment.service;
         let fake = &self.servers[server];
         let load = fake.load().filter(|_| fake.health == Health::Working);
-        let probed = Probed {
+        let probed = ProbeResult {
             service: service.name.clone(),
             backend_server: service.backend_servers[server].name.clone(),
             healthy: fake.health == Health::Working && !fake.draining,
--- a/crates/kingcuploft-standins/tests/claims/entry.rs
+++ b/crates/kingcuploft-standins/tests/claims/entry.rs
@@ -7,7 +7,7 @@
 use crossbeam_channel::{Receiver, Sender, bounded};
 use hyper::{HeaderMap, StatusCode};
 use kingcuploft::decisions::claim::key_hash;
-use kingcuploft::dispatcher::ClaimEnd;
+use kingcuploft::dispatcher::ClaimResult;
 use kingcuploft::world::vm::Vm;
 use kingcuploft_platform::client::Client;
 use kingcuploft_standins::deployment::{Deployment, ServicePlan};
@@ -147,7 +147,7 @@
     }
 
     /// Claims a hold as the dispatch duty would.
-    pub(crate) fn claim(&self, key: &str, body: &str) -> ClaimEnd {
+    pub(crate) fn claim(&self, key: &str, body: &str) -> ClaimResult {
         let parts = RequestParts {
             method: hyper::Method::POST,
             uri: "/holds".parse().unwrap(),
--- a/crates/kingcuploft-standins/tests/claims/main.rs
+++ b/crates/kingcuploft-standins/tests/claims/main.rs
@@ -7,7 +7,7 @@
 
 use entry::{HandHeld, Told, at_once, fleet, hold, look, post, until};
 use kingcuploft::decisions::claim::ledger::EntryState;
-use kingcuploft::dispatcher::ClaimEnd;
+use kingcuploft::dispatcher::ClaimResult;
 use kingcuploft_platform::claim_lookup;
 use kingcuploft_platform::client::Client;
 use kingcuploft_standins::fleet::Fleet;
@@ -90,7 +90,7 @@
 fn a_paused_claimants_hold_is_not_taken_over_and_its_answer_is_replayed() {
     let fleet = fleet(1);
     let paused = HandHeld::start(&fleet);
-    assert_eq!(paused.claim("squad-7", "beds"), ClaimEnd::Held);
+    assert_eq!(paused.claim("squad-7", "beds"), ClaimResult::Held);
     for _ in 0..3 {
         let told = hold(&fleet, 0, "squad-7", "beds");
         let got = (told.status, told.reason.as_str(), told.outcome.as_str());
--- a/crates/kingcuploft-standins/tests/edges/harness.rs
+++ b/crates/kingcuploft-standins/tests/edges/harness.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::manifest::{Accepted, Manifest};
+use kingcuploft::manifest::{AcceptedManifest, Manifest};
 use kingcuploft_standins::platform::Platform;
 use kingcuploftd::daemon::Daemon;
 use kingcuploftd::settings::Settings;
@@ -48,7 +48,7 @@
     );
     let settings: Settings = serde_saphyr::from_str(&text).unwrap();
     let daemon = Daemon::start(settings).unwrap();
-    let accepted = Accepted {
+    let accepted = AcceptedManifest {
         generation: 1,
         manifest: Arc::new(manifest(servers, rule)),
     };
--- a/crates/kingcuploft-standins/tests/fleet/manifest.rs
+++ b/crates/kingcuploft-standins/tests/fleet/manifest.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcuploft::manifest::reader;
-use kingcuploft::manifest::root::{Root, ServiceRef, objects};
+use kingcuploft::manifest::root::{Root, ServiceRef, service_objects};
 use kingcuploft_platform::manifest_root::{Applied, ROOT_KEY, SERVICES_PREFIX, apply, service_key};
 use kingcuploft_platform::{Expect, ObjectStore};
 use kingcuploft_standins::platform::Outage;
@@ -173,7 +173,7 @@
 /// Puts a root in place that names one object which is not there; returns that object.
 fn apply_without_object(bench: &Bench) -> (String, String) {
     let manifest = reader::read("test", &text(&[("trip", 2)])).unwrap();
-    let object = objects(&manifest).remove(0);
+    let object = service_objects(&manifest).remove(0);
     let root = bench.platform.object(ROOT_KEY).unwrap().value;
     let root: Root = serde_json::from_str(&root).unwrap();
     let part = ServiceRef {
--- a/crates/kingcuploft/src/decisions/adoption.rs
+++ b/crates/kingcuploft/src/decisions/adoption.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 use crate::manifest::root::{ContentHash, Root, RootDelta};
-use crate::manifest::{Accepted, Manifest, Service};
+use crate::manifest::{AcceptedManifest, Manifest, Service};
 use crate::utils::{HashMap, HashSet};
 use crate::world::ids::Generation;
 
@@ -30,7 +30,7 @@
     /// Parts of a newer manifest are missing: see [`Adoption::missing_parts`].
     FetchMissing,
     /// This manifest is in force from now on.
-    InForce(Accepted),
+    InForce(AcceptedManifest),
 }
 
 /// What is missing for the newest generation that is known of.
@@ -310,7 +310,7 @@
         }
         let generation = pending.root.generation;
         self.activate_pending();
-        AdoptionStep::InForce(Accepted {
+        AdoptionStep::InForce(AcceptedManifest {
             generation,
             manifest: Arc::new(Manifest { services }),
         })
--- a/crates/kingcuploft/src/dispatcher/adoption.rs
+++ b/crates/kingcuploft/src/dispatcher/adoption.rs
@@ -5,7 +5,7 @@
 
 use super::service_state::ServiceState;
 use super::{Action, Dispatcher};
-use crate::manifest::{Accepted, Service};
+use crate::manifest::{AcceptedManifest, Service};
 use crate::world::refusal::{Refusal, RefusalReason};
 
 impl Dispatcher {
@@ -14,7 +14,12 @@
     /// What waits stays in its queue, and what is in flight stays counted at its backend server,
     /// wherever that now stands in the manifest. Requests of a service that is gone are told so;
     /// its calls in flight still get their answers.
-    pub(super) fn adopted(&mut self, now: Instant, accepted: &Accepted, actions: &mut Vec<Action>) {
+    pub(super) fn adopted(
+        &mut self,
+        now: Instant,
+        accepted: &AcceptedManifest,
+        actions: &mut Vec<Action>,
+    ) {
         self.generation = accepted.generation;
         let mut old = std::mem::take(&mut self.services);
         for service in &accepted.manifest.services {
--- a/crates/kingcuploft/src/dispatcher/service_ending.rs
+++ b/crates/kingcuploft/src/dispatcher/attempt_end.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use super::request::{Attempt, Request};
-use super::retry_queue::Waits;
+use super::retry_queue::PendingRetry;
 use super::service_state::ServiceState;
 use crate::decisions::admission::QueuedRequest;
 use crate::decisions::retry::{EndedAttempt, RetryDecision};
@@ -64,7 +64,7 @@
         tried: Vec<BackendServerName>,
         last_end: CallEnd,
     ) {
-        self.retries.insert(Waits {
+        self.retries.insert(PendingRetry {
             not_before,
             request: waiting.request,
             tried,
--- a/crates/kingcuploft/src/dispatcher/attempts.rs
+++ b/crates/kingcuploft/src/dispatcher/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::explain::{Decided, SentBecause};
+use super::explain::{Decision, SendReason};
 use super::request::{Attempt, Claim};
 use super::{Action, Call, Dispatcher};
 use crate::decisions::hedge::HedgeStep;
@@ -72,11 +72,11 @@
             return;
         };
         let why = match request.retry {
-            _ if request.live.len() > 1 => SentBecause::Hedge,
+            _ if request.live.len() > 1 => SendReason::Hedge,
             Some(reason) => reason.into(),
-            None => SentBecause::Turn,
+            None => SendReason::Turn,
         };
-        let decided = Decided::Sent {
+        let decided = Decision::Sent {
             attempt,
             backend_server: sent.backend_server.clone(),
             why,
@@ -102,7 +102,7 @@
             && state.ended(now, &attempt, report)
         {
             let server = attempt.backend_server.clone();
-            actions.push(Action::TellDraining(attempt.service.clone(), server));
+            actions.push(Action::ShareDraining(attempt.service.clone(), server));
         }
         self.settle(now, id, &attempt, report, actions);
         self.pump(now, &attempt.service, actions);
@@ -149,7 +149,7 @@
         match verdict {
             RetryDecision::Answer => self.answer(attempt.request, id, attempt, actions),
             RetryDecision::Retry { reason, after } => {
-                actions.push(Action::Retried(attempt.service.clone(), reason));
+                actions.push(Action::CountRetry(attempt.service.clone(), reason));
                 request.retry = Some(reason);
                 let waiting = request.waiting(attempt.request);
                 let tried = request.tried.clone();
@@ -178,11 +178,11 @@
         }
         let service = &won.service;
         if won.is_hedge {
-            actions.push(Action::Hedged(service.clone(), HedgeStep::Won));
+            actions.push(Action::CountHedge(service.clone(), HedgeStep::Won));
         }
         let lost = request.live.iter().filter_map(|id| self.attempts.get(id));
         let lost = lost.filter(|attempt| attempt.is_hedge);
-        actions.extend(lost.map(|_| Action::Hedged(service.clone(), HedgeStep::Cancelled)));
+        actions.extend(lost.map(|_| Action::CountHedge(service.clone(), HedgeStep::Cancelled)));
         actions.extend(request.live.into_iter().map(Action::Cancel));
     }
 
--- a/crates/kingcuploft/src/dispatcher/explain.rs
+++ b/crates/kingcuploft/src/dispatcher/explain.rs
@@ -10,7 +10,7 @@
 use crate::world::refusal::{Outcome, Refusal, RefusalReason};
 
 /// How many decisions are kept; the oldest goes first.
-const KEPT: usize = 4096;
+const MAX_EXPLANATIONS: usize = 4096;
 
 /// Which decisions are asked for; those that fit every part that is given.
 #[derive(Clone, Debug, Default)]
@@ -39,15 +39,15 @@
     /// How long the request had waited, in ms.
     pub waited_ms: u64,
     /// The load at that moment, as this VM saw it.
-    pub load: LoadSeen,
+    pub load: LoadSnapshot,
     /// What was decided, and why.
-    pub decided: Decided,
+    pub decided: Decision,
 }
 
 /// What was decided, and why.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Decided {
+pub enum Decision {
     /// The request was refused.
     Refused {
         /// Why.
@@ -64,14 +64,14 @@
         /// Where to.
         backend_server: BackendServerName,
         /// Why.
-        why: SentBecause,
+        why: SendReason,
     },
 }
 
 /// Why a request was sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum SentBecause {
+pub enum SendReason {
     /// Its turn had come.
     Turn,
     /// No byte of an earlier attempt was handed over.
@@ -86,7 +86,7 @@
     Hedge,
 }
 
-impl From<RetryReason> for SentBecause {
+impl From<RetryReason> for SendReason {
     fn from(reason: RetryReason) -> Self {
         match reason {
             RetryReason::NeverSent => Self::RetryNeverSent,
@@ -99,7 +99,7 @@
 
 /// The load of a service as one VM sees it.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct LoadSeen {
+pub struct LoadSnapshot {
     /// How many requests wait.
     pub waiting: usize,
     /// How long a new request of this caller and rule would wait, in ms.
@@ -116,13 +116,13 @@
 
 /// The last decisions.
 #[derive(Debug, Default)]
-pub(super) struct Explained {
+pub(super) struct ExplanationLog {
     kept: VecDeque<(Instant, Explanation)>,
 }
 
-impl Explained {
+impl ExplanationLog {
     pub(super) fn keep(&mut self, now: Instant, explanation: Explanation) {
-        if self.kept.len() >= KEPT {
+        if self.kept.len() >= MAX_EXPLANATIONS {
             self.kept.pop_front();
         }
         self.kept.push_back((now, explanation));
@@ -150,7 +150,7 @@
     }
 }
 
-impl From<Refusal> for Decided {
+impl From<Refusal> for Decision {
     fn from(refusal: Refusal) -> Self {
         Self::Refused {
             reason: refusal.reason,
--- a/crates/kingcuploft/src/dispatcher/hedging.rs
+++ b/crates/kingcuploft/src/dispatcher/hedging.rs
@@ -12,9 +12,9 @@
     /// Send the request to the backend server with this index too.
     Send(usize, HedgeStep),
     /// Look again then.
-    LookAgain(Instant),
+    CheckAgain(Instant),
     /// Leave it alone.
-    Leave,
+    DoNotHedge,
 }
 
 impl Dispatcher {
@@ -66,14 +66,14 @@
             return;
         }
         match state.pick_hedge(now, &mut self.rng, request, attempt) {
-            HedgePick::Leave => {}
-            HedgePick::LookAgain(at) => {
+            HedgePick::DoNotHedge => {}
+            HedgePick::CheckAgain(at) => {
                 attempt.look_at = Some(at);
                 self.look_timers.insert(at, id);
             }
             HedgePick::Send(server, step) => {
                 let (request, service) = (attempt.request, attempt.service.clone());
-                actions.push(Action::Hedged(service, step));
+                actions.push(Action::CountHedge(service, step));
                 self.call(now, request, server, actions);
                 if let Some(hedge) = self.attempts.get_mut(&self.last_attempt) {
                     hedge.is_hedge = true;
--- a/crates/kingcuploft/src/dispatcher/service_news.rs
+++ b/crates/kingcuploft/src/dispatcher/load_updates.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::probing::{Probe, Probed};
+use super::probing::{Probe, ProbeResult};
 use super::service_state::ServiceState;
 use crate::decisions::notes::LoadNote;
 use crate::world::backend_server::CallEnd;
@@ -29,7 +29,7 @@
     }
 
     /// Takes what a probe brought in; tells whether it brought news of a drain.
-    pub(super) fn probed(&mut self, now: Instant, probed: &Probed) -> bool {
+    pub(super) fn probed(&mut self, now: Instant, probed: &ProbeResult) -> bool {
         let Some(&server) = self.by_name.get(&probed.backend_server) else {
             return false;
         };
--- a/crates/kingcuploft/src/dispatcher/mod.rs
+++ b/crates/kingcuploft/src/dispatcher/mod.rs
@@ -4,17 +4,17 @@
 //! the scenario tests run the very same code.
 
 mod adoption;
+mod attempt_end;
 mod attempts;
-mod ending;
 pub mod explain;
 mod hedging;
+mod load_updates;
+mod peer_notes;
 mod probing;
 mod request;
+mod request_end;
 mod retry_queue;
-mod service_ending;
-mod service_news;
 mod service_state;
-mod telling;
 mod timers;
 
 use std::time::Instant;
@@ -22,7 +22,7 @@
 use crate::decisions::admission::{AdmissionDecision, QueuedRequest};
 use crate::decisions::hedge::HedgeStep;
 use crate::decisions::retry::RetryReason;
-use crate::manifest::Accepted;
+use crate::manifest::AcceptedManifest;
 use crate::manifest::routing::Route;
 use crate::utils::HashMap;
 use crate::world::backend_server::CallReport;
@@ -33,11 +33,11 @@
 use crate::world::refusal::{Refusal, RefusalReason};
 use crate::world::vm::Vm;
 
-use explain::{Decided, Explained, Explanation, LoadSeen, Query};
-pub use probing::{Probe, Probed};
+use explain::{Decision, Explanation, ExplanationLog, LoadSnapshot, Query};
+pub use peer_notes::PeerNotes;
+pub use probing::{Probe, ProbeResult};
 use request::{Attempt, Claim, Request};
 use service_state::{Pick, ServiceState};
-pub use telling::PeerNotes;
 use timers::Timers;
 
 /// A request as the caller edge hands it in, its route found and its body read.
@@ -59,7 +59,7 @@
 
 /// What the claim of a protected request came to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ClaimEnd {
+pub enum ClaimResult {
     /// The claim is held: the request may be sent once.
     Held,
     /// The request must not be sent; the claims' duty answers the caller with this or with a
@@ -75,23 +75,23 @@
     /// A request arrived.
     Arrived(Arrival),
     /// The claim of a request was settled.
-    Claimed(RequestId, ClaimEnd),
+    Claimed(RequestId, ClaimResult),
     /// An attempt ended.
-    Ended(AttemptId, CallReport),
+    AttemptEnded(AttemptId, CallReport),
     /// The caller of a request went away.
-    CallerLeft(RequestId),
+    CallerDisconnected(RequestId),
     /// A manifest is in force from now on.
-    Adopted(Accepted),
+    ManifestAdopted(AcceptedManifest),
     /// A backend server drains, by the word of a peer, the VM list or an operator.
-    Draining(ServiceName, BackendServerName),
+    ServerDraining(ServiceName, BackendServerName),
     /// These VMs are live, this one among them; it decides only costs.
-    Membership(Vec<VmName>),
+    MembershipChanged(Vec<VmName>),
     /// A peer told its notes.
-    Told(PeerNotes),
+    NotesReceived(PeerNotes),
     /// A probe came back, or failed.
-    Probed(Probed),
+    Probed(ProbeResult),
     /// So many entry VMs are live, this one included.
-    LiveVms(u32),
+    LiveVmCount(u32),
     /// Time passed.
     Tick,
 }
@@ -114,15 +114,15 @@
     /// Refuse the request.
     Refuse(RequestId, Refusal),
     /// Tell the peers that a backend server drains.
-    TellDraining(ServiceName, BackendServerName),
+    ShareDraining(ServiceName, BackendServerName),
     /// Tell every live peer these notes.
-    TellPeers(PeerNotes),
+    ShareNotes(PeerNotes),
     /// Probe a backend server.
     Probe(Probe),
     /// Count a retry.
-    Retried(ServiceName, RetryReason),
+    CountRetry(ServiceName, RetryReason),
     /// Count what became of a hedge.
-    Hedged(ServiceName, HedgeStep),
+    CountHedge(ServiceName, HedgeStep),
 }
 
 /// A call to a backend server.
@@ -167,7 +167,7 @@
     /// The time of the last event.
     now: Option<Instant>,
     last_attempt: AttemptId,
-    explained: Explained,
+    explained: ExplanationLog,
 }
 
 impl Dispatcher {
@@ -187,7 +187,7 @@
             live_vms: None,
             now: None,
             last_attempt: 0,
-            explained: Explained::default(),
+            explained: ExplanationLog::default(),
         }
     }
 
@@ -197,14 +197,14 @@
         match event {
             Event::Arrived(arrival) => self.arrived(now, arrival, actions),
             Event::Claimed(request, end) => self.claimed(now, request, end, actions),
-            Event::Ended(attempt, report) => self.ended(now, attempt, &report, actions),
-            Event::CallerLeft(request) => self.caller_left(now, request, actions),
-            Event::Adopted(accepted) => self.adopted(now, &accepted, actions),
-            Event::Draining(service, server) => self.draining(&service, &server, actions),
-            Event::Membership(live) => self.membership(now, live),
+            Event::AttemptEnded(attempt, report) => self.ended(now, attempt, &report, actions),
+            Event::CallerDisconnected(request) => self.caller_left(now, request, actions),
+            Event::ManifestAdopted(accepted) => self.adopted(now, &accepted, actions),
+            Event::ServerDraining(service, server) => self.draining(&service, &server, actions),
+            Event::MembershipChanged(live) => self.membership(now, live),
             Event::Probed(probed) => self.probed(now, &probed, actions),
-            Event::Told(notes) => self.notes_heard(now, &notes),
-            Event::LiveVms(live_vms) => {
+            Event::NotesReceived(notes) => self.notes_heard(now, &notes),
+            Event::LiveVmCount(live_vms) => {
                 self.live_vms = Some(live_vms);
                 let states = self.services.values_mut();
                 states.for_each(|state| state.live_vms(live_vms));
@@ -240,24 +240,24 @@
     }
 
     /// Returns how many calls to a backend server of a service are counted as in flight.
-    pub fn calls_at(&self, service: &ServiceName, server: &BackendServerName) -> u32 {
+    pub fn calls_in_flight_to(&self, service: &ServiceName, server: &BackendServerName) -> u32 {
         let state = self.services.get(service);
         state.map_or(0, |state| state.calls_at(server))
     }
 
     /// Returns the last decisions that fit, newest first.
-    pub fn explained(&self, now: Instant, query: &Query) -> Vec<Explanation> {
+    pub fn find_explanations(&self, now: Instant, query: &Query) -> Vec<Explanation> {
         self.explained.find(now, query)
     }
 
     /// Returns the load of each service.
-    pub fn loads(&self) -> impl Iterator<Item = (&ServiceName, LoadSeen)> {
+    pub fn loads(&self) -> impl Iterator<Item = (&ServiceName, LoadSnapshot)> {
         let services = self.services.iter();
         services.map(|(name, state)| (name, state.load()))
     }
 
     /// Keeps a decision for who asks why.
-    fn explain(&mut self, now: Instant, id: RequestId, request: &Request, decided: Decided) {
+    fn explain(&mut self, now: Instant, id: RequestId, request: &Request, decided: Decision) {
         let state = self.services.get(request.service());
         let load = state.map(|state| state.load_for(now, &request.waiting(id)));
         let explanation = Explanation {
@@ -298,10 +298,16 @@
 
     /// Takes the end of a claim in. One that comes after its request has ended (its caller left,
     /// or its deadline passed) is given back, as nothing was sent.
-    fn claimed(&mut self, now: Instant, id: RequestId, end: ClaimEnd, actions: &mut Vec<Action>) {
+    fn claimed(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        end: ClaimResult,
+        actions: &mut Vec<Action>,
+    ) {
         let asked = self.requests.get_mut(&id);
         let Some(request) = asked.filter(|request| request.claim == Claim::Asked) else {
-            if end == ClaimEnd::Held {
+            if end == ClaimResult::Held {
                 actions.push(Action::Release(id));
             }
             return;
@@ -309,15 +315,15 @@
         let waiting = request.waiting(id);
         let service = request.service().clone();
         match end {
-            ClaimEnd::Held => {
+            ClaimResult::Held => {
                 request.claim = Claim::Held;
                 if let Some(state) = self.services.get_mut(&service) {
                     state.claim_settled(&waiting.rule);
                 }
                 self.enqueue(now, waiting, actions);
             }
-            ClaimEnd::Refused(refusal) => self.refuse(id, refusal, actions),
-            ClaimEnd::Replayed => drop(self.forget(id)),
+            ClaimResult::Refused(refusal) => self.refuse(id, refusal, actions),
+            ClaimResult::Replayed => drop(self.forget(id)),
         }
         self.pump(now, &service, actions);
     }
@@ -360,7 +366,7 @@
             return;
         };
         if state.draining(server) {
-            actions.push(Action::TellDraining(service.clone(), server.clone()));
+            actions.push(Action::ShareDraining(service.clone(), server.clone()));
         }
     }
 
--- a/crates/kingcuploft/src/dispatcher/telling.rs
+++ b/crates/kingcuploft/src/dispatcher/peer_notes.rs
@@ -24,7 +24,7 @@
         let peers = peers.count();
         for (service, state) in &mut self.services {
             if let Some(notes) = state.take_notes(now, peers) {
-                actions.push(Action::TellPeers(PeerNotes {
+                actions.push(Action::ShareNotes(PeerNotes {
                     service: service.clone(),
                     generation: self.generation,
                     notes,
--- a/crates/kingcuploft/src/dispatcher/probing.rs
+++ b/crates/kingcuploft/src/dispatcher/probing.rs
@@ -25,7 +25,7 @@
 
 /// What a probe brought.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Probed {
+pub struct ProbeResult {
     /// The service.
     pub service: ServiceName,
     /// The backend server's name.
@@ -50,13 +50,13 @@
     }
 
     /// Takes what a probe brought in.
-    pub(super) fn probed(&mut self, now: Instant, probed: &Probed, actions: &mut Vec<Action>) {
+    pub(super) fn probed(&mut self, now: Instant, probed: &ProbeResult, actions: &mut Vec<Action>) {
         let Some(state) = self.services.get_mut(&probed.service) else {
             return;
         };
         if state.probed(now, probed) {
             let (service, server) = (probed.service.clone(), probed.backend_server.clone());
-            actions.push(Action::TellDraining(service, server));
+            actions.push(Action::ShareDraining(service, server));
         }
     }
 }
--- a/crates/kingcuploft/src/dispatcher/retry_queue.rs
+++ b/crates/kingcuploft/src/dispatcher/retry_queue.rs
@@ -7,7 +7,7 @@
 
 /// A request that waits for another attempt.
 #[derive(Debug)]
-pub(super) struct Waits {
+pub(super) struct PendingRetry {
     pub(super) not_before: Instant,
     pub(super) request: RequestId,
     pub(super) tried: Vec<BackendServerName>,
@@ -19,11 +19,11 @@
 /// The retry budget keeps this list short, so that a sorted vector does.
 #[derive(Debug, Default)]
 pub(super) struct RetryQueue {
-    waits: Vec<Waits>,
+    waits: Vec<PendingRetry>,
 }
 
 impl RetryQueue {
-    pub(super) fn insert(&mut self, waits: Waits) {
+    pub(super) fn insert(&mut self, waits: PendingRetry) {
         let at = self
             .waits
             .partition_point(|w| w.not_before <= waits.not_before);
@@ -35,11 +35,11 @@
         self.waits.partition_point(|w| w.not_before <= now)
     }
 
-    pub(super) fn get(&self, at: usize) -> &Waits {
+    pub(super) fn get(&self, at: usize) -> &PendingRetry {
         &self.waits[at]
     }
 
-    pub(super) fn take(&mut self, at: usize) -> Waits {
+    pub(super) fn take(&mut self, at: usize) -> PendingRetry {
         self.waits.remove(at)
     }
 
--- a/crates/kingcuploft/src/dispatcher/service_state.rs
+++ b/crates/kingcuploft/src/dispatcher/service_state.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::explain::{LoadSeen, ms};
+use super::explain::{LoadSnapshot, ms};
 use super::hedging::HedgePick;
 use super::request::{Attempt, Request};
 use super::retry_queue::RetryQueue;
@@ -24,7 +24,7 @@
 use crate::world::vm::Vm;
 
 /// How many retries that are due are looked at for one free slot.
-const RETRIES_LOOKED_AT: usize = 8;
+const MAX_RETRIES_EXAMINED: usize = 8;
 
 /// What to do next for the requests that wait.
 pub(super) enum Pick {
@@ -149,20 +149,20 @@
     }
 
     /// Returns the load as this VM sees it.
-    pub(super) fn load(&self) -> LoadSeen {
-        LoadSeen {
+    pub(super) fn load(&self) -> LoadSnapshot {
+        LoadSnapshot {
             waiting: self.admission.len(),
             in_flight: self.concurrency.in_flight(),
             limit: self.concurrency.limit(),
             retry_budget: self.retry.budget(),
-            ..LoadSeen::default()
+            ..LoadSnapshot::default()
         }
     }
 
     /// Returns the load as one request finds it.
-    pub(super) fn load_for(&self, now: Instant, waiting: &QueuedRequest) -> LoadSeen {
+    pub(super) fn load_for(&self, now: Instant, waiting: &QueuedRequest) -> LoadSnapshot {
         let outlook = self.admission.estimate_wait(now, waiting);
-        LoadSeen {
+        LoadSnapshot {
             expected_wait_ms: ms(outlook.wait),
             service_time_ms: ms(outlook.service_time),
             ..self.load()
@@ -228,7 +228,7 @@
 
     /// Looks for a retry that is due and whose next backend server has room.
     fn pick_retry(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Option<Pick> {
-        for at in 0..self.retries.due(now).min(RETRIES_LOOKED_AT) {
+        for at in 0..self.retries.due(now).min(MAX_RETRIES_EXAMINED) {
             let waits = self.retries.get(at);
             let (tried, last_end) = (self.indices(&waits.tried), waits.last_end);
             match (self.choose(now, rng, &tried), last_end) {
@@ -291,8 +291,8 @@
             since_last_wait: self.last_full.map(|at| now - at.min(now)),
         };
         let reason = match self.hedge.decide(&attempt.backend_server, &look) {
-            HedgeDecision::DoNotHedge => return HedgePick::Leave,
-            HedgeDecision::CheckAgain(after) => return HedgePick::LookAgain(now + after),
+            HedgeDecision::DoNotHedge => return HedgePick::DoNotHedge,
+            HedgeDecision::CheckAgain(after) => return HedgePick::CheckAgain(now + after),
             HedgeDecision::Hedge(reason) => reason,
         };
         let tried = self.indices(&request.tried);
@@ -301,7 +301,7 @@
                 self.hedge.spend_token();
                 HedgePick::Send(server, HedgeStep::Sent(reason))
             }
-            _ => HedgePick::Leave,
+            _ => HedgePick::DoNotHedge,
         }
     }
 
--- a/crates/kingcuploft/src/entry/attempts.rs
+++ b/crates/kingcuploft/src/entry/attempts.rs
@@ -4,7 +4,7 @@
 //! attempt may have run. Both rules are enforced here by construction: [`Attempts`] tracks whether any attempt may have
 //! run, and [`Attempts::failure_status`] is the only source of the status of a failure that this VM reports itself.
 
-use crate::planted::{self, Planted};
+use crate::planted::{self, PlantedFault};
 use crate::world::contract::Contract;
 
 /// How an attempt ended.
@@ -97,7 +97,7 @@
         let running = self.ran + in_flight;
         match self.contract {
             Contract::RetryFreely => running < self.max_attempts,
-            Contract::AtMostOnce => running == 0 || planted::is_on(Planted::RepeatsProtected),
+            Contract::AtMostOnce => running == 0 || planted::is_on(PlantedFault::RepeatsProtected),
         }
     }
 
@@ -117,7 +117,8 @@
     /// Returns the HTTP status of a failure that this VM reports itself: 503, which promises that nothing ran, only if
     /// nothing can have run.
     pub fn failure_status(&self, timed_out: bool) -> u16 {
-        let may_have_run = self.may_have_run() && !planted::is_on(Planted::RefusesUntruthfully);
+        let may_have_run =
+            self.may_have_run() && !planted::is_on(PlantedFault::RefusesUntruthfully);
         match (may_have_run, timed_out) {
             (false, _) => 503,
             (true, false) => 502,
--- a/crates/kingcuploft/src/entry/backend_servers.rs
+++ b/crates/kingcuploft/src/entry/backend_servers.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::planted::{self, Planted};
+use crate::planted::{self, PlantedFault};
 use crate::utils::{HashMap, digest};
 use crate::world::ids::{AvailabilityZone, BackendServerName, ServiceName};
 
@@ -353,7 +353,7 @@
 }
 
 fn state_of(server: &BackendServer) -> ServerState {
-    match server.draining && !planted::is_on(Planted::ChoosesLeavingServers) {
+    match server.draining && !planted::is_on(PlantedFault::ChoosesLeavingServers) {
         true => ServerState::Draining,
         false => ServerState::InUse,
     }
--- a/crates/kingcuploft/src/manifest/check.rs
+++ b/crates/kingcuploft/src/manifest/check.rs
@@ -9,40 +9,40 @@
 use crate::world::contract::Contract;
 
 /// The most services of a manifest.
-pub const SERVICES: usize = 2_000;
+pub const MAX_SERVICES: usize = 2_000;
 
 /// The most hosts of a service.
-pub const HOSTS: usize = 64;
+pub const MAX_HOSTS: usize = 64;
 
 /// The most backend servers of a service.
-pub const BACKEND_SERVERS: usize = 2_000;
+pub const MAX_BACKEND_SERVERS: usize = 2_000;
 
 /// The most rules of a service.
-pub const RULES: usize = 128;
+pub const MAX_RULES: usize = 128;
 
 /// The longest name, in bytes; names stand in keys of the store, labels and log lines.
-pub const NAME_BYTES: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// The allowed deadlines, in ms: longer than ten minutes is not a request any more.
-pub const DEADLINE_MS: RangeInclusive<u64> = 1..=600_000;
+pub const ALLOWED_DEADLINES_MS: RangeInclusive<u64> = 1..=600_000;
 
 /// The allowed slots of a backend server.
-pub const SLOTS: RangeInclusive<u32> = 1..=10_000;
+pub const ALLOWED_SLOTS: RangeInclusive<u32> = 1..=10_000;
 
 /// The allowed connections of a backend server.
-pub const CONNECTIONS: RangeInclusive<u32> = 1..=1_000_000;
+pub const ALLOWED_CONNECTIONS: RangeInclusive<u32> = 1..=1_000_000;
 
 /// The allowed queue limits.
-pub const QUEUE_LIMIT: RangeInclusive<u32> = 1..=100_000;
+pub const ALLOWED_QUEUE_LIMITS: RangeInclusive<u32> = 1..=100_000;
 
 /// The allowed body and whole-answer limits, in bytes: they are held in the memory of a small VM.
-pub const BYTES: RangeInclusive<u64> = 0..=64 * 1024 * 1024;
+pub const ALLOWED_LIMITS_BYTES: RangeInclusive<u64> = 0..=64 * 1024 * 1024;
 
 /// The allowed windows in which a key is remembered, in s: at most a week.
-pub const WINDOW_S: RangeInclusive<u64> = 1..=604_800;
+pub const ALLOWED_WINDOWS_S: RangeInclusive<u64> = 1..=604_800;
 
 /// The allowed sizes of a recorded answer, in bytes: a ledger object holds many in 1 MB.
-pub const RECORD_BYTES: RangeInclusive<u64> = 0..=256 * 1024;
+pub const ALLOWED_RECORD_BYTES: RangeInclusive<u64> = 0..=256 * 1024;
 
 /// The methods a rule may name.
 pub const METHODS: [&str; 8] = [
@@ -61,7 +61,7 @@
 /// Returns every fault of a manifest that parsed.
 pub fn faults(manifest: &Manifest) -> Vec<Fault> {
     let mut check = Check::default();
-    check.count("services", manifest.services.len(), SERVICES);
+    check.count("services", manifest.services.len(), MAX_SERVICES);
     let mut names = HashSet::default();
     let mut hosts = HashMap::default();
     for (i, service) in manifest.services.iter().enumerate() {
@@ -148,9 +148,9 @@
     fn name(&mut self, path: &str, name: &str) {
         let fits = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
         let dots = name.chars().all(|c| c == '.');
-        if name.len() > NAME_BYTES || dots || !name.chars().all(fits) {
+        if name.len() > MAX_NAME_BYTES || dots || !name.chars().all(fits) {
             let expected = format!(
-                "`{}` found, expected 1 to {NAME_BYTES} letters, digits, `.`, `_` or `-`",
+                "`{}` found, expected 1 to {MAX_NAME_BYTES} letters, digits, `.`, `_` or `-`",
                 name.escape_debug()
             );
             self.add(format!("{path}.name"), expected);
@@ -168,7 +168,7 @@
         if service.hosts.is_empty() {
             self.add(format!("{path}.hosts"), "none found, expected at least one");
         }
-        self.count(&format!("{path}.hosts"), service.hosts.len(), HOSTS);
+        self.count(&format!("{path}.hosts"), service.hosts.len(), MAX_HOSTS);
         for (i, host) in service.hosts.iter().enumerate() {
             let field = format!("{path}.hosts[{i}]");
             let fits = |c: char| c.is_ascii_alphanumeric() || ".-_".contains(c);
@@ -191,7 +191,7 @@
 
     fn backend_servers(&mut self, path: &str, service: &Service) {
         let list = format!("{path}.backend_servers");
-        self.count(&list, service.backend_servers.len(), BACKEND_SERVERS);
+        self.count(&list, service.backend_servers.len(), MAX_BACKEND_SERVERS);
         let mut names = HashSet::default();
         let mut addresses = HashSet::default();
         for (i, server) in service.backend_servers.iter().enumerate() {
@@ -219,11 +219,11 @@
         if server.availability_zone.is_empty() {
             self.add(format!("{path}.availability_zone"), "it is empty");
         }
-        self.range(format!("{path}.slots"), server.slots, &SLOTS);
+        self.range(format!("{path}.slots"), server.slots, &ALLOWED_SLOTS);
         self.range(
             format!("{path}.connections"),
             server.connections,
-            &CONNECTIONS,
+            &ALLOWED_CONNECTIONS,
         );
     }
 
@@ -231,7 +231,7 @@
         if service.rules.is_empty() {
             self.add(format!("{path}.rules"), "none found, expected at least one");
         }
-        self.count(&format!("{path}.rules"), service.rules.len(), RULES);
+        self.count(&format!("{path}.rules"), service.rules.len(), MAX_RULES);
         let mut names = HashSet::default();
         for (i, rule) in service.rules.iter().enumerate() {
             let path = format!("{path}.rules[{i}]");
@@ -269,34 +269,34 @@
         self.range(
             format!("{path}.deadline_ms"),
             rule.deadline_ms,
-            &DEADLINE_MS,
+            &ALLOWED_DEADLINES_MS,
         );
         self.range(
             format!("{path}.queue_limit"),
             rule.queue_limit,
-            &QUEUE_LIMIT,
+            &ALLOWED_QUEUE_LIMITS,
         );
         self.share(format!("{path}.caller_share"), rule.caller_share);
         self.range(
             format!("{path}.body_limit_bytes"),
             rule.body_limit_bytes,
-            &BYTES,
+            &ALLOWED_LIMITS_BYTES,
         );
         self.range(
             format!("{path}.whole_answer_bytes"),
             rule.whole_answer_bytes,
-            &BYTES,
+            &ALLOWED_LIMITS_BYTES,
         );
         let idempotency = format!("{path}.idempotency");
         self.range(
             format!("{idempotency}.window_s"),
             rule.idempotency.window_s,
-            &WINDOW_S,
+            &ALLOWED_WINDOWS_S,
         );
         self.range(
             format!("{idempotency}.record_bytes"),
             rule.idempotency.record_bytes,
-            &RECORD_BYTES,
+            &ALLOWED_RECORD_BYTES,
         );
     }
 
--- a/crates/kingcuploft/src/manifest/mod.rs
+++ b/crates/kingcuploft/src/manifest/mod.rs
@@ -27,7 +27,7 @@
 
 /// How large a manifest is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
-pub struct ServiceFigures {
+pub struct ManifestSize {
     /// Its services.
     pub services: usize,
     /// The backend servers of all services.
@@ -38,7 +38,7 @@
     pub rules: usize,
 }
 
-impl ServiceFigures {
+impl ManifestSize {
     /// Counts a manifest.
     pub fn of(manifest: &Manifest) -> Self {
         let services = &manifest.services;
@@ -54,7 +54,7 @@
 
 /// An accepted manifest and the generation under which it was accepted.
 #[derive(Clone, Debug, Default)]
-pub struct Accepted {
+pub struct AcceptedManifest {
     /// The generation; it only grows.
     pub generation: Generation,
     /// The manifest.
--- a/crates/kingcuploft/src/manifest/reader.rs
+++ b/crates/kingcuploft/src/manifest/reader.rs
@@ -13,13 +13,13 @@
 use super::{BackendServer, Manifest, Rule, Service, check};
 
 /// The longest text that is read, in bytes; the manifest of 10,000 backend servers takes 2 MB.
-pub const TEXT_BYTES: usize = 16 * 1024 * 1024;
+pub const MAX_TEXT_BYTES: usize = 16 * 1024 * 1024;
 
 /// The most aliases of a YAML text; a "billion laughs" text needs them, a generated manifest none.
-const ALIASES: usize = 1000;
+const MAX_ALIASES: usize = 1000;
 
 /// The deepest nesting of a text.
-const DEPTH: usize = 32;
+const MAX_NESTING_DEPTH: usize = 32;
 
 /// What is wrong with a manifest: where, which field, and what was expected.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
@@ -37,7 +37,7 @@
 
 /// A manifest without faults, and what an operator should still look at.
 #[derive(Clone, Debug)]
-pub struct Checked {
+pub struct CheckedManifest {
     /// The manifest.
     pub manifest: Manifest,
     /// What is allowed but seldom meant.
@@ -58,7 +58,7 @@
 /// # Errors
 ///
 /// Every fault that could be found, in the order of the text.
-pub fn read_checked(file: &str, text: &str) -> Result<Checked, Vec<ManifestError>> {
+pub fn read_checked(file: &str, text: &str) -> Result<CheckedManifest, Vec<ManifestError>> {
     let tree = parse(file, text).map_err(|error| vec![error])?;
     let mut faults = Faults {
         file,
@@ -76,7 +76,7 @@
     for warning in check::warnings(&manifest) {
         faults.add(&warning.field, warning.expected);
     }
-    Ok(Checked {
+    Ok(CheckedManifest {
         warnings: faults.found,
         manifest,
     })
@@ -94,16 +94,19 @@
         field: "(text)".into(),
         expected,
     };
-    if text.len() > TEXT_BYTES {
-        let expected = format!("{} bytes found, expected at most {TEXT_BYTES}", text.len());
+    if text.len() > MAX_TEXT_BYTES {
+        let expected = format!(
+            "{} bytes found, expected at most {MAX_TEXT_BYTES}",
+            text.len()
+        );
         return Err(fault(0, expected));
     }
     let options = serde_saphyr::options! {
         with_snippet: false,
         budget: serde_saphyr::budget! {
-            max_aliases: ALIASES,
-            max_depth: DEPTH,
-            flow_nesting_limit: DEPTH,
+            max_aliases: MAX_ALIASES,
+            max_depth: MAX_NESTING_DEPTH,
+            flow_nesting_limit: MAX_NESTING_DEPTH,
             max_documents: 1,
         },
     };
--- a/crates/kingcuploft/src/manifest/root.rs
+++ b/crates/kingcuploft/src/manifest/root.rs
@@ -13,7 +13,7 @@
 use crate::world::ids::{Generation, ServiceName};
 
 /// How many earlier applies a root remembers, to settle an answer that was lost long ago.
-pub const PAST_APPLIES: usize = 32;
+pub const MAX_PAST_APPLIES: usize = 32;
 
 /// The blake3 hash of a text, in hex.
 #[derive(
@@ -147,7 +147,7 @@
 }
 
 /// Returns the objects of a manifest, in its order.
-pub fn objects(manifest: &Manifest) -> Vec<ServiceObject> {
+pub fn service_objects(manifest: &Manifest) -> Vec<ServiceObject> {
     let services = manifest.services.iter();
     services
         .map(|service| ServiceObject::new(service))
--- a/crates/kingcuploft/src/planted.rs
+++ b/crates/kingcuploft/src/planted.rs
@@ -2,7 +2,7 @@
 
 /// A fault that can be planted.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Planted {
+pub enum PlantedFault {
     /// A VM forgets at its start what it has used of the budget of repeats.
     ForgetsRepeats,
     /// A VM counts a fifth of the VMs that there are.
@@ -29,7 +29,7 @@
     KeepsOldConfiguration,
 }
 
-impl Planted {
+impl PlantedFault {
     /// All of them.
     pub const ALL: [Self; 12] = [
         Self::ForgetsRepeats,
@@ -51,19 +51,19 @@
 mod on {
     use std::cell::Cell;
 
-    use super::Planted;
+    use super::PlantedFault;
 
     thread_local! {
-        static FAULT: Cell<Option<Planted>> = const { Cell::new(None) };
+        static FAULT: Cell<Option<PlantedFault>> = const { Cell::new(None) };
     }
 
     /// Plants a fault in what this thread does from now on, or none.
-    pub fn set(fault: Option<Planted>) {
+    pub fn set(fault: Option<PlantedFault>) {
         FAULT.set(fault);
     }
 
     /// Returns whether a fault is planted.
-    pub fn is_on(fault: Planted) -> bool {
+    pub fn is_on(fault: PlantedFault) -> bool {
         FAULT.get() == Some(fault)
     }
 }
--- a/crates/kingcuploft/src/world/refusal.rs
+++ b/crates/kingcuploft/src/world/refusal.rs
@@ -139,7 +139,7 @@
     /// A caller sends a hold, hears nothing, and sends it again through another VM while the store
     /// is down. That VM proves that the second request did not run, but can not know whether the
     /// first one did; without a word about it `not_run` would read as if the hold had not run.
-    pub fn leaves_earlier_open(&self) -> bool {
+    pub fn earlier_requests_unknown(&self) -> bool {
         let before_the_ledger = matches!(
             self.reason,
             RefusalReason::StoreUnavailable
--- a/crates/kingcuploft/tests/adoption.rs
+++ b/crates/kingcuploft/tests/adoption.rs
@@ -7,7 +7,7 @@
 
 use kingcuploft::decisions::adoption::{Adoption, AdoptionError, AdoptionStep, MissingParts};
 use kingcuploft::manifest::root::{ContentHash, Root, RootDelta, ServiceObject, ServiceRef};
-use kingcuploft::manifest::{Accepted, Service};
+use kingcuploft::manifest::{AcceptedManifest, Service};
 use pathfinding::directed::bfs::bfs_reach;
 
 fn object(name: &str, deadline_ms: u64) -> ServiceObject {
@@ -54,7 +54,7 @@
         Self { objects, roots }
     }
 
-    fn is_whole(&self, accepted: &Accepted) -> bool {
+    fn is_whole(&self, accepted: &AcceptedManifest) -> bool {
         let root = &self.roots[accepted.generation as usize - 1];
         let found = accepted.manifest.services.iter();
         let found: Vec<_> = found.map(|s| ServiceObject::new(s).hash).collect();
@@ -175,13 +175,13 @@
 
 /// An adoption under test: the real one or one that is broken on purpose.
 trait Machine: Clone {
-    fn root(&mut self, root: &Root) -> Option<Accepted>;
-    fn service(&mut self, object: &ServiceObject, text: &str) -> Option<Accepted>;
+    fn root(&mut self, root: &Root) -> Option<AcceptedManifest>;
+    fn service(&mut self, object: &ServiceObject, text: &str) -> Option<AcceptedManifest>;
     fn heard(&mut self, generation: u64);
     fn key(&self, world: &World) -> Key;
 }
 
-fn in_force(step: Result<AdoptionStep, AdoptionError>) -> Option<Accepted> {
+fn in_force(step: Result<AdoptionStep, AdoptionError>) -> Option<AcceptedManifest> {
     match step {
         Ok(AdoptionStep::InForce(accepted)) => Some(accepted),
         _ => None,
@@ -189,11 +189,11 @@
 }
 
 impl Machine for Adoption {
-    fn root(&mut self, root: &Root) -> Option<Accepted> {
+    fn root(&mut self, root: &Root) -> Option<AcceptedManifest> {
         in_force(self.root_text(&root.text()))
     }
 
-    fn service(&mut self, object: &ServiceObject, text: &str) -> Option<Accepted> {
+    fn service(&mut self, object: &ServiceObject, text: &str) -> Option<AcceptedManifest> {
         in_force(self.service_text(&object.hash, text))
     }
 
@@ -226,12 +226,12 @@
 }
 
 impl LastReceived {
-    fn take(&self) -> Option<Accepted> {
+    fn take(&self) -> Option<AcceptedManifest> {
         let root = self.root.as_ref()?;
         let parts = root.services.iter();
         let parts = parts.filter_map(|part| self.parts.iter().find(|o| o.hash == part.hash));
         let services = parts.map(|o| serde_json::from_str(&o.text).map(Arc::new).ok());
-        Some(Accepted {
+        Some(AcceptedManifest {
             generation: root.generation,
             manifest: Arc::new(kingcuploft::manifest::Manifest {
                 services: services.collect::<Option<_>>()?,
@@ -241,12 +241,12 @@
 }
 
 impl Machine for LastReceived {
-    fn root(&mut self, root: &Root) -> Option<Accepted> {
+    fn root(&mut self, root: &Root) -> Option<AcceptedManifest> {
         self.root = Some(root.clone());
         self.take()
     }
 
-    fn service(&mut self, object: &ServiceObject, text: &str) -> Option<Accepted> {
+    fn service(&mut self, object: &ServiceObject, text: &str) -> Option<AcceptedManifest> {
         if text == object.text && !self.parts.contains(object) {
             self.parts.push(object.clone());
         }
@@ -308,7 +308,7 @@
     };
     let next = |state: &State<M>| {
         let mut states = Vec::new();
-        let mut step = |change: &dyn Fn(&mut State<M>) -> Option<Accepted>| {
+        let mut step = |change: &dyn Fn(&mut State<M>) -> Option<AcceptedManifest>| {
             let mut next = state.clone();
             if let Some(accepted) = change(&mut next) {
                 let mut violations = violations.borrow_mut();
--- a/crates/kingcuploft/tests/dispatcher/adoption.rs
+++ b/crates/kingcuploft/tests/dispatcher/adoption.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use kingcuploft::dispatcher::ClaimEnd;
+use kingcuploft::dispatcher::ClaimResult;
 use kingcuploft::manifest::routing::Route;
 use kingcuploft::world::backend_server::CallEnd;
 use kingcuploft::world::refusal::{Outcome, RefusalReason};
 
-use crate::world::{HOLD, LOOKUP, World, calls, refusal, released, service};
+use crate::harness::{HOLD, LOOKUP, TestDispatcher, calls, refusal, released, service};
 
 /// A caller waits behind a full backend server when an operator applies a manifest. It never
 /// hears again: the new manifest's state began with an empty queue.
 #[test]
 fn a_waiting_request_outlives_a_new_manifest() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     let first = world.arrive(LOOKUP);
     let attempt = calls(&first.actions)[0].attempt;
     let second = world.arrive(LOOKUP);
@@ -27,7 +27,7 @@
 /// the new state, which counts from zero, subtracts one.
 #[test]
 fn calls_in_flight_are_counted_across_a_new_manifest() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     let first = world.arrive(LOOKUP);
     let attempt = calls(&first.actions)[0].attempt;
     world.adopt(Some(service(&["one"])));
@@ -41,7 +41,7 @@
 /// then: its slot must be counted from the moment that the backend server is back.
 #[test]
 fn a_backend_server_that_left_and_came_back_keeps_its_calls() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     let first = world.arrive(LOOKUP);
     let attempt = calls(&first.actions)[0].attempt;
     world.adopt(Some(service(&[])));
@@ -57,14 +57,14 @@
 /// request is still one of the rule under which it came.
 #[test]
 fn indices_that_shift_do_not_shift_calls_or_rules() {
-    let mut world = World::new(service(&["one", "two"]));
+    let mut world = TestDispatcher::new(service(&["one", "two"]));
     let first = world.arrive(LOOKUP);
     let held = calls(&first.actions)[0].backend_server.clone();
     let attempt = calls(&first.actions)[0].attempt;
     let second = world.arrive(LOOKUP);
     assert_eq!(calls(&second.actions).len(), 1);
     let hold = world.arrive(HOLD);
-    world.claimed(hold.id, ClaimEnd::Held);
+    world.claimed(hold.id, ClaimResult::Held);
     let mut shifted = service(&["two", "one"]);
     shifted.rules.remove(0);
     shifted.backend_servers[0].address = "127.0.0.1:9001".parse().unwrap();
@@ -80,11 +80,11 @@
 /// and a protected request gives its claim back; what is in flight still gets its answer.
 #[test]
 fn a_service_that_is_gone_refuses_who_waits_and_answers_who_is_in_flight() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     let first = world.arrive(LOOKUP);
     let attempt = calls(&first.actions)[0].attempt;
     let hold = world.arrive(HOLD);
-    world.claimed(hold.id, ClaimEnd::Held);
+    world.claimed(hold.id, ClaimResult::Held);
     let actions = world.adopt(None);
     let told = refusal(&actions, hold.id).expect("told at once");
     assert_eq!(told.reason, RefusalReason::NoSuchService);
@@ -99,7 +99,7 @@
 /// after the next, which has no such rule any more. It is served as routed and no index fails.
 #[test]
 fn a_request_routed_under_the_manifest_before_is_served() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     let old = world.service.clone().unwrap();
     let mut fewer = service(&["one"]);
     fewer.rules.truncate(1);
--- a/crates/kingcuploft/tests/dispatcher/deadlines.rs
+++ b/crates/kingcuploft/tests/dispatcher/deadlines.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use kingcuploft::dispatcher::{Action, ClaimEnd, Event};
+use kingcuploft::dispatcher::{Action, ClaimResult, Event};
 use kingcuploft::world::backend_server::CallEnd;
 use kingcuploft::world::refusal::{Outcome, RefusalReason};
 
-use crate::world::{HOLD, LOOKUP, World, calls, refusal, released, service};
+use crate::harness::{HOLD, LOOKUP, TestDispatcher, calls, refusal, released, service};
 
 /// A worker hangs in a call. Its caller hears nothing and the slot is lost for good: only the
 /// worker's report ended a request.
 #[test]
 fn an_attempt_that_never_reports_ends_at_the_deadline_and_frees_its_slot() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     let first = world.arrive(LOOKUP);
     let attempt = calls(&first.actions)[0].attempt;
     assert_eq!(
@@ -36,12 +36,12 @@
 /// that nothing ran, and the claim that comes after all is given back.
 #[test]
 fn a_claim_that_comes_after_the_deadline_is_released() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     let hold = world.arrive(HOLD);
     let actions = world.pass(Duration::from_millis(1000));
     let told = refusal(&actions, hold.id).expect("told at the deadline");
     assert_eq!(told.outcome, Outcome::NotRun);
-    let actions = world.claimed(hold.id, ClaimEnd::Held);
+    let actions = world.claimed(hold.id, ClaimResult::Held);
     assert!(released(&actions, hold.id));
     assert!(calls(&actions).is_empty());
 }
@@ -50,10 +50,10 @@
 /// caller's next try would be told "in progress" until the window ends.
 #[test]
 fn a_claim_for_a_caller_who_left_is_released() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     let hold = world.arrive(HOLD);
-    world.event(Event::CallerLeft(hold.id));
-    let actions = world.claimed(hold.id, ClaimEnd::Held);
+    world.event(Event::CallerDisconnected(hold.id));
+    let actions = world.claimed(hold.id, ClaimResult::Held);
     assert!(released(&actions, hold.id));
     assert!(calls(&actions).is_empty());
 }
@@ -62,9 +62,9 @@
 /// little later is still recorded, so that the caller's next try gets it.
 #[test]
 fn a_protected_answer_after_the_deadline_is_recorded() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     let hold = world.arrive(HOLD);
-    let actions = world.claimed(hold.id, ClaimEnd::Held);
+    let actions = world.claimed(hold.id, ClaimResult::Held);
     let attempt = calls(&actions)[0].attempt;
     let actions = world.pass(Duration::from_millis(1000));
     assert_eq!(
@@ -84,7 +84,7 @@
 /// first may have run, so the caller must not be told that nothing ran.
 #[test]
 fn a_lookup_that_was_sent_once_is_not_called_not_run() {
-    let mut world = World::new(service(&["one", "two"]));
+    let mut world = TestDispatcher::new(service(&["one", "two"]));
     let first = world.arrive(LOOKUP);
     let second = world.arrive(LOOKUP);
     assert_eq!(calls(&second.actions).len(), 1);
--- a/crates/kingcuploft/tests/dispatcher/orders.rs
+++ b/crates/kingcuploft/tests/dispatcher/event_orders.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use kingcuploft::dispatcher::{Action, Call, ClaimEnd, Event};
+use kingcuploft::dispatcher::{Action, Call, ClaimResult, Event};
 use kingcuploft::utils::{HashMap, HashSet};
 use kingcuploft::world::backend_server::CallEnd;
 use kingcuploft::world::ids::{AttemptId, RequestId};
 use kingcuploft::world::refusal::{Outcome, Refusal, RefusalReason};
 
-use crate::world::{HOLD, LOOKUP, SEARCH, World, service};
+use crate::harness::{HOLD, LOOKUP, SEARCH, TestDispatcher, service};
 
 /// What one request's caller and backend servers saw.
 #[derive(Default)]
@@ -110,7 +110,7 @@
     CallEnd::Cancelled,
 ];
 
-fn step(u: &mut Unstructured<'_>, world: &mut World, book: &mut Book) -> Result<()> {
+fn step(u: &mut Unstructured<'_>, world: &mut TestDispatcher, book: &mut Book) -> Result<()> {
     match u.int_in_range(0..=11)? {
         0..=4 => arrive(u, world, book)?,
         5 | 6 if !book.live.is_empty() => {
@@ -126,7 +126,7 @@
                 let id = *u.choose(&ids)?;
                 let seen = book.requests.get_mut(&id).unwrap();
                 seen.left |= seen.finals == 0;
-                book.take(world.event(Event::CallerLeft(id)));
+                book.take(world.event(Event::CallerDisconnected(id)));
             }
         }
         9 => {
@@ -139,7 +139,7 @@
             book.take(world.adopt(next));
         }
         10 => {
-            let event = Event::Draining("trip".into(), "one".into());
+            let event = Event::ServerDraining("trip".into(), "one".into());
             book.take(world.event(event));
         }
         _ => {
@@ -150,7 +150,7 @@
     Ok(())
 }
 
-fn arrive(u: &mut Unstructured<'_>, world: &mut World, book: &mut Book) -> Result<()> {
+fn arrive(u: &mut Unstructured<'_>, world: &mut TestDispatcher, book: &mut Book) -> Result<()> {
     if world.service.is_none() {
         return Ok(());
     }
@@ -165,33 +165,33 @@
     Ok(())
 }
 
-fn claim(u: &mut Unstructured<'_>, world: &mut World, book: &mut Book) -> Result<()> {
+fn claim(u: &mut Unstructured<'_>, world: &mut TestDispatcher, book: &mut Book) -> Result<()> {
     let at = u.choose_index(book.claims.len())?;
     let id = book.claims.swap_remove(at);
     let refusal = Refusal::not_run(RefusalReason::StoreUnavailable);
     let end = *u.choose(&[
-        ClaimEnd::Held,
-        ClaimEnd::Refused(refusal),
-        ClaimEnd::Replayed,
+        ClaimResult::Held,
+        ClaimResult::Refused(refusal),
+        ClaimResult::Replayed,
     ])?;
     settle_claim(world, book, id, end);
     Ok(())
 }
 
 /// The claims duty answers the caller of a replayed claim itself, where the caller still waits.
-fn settle_claim(world: &mut World, book: &mut Book, id: RequestId, end: ClaimEnd) {
+fn settle_claim(world: &mut TestDispatcher, book: &mut Book, id: RequestId, end: ClaimResult) {
     let seen = book.requests.get_mut(&id).unwrap();
-    seen.claim_held = end == ClaimEnd::Held;
-    if end == ClaimEnd::Replayed && !seen.left && seen.finals == 0 {
+    seen.claim_held = end == ClaimResult::Held;
+    if end == ClaimResult::Replayed && !seen.left && seen.finals == 0 {
         seen.finals += 1;
     }
     book.take(world.claimed(id, end));
 }
 
 /// Lets every claim settle and every deadline and grace pass; no attempt reports any more.
-fn finish(world: &mut World, book: &mut Book) {
+fn finish(world: &mut TestDispatcher, book: &mut Book) {
     for id in std::mem::take(&mut book.claims) {
-        settle_claim(world, book, id, ClaimEnd::Held);
+        settle_claim(world, book, id, ClaimResult::Held);
     }
     for _ in 0..20 {
         book.take(world.pass(Duration::from_millis(300)));
@@ -201,7 +201,7 @@
 #[test]
 fn every_request_ends_once_and_truthfully_in_any_order_of_events() {
     let property = |u: &mut Unstructured<'_>| {
-        let mut world = World::new(service(&["one", "two"]));
+        let mut world = TestDispatcher::new(service(&["one", "two"]));
         let mut book = Book::default();
         while !u.is_empty() {
             step(u, &mut world, &mut book)?;
@@ -220,7 +220,9 @@
         book.take(world.adopt(Some(service(&["one", "two"]))));
         assert_eq!(world.dispatcher.calls_in_flight(), 0);
         for server in ["one", "two"] {
-            let calls = world.dispatcher.calls_at(&"trip".into(), &server.into());
+            let calls = world
+                .dispatcher
+                .calls_in_flight_to(&"trip".into(), &server.into());
             assert_eq!(calls, 0, "the count of {server}");
         }
         Ok(())
--- a/crates/kingcuploft/tests/dispatcher/explained.rs
+++ b/crates/kingcuploft/tests/dispatcher/explained.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use kingcuploft::dispatcher::explain::{Decided, Query, SentBecause};
+use kingcuploft::dispatcher::explain::{Decision, Query, SendReason};
 use kingcuploft::world::backend_server::CallEnd;
 
-use crate::world::{LOOKUP, World, calls, refusal, service};
+use crate::harness::{LOOKUP, TestDispatcher, calls, refusal, service};
 
 fn by_caller(caller: &str) -> Query {
     Query {
@@ -18,17 +18,19 @@
 /// first, with what they were made from, and no one else's.
 #[test]
 fn the_decisions_of_a_request_are_found_with_their_inputs() {
-    let mut world = World::new(service(&["one", "two"]));
+    let mut world = TestDispatcher::new(service(&["one", "two"]));
     let first = world.arrive_from("squad", LOOKUP, Duration::from_millis(1000));
     world.arrive_from("school", LOOKUP, Duration::from_millis(1000));
     let call = calls(&first.actions)[0].clone();
     world.pass(Duration::from_millis(30));
     world.end(call.attempt, CallEnd::Broken);
-    let found = world.dispatcher.explained(world.now, &by_caller("squad"));
+    let found = world
+        .dispatcher
+        .find_explanations(world.now, &by_caller("squad"));
     assert!(found.iter().all(|e| e.request == first.id));
     let sent = &found[found.len() - 1];
     assert_eq!((sent.ago_ms, sent.waited_ms), (30, 0));
-    let Decided::Sent {
+    let Decision::Sent {
         backend_server,
         why,
         ..
@@ -37,18 +39,18 @@
         panic!("{sent:?}");
     };
     assert_eq!(*backend_server, call.backend_server);
-    assert_eq!(*why, SentBecause::Turn);
+    assert_eq!(*why, SendReason::Turn);
 }
 
 /// A request is refused. The record names the reason that its caller was given, and the load.
 #[test]
 fn a_refusal_is_explained_by_the_load_it_met() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     world.arrive(LOOKUP);
     let late = world.arrive_from("squad", LOOKUP, Duration::from_millis(10));
     let actions = world.pass(Duration::from_millis(10));
     let told = refusal(&actions, late.id).expect("refused at its deadline");
-    let found = world.dispatcher.explained(
+    let found = world.dispatcher.find_explanations(
         world.now,
         &Query {
             request: Some(late.id),
@@ -65,12 +67,14 @@
 /// A VM is asked for millions of requests. The memory for explanations is bounded.
 #[test]
 fn only_the_last_decisions_are_kept() {
-    let mut world = World::new(service(&["one"]));
+    let mut world = TestDispatcher::new(service(&["one"]));
     for _ in 0..5_000 {
         let arrived = world.arrive(LOOKUP);
         let attempt = calls(&arrived.actions)[0].attempt;
         world.end(attempt, CallEnd::Answered { status: 200 });
     }
-    let found = world.dispatcher.explained(world.now, &Query::default());
+    let found = world
+        .dispatcher
+        .find_explanations(world.now, &Query::default());
     assert_eq!(found.len(), 4096);
 }
--- a/crates/kingcuploft/tests/dispatcher/world.rs
+++ b/crates/kingcuploft/tests/dispatcher/harness.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::dispatcher::{Action, Arrival, Call, ClaimEnd, Dispatcher, Event};
+use kingcuploft::dispatcher::{Action, Arrival, Call, ClaimResult, Dispatcher, Event};
 use kingcuploft::manifest::routing::Route;
-use kingcuploft::manifest::{Accepted, Manifest, Service};
+use kingcuploft::manifest::{AcceptedManifest, Manifest, Service};
 use kingcuploft::world::backend_server::{CallEnd, CallReport};
 use kingcuploft::world::ids::{AttemptId, RequestId};
 use kingcuploft::world::refusal::Refusal;
@@ -40,7 +40,7 @@
     serde_json::from_value(service).unwrap()
 }
 
-pub(crate) struct World {
+pub(crate) struct TestDispatcher {
     pub(crate) dispatcher: Dispatcher,
     pub(crate) now: Instant,
     pub(crate) service: Option<Arc<Service>>,
@@ -48,7 +48,7 @@
     last: RequestId,
 }
 
-impl World {
+impl TestDispatcher {
     pub(crate) fn new(service: Service) -> Self {
         let vm = Vm {
             name: "entry-1".into(),
@@ -76,11 +76,11 @@
         self.generation += 1;
         self.service = service.map(Arc::new);
         let services = self.service.iter().cloned().collect();
-        let accepted = Accepted {
+        let accepted = AcceptedManifest {
             generation: self.generation,
             manifest: Arc::new(Manifest { services }),
         };
-        self.event(Event::Adopted(accepted))
+        self.event(Event::ManifestAdopted(accepted))
     }
 
     /// Lets a request of caller `caller` arrive under the manifest in force.
@@ -112,10 +112,10 @@
     }
 
     pub(crate) fn end(&mut self, attempt: AttemptId, end: CallEnd) -> Vec<Action> {
-        self.event(Event::Ended(attempt, report(end)))
+        self.event(Event::AttemptEnded(attempt, report(end)))
     }
 
-    pub(crate) fn claimed(&mut self, request: RequestId, end: ClaimEnd) -> Vec<Action> {
+    pub(crate) fn claimed(&mut self, request: RequestId, end: ClaimResult) -> Vec<Action> {
         self.event(Event::Claimed(request, end))
     }
 
--- a/crates/kingcuploft/tests/dispatcher/hedging.rs
+++ b/crates/kingcuploft/tests/dispatcher/hedging.rs
@@ -3,19 +3,19 @@
 use std::time::Duration;
 
 use kingcuploft::decisions::hedge::HedgeStep;
-use kingcuploft::dispatcher::{Action, ClaimEnd};
+use kingcuploft::dispatcher::{Action, ClaimResult};
 use kingcuploft::world::backend_server::CallEnd;
 use kingcuploft::world::ids::AttemptId;
 
-use crate::world::{HOLD, LOOKUP, World, calls, service};
+use crate::harness::{HOLD, LOOKUP, TestDispatcher, calls, service};
 
 const OK: CallEnd = CallEnd::Answered { status: 200 };
 
 /// A world in which lateness is a reason, and whose hundred lookups have taken 5 ms each.
-fn measured() -> World {
+fn measured() -> TestDispatcher {
     let mut service = service(&["one", "two", "three"]);
     service.policy.hedge.late = true;
-    let mut world = World::new(service);
+    let mut world = TestDispatcher::new(service);
     for _ in 0..100 {
         let arrived = world.arrive(LOOKUP);
         let attempt = calls(&arrived.actions)[0].attempt;
@@ -26,7 +26,7 @@
 }
 
 /// Lets time pass in steps, as ticks do, and returns the calls that were sent.
-fn calls_within(world: &mut World, ms: u64) -> Vec<AttemptId> {
+fn calls_within(world: &mut TestDispatcher, ms: u64) -> Vec<AttemptId> {
     let mut attempts = Vec::new();
     for _ in 0..ms {
         let actions = world.pass(Duration::from_millis(1));
@@ -37,7 +37,7 @@
 
 fn steps(actions: &[Action]) -> Vec<HedgeStep> {
     let steps = actions.iter().filter_map(|action| match action {
-        Action::Hedged(_, step) => Some(*step),
+        Action::CountHedge(_, step) => Some(*step),
         _ => None,
     });
     steps.collect()
@@ -92,7 +92,7 @@
 fn a_hold_is_never_hedged() {
     let mut world = measured();
     let hold = world.arrive(HOLD);
-    let actions = world.claimed(hold.id, ClaimEnd::Held);
+    let actions = world.claimed(hold.id, ClaimResult::Held);
     assert_eq!(calls(&actions).len(), 1);
     assert!(calls_within(&mut world, 100).is_empty());
 }
--- a/crates/kingcuploft/tests/dispatcher/main.rs
+++ b/crates/kingcuploft/tests/dispatcher/main.rs
@@ -2,9 +2,9 @@
 
 mod adoption;
 mod deadlines;
+mod event_orders;
 mod explained;
+mod harness;
 mod hedging;
-mod orders;
 mod retries;
-mod storm;
-mod world;
+mod retry_storm;
--- a/crates/kingcuploft/tests/dispatcher/storm.rs
+++ b/crates/kingcuploft/tests/dispatcher/retry_storm.rs
@@ -4,7 +4,7 @@
 
 use kingcuploft::world::backend_server::CallEnd;
 
-use crate::world::{LOOKUP, World, calls, service};
+use crate::harness::{LOOKUP, TestDispatcher, calls, service};
 
 const STORM_MS: u64 = 2_000;
 
@@ -16,7 +16,7 @@
     if budget_most > 100 {
         service.policy.retry.budget_at_start = budget_most;
     }
-    let mut world = World::new(service);
+    let mut world = TestDispatcher::new(service);
     let mut in_flight = Vec::new();
     let (mut sent, mut received) = (0, 0);
     for ms in 0..1_000 + STORM_MS {
--- a/crates/kingcuploftctl/src/apply.rs
+++ b/crates/kingcuploftctl/src/apply.rs
@@ -3,7 +3,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use kingcuploft::manifest::Manifest;
-use kingcuploft::manifest::root::objects;
+use kingcuploft::manifest::root::service_objects;
 use kingcuploft_platform::ObjectStore;
 use kingcuploft_platform::manifest_root::{self, Applied, Apply, ApplyError};
 
@@ -118,7 +118,10 @@
         Ok(Some((_, root))) => root,
         _ => return "not handed to a VM: the root can not be read back\n".into(),
     };
-    let services: Vec<String> = objects(manifest).into_iter().map(|o| o.text).collect();
+    let services: Vec<String> = service_objects(manifest)
+        .into_iter()
+        .map(|o| o.text)
+        .collect();
     let body = serde_json::json!({ "root": root.text(), "services": services }).to_string();
     let mut handed = 0;
     for vm in &vms {
--- a/crates/kingcuploftctl/src/manifest.rs
+++ b/crates/kingcuploftctl/src/manifest.rs
@@ -2,9 +2,9 @@
 
 use std::path::Path;
 
-use kingcuploft::manifest::reader::{self, Checked};
+use kingcuploft::manifest::reader::{self, CheckedManifest};
 use kingcuploft::manifest::root::Root;
-use kingcuploft::manifest::{Manifest, ServiceFigures};
+use kingcuploft::manifest::{Manifest, ManifestSize};
 use kingcuploft::world::ids::Generation;
 use kingcuploft_platform::ObjectStore;
 use kingcuploft_platform::manifest_root::{self, ApplyError};
@@ -19,7 +19,7 @@
 /// An ending with code 2 that tells every fault.
 pub fn check(context: &Context<'_>, file: &Path) -> Result<Ending, Ending> {
     let checked = read(context, file)?;
-    let figures = ServiceFigures::of(&checked.manifest);
+    let figures = ManifestSize::of(&checked.manifest);
     let warnings: Vec<String> = checked.warnings.iter().map(ToString::to_string).collect();
     if context.json() {
         let out = serde_json::json!({ "faults": [], "warnings": warnings, "figures": figures });
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// An ending with code 2.
-pub fn read(context: &Context<'_>, file: &Path) -> Result<Checked, Ending> {
+pub fn read(context: &Context<'_>, file: &Path) -> Result<CheckedManifest, Ending> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file)
         .map_err(|error| Ending::because(Code::Wrong, format!("{name}: {error}")))?;
--- a/crates/kingcuploftd/src/caller_edge/reply.rs
+++ b/crates/kingcuploftd/src/caller_edge/reply.rs
@@ -70,7 +70,7 @@
         "reason": refusal.reason.label(),
         "outcome": refusal.outcome.label(),
         "retry_after_ms": refusal.retry_after.map(|after| after.as_millis() as u64),
-        "earlier": refusal.leaves_earlier_open().then_some(NOT_CHECKED),
+        "earlier": refusal.earlier_requests_unknown().then_some(NOT_CHECKED),
         "request_id": own_id,
     });
     body.to_string()
@@ -91,7 +91,7 @@
         headers.insert(RETRY_AFTER, HeaderValue::from(ms.div_ceil(1000)));
         headers.insert(RETRY_AFTER_MS_HEADER, HeaderValue::from(ms));
     }
-    if refusal.leaves_earlier_open() {
+    if refusal.earlier_requests_unknown() {
         headers.insert(EARLIER_HEADER, label(NOT_CHECKED));
     }
     if ends_connection(refusal.reason) {
--- a/crates/kingcuploftd/src/claims/records.rs
+++ b/crates/kingcuploftd/src/claims/records.rs
@@ -10,7 +10,7 @@
 use kingcuploft::decisions::claim::ledger::{EntryState, Fingerprint, Record};
 use kingcuploft::decisions::claim::message::Verdict;
 use kingcuploft::decisions::claim::refusal;
-use kingcuploft::dispatcher::ClaimEnd;
+use kingcuploft::dispatcher::ClaimResult;
 use kingcuploft::world::vm::Vm;
 
 use crate::message::{Answer, RequestParts};
@@ -71,11 +71,11 @@
 }
 
 /// Returns what a verdict means for the dispatcher, and the answer to replay.
-pub(super) fn claim_end(verdict: &Verdict) -> (ClaimEnd, Option<Answer>) {
+pub(super) fn claim_end(verdict: &Verdict) -> (ClaimResult, Option<Answer>) {
     match (verdict, refusal(verdict)) {
-        (Verdict::Replay(record), _) => (ClaimEnd::Replayed, Some(answer(record))),
-        (_, Some(refusal)) => (ClaimEnd::Refused(refusal), None),
-        (_, None) => (ClaimEnd::Held, None),
+        (Verdict::Replay(record), _) => (ClaimResult::Replayed, Some(answer(record))),
+        (_, Some(refusal)) => (ClaimResult::Refused(refusal), None),
+        (_, None) => (ClaimResult::Held, None),
     }
 }
 
--- a/crates/kingcuploftd/src/dispatch.rs
+++ b/crates/kingcuploftd/src/dispatch.rs
@@ -6,7 +6,7 @@
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError};
 use kingcuploft::decisions::membership::MemberState;
-use kingcuploft::dispatcher::{Action, Arrival, Call, ClaimEnd, Dispatcher, Event, Probe};
+use kingcuploft::dispatcher::{Action, Arrival, Call, ClaimResult, Dispatcher, Event, Probe};
 use kingcuploft::manifest::Manifest;
 use kingcuploft::utils::HashMap;
 use kingcuploft::world::backend_server::{CallEnd, CallReport};
@@ -126,7 +126,9 @@
             let sharing = self.shared.fleet.sharing(&self.shared);
             if sharing != self.sharing {
                 self.sharing = sharing;
-                self.on_event(Event::LiveVms(u32::try_from(sharing).unwrap_or(u32::MAX)));
+                self.on_event(Event::LiveVmCount(
+                    u32::try_from(sharing).unwrap_or(u32::MAX),
+                ));
             }
         }
         if self.dispatcher.next_tick().is_some_and(|due| due <= now) {
@@ -141,7 +143,7 @@
         let live: Vec<VmName> = live.map(|member| member.name).collect();
         if live != self.live {
             self.live.clone_from(&live);
-            self.on_event(Event::Membership(live));
+            self.on_event(Event::MembershipChanged(live));
         }
     }
 
@@ -166,7 +168,7 @@
             }
             Message::CallerLeft(id) => {
                 self.pending.remove(&id);
-                self.on_event(Event::CallerLeft(id));
+                self.on_event(Event::CallerDisconnected(id));
             }
             Message::Ended {
                 attempt,
@@ -174,7 +176,7 @@
                 answer,
             } => {
                 self.answers.extend(answer.map(|answer| (attempt, *answer)));
-                self.on_event(Event::Ended(attempt, report));
+                self.on_event(Event::AttemptEnded(attempt, report));
                 self.answers.remove(&attempt);
             }
             Message::Claimed {
@@ -193,13 +195,15 @@
                     .generation
                     .set(accepted.generation as i64);
                 self.manifest = Arc::clone(&accepted.manifest);
-                self.on_event(Event::Adopted(accepted));
+                self.on_event(Event::ManifestAdopted(accepted));
             }
             Message::Probed(probed) => self.on_event(Event::Probed(probed)),
-            Message::Told(notes) => self.on_event(Event::Told(notes)),
-            Message::Draining(service, server) => self.on_event(Event::Draining(service, server)),
+            Message::Told(notes) => self.on_event(Event::NotesReceived(notes)),
+            Message::Draining(service, server) => {
+                self.on_event(Event::ServerDraining(service, server))
+            }
             Message::Explain(query, reply) => {
-                let found = self.dispatcher.explained(Instant::now(), &query);
+                let found = self.dispatcher.find_explanations(Instant::now(), &query);
                 // Who asked may have gone.
                 drop(reply.send(found));
             }
@@ -223,11 +227,11 @@
                 load: None,
                 draining: false,
             };
-            return Some(Event::Ended(attempt, report));
+            return Some(Event::AttemptEnded(attempt, report));
         }
         let request = self.not_claimed.pop()?;
         let refusal = Refusal::not_run(RefusalReason::Overloaded);
-        Some(Event::Claimed(request, ClaimEnd::Refused(refusal)))
+        Some(Event::Claimed(request, ClaimResult::Refused(refusal)))
     }
 
     fn take_event(&mut self, event: Event) {
@@ -259,7 +263,7 @@
                 }
             }
             Action::Refuse(request, refusal) => self.refuse(request, refusal),
-            Action::TellDraining(service, server) => {
+            Action::ShareDraining(service, server) => {
                 tracing::info!("drain: {server} of {service} takes no new work.");
                 let decisions = &self.shared.decisions;
                 decisions.note(Decided::Drained, "drain", &service, "", server.to_string());
@@ -267,8 +271,8 @@
                     self.shared.fleet.drain_seen(&self.shared, notice);
                 }
             }
-            Action::Hedged(service, step) => self.shared.metrics.service.hedged(&service, step),
-            Action::Retried(service, reason) => {
+            Action::CountHedge(service, step) => self.shared.metrics.service.hedged(&service, step),
+            Action::CountRetry(service, reason) => {
                 self.shared.metrics.retried(reason);
                 let decisions = &self.shared.decisions;
                 decisions.note(
@@ -280,7 +284,7 @@
                 );
             }
             Action::Probe(probe) => self.probe(probe),
-            Action::TellPeers(notes) => {
+            Action::ShareNotes(notes) => {
                 let fleet = &self.shared.fleet;
                 fleet.tell(&self.shared, PeerNews::Notes(notes));
             }
--- a/crates/kingcuploftd/src/measure.rs
+++ b/crates/kingcuploftd/src/measure.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::Receiver;
-use kingcuploft::dispatcher::{Probe, Probed};
+use kingcuploft::dispatcher::{Probe, ProbeResult};
 use kingcuploft::world::backend_server::LoadReport;
 use serde::Deserialize;
 use ureq::Agent;
@@ -54,13 +54,13 @@
 }
 
 /// Asks for health first, as a server that takes no work is not to be asked for its load.
-fn measure(agent: &Agent, probe: &Probe) -> Probed {
+fn measure(agent: &Agent, probe: &Probe) -> ProbeResult {
     let health = health(agent, probe).unwrap_or_default();
     let load = match health.healthy {
         true => load(agent, probe).ok(),
         false => None,
     };
-    Probed {
+    ProbeResult {
         service: probe.service.clone(),
         backend_server: probe.backend_server.clone(),
         healthy: health.healthy,
--- a/crates/kingcuploftd/src/message.rs
+++ b/crates/kingcuploftd/src/message.rs
@@ -6,8 +6,8 @@
 use http::{HeaderMap, Method, StatusCode, Uri};
 use kingcuploft::decisions::claim::ledger::{Fingerprint, KeyHash};
 use kingcuploft::dispatcher::explain::{Explanation, Query};
-use kingcuploft::dispatcher::{Arrival, Call, ClaimEnd, PeerNotes, Probed};
-use kingcuploft::manifest::Accepted;
+use kingcuploft::dispatcher::{Arrival, Call, ClaimResult, PeerNotes, ProbeResult};
+use kingcuploft::manifest::AcceptedManifest;
 use kingcuploft::world::backend_server::CallReport;
 use kingcuploft::world::ids::{AttemptId, BackendServerName, RequestId, ServiceName};
 use kingcuploft::world::refusal::Refusal;
@@ -78,18 +78,18 @@
         /// The request.
         request: RequestId,
         /// How.
-        end: ClaimEnd,
+        end: ClaimResult,
         /// The recorded answer, where the claim's end is a replay.
         recorded: Option<Box<Answer>>,
     },
     /// A newer manifest is known.
-    Adopted(Accepted),
+    Adopted(AcceptedManifest),
     /// A peer told of backend servers that turned full or free.
     Told(PeerNotes),
     /// A backend server drains.
     Draining(ServiceName, BackendServerName),
     /// A probe came back, or failed.
-    Probed(Probed),
+    Probed(ProbeResult),
     /// An operator asks why.
     Explain(Query, oneshot::Sender<Vec<Explanation>>),
     /// Finish what is in flight until this time, then end.
--- a/crates/kingcuploftd/src/metrics_service.rs
+++ b/crates/kingcuploftd/src/metrics_service.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcuploft::decisions::hedge::HedgeStep;
-use kingcuploft::dispatcher::explain::LoadSeen;
+use kingcuploft::dispatcher::explain::LoadSnapshot;
 use kingcuploft::world::ids::ServiceName;
 use kingcuploft::world::refusal::RefusalReason;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -100,7 +100,7 @@
     }
 
     /// Shows the load of a service.
-    pub fn loaded(&self, service: &ServiceName, load: &LoadSeen) {
+    pub fn loaded(&self, service: &ServiceName, load: &LoadSnapshot) {
         let label = of(service);
         let show = |gauges: &Family<OfService, Gauge>, value: u64| {
             gauges.get_or_create(&label).set(value as i64);
--- a/crates/kingcuploftd/src/shared.rs
+++ b/crates/kingcuploftd/src/shared.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::Sender;
 use kingcuploft::decisions::membership::{Member, MemberState, Membership};
 use kingcuploft::dispatcher::Call;
-use kingcuploft::manifest::Accepted;
+use kingcuploft::manifest::AcceptedManifest;
 use kingcuploft::manifest::routing::Routes;
 use kingcuploft::world::ids::RequestId;
 use kingcuploft::world::vm::Vm;
@@ -31,7 +31,7 @@
     /// This VM.
     pub vm: Vm,
     /// The manifest in force; generation 0 until one is known.
-    pub accepted: ArcSwap<Accepted>,
+    pub accepted: ArcSwap<AcceptedManifest>,
     /// The hosts of the manifest in force; empty until one is known.
     pub routes: ArcSwap<Routes>,
     /// What is known of the manifest, in force or not.
@@ -78,7 +78,7 @@
     }
 
     /// Puts a manifest in force on this VM, for callers first and then for the dispatch duty.
-    pub fn put_in_force(&self, accepted: Accepted) {
+    pub fn put_in_force(&self, accepted: AcceptedManifest) {
         self.routes.store(Arc::new(Routes::new(&accepted.manifest)));
         self.accepted.store(Arc::new(accepted.clone()));
         drop(self.dispatch.send(Message::Adopted(accepted)));
