--- a/crates/kingcuploft/tests/entry/account_replicas.rs
+++ b/crates/kingcuploft/tests/entry/account_replicas.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// What a VM has used that has repeated so many requests.
+/// Returns the report of a VM that has repeated this many requests for each service.
 fn used(repeats: usize, services: &[&str]) -> UsageReport {
     let now = Instant::now();
     let mut of_vm = RepeatBudget::for_first_start();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_account_of_a_vm_is_kept_by_others_in_all_zones() {
+fn the_account_of_a_vm_is_replicated_in_all_zones() {
     let records = [record(0, 6), record(1, 5), record(2, 5), record(3, 3)];
     let own = "vm-0-2".into();
     let kept_by = replica_holders(&own, &records);
@@ -58,60 +58,60 @@
 }
 
 #[test]
-fn a_vm_that_asks_is_told_what_it_told_and_how_long_ago() {
+fn a_vm_gets_back_its_report_and_the_age_of_it() {
     let now = Instant::now();
-    let mut copies = AccountReplicas::default();
-    let told = used(3, &["trip"]);
-    copies.store(now, "a".into(), told.clone());
-    let mut expected = told;
+    let mut replicas = AccountReplicas::default();
+    let reported = used(3, &["trip"]);
+    replicas.store(now, "a".into(), reported.clone());
+    let mut expected = reported;
     expected.accounts[0].age_ms = 2000;
     expected.heard_ms = 2000;
-    assert_eq!(copies.get(now + 2 * SECOND, &"a".into()), Some(expected));
-    assert_eq!(copies.get(now, &"b".into()), None);
+    assert_eq!(replicas.get(now + 2 * SECOND, &"a".into()), Some(expected));
+    assert_eq!(replicas.get(now, &"b".into()), None);
 }
 
-/// Guards against a VM that has restarted and overwrites what it is about to ask for.
+/// Failure: a VM that has restarted overwrites the replica that it is about to ask for.
 #[test]
-fn a_vm_that_knows_less_of_itself_than_is_kept_does_not_overwrite_it() {
+fn a_vm_that_knows_less_than_its_replica_does_not_overwrite_it() {
     let now = Instant::now();
-    let mut copies = AccountReplicas::default();
-    copies.store(now, "a".into(), used(3, &["trip"]));
+    let mut replicas = AccountReplicas::default();
+    replicas.store(now, "a".into(), used(3, &["trip"]));
     let mut restarted = RepeatBudget::after_restart(now + SECOND, &BOUNDS);
     let nothing = restarted.report(now + SECOND, &BOUNDS);
-    copies.store(now + SECOND, "a".into(), nothing.clone());
-    let kept = copies.get(now + SECOND, &"a".into()).expect("it is kept");
+    replicas.store(now + SECOND, "a".into(), nothing.clone());
+    let kept = replicas.get(now + SECOND, &"a".into()).expect("it is kept");
     assert_eq!(kept.unknown_ms, 0);
     assert!(kept.accounts[0].account.has_repeats());
-    copies.store(now, "b".into(), nothing);
-    let new = copies
+    replicas.store(now, "b".into(), nothing);
+    let new = replicas
         .get(now + SECOND, &"b".into())
         .expect("it is kept as well");
     assert!(new.unknown_ms > 0, "a VM that is new goes on not knowing");
 }
 
 #[test]
-fn accounts_with_many_services_are_told_in_parts_and_kept_whole() {
+fn reports_with_many_services_are_split_and_stored_completely() {
     let names: Vec<String> = (0..20).map(|at| format!("service-{at}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let now = Instant::now();
-    let mut copies = AccountReplicas::default();
+    let mut replicas = AccountReplicas::default();
     let parts = used(1, &names).split(8);
     assert_eq!(parts.len(), 3);
     for part in parts {
         assert!(part.accounts.len() <= 8);
-        copies.store(now, "a".into(), part);
+        replicas.store(now, "a".into(), part);
     }
-    let kept = copies.get(now, &"a".into()).expect("it is kept");
+    let kept = replicas.get(now, &"a".into()).expect("it is kept");
     assert_eq!(kept.accounts.len(), 20);
     let nothing = used(0, &[]).split(8);
     assert_eq!(nothing.len(), 1, "a VM that used nothing says so");
 }
 
 #[test]
-fn a_vm_that_is_gone_is_forgotten() {
+fn the_replica_of_a_silent_vm_expires() {
     let now = Instant::now();
-    let mut copies = AccountReplicas::default();
-    copies.store(now, "a".into(), used(3, &["trip"]));
-    assert_eq!(copies.get(now + 90 * SECOND, &"a".into()), None);
-    assert!(copies.is_empty());
+    let mut replicas = AccountReplicas::default();
+    replicas.store(now, "a".into(), used(3, &["trip"]));
+    assert_eq!(replicas.get(now + 90 * SECOND, &"a".into()), None);
+    assert!(replicas.is_empty());
 }
--- a/crates/kingcuploft/tests/entry/attempts.rs
+++ b/crates/kingcuploft/tests/entry/attempts.rs
@@ -11,21 +11,21 @@
     AttemptEnd::TimedOut,
 ];
 
-/// Guards against a booking that runs twice as its answer is lost.
+/// Failure: a booking runs twice because its answer is lost.
 #[test]
 fn a_protected_request_is_sent_again_only_on_proof_that_it_did_not_run() {
     for end in ENDS {
         let mut attempts = Attempts::new(Contract::AtMostOnce, 3);
         attempts.record_sent();
-        let verdict = attempts.record_outcome(end);
+        let action = attempts.record_outcome(end);
         let proved = matches!(end, AttemptEnd::NotRun | AttemptEnd::Unsent);
-        assert_eq!(verdict == NextAction::Retry, proved, "{end:?}");
+        assert_eq!(action == NextAction::Retry, proved, "{end:?}");
         assert_eq!(attempts.may_send(0), proved, "{end:?}");
         assert!(!attempts.may_send(1), "{end:?}: one is still in flight");
     }
 }
 
-/// Guards against "not run" where an attempt may have run.
+/// Failure: a caller is told "not run" although an attempt may have run.
 #[test]
 fn not_run_is_promised_only_when_no_attempt_may_have_run() {
     arbtest::arbtest(|u| {
--- a/crates/kingcuploft/tests/entry/backend_servers.rs
+++ b/crates/kingcuploft/tests/entry/backend_servers.rs
@@ -15,22 +15,25 @@
     }
 }
 
-fn leaving(name: &str) -> BackendServer {
+fn draining_server(name: &str) -> BackendServer {
     BackendServer {
         draining: true,
         ..server(name)
     }
 }
 
-/// Guards against an old report that brings a leaving server back.
+/// Failure: a stale entry brings a draining server back.
 #[test]
-fn a_leaving_server_is_not_brought_back_by_an_old_report() {
+fn a_draining_server_is_not_brought_back_by_a_stale_entry() {
     let mut servers = BackendServers::default();
     assert_eq!(
         servers.update(server("a")),
         Some(Change::Joined("a".into()))
     );
-    assert_eq!(servers.update(leaving("a")), Some(Change::Left("a".into())));
+    assert_eq!(
+        servers.update(draining_server("a")),
+        Some(Change::Left("a".into()))
+    );
     assert_eq!(servers.update(server("a")), None);
     assert!(!servers.takes_work("a"));
 }
@@ -39,7 +42,7 @@
 fn a_server_that_starts_again_under_its_name_is_used_again() {
     let mut servers = BackendServers::default();
     servers.update(server("a"));
-    servers.update(leaving("a"));
+    servers.update(draining_server("a"));
     let again = BackendServer {
         started_at: Some(1_770_000_000_000),
         ..server("a")
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn a_server_whose_entry_goes_gets_no_new_work() {
+fn a_server_whose_entry_is_removed_gets_no_new_requests() {
     let mut servers = BackendServers::default();
     servers.update(server("a"));
     assert_eq!(
@@ -59,9 +62,9 @@
     assert!(!servers.takes_work("a"));
 }
 
-/// Guards against an outage of the store that leaves no server to use.
+/// Failure: an outage of the store leaves no server to use.
 #[test]
-fn entries_that_lapsed_in_an_outage_are_used_until_they_could_be_back() {
+fn servers_whose_entries_expired_in_an_outage_stay_in_use_for_the_grace_period() {
     let (mut servers, now) = (BackendServers::default(), Instant::now());
     servers.update(server("a"));
     servers.update(server("b"));
@@ -78,9 +81,9 @@
     assert!(servers.takes_work("a") && !servers.takes_work("b"));
 }
 
-/// Guards against a grace that begins again with each word of the store's return.
+/// Failure: the grace period starts over with each report of the store's return.
 #[test]
-fn a_return_that_is_told_again_does_not_lengthen_the_grace() {
+fn a_repeated_report_of_the_return_does_not_extend_the_grace_period() {
     let (mut servers, now) = (BackendServers::default(), Instant::now());
     servers.update(server("a"));
     assert!(servers.store_returned(now));
@@ -91,7 +94,7 @@
     assert!(!servers.takes_work("a"));
 }
 
-/// Two outages in a row: the entries that lapse in the second have their own grace.
+/// Two outages in a row: the entries that expire in the second one have their own grace period.
 #[test]
 fn the_return_from_a_later_outage_is_news() {
     let (mut servers, now) = (BackendServers::default(), Instant::now());
@@ -103,22 +106,22 @@
     assert!(servers.takes_work("a"));
 }
 
-/// A leaving server's entry lapses in the same outage. It must not get the grace of the others.
+/// Failure: a draining server whose entry expires in an outage gets the grace period of the others.
 #[test]
-fn a_leaving_server_gets_no_grace() {
+fn a_draining_server_gets_no_grace_period() {
     let (mut servers, now) = (BackendServers::default(), Instant::now());
     servers.update(server("a"));
-    servers.update(leaving("a"));
+    servers.update(draining_server("a"));
     servers.store_returned(now);
     assert_eq!(servers.remove(now, "a"), None);
     assert!(!servers.takes_work("a"));
 }
 
 #[test]
-fn servers_that_are_gone_for_long_are_forgotten() {
+fn servers_that_are_gone_for_long_are_removed() {
     let (mut servers, now) = (BackendServers::default(), Instant::now());
     servers.update(server("a"));
-    servers.update(leaving("a"));
+    servers.update(draining_server("a"));
     servers.remove(now, "a");
     servers.expire(now + Duration::from_secs(10));
     assert!(servers.get("a").is_some(), "a late report may still come");
@@ -127,24 +130,24 @@
 }
 
 #[test]
-fn news_is_what_is_not_known_yet() {
+fn a_server_is_known_only_unchanged_and_present() {
     let mut servers = BackendServers::default();
     servers.update(server("a"));
     assert!(servers.is_known(&server("a")));
-    assert!(!servers.is_known(&leaving("a")));
+    assert!(!servers.is_known(&draining_server("a")));
     servers.remove(Instant::now(), "a");
     assert!(!servers.is_known(&server("a")), "its return is news");
     assert_eq!(servers.present().count(), 0);
     assert_eq!(servers.in_use_count(), 0);
 }
 
-/// Three thousand servers are told to every VM that joins. With field names each took 230 bytes.
+/// Failure: three thousand servers are sent to every VM that joins, and with field names each takes 230 bytes.
 #[test]
-fn a_server_is_told_in_a_short_row_and_read_as_it_was() {
+fn a_server_is_encoded_as_a_short_row_and_decoded_unchanged() {
     let told = BackendServer {
         cold_for: Duration::from_millis(2500),
         started_at: Some(1_764_000_000_000),
-        ..leaving("i-1618ffe032")
+        ..draining_server("i-1618ffe032")
     };
     let row = serde_json::to_string(&told).unwrap();
     assert!(row.len() < 100, "{} bytes: {row}", row.len());
--- a/crates/kingcuploft/tests/entry/cold_servers.rs
+++ b/crates/kingcuploft/tests/entry/cold_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that are cold, judged by what they get from all VMs together.
+//! Cold servers, judged by the requests that they get from all VMs together.
 
 use std::time::{Duration, Instant};
 
@@ -11,43 +11,43 @@
 
 const STEP: Duration = Duration::from_millis(10);
 
-/// How long a server is cold, in steps, and what it bears.
+/// How long a server is cold, in steps, and how many requests per second it accepts.
 const COLD: usize = 300;
 const PER_S: PerSecond = 2.1;
 
-/// The users' bound in any second: so many times what a server bears, and some.
-const OVER: f64 = 1.5;
-const SLACK: f64 = 8.0;
+/// The required bound in any second: this multiple of what a server accepts, plus a constant.
+const BOUND_FACTOR: f64 = 1.5;
+const BOUND_EXTRA: f64 = 8.0;
 
-/// The users' second, in steps.
+/// The window of that bound, in steps.
 const SECOND: usize = 100;
 
 /// How long a request waits for its turn, in steps.
-const PATIENCE: usize = 30;
+const MAX_WAIT: usize = 30;
 
-/// How often a zone's servers turn cold in a scenario.
-const TIMES: usize = 3;
+/// How often a zone's servers become cold in a scenario.
+const RUNS: usize = 3;
 
-/// How the VMs share what a cold server bears.
+/// How the VMs share the limit of a cold server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    /// A few VMs keep it and give the others turns.
+enum Sharing {
+    /// A few VMs own it and give the others turns.
     Turns,
-    /// Each VM has an equal part, and has saved nothing.
+    /// Each VM has an equal share, and has saved nothing.
     ByHead,
-    /// Each VM has an equal part, and has saved a request.
+    /// Each VM has an equal share, and has saved a request.
     ByHeadSaved,
-    /// Each VM takes what the others leave it: a server that says it is idle.
+    /// Each VM uses the whole limit, like that of a server that reports that it is idle.
     Unshared,
 }
 
-/// VMs of four zones, whose callers ask for five times what the cold servers of one zone bear.
+/// VMs of four zones, whose callers send five times what the cold servers of one zone accept.
 struct Fleet {
     vms: usize,
     servers: usize,
-    /// How many of the VMs each VM takes for all of them.
+    /// The VM count that each VM assumes, as a fraction of the true one.
     counted: f64,
-    way: Way,
+    sharing: Sharing,
 }
 
 fn name(at: usize) -> VmName {
@@ -62,9 +62,9 @@
     format!("zone-{at}").into()
 }
 
-fn keepers_of(at: usize, records: &[ZoneRecord]) -> Vec<usize> {
-    let keepers = limit_owners(&server(at), &zone(0), PER_S, records).into_iter();
-    keepers.map(|vm| vm.name[3..].parse().unwrap()).collect()
+fn owners_of(at: usize, records: &[ZoneRecord]) -> Vec<usize> {
+    let owners = limit_owners(&server(at), &zone(0), PER_S, records).into_iter();
+    owners.map(|vm| vm.name[3..].parse().unwrap()).collect()
 }
 
 impl Fleet {
@@ -90,43 +90,45 @@
 
     fn part(&self, vm: usize, at: usize, per_s: PerSecond, records: &[ZoneRecord]) -> LimitShare {
         let counted = (self.vms as f64 * self.counted).max(1.0) as usize;
-        match self.way {
-            Way::Turns => limit_share(&name(vm), counted, &server(at), &zone(0), per_s, records),
-            Way::ByHead | Way::ByHeadSaved => LimitShare::OneOf(counted),
-            Way::Unshared => LimitShare::OneOf(1),
+        match self.sharing {
+            Sharing::Turns => {
+                limit_share(&name(vm), counted, &server(at), &zone(0), per_s, records)
+            }
+            Sharing::ByHead | Sharing::ByHeadSaved => LimitShare::OneOf(counted),
+            Sharing::Unshared => LimitShare::OneOf(1),
         }
     }
 
-    /// Plays a zone that turns cold; returns what each server got at each step.
+    /// Simulates a zone that becomes cold; returns what each server got at each step.
     fn play(&self, seed: u64) -> Vec<Vec<usize>> {
         let (begun, mut rng) = (Instant::now(), Rng::with_seed(seed));
         let records = self.records();
-        let keepers: Vec<Vec<usize>> = (0..self.servers)
-            .map(|at| keepers_of(at, &records))
+        let owners: Vec<Vec<usize>> = (0..self.servers)
+            .map(|at| owners_of(at, &records))
             .collect();
         let mut fleet: Vec<ServerLimits> = vec![ServerLimits::default(); self.vms];
         for (vm, limits) in fleet.iter_mut().enumerate() {
             for at in 0..self.servers {
                 let lasts = STEP * COLD as u32;
                 let part = |per_s| self.part(vm, at, per_s, &records);
-                match self.way {
-                    Way::ByHead => {
+                match self.sharing {
+                    Sharing::ByHead => {
                         limits.record_named(begun, &server(at), Some(PER_S), part, rng.f64());
                     }
-                    Way::Turns | Way::ByHeadSaved | Way::Unshared => {
+                    Sharing::Turns | Sharing::ByHeadSaved | Sharing::Unshared => {
                         limits.record_cold(begun, &server(at), PER_S, lasts, part, rng.f64());
                     }
                 }
             }
         }
         let demand = 5.0 * PER_S * self.servers as f64 * STEP.as_secs_f64() / self.vms as f64;
-        let mut got = vec![vec![0; COLD + PATIENCE + 1]; self.servers];
+        let mut got = vec![vec![0; COLD + MAX_WAIT + 1]; self.servers];
         for step in 0..COLD {
             let now = begun + STEP * step as u32;
             for vm in 0..self.vms {
                 let calls = demand.floor() as usize + usize::from(rng.f64() < demand.fract());
                 for _ in 0..calls {
-                    if let Some((at, later)) = self.send(&mut fleet, vm, now, &keepers, &mut rng) {
+                    if let Some((at, later)) = self.send(&mut fleet, vm, now, &owners, &mut rng) {
                         got[at][step + later] += 1;
                     }
                 }
@@ -135,13 +137,14 @@
         got
     }
 
-    /// Sends a request where it may go at once, or where it gets a turn in time; returns the server and the steps until then.
+    /// Sends a request to a server that accepts it at once, or gives a turn in time; returns the server and the steps
+    /// until then.
     fn send(
         &self,
         fleet: &mut [ServerLimits],
         vm: usize,
         now: Instant,
-        keepers: &[Vec<usize>],
+        owners: &[Vec<usize>],
         rng: &mut Rng,
     ) -> Option<(usize, usize)> {
         let begin = rng.usize(0..self.servers);
@@ -151,50 +154,51 @@
             fleet[vm].record_sent(now, &server(at), rng.f64());
             return Some((at, 0));
         }
-        if self.way != Way::Turns {
+        if self.sharing != Sharing::Turns {
             return None;
         }
         (0..3).find_map(|_| {
             let at = rng.usize(0..self.servers);
-            let keeper = keepers[at][rng.usize(0..keepers[at].len())];
-            match fleet[keeper].give_turn(now, &server(at), STEP * PATIENCE as u32) {
+            let owner = owners[at][rng.usize(0..owners[at].len())];
+            match fleet[owner].give_turn(now, &server(at), STEP * MAX_WAIT as u32) {
                 Turn::After(after) => Some((at, (after.as_millis() / STEP.as_millis()) as usize)),
                 Turn::TooLate(_) => None,
             }
         })
     }
 
-    /// Returns the most that a server got in a second, and which part is used of what all bear.
+    /// Returns the maximum number of requests that a server got in a second, and the used fraction of what all servers
+    /// accept.
     fn judge(&self) -> (usize, f64) {
         let (mut most, mut used) = (0, 0);
-        for seed in 0..TIMES as u64 {
+        for seed in 0..RUNS as u64 {
             for of_server in self.play(seed) {
                 let in_second = of_server.windows(SECOND).map(|steps| steps.iter().sum());
                 most = most.max(in_second.max().unwrap_or(0));
                 used += of_server.iter().take(COLD).sum::<usize>();
             }
         }
-        let borne = PER_S * (STEP * COLD as u32).as_secs_f64() * (self.servers * TIMES) as f64;
+        let borne = PER_S * (STEP * COLD as u32).as_secs_f64() * (self.servers * RUNS) as f64;
         (most, used as f64 / borne)
     }
 }
 
-/// A zone's share of the servers, as the users have them beside so many VMs.
+/// Deployments: the number of VMs, and of the cold servers of one zone.
 const SIZES: [(usize, usize); 3] = [(30, 12), (115, 50), (312, 90)];
 
 fn allowed() -> usize {
-    (PER_S * OVER + SLACK) as usize
+    (PER_S * BOUND_FACTOR + BOUND_EXTRA) as usize
 }
 
-/// Guards against servers that end as all VMs send them work at once when their zone is taken back.
+/// Failure: servers crash because all VMs send them requests at once when their zone is taken back.
 #[test]
-fn cold_servers_get_what_they_bear_from_all_vms_together_and_no_more() {
+fn cold_servers_get_what_they_accept_from_all_vms_together_and_no_more() {
     for (vms, servers) in SIZES {
         let fleet = Fleet {
             vms,
             servers,
             counted: 1.0,
-            way: Way::Turns,
+            sharing: Sharing::Turns,
         };
         let (most, used) = fleet.judge();
         assert!(most <= allowed(), "{vms} VMs: {most} in a second");
@@ -205,16 +209,16 @@
     }
 }
 
-/// Guards against a bound that rests on the VMs knowing how many they are.
+/// Failure: the bound holds only if the VMs know their number.
 #[test]
-fn vms_that_count_the_others_wrongly_stay_within_the_bound() {
+fn vms_with_a_wrong_vm_count_stay_within_the_bound() {
     for (vms, servers) in SIZES {
         for counted in [0.1, 0.5, 3.0] {
             let fleet = Fleet {
                 vms,
                 servers,
                 counted,
-                way: Way::Turns,
+                sharing: Sharing::Turns,
             };
             let (most, _) = fleet.judge();
             assert!(most <= allowed(), "{vms} VMs that count {counted}: {most}");
@@ -222,34 +226,34 @@
     }
 }
 
-/// The ways that were weighed: `--nocapture` prints what each came to.
+/// Compares other ways to share the limit, which waste capacity or exceed the bound: `--nocapture` prints the results.
 #[test]
-fn parts_by_head_waste_what_cold_servers_bear_or_break_the_bound() {
+fn equal_shares_per_vm_waste_capacity_or_exceed_the_bound() {
     for (vms, servers) in SIZES {
-        let play = |way| {
+        let play = |sharing| {
             let judged = Fleet {
                 vms,
                 servers,
                 counted: 1.0,
-                way,
+                sharing,
             }
             .judge();
             println!(
-                "{vms} VMs, {way:?}: {} in a second, use {:.2}",
+                "{vms} VMs, {sharing:?}: {} in a second, use {:.2}",
                 judged.0, judged.1
             );
             judged
         };
-        let (_, used) = play(Way::Turns);
-        assert!(play(Way::ByHead).1 < used / 2.0, "{vms} VMs");
-        assert!(play(Way::ByHeadSaved).0 > allowed(), "{vms} VMs");
-        assert!(play(Way::Unshared).0 > allowed(), "{vms} VMs");
+        let (_, used) = play(Sharing::Turns);
+        assert!(play(Sharing::ByHead).1 < used / 2.0, "{vms} VMs");
+        assert!(play(Sharing::ByHeadSaved).0 > allowed(), "{vms} VMs");
+        assert!(play(Sharing::Unshared).0 > allowed(), "{vms} VMs");
     }
 }
 
-/// Guards against a server that stays limited once it is warm, and against one taken for warm by what it said before.
+/// Failure: a server stays limited once it is warm, or counts as warm by an answer from before it became cold.
 #[test]
-fn a_server_is_limited_from_the_news_that_it_is_cold_until_it_is_warm() {
+fn a_server_is_limited_from_becoming_cold_until_it_is_warm() {
     let (now, name) = (Instant::now(), server(0));
     let after = |ms| now + Duration::from_millis(ms);
     let lasts = Duration::from_secs(3);
@@ -274,9 +278,9 @@
     assert_eq!((ended, limits.is_empty()), (vec![name], true));
 }
 
-/// Guards against a limit that a server names and that is forgotten when it turns warm, or the other way round.
+/// Failure: a limit that a server names is dropped when the server turns warm, or the other way round.
 #[test]
-fn a_cold_server_that_names_a_limit_goes_by_the_lesser_of_both() {
+fn a_cold_server_that_names_a_limit_has_the_lower_of_both() {
     let (now, name) = (Instant::now(), server(0));
     let after = |ms| now + Duration::from_millis(ms);
     let one = |_| LimitShare::OneOf(1);
@@ -297,9 +301,9 @@
     assert_eq!((limits.per_s(&name), limits.len()), (Some(0.5), 0));
 }
 
-/// Guards against VMs that restart and take for saved what they sent before.
+/// Failure: VMs that restart count as saved what they sent before.
 #[test]
-fn vms_that_restart_send_a_cold_server_no_more_than_it_bears() {
+fn restarted_vms_send_a_cold_server_no_more_than_it_accepts() {
     let (vms, per_s, begun) = (20, 20.0, Instant::now());
     let part = |_| LimitShare::OneOf(vms);
     let start = |at: Instant| {
@@ -327,6 +331,6 @@
             }
         }
     }
-    let bound = OVER * per_s + SLACK;
+    let bound = BOUND_FACTOR * per_s + BOUND_EXTRA;
     assert!(f64::from(sent) <= bound, "{sent} of {bound}");
 }
--- a/crates/kingcuploft/tests/entry/configuration.rs
+++ b/crates/kingcuploft/tests/entry/configuration.rs
@@ -58,32 +58,32 @@
     assert_eq!(found("trips.example", "/x?to=/holds/"), Some("all".into()));
 }
 
-/// Guards against shares that are off their weights over a few hundred requests.
+/// Failure: shares are far from their weights over a few hundred requests.
 #[test]
 fn each_destination_gets_its_share_of_a_few_hundred_requests() {
     for start in [0.0, 0.31, 0.77] {
-        let (destinations, mut dealer) =
+        let (destinations, mut selector) =
             ([to("old", 90), to("new", 10)], WeightedSelector::new(start));
-        let dealt = (0..300).filter_map(|_| dealer.select(&destinations));
-        let new = dealt.filter(|d| &*d.service == "new").count();
+        let selected = (0..300).filter_map(|_| selector.select(&destinations));
+        let new = selected.filter(|d| &*d.service == "new").count();
         assert!((27..=33).contains(&new), "{new} of 300 from {start}");
     }
 }
 
 #[test]
-fn a_destination_without_weight_gets_nothing() {
-    let (destinations, mut dealer) = ([to("old", 1), to("new", 0)], WeightedSelector::new(0.9));
-    let all_old = (0..50).all(|_| dealer.select(&destinations) == Some(&destinations[0]));
+fn a_destination_without_weight_gets_no_requests() {
+    let (destinations, mut selector) = ([to("old", 1), to("new", 0)], WeightedSelector::new(0.9));
+    let all_old = (0..50).all(|_| selector.select(&destinations) == Some(&destinations[0]));
     assert!(all_old);
-    assert_eq!(dealer.select(&[to("none", 0)]), None);
+    assert_eq!(selector.select(&[to("none", 0)]), None);
 }
 
 #[test]
-fn a_configuration_told_to_another_vm_is_the_same_there() {
-    let told = serde_json::to_vec(&configuration()).unwrap();
-    let heard: Configuration = serde_json::from_slice(&told).unwrap();
-    assert_eq!(heard.version, 3);
-    assert_eq!(heard.route_count(), 2);
-    let route = heard.route("trips.example", "/holds/1").unwrap();
+fn a_configuration_is_unchanged_after_encoding_and_decoding() {
+    let encoded = serde_json::to_vec(&configuration()).unwrap();
+    let decoded: Configuration = serde_json::from_slice(&encoded).unwrap();
+    assert_eq!(decoded.version, 3);
+    assert_eq!(decoded.route_count(), 2);
+    let route = decoded.route("trips.example", "/holds/1").unwrap();
     assert_eq!(&*route.name, "holds");
 }
--- a/crates/kingcuploft/tests/entry/evacuations.rs
+++ b/crates/kingcuploft/tests/entry/evacuations.rs
@@ -1,4 +1,4 @@
-//! Which zones get nothing, whatever the store tells in which order.
+//! Evacuated zones stay evacuated through lists, feeders and restored stores.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_zone_is_evacuated_from_its_entry_to_the_end_of_it_and_again() {
+fn a_zone_is_evacuated_while_its_entry_exists_and_can_be_evacuated_again() {
     let mut evacuations = Evacuations::default();
     for _ in 0..2 {
         assert_eq!(evacuations.add("a".into()), Some(Change::Begun("a".into())));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_list_begins_what_it_has_and_ends_what_it_has_not() {
+fn a_full_list_evacuates_the_listed_zones_and_ends_all_others() {
     let mut evacuations = Evacuations::default();
     evacuations.add("a".into());
     let changes = evacuations.sync_with_store(Instant::now(), &listed(&["b", "c"]));
@@ -32,16 +32,17 @@
 }
 
 #[test]
-fn a_vm_that_follows_another_believes_what_that_one_does() {
+fn a_follower_takes_over_the_evacuations_of_its_feeder() {
     let mut evacuations = Evacuations::default();
     evacuations.sync_with_feeder(&listed(&["a", "b"]));
     let changes = evacuations.sync_with_feeder(&listed(&["b"]));
     assert_eq!(changes, [Change::Ended("a".into())]);
 }
 
-/// Guards against work for a zone whose evacuation the store has lost, before the operator writes it again.
+/// Failure: the store loses the entry of an evacuated zone, and its servers get requests before the operator writes it
+/// again.
 #[test]
-fn an_evacuation_outlasts_a_store_that_comes_back_from_an_older_copy() {
+fn an_evacuation_survives_a_store_restored_from_an_older_copy() {
     let begun = Instant::now();
     let mut evacuations = Evacuations::default();
     evacuations.add("a".into());
@@ -54,9 +55,9 @@
     assert_eq!(evacuations.remove("a"), Some(Change::Ended("a".into())));
 }
 
-/// Guards against a zone that stays empty for good, as the store lost an entry that nobody writes again.
+/// Failure: a zone stays evacuated for good because the store lost its entry and nobody writes it again.
 #[test]
-fn an_evacuation_that_is_not_written_again_ends() {
+fn an_evacuation_ends_if_its_entry_is_not_rewritten() {
     let begun = Instant::now();
     let mut evacuations = Evacuations::default();
     evacuations.add("a".into());
--- a/crates/kingcuploft/tests/entry/hedging.rs
+++ b/crates/kingcuploft/tests/entry/hedging.rs
@@ -10,14 +10,14 @@
 };
 
 #[test]
-fn a_lookup_is_looked_at_after_twice_the_expected_time() {
+fn a_hedge_is_considered_after_twice_the_expected_time() {
     assert_eq!(hedge_delay(60.0), Duration::from_millis(120));
     assert_eq!(hedge_delay(1.0), Duration::from_millis(30));
 }
 
-/// Guards against second sends that double an overload.
+/// Failure: hedged requests double an overload.
 #[test]
-fn a_late_lookup_is_sent_twice_in_calm_only() {
+fn a_late_lookup_is_hedged_only_with_probe_budget_left() {
     assert!(should_hedge(&CALM));
     assert!(!should_hedge(&HedgeCheck {
         probe_budget_left: 0.2,
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_silent_server_is_not_waited_for_even_under_overload() {
+fn a_lookup_at_an_unresponsive_server_is_hedged_even_under_overload() {
     let silent = HedgeCheck {
         server_answers: false,
         probe_budget_left: 0.2,
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_lookup_whose_time_is_over_is_not_sent_again() {
+fn a_lookup_without_enough_time_left_is_not_hedged() {
     assert!(!should_hedge(&HedgeCheck {
         deadline_left_ms: 50.0,
         ..CALM
--- a/crates/kingcuploft/tests/entry/main.rs
+++ b/crates/kingcuploft/tests/entry/main.rs
@@ -1,4 +1,4 @@
-//! The decisions of one entry VM, judged by what callers and backend servers would see.
+//! The decisions of one entry VM, tested by their effects on callers and backend servers.
 
 mod account_replicas;
 mod attempts;
--- a/crates/kingcuploft/tests/entry/placement.rs
+++ b/crates/kingcuploft/tests/entry/placement.rs
@@ -8,7 +8,7 @@
 use kingcuploft::entry::service_time::ServiceTime;
 use std::time::Instant;
 
-/// A request with 60 ms of work, 200 ms until its answer is late and 500 ms until nobody waits.
+/// A request with 60 ms of work, 200 ms until its target and 500 ms until its deadline.
 fn need() -> PlacementNeed {
     PlacementNeed {
         work_ms: 60.0,
@@ -22,7 +22,7 @@
     }
 }
 
-/// A near server of two slots that says it is idle and fast.
+/// A near server with two slots that reports that it is idle and fast.
 fn idle() -> Candidate {
     Candidate {
         near: true,
@@ -54,7 +54,7 @@
     }
 }
 
-fn unread(asked: bool) -> Candidate {
+fn without_report(asked: bool) -> Candidate {
     Candidate {
         load_report: None,
         probe_pending: asked,
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_server_with_a_free_slot_goes_before_a_full_one() {
+fn a_server_with_a_free_slot_is_preferred_to_a_full_one() {
     let servers = [with_load(2, 0, 1.0), with_load(1, 0, 1.0)];
     assert_eq!(
         step(
@@ -87,9 +87,9 @@
     );
 }
 
-/// Guards against two requests at one slot as the reading is older than the first.
+/// Failure: two requests go to the same slot because the load report is older than the first.
 #[test]
-fn an_own_request_that_the_reading_does_not_count_counts() {
+fn own_requests_since_the_load_report_are_counted() {
     let sent_to = Candidate {
         sent_since_report: 2,
         ..idle()
@@ -98,13 +98,13 @@
 }
 
 #[test]
-fn a_reading_that_is_on_its_way_is_waited_for() {
-    let servers = [with_load(0, 0, 5.0), unread(true)];
+fn a_load_report_in_flight_is_awaited() {
+    let servers = [with_load(0, 0, 5.0), without_report(true)];
     assert_eq!(step(&need(), &servers), Step::AwaitReports);
 }
 
 #[test]
-fn more_servers_are_asked_when_no_near_one_is_good() {
+fn more_servers_are_probed_when_no_near_one_is_good() {
     let servers = [with_load(0, 0, 5.0), with_load(2, 1, 1.0)];
     assert_eq!(step(&need(), &servers), Step::Probe(ProbeScope::FewFar));
     let few = PlacementNeed {
@@ -114,7 +114,7 @@
     assert_eq!(step(&few, &servers), Step::Probe(ProbeScope::Far));
 }
 
-/// Guards against a request that is sent to a slow server while a faster one may still be in time.
+/// Failure: a request is sent to a slow server while a faster one may still answer in time.
 #[test]
 fn a_request_waits_for_a_fast_server_while_that_can_be_in_time() {
     let asked = PlacementNeed {
@@ -130,7 +130,7 @@
     assert_eq!(step(&late_anyway, &slow), Step::Send(0));
 }
 
-/// A caller would wait until its deadline and get nothing: no server can answer before.
+/// Failure: a caller waits until its deadline for nothing, as no server can answer before.
 #[test]
 fn a_request_that_no_server_can_answer_in_time_is_refused_at_once() {
     let hopeless = PlacementNeed {
@@ -144,24 +144,24 @@
     assert!(refused(&[]));
 }
 
-/// Guards against callers that are told to return too soon or too late.
+/// Failure: refused callers are told to retry too soon or too late.
 #[test]
-fn a_refused_caller_is_told_when_the_first_line_ends() {
+fn a_refused_caller_is_told_when_the_shortest_queue_ends() {
     let hopeless = PlacementNeed {
         target_left_ms: -200.0,
         deadline_left_ms: 70.0,
         scope: ProbeScope::Far,
         ..need()
     };
-    let told_ms = |servers: &[Candidate]| match step(&hopeless, servers) {
+    let retry_delay_ms = |servers: &[Candidate]| match step(&hopeless, servers) {
         Step::Refuse(come_back) => come_back.as_millis(),
         other => panic!("{other:?}"),
     };
     // Five and three requests ahead of it at two slots, of 300 ms each.
     let (longer, shorter) = (with_load(2, 4, 5.0), with_load(2, 2, 5.0));
-    assert_eq!(told_ms(&[longer]), 750);
-    assert_eq!(told_ms(&[longer, shorter]), 450);
-    assert_eq!(told_ms(&[]), 250, "nothing is known");
+    assert_eq!(retry_delay_ms(&[longer]), 750);
+    assert_eq!(retry_delay_ms(&[longer, shorter]), 450);
+    assert_eq!(retry_delay_ms(&[]), 250, "nothing is known");
 }
 
 #[test]
@@ -173,46 +173,50 @@
     assert_eq!(step(&need(), &[tried, with_load(1, 0, 1.0)]), Step::Send(1));
 }
 
-/// A server sheds half of what it gets and is always idle for it. By load alone it gets everything.
+/// Failure: a server sheds half of its requests and is therefore always idle, so selection by load alone sends it
+/// everything.
 #[test]
-fn a_server_that_fails_half_of_its_calls_goes_last() {
+fn a_server_that_fails_half_of_its_calls_is_avoided_until_it_recovers() {
     let now = Instant::now();
     let mut failures = FailureRate::default();
     for call in 0..8 {
         failures.record(now, call % 2 == 0);
     }
-    let grey = Candidate {
+    let failing = Candidate {
         failure_rate: failures.rate(now),
         ..idle()
     };
-    assert_eq!(step(&need(), &[grey, with_load(1, 0, 1.0)]), Step::Send(1));
+    assert_eq!(
+        step(&need(), &[failing, with_load(1, 0, 1.0)]),
+        Step::Send(1)
+    );
     let later = now + Duration::from_secs(20);
-    let mended = Candidate {
+    let recovered = Candidate {
         failure_rate: failures.rate(later),
         ..idle()
     };
     assert_eq!(
-        step(&need(), &[mended, with_load(1, 0, 1.0)]),
+        step(&need(), &[recovered, with_load(1, 0, 1.0)]),
         Step::Send(0)
     );
 }
 
 #[test]
-fn without_readings_the_server_with_fewest_own_requests_gets_it() {
+fn without_load_reports_the_server_with_fewest_own_requests_is_chosen() {
     let busy = Candidate {
         own_in_flight: 2,
-        ..unread(false)
+        ..without_report(false)
     };
     let asked = PlacementNeed {
         scope: ProbeScope::Far,
         probe_wait_ms: 10.0,
         ..need()
     };
-    assert_eq!(step(&asked, &[busy, unread(false)]), Step::Send(1));
+    assert_eq!(step(&asked, &[busy, without_report(false)]), Step::Send(1));
 }
 
-/// Plays requests against servers of which a quarter is five times slower, another quarter every
-/// 150 ms, and returns the share that a choice answers within 200 ms.
+/// Simulates requests to servers of which a quarter is five times slower, another quarter every 150 ms; returns the
+/// share that is answered within 200 ms.
 fn share_in_time(choose: impl Fn(&[f64], &mut fastrand::Rng) -> usize) -> f64 {
     let mut rng = fastrand::Rng::with_seed(7);
     let (mut in_time, requests) = (0, 4000);
@@ -228,9 +232,9 @@
 }
 
 #[test]
-fn readings_answer_in_time_what_a_random_choice_answers_late() {
+fn placement_by_load_reports_answers_in_time_where_random_choice_is_late() {
     let naive = share_in_time(|speeds, rng| rng.usize(0..speeds.len()));
-    let by_readings = share_in_time(|speeds, _| {
+    let by_load_reports = share_in_time(|speeds, _| {
         let servers: Vec<Candidate> = speeds.iter().map(|s| with_load(0, 0, *s)).collect();
         let asked = PlacementNeed {
             scope: ProbeScope::Far,
@@ -243,11 +247,14 @@
         }
     });
     assert!(naive < 0.80, "random choice was in time for {naive}");
-    assert!(by_readings > 0.99, "choice by readings: {by_readings}");
+    assert!(
+        by_load_reports > 0.99,
+        "choice by readings: {by_load_reports}"
+    );
 }
 
 #[test]
-fn the_work_of_a_route_is_measured_apart_from_the_servers_speed() {
+fn the_service_time_is_measured_independently_of_the_servers_speed() {
     let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let target = Duration::from_millis(200);
     assert!((time.work_ms(target) - 70.0).abs() < 0.1);
@@ -257,27 +264,27 @@
     assert!((time.work_ms(target) - 60.0).abs() < 0.1);
 }
 
-/// Guards against requests that wait, untried, for a better server where all fail alike.
+/// Failure: requests wait without an attempt for a better server although all fail alike.
 #[test]
 fn servers_that_all_fail_alike_are_sent_requests_at_once() {
     let failing = |failures| Candidate {
         failure_rate: failures,
         ..idle()
     };
-    let far_asked = PlacementNeed {
+    let far_probed = PlacementNeed {
         scope: ProbeScope::Far,
         probe_wait_ms: 10.0,
         ..need()
     };
     let servers = [failing(0.6), failing(0.5), failing(0.55)];
-    assert_eq!(step(&far_asked, &servers), Step::Send(1));
+    assert_eq!(step(&far_probed, &servers), Step::Send(1));
     let one_is_well = [failing(0.6), failing(0.0), failing(0.55)];
-    assert_eq!(step(&far_asked, &one_is_well), Step::Send(1));
+    assert_eq!(step(&far_probed, &one_is_well), Step::Send(1));
 }
 
-/// Guards against near last slots that are taken while idle servers stand elsewhere.
+/// Failure: near last slots are taken while idle servers stand in other zones.
 #[test]
-fn a_few_far_servers_are_asked_where_a_near_last_slot_would_do() {
+fn a_few_far_servers_are_probed_before_a_near_last_slot_is_taken() {
     let costly = PlacementNeed {
         last_slot_slowdown: 1.7,
         ..need()
@@ -303,9 +310,9 @@
     assert_eq!(step(&asked, &[full]), Step::Probe(ProbeScope::Far));
 }
 
-/// While probes are short, those of other zones are kept for requests that find no near server at all.
+/// While the probe budget is low, probes of other zones are reserved for requests without any near server.
 #[test]
-fn a_near_last_slot_is_taken_where_probes_are_short() {
+fn a_near_last_slot_is_taken_when_the_probe_budget_is_low() {
     let short = PlacementNeed {
         last_slot_slowdown: 1.7,
         probe_budget_left: 0.2,
@@ -315,7 +322,7 @@
 }
 
 #[test]
-fn the_cost_of_a_last_slot_is_learned_from_answers() {
+fn the_last_slot_slowdown_is_learned_from_answers() {
     let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let answer = Duration::from_millis;
     for _ in 0..40 {
@@ -331,9 +338,9 @@
     assert!((work_ms - 100.0).abs() < 1.0, "work itself is not slower");
 }
 
-/// A service under constant load gives its answers from last slots only: they tell of the work as well.
+/// A service under constant load answers from last slots only, which then also measure the service time.
 #[test]
-fn work_is_learned_from_last_slots_where_there_are_no_others() {
+fn the_service_time_is_learned_from_last_slots_if_there_are_no_others() {
     let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let answer = Duration::from_millis(300);
     (0..50).for_each(|_| time.record(answer, 1.0, Slot::Last, &mut last_slot));
@@ -341,9 +348,9 @@
     assert!((150.0..=300.0).contains(&work_ms), "{work_ms}");
 }
 
-/// Guards against time in a line that is taken for work.
+/// Failure: time in a queue counts as service time.
 #[test]
-fn time_in_a_line_is_not_taken_for_work() {
+fn time_in_a_queue_does_not_count_as_service_time() {
     let (mut time, mut last_slot) = (ServiceTime::default(), LastSlotSlowdown::default());
     let answer = Duration::from_millis;
     (0..10).for_each(|_| time.record(answer(100), 1.0, Slot::Spare, &mut last_slot));
@@ -353,9 +360,9 @@
     assert!((last_slot.factor() - before).abs() < 0.01);
 }
 
-/// Guards against a late caller that takes the slot in which another would be in time.
+/// Failure: a late caller takes the slot in which another request would be answered in time.
 #[test]
-fn a_caller_that_returns_late_leaves_last_slots_to_others_under_overload() {
+fn a_late_caller_retry_leaves_last_slots_to_others_under_overload() {
     let late = PlacementNeed {
         target_left_ms: -20.0,
         deadline_left_ms: 150.0,
--- a/crates/kingcuploft/tests/entry/probe_fanout.rs
+++ b/crates/kingcuploft/tests/entry/probe_fanout.rs
@@ -1,9 +1,9 @@
 use kingcuploft::entry::placement::ProbeScope;
 use kingcuploft::entry::probe_fanout::probe_fanout;
 
-/// Guards against a crowded zone that keeps its requests to itself.
+/// Failure: a full zone keeps its requests to itself.
 #[test]
-fn a_zone_with_many_servers_asks_those_of_other_zones_as_well() {
+fn a_zone_with_many_servers_also_probes_those_of_other_zones() {
     let counts = |near, far, reach| {
         let asked = probe_fanout(near, far, reach);
         (asked.near, asked.far)
@@ -15,9 +15,9 @@
     assert_eq!(counts(0, 11, ProbeScope::Near), (0, 6));
 }
 
-/// All servers of a deployment stand in one zone. Six of its thirty would be all that a VM ever uses.
+/// Failure: all servers of a deployment stand in one zone, and a VM uses only six of its thirty.
 #[test]
-fn more_near_servers_are_asked_where_there_are_few_elsewhere() {
+fn more_near_servers_are_probed_where_there_are_few_elsewhere() {
     let counts = |near, far, reach| {
         let asked = probe_fanout(near, far, reach);
         (asked.near, asked.far)
--- a/crates/kingcuploft/tests/entry/probing.rs
+++ b/crates/kingcuploft/tests/entry/probing.rs
@@ -2,7 +2,7 @@
 
 use kingcuploft::entry::probe_budget::{ProbeBudget, probe_share};
 
-/// Guards against probes that take the slots of an overload.
+/// Failure: probes take the slots that requests need in an overload.
 #[test]
 fn all_vms_together_probe_within_the_bound_under_overload() {
     let (start, vms, servers, bound) = (Instant::now(), 14, 27, 60.0);
@@ -19,9 +19,9 @@
     assert!(per_server_s <= bound, "{per_server_s}");
 }
 
-/// Guards against blind choices where the budget of probes is used up.
+/// Failure: placement without any load report once the probe budget is used up.
 #[test]
-fn readings_live_longer_the_less_may_be_asked() {
+fn load_reports_are_used_longer_the_less_probe_budget_is_left() {
     let start = Instant::now();
     let mut budget = ProbeBudget::new(start);
     let now = start + Duration::from_secs(8);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_vm_that_has_not_counted_the_others_asks_next_to_nothing() {
+fn a_vm_without_a_count_of_the_others_probes_next_to_nothing() {
     let start = Instant::now();
     let mut budget = ProbeBudget::new(start);
     let later = start + Duration::from_secs(3);
@@ -44,9 +44,9 @@
     assert!(taken < 10, "{taken}");
 }
 
-/// Guards against a budget of probes that each restart brings anew.
+/// Failure: each restart refills the probe budget.
 #[test]
-fn a_vm_that_starts_again_and_again_asks_no_more_than_one_that_runs_on() {
+fn a_vm_that_restarts_repeatedly_probes_no_more_than_one_that_runs_on() {
     let start = Instant::now();
     let mut taken = 0;
     for life in 0..6 {
@@ -62,9 +62,9 @@
     assert!(taken as f64 <= 60.0 * 27.0 / 14.0 * 30.0, "{taken}");
 }
 
-/// Ten calm seconds, then a crowd. What the calm left unused is there for it.
+/// Ten calm seconds, then a burst of requests, which can spend the probes saved before.
 #[test]
-fn a_crowd_after_a_calm_time_finds_probes_saved_for_it() {
+fn a_burst_after_a_calm_time_can_use_saved_probes() {
     let start = Instant::now();
     let mut budget = ProbeBudget::new(start);
     let crowd = start + Duration::from_secs(10);
@@ -75,9 +75,9 @@
     assert!(taken as f64 > 3.0 * per_s, "{taken}");
 }
 
-/// Guards against a hundred waiting requests that each ask all servers again.
+/// Failure: a hundred waiting requests each probe all servers again.
 #[test]
-fn who_looks_again_asks_fewer_servers_under_overload() {
+fn a_repeated_selection_probes_fewer_servers_under_overload() {
     assert_eq!(probe_share(0.0, 0), 1.0);
     assert_eq!(probe_share(0.8, 3), 1.0);
     let shares = [0.4, 0.2, 0.0].map(|probes_left| probe_share(probes_left, 3));
--- a/crates/kingcuploft/tests/entry/quarantine.rs
+++ b/crates/kingcuploft/tests/entry/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are kept from the servers, as servers end under them.
+//! Quarantine of requests that crash backend servers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,11 +9,11 @@
 
 const REQUEST: Fingerprint = 7;
 
-/// A VM that learns of servers' ends, and the time.
+/// A VM with its quarantine and a clock.
 struct Vm {
     quarantine: Quarantine,
     now: Instant,
-    ends: u32,
+    crashes: u32,
 }
 
 impl Vm {
@@ -21,7 +21,7 @@
         Self {
             quarantine: Quarantine::default(),
             now: Instant::now(),
-            ends: 0,
+            crashes: 0,
         }
     }
 
@@ -33,21 +33,21 @@
         self.quarantine.admit(self.now, REQUEST)
     }
 
-    /// Runs the request at a server that ends under it.
+    /// Runs the request on a server that crashes under it.
     fn crash(&mut self) -> CrashReport {
         let known = self.quarantine.record_start(REQUEST);
         self.crash_of_run(known)
     }
 
     fn crash_of_run(&mut self, known: u32) -> CrashReport {
-        self.ends += 1;
-        let server: Arc<str> = format!("s{}", self.ends).into();
+        self.crashes += 1;
+        let server: Arc<str> = format!("s{}", self.crashes).into();
         let now = self.now;
         self.quarantine.record_end(REQUEST);
         self.quarantine.record_crash(now, REQUEST, &server, known)
     }
 
-    /// Tries the request, and its server ends; returns whether it could be tried.
+    /// Tries the refused request, and its server crashes; returns whether a trial was allowed.
     fn try_and_crash(&mut self) -> bool {
         let Admission::Trial(trial) = self.admit() else {
             return false;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_request_is_refused_once_two_servers_ended_in_a_row_under_it() {
+fn a_request_is_refused_after_two_consecutive_crashes() {
     let mut vm = Vm::new();
     assert_eq!(vm.admit(), Admission::Unrestricted);
     vm.crash();
@@ -72,9 +72,9 @@
     );
 }
 
-/// Guards against a popular request refused for servers that end together for another reason.
+/// Failure: a popular request is refused because several servers crash together for another reason.
 #[test]
-fn servers_that_end_together_count_once() {
+fn servers_that_crash_together_count_once() {
     let mut vm = Vm::new();
     let runs: Vec<u32> = (0..5)
         .map(|_| vm.quarantine.record_start(REQUEST))
@@ -95,7 +95,7 @@
     assert_eq!(vm.admit(), Admission::Unrestricted);
 }
 
-/// Guards against more than three servers lost to one request after it is known, and against one refused for good.
+/// Failure: a known deadly request crashes more than three servers a day, or is refused for good.
 #[test]
 fn a_refused_request_is_tried_three_times_in_a_day_by_one_vm_of_all() {
     let mut vm = Vm::new();
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_vm_knows_what_the_others_reported_and_withdrew() {
+fn reports_and_withdrawals_reach_other_vms() {
     let (mut one, mut other) = (Vm::new(), Vm::new());
     let reports = [one.crash(), one.crash()];
     for report in &reports {
@@ -140,13 +140,13 @@
     assert_eq!(other.admit(), Admission::Unrestricted);
 }
 
-/// Guards against reports that are kept for good by a VM that missed their withdrawal.
+/// Failure: a VM that missed the withdrawal of a report keeps it for good.
 #[test]
-fn reports_that_the_store_has_no_longer_are_forgotten_and_new_ones_are_not() {
+fn reports_removed_from_the_store_are_dropped_and_unstored_ones_are_kept() {
     let (mut one, mut other) = (Vm::new(), Vm::new());
     let report = other.crash();
     one.quarantine.add_report(one.now, &report);
-    one.ends = 1;
+    one.crashes = 1;
     one.crash();
     let gone = one.quarantine.remove_missing(&[].into_iter().collect());
     assert_eq!(gone, [report.id()]);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_suspect_that_does_not_come_again_is_forgotten_and_a_refused_request_is_kept() {
+fn a_suspect_expires_after_a_minute_and_a_refused_request_is_kept() {
     let mut vm = Vm::new();
     let report = vm.crash();
     vm.quarantine.add_report(vm.now, &report);
@@ -166,9 +166,9 @@
     assert!(vm.quarantine.expired_reports(vm.now).is_empty());
 }
 
-/// Guards against a memory that grows with the requests that servers end under.
+/// Failure: memory grows with the number of requests under which servers crash.
 #[test]
-fn a_vm_remembers_a_bounded_number_of_requests() {
+fn the_number_of_suspects_is_bounded() {
     let mut vm = Vm::new();
     let server: Arc<str> = "s".into();
     for fingerprint in 0..20_000 {
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_report_is_read_from_its_name() {
+fn a_report_is_parsed_from_its_key() {
     let report = Vm::new().crash();
     assert_eq!(CrashReport::parse_id(&report.id()), Some((REQUEST, "s1")));
     assert_eq!(CrashReport::parse_id("no-report"), None);
--- a/crates/kingcuploft/tests/entry/readers.rs
+++ b/crates/kingcuploft/tests/entry/readers.rs
@@ -46,9 +46,9 @@
     }
 }
 
-/// Guards against a zone without a reader where the first of its record has lost power.
+/// Failure: the first VM of a zone's record has lost power, and the zone has no reader.
 #[test]
-fn a_reader_that_failed_is_left_alone_for_a_while() {
+fn a_reader_that_failed_is_avoided_for_a_while() {
     let (mut readers, now) = (readers(), Instant::now());
     readers.record_failure(now, &"first".into());
     assert_eq!(source(&readers, now, "second"), Source::Store);
@@ -62,9 +62,9 @@
     assert_eq!(source(&readers, later, "third"), first);
 }
 
-/// Guards against a VM that is cut off and takes itself for its zone's reader.
+/// Failure: a VM that is cut off considers itself its zone's reader.
 #[test]
-fn a_vm_that_reaches_nobody_reads_for_itself_alone() {
+fn a_vm_that_reaches_no_other_reads_only_for_itself() {
     let (mut readers, now) = (readers(), Instant::now());
     readers.record_failure(now, &"first".into());
     readers.record_failure(now, &"second".into());
@@ -77,9 +77,9 @@
     assert_eq!(source(&readers, Instant::now(), "first"), Source::Store);
 }
 
-/// Guards against an old record that brings back a reader that is gone.
+/// Failure: an old record reinstates a reader that is gone.
 #[test]
-fn an_older_record_is_no_news() {
+fn an_older_record_is_ignored() {
     let mut readers = readers();
     assert_eq!(readers.update(vec![record(2, &["gone"])]), vec![]);
     let other = readers.update(vec![record(3, &["other"])]);
@@ -89,9 +89,9 @@
     assert!(kept.is_led_by(&"second".into()));
 }
 
-/// VMs that start together see few of each other at first. None may divide what all use together by too few.
+/// Failure: VMs that start together see few of each other at first, and divide common limits by too small a number.
 #[test]
-fn vms_are_counted_once_every_known_zone_is() {
+fn vms_are_counted_once_every_known_zone_is_settled() {
     let mut readers = readers();
     assert_eq!(readers.vm_count(), Some(50));
     let begun = ZoneRecord {
@@ -131,7 +131,7 @@
     }
 }
 
-/// Guards against a watch, and a call for each change, in every zone of a region.
+/// Failure: every zone of a region watches the store, which costs a call per zone for each change.
 #[test]
 fn the_readers_of_a_region_follow_one_of_them() {
     let (mut readers, now) = (zones(), Instant::now());
--- a/crates/kingcuploft/tests/entry/repeat_budget.rs
+++ b/crates/kingcuploft/tests/entry/repeat_budget.rs
@@ -16,7 +16,7 @@
     "trip".into()
 }
 
-/// Makes all the repeats that there is room for; returns how many.
+/// Takes repeats until the budget is used up; returns how many.
 fn use_up(repeats: &mut RepeatBudget, now: Instant, vms: usize) -> usize {
     let mut made = 0;
     while repeats.try_take(now, &trip(), &BOUNDS, vms).allows_repeat() {
@@ -25,7 +25,7 @@
     made
 }
 
-/// Guards against repeats of all VMs together beyond their budget, however callers are spread.
+/// Failure: all VMs together exceed the repeat budget, depending on how callers are spread.
 #[test]
 fn all_vms_together_stay_within_the_budget_while_every_request_fails() {
     let start = Instant::now();
@@ -59,7 +59,7 @@
     }
 }
 
-/// A VM restarts while the store is away and does not know how many others there are.
+/// Failure: a VM restarts while the store is unavailable, and does not know how many others there are.
 #[test]
 fn a_vm_that_has_not_counted_the_others_uses_its_own_share_only() {
     let now = Instant::now();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn room_comes_back_when_the_window_has_passed() {
+fn the_budget_recovers_when_the_window_has_passed() {
     let now = Instant::now();
     let mut repeats = RepeatBudget::for_first_start();
     assert!(use_up(&mut repeats, now, 14) > 0);
@@ -79,9 +79,9 @@
     assert!(use_up(&mut repeats, now + BOUNDS.window.mul_f64(1.2), 14) > 0);
 }
 
-/// Guards against a VM that begins its part of the allowance anew at each start.
+/// Failure: a VM gets a full share of the allowance at each start.
 #[test]
-fn a_vm_that_knows_nothing_of_before_leaves_its_part_of_the_allowance_for_a_window() {
+fn a_vm_with_unknown_earlier_use_leaves_its_share_of_the_allowance_for_a_window() {
     let now = Instant::now();
     let mut repeats = RepeatBudget::after_restart(now, &BOUNDS);
     assert_eq!(use_up(&mut repeats, now + SECOND, 4), 0);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_vm_that_is_told_what_it_had_used_goes_on_with_the_rest() {
+fn a_restarted_vm_continues_with_the_rest_of_its_budget() {
     let start = Instant::now();
     let mut before = RepeatBudget::for_first_start();
     (0..20).for_each(|_| before.record_request(start, &trip()));
@@ -107,15 +107,15 @@
     let now = start + 2 * SECOND;
     let without_restart = use_up(&mut before, now, 4);
     let mut after = RepeatBudget::after_restart(now, &BOUNDS);
-    let mut told = used;
-    told.heard_ms = 1000;
-    told.accounts.iter_mut().for_each(|of| of.age_ms = 1000);
-    assert!(after.recover(now, &told));
+    let mut reported = used;
+    reported.heard_ms = 1000;
+    reported.accounts.iter_mut().for_each(|of| of.age_ms = 1000);
+    assert!(after.recover(now, &reported));
     assert_eq!(use_up(&mut after, now, 4), without_restart);
 }
 
 #[test]
-fn what_is_told_twice_counts_once() {
+fn a_report_received_twice_counts_once() {
     let now = Instant::now();
     let mut before = RepeatBudget::for_first_start();
     for _ in 0..3 {
@@ -128,9 +128,9 @@
     assert_eq!(after.status(now, &trip(), &BOUNDS, 4).used, 3);
 }
 
-/// Guards against a VM that restarts twice and knows only what it did since the first time.
+/// Failure: a VM restarts twice and knows only what it did since the first restart.
 #[test]
-fn a_second_restart_loses_nothing_of_what_was_before_the_first() {
+fn a_second_restart_keeps_the_use_before_the_first() {
     let start = Instant::now();
     let mut repeats = RepeatBudget::for_first_start();
     let used = (0..4)
@@ -150,9 +150,9 @@
     assert_eq!(use_up(&mut repeats, later, 4), used[0]);
 }
 
-/// Guards against a VM that takes what it said since its start for what it did before, and counts it twice.
+/// Failure: a VM counts a report that it sent since its start as use before its start, and so counts it twice.
 #[test]
-fn what_a_vm_has_said_since_its_start_is_not_added_to_it() {
+fn a_report_sent_since_the_start_is_not_added() {
     let now = Instant::now();
     let mut repeats = RepeatBudget::after_restart(now, &BOUNDS);
     let later = now + SECOND;
@@ -164,9 +164,9 @@
     assert_eq!(repeats.status(later, &trip(), &BOUNDS, 4).used, 3);
 }
 
-/// Guards against one that had been cut off, and says that nothing was used as it has heard nothing.
+/// Failure: a replica that was cut off reports that nothing was used, because it has received nothing.
 #[test]
-fn who_has_long_not_heard_a_vm_does_not_know_that_it_used_nothing() {
+fn a_replica_out_of_contact_does_not_prove_that_nothing_was_used() {
     let now = Instant::now();
     let heard = |heard_ms, unknown_ms| UsageReport {
         unknown_ms,
--- a/crates/kingcuploft/tests/entry/server_limit.rs
+++ b/crates/kingcuploft/tests/entry/server_limit.rs
@@ -1,4 +1,4 @@
-//! A server that names a limit for all VMs together, judged by what it gets.
+//! A server that names a limit for all VMs together, judged by the requests that it gets.
 
 use std::time::{Duration, Instant};
 
@@ -15,13 +15,13 @@
 /// The window in which requests are counted, in steps.
 const WINDOW: usize = 80;
 
-/// How long each fleet is played, in steps.
-const DAY: usize = 12_000;
+/// How long each fleet is simulated, in steps.
+const STEPS: usize = 12_000;
 
 /// When the VMs have requests for the server.
 #[derive(Clone, Copy, Debug)]
 enum Demand {
-    /// At every moment.
+    /// At every step.
     Always,
     /// For four seconds of each two minutes, all at once.
     Bursts,
@@ -40,7 +40,7 @@
     format!("vm-{at}").into()
 }
 
-/// VMs of six zones, of each of which a record names eight.
+/// Returns the records of six zones, each of which names eight VMs.
 fn records(vms: usize) -> Vec<ZoneRecord> {
     let zone = |zone: usize| {
         let own: Vec<VmEntry> = (0..vms)
@@ -63,7 +63,7 @@
     (0..6).filter_map(zone).collect()
 }
 
-/// What a server got of a fleet.
+/// The requests that a server got from a fleet.
 struct Got {
     most_in_window: usize,
     per_s: f64,
@@ -84,7 +84,7 @@
         .iter()
         .map(|part| ServerLimit::new(begun, per_s, *part, rng.f64()))
         .collect();
-    let mut sent = vec![0; DAY];
+    let mut sent = vec![0; STEPS];
     for (step, sent) in sent.iter_mut().enumerate() {
         let now = begun + STEP * step as u32;
         if !demand.is_there(step) {
@@ -100,7 +100,7 @@
     let windows = sent.windows(WINDOW).map(|window| window.iter().sum());
     Got {
         most_in_window: windows.max().unwrap_or(0),
-        per_s: sent.iter().sum::<usize>() as f64 / (STEP.as_secs_f64() * DAY as f64),
+        per_s: sent.iter().sum::<usize>() as f64 / (STEP.as_secs_f64() * STEPS as f64),
     }
 }
 
@@ -120,7 +120,7 @@
     (1.5 * 4.0 * per_s + 5.0) as usize
 }
 
-/// Guards against VMs that together send more than one and a half times a limit, and five.
+/// Failure: the VMs together send more than one and a half times a limit, plus five.
 #[test]
 fn all_vms_together_keep_to_a_limit_and_use_it() {
     for (vms, per_s) in FLEETS {
@@ -138,9 +138,9 @@
     }
 }
 
-/// Guards against requests that all VMs have saved up while nobody called.
+/// Failure: all VMs have saved up requests during a quiet time, and send them at once.
 #[test]
-fn a_crowd_after_a_quiet_time_gets_no_more_than_the_limit() {
+fn a_burst_after_a_quiet_time_gets_no_more_than_the_limit() {
     for (vms, per_s) in FLEETS {
         let got = play(vms, per_s, Demand::Bursts, |_| records(vms));
         let most = got.most_in_window;
@@ -151,9 +151,9 @@
     }
 }
 
-/// Guards against two sets of VMs that both take themselves for those that use a limit.
+/// Failure: two sets of VMs both consider themselves the owners of a limit.
 #[test]
-fn vms_that_know_different_records_keep_to_a_limit() {
+fn vms_with_different_records_keep_to_a_limit() {
     for (vms, per_s) in FLEETS {
         let halves = |at: usize| match at % 2 {
             0 => records(vms),
@@ -173,20 +173,20 @@
 }
 
 #[test]
-fn a_vm_that_knows_no_other_does_not_take_a_limit_for_its_own() {
+fn a_vm_without_records_does_not_own_a_limit() {
     let server = "s".into();
     let part = limit_share(&name(3), 1000, &server, &"zone-1".into(), 2.0, &[]);
     assert_eq!(part, LimitShare::NowAndThen(1000));
 }
 
-/// Guards against a limit that is kept after the server has stopped naming it, and against one dropped for an answer
-/// that was on its way when the server began.
+/// Failure: a limit is kept after the server has stopped naming it, or is dropped for an answer that the server gave
+/// before it named the limit.
 #[test]
 fn a_limit_holds_as_long_as_the_server_names_it() {
     let now = Instant::now();
     let server: BackendServerName = "s".into();
     let mut limits = ServerLimits::default();
-    let hear = |limits: &mut ServerLimits, after_ms, named| {
+    let answer = |limits: &mut ServerLimits, after_ms, named| {
         let at = now + Duration::from_millis(after_ms);
         limits.record_named(at, &server, named, |_| LimitShare::OneOf(1), 0.5)
     };
@@ -194,22 +194,22 @@
         server: server.clone(),
         per_s: 2.0,
     };
-    assert_eq!(hear(&mut limits, 0, None), None);
-    let named = hear(&mut limits, 0, Some(2.0));
+    assert_eq!(answer(&mut limits, 0, None), None);
+    let named = answer(&mut limits, 0, Some(2.0));
     assert_eq!(named, Some(LimitChange::Named(notice.clone())));
-    assert_eq!(hear(&mut limits, 100, None), None);
-    let changed = hear(&mut limits, 200, Some(4.0));
+    assert_eq!(answer(&mut limits, 100, None), None);
+    let changed = answer(&mut limits, 200, Some(4.0));
     assert_eq!(changed, Some(LimitChange::Changed { before: 2.0 }));
     assert_eq!(limits.per_s(&server), Some(4.0));
     assert_eq!(
-        hear(&mut limits, 900, None),
+        answer(&mut limits, 900, None),
         Some(LimitChange::Ended(notice.id()))
     );
     assert!(limits.is_empty());
 }
 
 #[test]
-fn limits_are_told_to_other_vms_and_withdrawn() {
+fn limit_notices_are_added_and_removed() {
     let now = Instant::now();
     let notice = LimitNotice {
         server: "s".into(),
@@ -232,17 +232,17 @@
     assert!(limits.is_empty());
 }
 
-/// What servers of a service got that all name a limit, where callers come to all VMs alike and ask for twice as much.
+/// A service whose servers all name a limit; callers spread evenly over all VMs and send twice as many requests.
 struct Service {
     vms: usize,
     servers: usize,
     per_s: PerSecond,
     /// How long a request waits for its turn, in steps.
-    patience: usize,
+    max_wait: usize,
 }
 
 impl Service {
-    /// Returns the limits as each VM keeps them, by VM and server.
+    /// Returns the limits of each VM, by VM and server.
     fn limits(&self, begun: Instant, rng: &mut fastrand::Rng) -> Vec<Vec<ServerLimit>> {
         let records = records(self.vms);
         let limit = |vm: usize, server: usize, chance: f64| {
@@ -258,25 +258,25 @@
         (0..self.vms).map(of_vm).collect()
     }
 
-    /// Returns which VMs keep the limit of each server.
-    fn keepers(&self) -> Vec<Vec<usize>> {
+    /// Returns the VMs that own the limit of each server.
+    fn owners(&self) -> Vec<Vec<usize>> {
         let records = records(self.vms);
         let at = |vm: &VmEntry| vm.name.strip_prefix("vm-").unwrap().parse().unwrap();
-        let keepers = |server| {
+        let owners = |server| {
             let (name, zone) = (server_name(server), zone_of(server));
-            let keepers = limit_owners(&name, &zone, self.per_s, &records);
-            keepers.into_iter().map(at).collect()
+            let owners = limit_owners(&name, &zone, self.per_s, &records);
+            owners.into_iter().map(at).collect()
         };
-        (0..self.servers).map(keepers).collect()
+        (0..self.servers).map(owners).collect()
     }
 
-    /// Plays VMs that use what they keep themselves, and ask for turns at three other servers.
+    /// Simulates VMs that use the limits that they own, and ask for turns at three other servers.
     fn play(&self) -> (usize, f64) {
         let (begun, mut rng) = (Instant::now(), fastrand::Rng::with_seed(11));
-        let (mut fleet, keepers) = (self.limits(begun, &mut rng), self.keepers());
+        let (mut fleet, owners) = (self.limits(begun, &mut rng), self.owners());
         let demand = 2.0 * self.per_s * self.servers as f64 * STEP.as_secs_f64() / self.vms as f64;
-        let mut sent = vec![vec![0; SHORT_DAY + self.patience + 1]; self.servers];
-        for step in 0..SHORT_DAY {
+        let mut sent = vec![vec![0; SHORT_STEPS + self.max_wait + 1]; self.servers];
+        for step in 0..SHORT_STEPS {
             let now = begun + STEP * step as u32;
             for vm in 0..self.vms {
                 let calls = demand.floor() as usize + usize::from(rng.f64() < demand.fract());
@@ -291,9 +291,8 @@
                     }
                     for _ in 0..3 {
                         let server = rng.usize(0..self.servers);
-                        let keeper = keepers[server][rng.usize(0..keepers[server].len())];
-                        let turn =
-                            fleet[keeper][server].give_turn(now, STEP * self.patience as u32);
+                        let owner = owners[server][rng.usize(0..owners[server].len())];
+                        let turn = fleet[owner][server].give_turn(now, STEP * self.max_wait as u32);
                         if let Turn::After(after) = turn {
                             let steps = after.as_secs_f64() / STEP.as_secs_f64();
                             sent[server][step + steps.round() as usize] += 1;
@@ -306,13 +305,13 @@
         let windows = sent.iter().flat_map(|sent| sent.windows(WINDOW));
         let most = windows.map(|window| window.iter().sum()).max().unwrap_or(0);
         let all: usize = sent.iter().flatten().sum();
-        let named = self.per_s * self.servers as f64 * STEP.as_secs_f64() * SHORT_DAY as f64;
+        let named = self.per_s * self.servers as f64 * STEP.as_secs_f64() * SHORT_STEPS as f64;
         (most, all as f64 / named)
     }
 }
 
-/// How long a service is played, in steps.
-const SHORT_DAY: usize = 1200;
+/// How long a service is simulated, in steps.
+const SHORT_STEPS: usize = 1200;
 
 fn server_name(at: usize) -> BackendServerName {
     format!("s{at}").into()
@@ -322,7 +321,7 @@
     format!("zone-{}", server % 6).into()
 }
 
-/// Guards against limits that go to waste, as they are kept by other VMs than those that the callers come to.
+/// Failure: limits are left unused because other VMs own them than those that the callers use.
 #[test]
 fn limits_of_all_servers_are_used_by_the_callers_of_all_vms() {
     for (vms, servers, per_s) in [
@@ -331,31 +330,31 @@
         (115, 68, 1.0),
         (312, 210, 1.0),
     ] {
-        for patience in [0, 4, 20] {
+        for max_wait in [0, 4, 20] {
             let service = Service {
                 vms,
                 servers,
                 per_s,
-                patience,
+                max_wait,
             };
             let (most, used) = service.play();
-            let fleet = format!("{vms} VMs, {servers} servers, {per_s}, {patience} steps");
+            let fleet = format!("{vms} VMs, {servers} servers, {per_s}, {max_wait} steps");
             assert!(most <= allowed(per_s), "{fleet}: {most}");
             assert!(used >= 0.85, "{fleet}: {used}");
         }
     }
 }
 
-/// Guards against a limit that is lowered and stays as it was at the VMs that give turns by it.
+/// Failure: a limit is lowered, and the VMs that give turns keep the old one.
 #[test]
-fn a_limit_that_changes_is_news_once() {
+fn a_changed_limit_is_reported_once() {
     let (now, name) = (Instant::now(), BackendServerName::from("s"));
     let mut limits = ServerLimits::default();
-    let mut heard =
+    let mut answer =
         |per_s| limits.record_named(now, &name, Some(per_s), |_| LimitShare::OneOf(1), 0.5);
-    assert!(matches!(heard(6.0), Some(LimitChange::Named(_))));
-    assert_eq!(heard(6.0), None);
-    assert_eq!(heard(1.0), Some(LimitChange::Changed { before: 6.0 }));
-    assert_eq!(heard(1.0), None);
+    assert!(matches!(answer(6.0), Some(LimitChange::Named(_))));
+    assert_eq!(answer(6.0), None);
+    assert_eq!(answer(1.0), Some(LimitChange::Changed { before: 6.0 }));
+    assert_eq!(answer(1.0), None);
     assert_eq!(limits.per_s(&name), Some(1.0));
 }
--- a/crates/kingcuploft/tests/entry/server_table.rs
+++ b/crates/kingcuploft/tests/entry/server_table.rs
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn a_table_tells_each_server_as_it_is() {
+fn a_table_is_decoded_to_the_same_servers() {
     let servers = servers(30);
     let line = serde_json::to_vec(&ServerTable::from_servers(servers.iter())).unwrap();
     let table: ServerTable = serde_json::from_slice(&line).unwrap();
     assert_eq!(table.servers().unwrap(), servers);
 }
 
-/// Two VMs of different versions, or broken bytes: a row names a service that the table has not.
+/// Failure: VMs of different versions, or broken bytes: a row refers to a service that is not in the table.
 #[test]
 fn a_row_without_its_service_is_an_error() {
     let line = r#"{"services":[],"zones":["a"],"rows":[["i-1",0,0,"10.0.0.1:80",2,false,0,null]]}"#;
--- a/crates/kingcuploft/tests/entry/zone_record.rs
+++ b/crates/kingcuploft/tests/entry/zone_record.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// What `vm-0` sees, which these follow.
+/// Returns the view of `vm-0` with these followers.
 fn seen(followers: Vec<VmEntry>) -> ZoneView {
     let below = followers.len() as u32;
     ZoneView {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Guards against a call to the store for each VM that restarts.
+/// Failure: each VM that restarts costs a write to the store.
 #[test]
 fn restarts_of_followers_write_nothing() {
     let old = record(named(MAX_NAMED_VMS), 50);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_new_reader_that_is_followed_names_itself_first() {
+fn a_new_reader_with_followers_names_itself_first() {
     let old = record([vec![vm("gone", 200)], named(4)].concat(), 6);
     let new = refreshed(&old, &seen(named(4)[1..].to_vec()), 6, true).unwrap();
     assert!(new.is_led_by(&"vm-0".into()));
@@ -59,15 +59,15 @@
     assert_eq!(&*last.name, "gone", "it may come back, and there is room");
 }
 
-/// Guards against two VMs that write themselves into a zone's record by turns.
+/// Failure: two VMs alternately write themselves into a zone's record.
 #[test]
-fn a_vm_that_nobody_follows_does_not_name_itself_first() {
+fn a_vm_without_followers_does_not_name_itself_first() {
     let old = record([vec![vm("reader", 200)], named(4)].concat(), 50);
     assert_eq!(refreshed(&old, &seen(Vec::new()), 50, true), None);
 }
 
 #[test]
-fn a_zone_that_has_grown_is_written_at_once() {
+fn a_grown_zone_is_rewritten_at_once() {
     let old = record(named(MAX_NAMED_VMS), 50);
     let more: Vec<VmEntry> = (1..60).map(|at| vm(&format!("vm-{at}"), 200)).collect();
     let new = refreshed(&old, &seen(more), 60, true).unwrap();
@@ -75,9 +75,9 @@
     assert_eq!(new.vms, old.vms, "those that are named and there stay");
 }
 
-/// Guards against a count of VMs that shrinks while they restart.
+/// Failure: the VM count shrinks while the VMs restart.
 #[test]
-fn a_zone_shrinks_late() {
+fn the_vm_count_shrinks_with_a_delay() {
     let (mut count, begun) = (ZoneCount::default(), Instant::now());
     let at = |s| begun + Duration::from_secs(s);
     assert_eq!(count.stable_count(at(0), 50, 3), 50);
@@ -91,9 +91,10 @@
     assert_eq!(count.stable_count(at(33), 50, 3), 50, "and anew");
 }
 
-/// More than half of the VMs that a record names are lost for good. Who starts later must find one of those that run.
+/// Failure: more than half of the VMs that a record names are lost for good, and VMs that start later find none of the
+/// running ones.
 #[test]
-fn lost_vms_are_named_no_more() {
+fn lost_vms_are_replaced_in_the_record() {
     let old = record(named(MAX_NAMED_VMS), 30);
     let others: Vec<VmEntry> = (20..40).map(|at| vm(&format!("vm-{at}"), 200)).collect();
     let new = refreshed(&old, &seen(others.clone()), 30, true).unwrap();
@@ -101,7 +102,7 @@
     assert!(new.vms[1..].iter().all(|vm| others.contains(vm)));
 }
 
-/// After an outage the small VMs of a zone are back first, and one of them reads for fifty others.
+/// Failure: after an outage the small VMs of a zone are back first, and one of them reads for fifty others.
 #[test]
 fn a_small_reader_hands_over_to_a_larger_vm() {
     let mut all = named(5);
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn a_vm_that_reaches_nobody_is_named_last_while_there_is_room() {
+fn a_vm_that_reaches_no_other_is_named_last_while_there_is_room() {
     let mut record = record(named(MAX_NAMED_VMS), 50);
     for at in 0..3 {
         record = with_unreachable_vm(&record, &vm(&format!("alone-{at}"), 500)).unwrap();
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn the_vm_that_the_store_answers_reads_in_place_of_the_first() {
+fn a_vm_that_the_store_answers_replaces_the_first_as_reader() {
     let old = record(named(MAX_NAMED_VMS), 50);
     let new = with_leader(&old, &old.vms[4]);
     assert!(new.is_led_by(&"vm-4".into()));
--- a/crates/kingcuploft/tests/fleet/drawn.rs
+++ b/crates/kingcuploft/tests/fleet/drawn.rs
@@ -1,12 +1,12 @@
-//! Deployments that nobody has tuned anything for, drawn by seed.
+//! Random deployments by seed, for which nothing was tuned.
 
 use crate::fleet::play;
-use crate::world::{Choose, Outcome, Parts, WHOLE, World};
+use crate::world::{ALL_FEATURES, Choose, Features, Outcome, World};
 
-/// The seeds played by each run of the tests. The whole two hundred take minutes.
+/// The seeds of each test run; all two hundred take minutes.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=20;
 
-/// How callers fare in one drawn deployment: the shares answered in time.
+/// The shares of requests answered in time in one random deployment, by selection.
 #[derive(Debug)]
 struct Compared {
     seed: u64,
@@ -18,8 +18,11 @@
 impl Compared {
     fn play(seed: u64) -> Self {
         let in_time = |choose| {
-            let parts = Parts { choose, ..WHOLE };
-            Outcome::in_time_share(&play(&World::drawn(seed).with(parts)))
+            let features = Features {
+                choose,
+                ..ALL_FEATURES
+            };
+            Outcome::in_time_share(&play(&World::drawn(seed).with(features)))
         };
         Self {
             seed,
@@ -34,16 +37,16 @@
     }
 }
 
-/// Guards against a deployment, drawn by chance, that is served worse than by naive choices.
+/// Failure: a random deployment is served worse than by naive selection.
 #[test]
-fn callers_of_a_drawn_deployment_get_no_less_than_by_naive_choices() {
+fn random_deployments_are_served_no_worse_than_by_naive_selection() {
     for seed in SEEDS {
         let compared = Compared::play(seed);
         assert!(compared.own > compared.naive - 0.02, "{compared:?}");
     }
 }
 
-/// Run by hand: `cargo test --release --test fleet -- --ignored --nocapture`.
+/// Run manually: `cargo test --release --test fleet -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes minutes; its figures stand in docs/measurements/further.md"]
 fn two_hundred_drawn_deployments() {
--- a/crates/kingcuploft/tests/fleet/fleet.rs
+++ b/crates/kingcuploft/tests/fleet/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: events in virtual time, each decision asked of the product.
+//! The fleet: events in virtual time, with the decisions of the product.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -14,16 +14,19 @@
 use kingcuploft::entry::service_time::ServiceTime;
 use kingcuploft::world::contract::Contract;
 
-use crate::world::{FAR, Micros, NEAR, Outcome, REDRAW, SERVICE, SLOWNESS, Trouble, World};
+use crate::world::{
+    FAR_LATENCY, Micros, NEAR_LATENCY, Outcome, SERVICE, SLOWNESS, SPEED_CHANGE_INTERVAL, Trouble,
+    World,
+};
 
-/// How many wait at a server; others are told that they did not run.
-const LINE: usize = 4;
+/// The queue length of a server; it refuses further requests as not run.
+const QUEUE_LENGTH: usize = 4;
 
-/// How long the VMs have run when traffic begins.
+/// How long the VMs have run when the traffic starts.
 const BEFORE_TRAFFIC: Duration = Duration::from_secs(8);
 
-/// Requests that take ten times as long.
-const LONG: f64 = 10.0;
+/// How many times longer the work of a long request is.
+const LONG_WORK_FACTOR: f64 = 10.0;
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Event {
@@ -45,11 +48,11 @@
         server: usize,
         end: u8,
     },
-    LookAgain {
+    ConsiderHedge {
         request: usize,
         server: usize,
     },
-    SendSecond {
+    SendHedge {
         request: usize,
         server: usize,
         asked_at: Micros,
@@ -57,7 +60,7 @@
     Deadline(usize),
 }
 
-/// The ends of an attempt that a server causes, by their place.
+/// The ends of an attempt that a server causes, by index.
 const ENDS: [AttemptEnd; 3] = [
     AttemptEnd::Succeeded,
     AttemptEnd::Failed,
@@ -73,10 +76,10 @@
     pub(crate) tried: Vec<usize>,
     pub(crate) in_flight: u32,
     pub(crate) reached: u32,
-    pub(crate) look_begun: Micros,
+    pub(crate) selection_started_at: Micros,
     pub(crate) reach: ProbeScope,
     pub(crate) over: bool,
-    /// When it was sent last, and if known how slow the server was then and which slot it took.
+    /// When it was last sent, and, if known, how slow the server was then and which slot it took.
     pub(crate) sent: (Micros, Option<(f64, Slot)>),
 }
 
@@ -89,9 +92,9 @@
 #[derive(Default)]
 pub(crate) struct Server {
     pub(crate) running: Vec<(usize, Job)>,
-    pub(crate) line: VecDeque<Job>,
+    pub(crate) queue: VecDeque<Job>,
     pub(crate) jobs: usize,
-    /// Slot time that probes took and work has to make good.
+    /// Slot time that probes took, which is added to the next work.
     pub(crate) debt_ms: f64,
 }
 
@@ -99,7 +102,7 @@
 pub(crate) struct View {
     pub(crate) reading: Option<(Micros, LoadReport)>,
     pub(crate) asked: bool,
-    pub(crate) mute_until: Micros,
+    pub(crate) avoided_until: Micros,
     pub(crate) sent: Vec<Micros>,
     pub(crate) failures: FailureRate,
 }
@@ -112,7 +115,7 @@
     pub(crate) last_slot: LastSlotSlowdown,
 }
 
-/// Plays a world and returns what callers got.
+/// Simulates a deployment and returns the answers that callers got.
 pub(crate) fn play(world: &World) -> Outcome {
     let mut fleet = Fleet::new(world);
     fleet.at(0, Event::Arrives);
@@ -188,12 +191,12 @@
                 server,
                 end,
             } => self.answers(request, server, ENDS[usize::from(end)]),
-            Event::LookAgain { request, server } => self.look_again(request, server),
-            Event::SendSecond {
+            Event::ConsiderHedge { request, server } => self.consider_hedge(request, server),
+            Event::SendHedge {
                 request,
                 server,
                 asked_at,
-            } => self.send_second(request, server, asked_at),
+            } => self.send_hedge(request, server, asked_at),
             Event::Deadline(request) => self.deadline(request),
         }
     }
@@ -205,8 +208,9 @@
     }
 
     pub(crate) fn slowness(&self, server: usize) -> f64 {
-        let mut draw =
-            Rng::with_seed(self.world.seed ^ ((server as u64) << 32) ^ (self.now / REDRAW));
+        let mut draw = Rng::with_seed(
+            self.world.seed ^ ((server as u64) << 32) ^ (self.now / SPEED_CHANGE_INTERVAL),
+        );
         let drawn = match draw.u32(..4) {
             0 => SLOWNESS,
             _ => 1.0,
@@ -219,8 +223,8 @@
 
     pub(crate) fn link(&self, vm: usize, server: usize) -> Micros {
         match vm % self.world.zones == server % self.world.zones {
-            true => NEAR,
-            false => FAR,
+            true => NEAR_LATENCY,
+            false => FAR_LATENCY,
         }
     }
 
@@ -235,7 +239,7 @@
         let of = &self.servers[server];
         LoadReport {
             running: of.running.len() as u32,
-            waiting: of.line.len() as u32,
+            waiting: of.queue.len() as u32,
             slots: self.world.slots,
             slowness: self.slowness(server),
         }
@@ -244,7 +248,7 @@
     pub(crate) fn arrives(&mut self) {
         let world = self.world;
         let long = self.rng.f64() < world.long_share;
-        let work_ms = world.work_ms * if long { LONG } else { 1.0 };
+        let work_ms = world.work_ms * if long { LONG_WORK_FACTOR } else { 1.0 };
         let vm = self.rng.usize(..self.live_vms());
         let request = self.requests.len();
         self.requests.push(Request {
@@ -256,7 +260,7 @@
             tried: Vec::new(),
             in_flight: 0,
             reached: 0,
-            look_begun: self.now,
+            selection_started_at: self.now,
             reach: ProbeScope::Near,
             over: false,
             sent: (self.now, None),
@@ -297,16 +301,16 @@
         self.requests[request].reached += 1;
         self.outcome.arrivals += 1;
         self.outcome.repeats += u32::from(self.requests[request].reached > 1);
-        self.outcome.far += u32::from(self.link(vm, server) == FAR);
-        let before = self.now.saturating_sub(2 * FAR);
-        let had_left = self.trouble(server, before) == Some(Trouble::Leaves);
-        self.outcome.after_leaving += u32::from(had_left);
+        self.outcome.far += u32::from(self.link(vm, server) == FAR_LATENCY);
+        let before = self.now.saturating_sub(2 * FAR_LATENCY);
+        let had_left = self.trouble(server, before) == Some(Trouble::Drains);
+        self.outcome.after_draining += u32::from(had_left);
         let job = Job { request, vm };
         let slots = self.world.slots as usize;
         if self.servers[server].running.len() < slots {
             self.start(server, job);
-        } else if self.servers[server].line.len() < LINE {
-            self.servers[server].line.push_back(job);
+        } else if self.servers[server].queue.len() < QUEUE_LENGTH {
+            self.servers[server].queue.push_back(job);
         } else {
             self.answer(server, job, 2);
         }
@@ -344,13 +348,13 @@
         let (_, job) = running.swap_remove(at);
         let end = match self.trouble(server, self.now) {
             Some(Trouble::Silent) => None,
-            Some(Trouble::Grey(share)) if self.rng.f64() < share => Some(1),
+            Some(Trouble::FailsShare(share)) if self.rng.f64() < share => Some(1),
             _ => Some(0),
         };
         if let Some(end) = end {
             self.answer(server, job, end);
         }
-        while let Some(next) = self.servers[server].line.pop_front() {
+        while let Some(next) = self.servers[server].queue.pop_front() {
             if !self.requests[next.request].over {
                 return self.start(server, next);
             }
--- a/crates/kingcuploft/tests/fleet/scenarios.rs
+++ b/crates/kingcuploft/tests/fleet/scenarios.rs
@@ -1,69 +1,77 @@
-//! One scenario for each part of the product: callers get what they should, and less with the part
-//! switched off.
+//! One scenario for each feature of the product: callers get good answers, and worse ones with the feature disabled.
 
 use crate::fleet::play;
 use crate::world::{
-    Choose, Outcome, PROBES_PER_S, Parts, REPEAT_ALLOWANCE, REPEAT_RATIO, Trouble, WHOLE, World,
+    ALL_FEATURES, Choose, Features, Outcome, PROBES_PER_S, REPEAT_ALLOWANCE, REPEAT_RATIO, Trouble,
+    World,
 };
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
-/// Returns the mean over some seeds of what a figure of the outcome is.
+/// Returns the mean of a figure of the outcome over several seeds.
 fn mean(world: impl Fn(u64) -> World, figure: impl Fn(&Outcome) -> f64) -> f64 {
     let figures: Vec<f64> = SEEDS.map(|seed| figure(&play(&world(seed)))).collect();
     figures.iter().sum::<f64>() / figures.len() as f64
 }
 
-fn random() -> Parts {
-    Parts {
+fn random() -> Features {
+    Features {
         choose: Choose::Random,
-        ..WHOLE
+        ..ALL_FEATURES
     }
 }
 
-fn least_own() -> Parts {
-    Parts {
+fn least_own() -> Features {
+    Features {
         choose: Choose::LeastOwn,
-        ..WHOLE
+        ..ALL_FEATURES
     }
 }
 
-/// Guards against choices by replies that are old by the next one.
+/// Failure: selection by the load in replies, which is outdated by the next reply.
 #[test]
-fn callers_of_a_calm_day_are_answered_in_time() {
-    let in_time = |parts| mean(|seed| World::calm(seed).with(parts), Outcome::in_time_share);
-    assert!(in_time(WHOLE) > 0.98, "{}", in_time(WHOLE));
+fn callers_under_normal_load_are_answered_in_time() {
+    let in_time = |features| {
+        mean(
+            |seed| World::calm(seed).with(features),
+            Outcome::in_time_share,
+        )
+    };
+    assert!(in_time(ALL_FEATURES) > 0.98, "{}", in_time(ALL_FEATURES));
     assert!(in_time(random()) < 0.80, "{}", in_time(random()));
     assert!(in_time(least_own()) < 0.80, "{}", in_time(least_own()));
 }
 
-/// Guards against an overload that is served worse than by blind choice.
+/// Failure: an overload is served worse than by naive selection.
 #[test]
-fn callers_of_an_overload_get_no_less_than_by_naive_choices() {
+fn an_overload_is_served_no_worse_than_by_naive_selection() {
     for times in [0.8, 1.0, 1.5, 3.0] {
-        let share = |parts| {
+        let share = |features| {
             let world = |seed| World {
                 probe_cost_ms: 0.0,
-                ..World::overload(seed, times).with(parts)
+                ..World::overload(seed, times).with(features)
             };
             mean(world, Outcome::in_time_share)
         };
-        let (own, naive) = (share(WHOLE), share(random()).max(share(least_own())));
-        // At three times the load all servers are full, and no choice is better than another.
+        let (own, naive) = (share(ALL_FEATURES), share(random()).max(share(least_own())));
+        // At three times the capacity all servers are full, and no selection is better than another.
         assert!(own > naive - 0.02, "at {times}: {own} against {naive}");
         let far_better = times > 1.0 || own > naive + 0.2;
         assert!(far_better, "at {times}: {own} against {naive}");
     }
 }
 
-/// Guards against a burst whose requests stand in lines while a good server is near.
+/// Failure: requests of a burst wait in queues while a good server is about to be free.
 #[test]
-fn requests_that_wait_for_a_good_server_are_answered_sooner() {
+fn waiting_for_a_good_server_answers_more_requests_in_time() {
     let in_time = |waits| {
-        let parts = Parts { waits, ..WHOLE };
+        let features = Features {
+            waits,
+            ..ALL_FEATURES
+        };
         let world = |seed| World {
             probe_cost_ms: 0.0,
-            ..World::overload(seed, 1.2).with(parts)
+            ..World::overload(seed, 1.2).with(features)
         };
         mean(world, Outcome::in_time_share)
     };
@@ -71,14 +79,17 @@
     assert!(waiting > at_once + 0.05, "{waiting} against {at_once}");
 }
 
-/// Guards against callers that can't be in time and make those behind them late.
+/// Failure: requests that can't be answered in time make those behind them late.
 #[test]
-fn callers_who_can_be_in_time_do_not_stand_behind_those_who_cannot() {
-    let in_time = |times, yields| {
-        let parts = Parts { yields, ..WHOLE };
+fn late_requests_do_not_delay_those_that_can_be_in_time() {
+    let in_time = |times, yields_when_late| {
+        let features = Features {
+            yields_when_late,
+            ..ALL_FEATURES
+        };
         let world = |seed| World {
             probe_cost_ms: 0.0,
-            ..World::overload(seed, times).with(parts)
+            ..World::overload(seed, times).with(features)
         };
         mean(world, Outcome::in_time_share)
     };
@@ -89,7 +100,7 @@
     }
 }
 
-/// What can't be answered is refused while its caller can still come back, and never held to its deadline.
+/// Requests that can't be answered are refused while their callers can still retry, and not held until the deadline.
 #[test]
 fn refusals_of_an_overload_come_before_the_deadline() {
     for seed in SEEDS {
@@ -101,110 +112,114 @@
     }
 }
 
-/// Guards against probes that take the slots of requests.
+/// Failure: probes take the slots of requests.
 #[test]
 fn probes_stay_in_their_budget_and_leave_slots_to_requests() {
-    let world = |parts| move |seed| World::overload(seed, 0.85).with(parts);
-    let unbounded = Parts {
+    let world = |features| move |seed| World::overload(seed, 0.85).with(features);
+    let unbounded = Features {
         probe_budget: false,
-        ..WHOLE
+        ..ALL_FEATURES
     };
-    let probes = mean(world(WHOLE), |outcome| outcome.probes_per_s);
-    // Eight seconds before the traffic count as well, of twenty-eight in all.
+    let probes = mean(world(ALL_FEATURES), |outcome| outcome.probes_per_s);
+    // The budget also accrues in the eight seconds before the traffic, of twenty-eight in all.
     assert!(probes * 20.0 / 28.0 <= PROBES_PER_S, "{probes}");
-    let bounded = mean(world(WHOLE), Outcome::in_time_share);
+    let bounded = mean(world(ALL_FEATURES), Outcome::in_time_share);
     let spent = mean(world(unbounded), Outcome::in_time_share);
     assert!(bounded > 0.85 && spent < 0.5, "{bounded} against {spent}");
 }
 
-/// Guards against lookups that servers hold which fell silent.
+/// Failure: lookups are held by servers that stopped responding.
 #[test]
-fn lookups_held_by_silent_servers_are_answered_elsewhere() {
-    let failed = |second_look| {
-        let parts = Parts {
-            second_look,
-            ..WHOLE
+fn lookups_held_by_unresponsive_servers_are_hedged() {
+    let failed = |hedges| {
+        let features = Features {
+            hedges,
+            ..ALL_FEATURES
         };
-        let world = |seed| World::calm(seed).trouble(4, Trouble::Silent).with(parts);
+        let world = |seed| World::calm(seed).trouble(4, Trouble::Silent).with(features);
         mean(world, |outcome| f64::from(outcome.failed))
     };
     let (with, without) = (failed(true), failed(false));
     assert!(with < 1.0 && without >= 2.0, "{with} against {without}");
 }
 
-/// Guards against servers that fail, look idle and draw the work of all.
+/// Failure: servers that fail look idle and attract requests.
 #[test]
-fn servers_that_fail_get_less_work_though_they_look_idle() {
+fn failing_servers_get_fewer_requests_though_they_look_idle() {
     let repeats = |avoids_failing| {
-        let parts = Parts {
+        let features = Features {
             avoids_failing,
-            ..WHOLE
+            ..ALL_FEATURES
         };
-        let grey = Trouble::Grey(0.5);
-        let world = |seed| World::calm(seed).trouble(4, grey).with(parts);
+        let grey = Trouble::FailsShare(0.5);
+        let world = |seed| World::calm(seed).trouble(4, grey).with(features);
         mean(world, |outcome| f64::from(outcome.repeats))
     };
     let (avoided, drawn) = (repeats(true), repeats(false));
     assert!(avoided < 0.8 * drawn, "{avoided} against {drawn}");
 }
 
-/// Guards against requests held untried where all servers fail alike.
+/// Failure: requests are held without an attempt although all servers fail alike.
 #[test]
-fn requests_are_not_held_up_where_all_servers_fail_alike() {
+fn requests_are_not_held_if_all_servers_fail_alike() {
     for seed in SEEDS {
-        let failing = World::calm(seed).trouble(16, Trouble::Grey(0.5));
+        let failing = World::calm(seed).trouble(16, Trouble::FailsShare(0.5));
         let outcome = play(&failing);
         assert_eq!(outcome.refused, 0, "{outcome:?}");
         assert!(outcome.in_time_share() > 0.74, "{outcome:?}");
     }
 }
 
-/// Six of sixteen servers turn eight times slower for eight seconds.
+/// Failure: six of sixteen servers turn eight times slower for eight seconds.
 #[test]
-fn servers_that_turn_slow_are_left_to_the_others() {
-    let in_time = |parts| {
-        let world = |seed| World::calm(seed).trouble(6, Trouble::Slow(8.0)).with(parts);
+fn servers_that_turn_slow_are_avoided() {
+    let in_time = |features| {
+        let world = |seed| {
+            World::calm(seed)
+                .trouble(6, Trouble::Slow(8.0))
+                .with(features)
+        };
         mean(world, Outcome::in_time_share)
     };
-    let (own, naive) = (in_time(WHOLE), in_time(least_own()));
+    let (own, naive) = (in_time(ALL_FEATURES), in_time(least_own()));
     assert!(own > 0.92 && naive < 0.75, "{own} against {naive}");
 }
 
-/// Guards against new work for leaving servers while the others are busy.
+/// Failure: draining servers get new requests while the others are busy.
 #[test]
-fn leaving_servers_get_no_new_work_under_load() {
+fn draining_servers_get_no_new_requests_under_load() {
     for seed in SEEDS {
-        let leaving = World::calm(seed).trouble(4, Trouble::Leaves);
+        let leaving = World::calm(seed).trouble(4, Trouble::Drains);
         let outcome = play(&leaving);
-        assert_eq!(outcome.after_leaving, 0);
+        assert_eq!(outcome.after_draining, 0);
         assert!(outcome.served_share() > 0.97, "{outcome:?}");
     }
 }
 
-/// One request in thirty takes ten times as long. Short ones don't stand behind it.
+/// Failure: one request in thirty takes ten times as long, and short ones queue behind it.
 #[test]
-fn short_requests_are_not_held_up_by_long_ones() {
-    let short_in_time = |parts| {
+fn short_requests_are_not_delayed_by_long_ones() {
+    let short_in_time = |features| {
         let world = |seed| World {
             long_share: 0.03,
             per_s: 60.0,
-            ..World::calm(seed).with(parts)
+            ..World::calm(seed).with(features)
         };
         mean(world, |outcome| {
             f64::from(outcome.short_in_time) / f64::from(outcome.short_requests)
         })
     };
-    let (own, naive) = (short_in_time(WHOLE), short_in_time(least_own()));
+    let (own, naive) = (short_in_time(ALL_FEATURES), short_in_time(least_own()));
     assert!(own > 0.97 && naive < 0.80, "{own} against {naive}");
 }
 
-/// Guards against budgets that fail callers where half of the VMs are lost.
+/// Failure: budgets reject callers after half of the VMs are lost.
 #[test]
 fn callers_of_lost_vms_are_served_by_the_others() {
     for seed in SEEDS {
         let lost = World {
             lost_vms: Some((5_000_000, 7)),
-            vms_believed: Some(14),
+            assumed_vms: Some(14),
             ..World::calm(seed)
         };
         let outcome = play(&lost);
@@ -213,13 +228,13 @@
     }
 }
 
-/// Guards against repeats beyond the budget of all VMs together.
+/// Failure: the repeats of all VMs together exceed their budget.
 #[test]
 fn repeats_stay_in_the_budget_of_all_vms() {
     for seed in SEEDS {
         let failing = World {
             per_s: 200.0,
-            ..World::calm(seed).trouble(8, Trouble::Grey(0.5))
+            ..World::calm(seed).trouble(8, Trouble::FailsShare(0.5))
         };
         let outcome = play(&failing);
         // Two windows of ten seconds.
@@ -229,15 +244,15 @@
     }
 }
 
-/// Guards against last slots that cost callers their time while idle servers stand elsewhere.
+/// Failure: requests take slow last slots while idle servers stand in other zones.
 #[test]
-fn callers_are_not_sent_to_last_slots_that_cost_them_their_time() {
+fn slow_last_slots_are_avoided() {
     let in_time = |learns_last_slot| {
-        let parts = Parts {
+        let features = Features {
             learns_last_slot,
-            ..WHOLE
+            ..ALL_FEATURES
         };
-        let world = |seed| World::shared_processors(seed).with(parts);
+        let world = |seed| World::shared_processors(seed).with(features);
         mean(world, Outcome::in_time_share)
     };
     let (learned, blind) = (in_time(true), in_time(false));
@@ -245,19 +260,19 @@
     assert!(learned > blind + 0.03, "{learned} against {blind}");
 }
 
-/// The way to another zone costs time and bytes. On a calm day nearly all requests stay in theirs.
+/// Traffic to another zone costs time and bytes; under normal load nearly all requests stay in their zone.
 #[test]
-fn requests_of_a_calm_day_stay_in_their_zone() {
-    let far = |parts| {
-        let world = |seed| World::calm(seed).with(parts);
+fn requests_under_normal_load_stay_in_their_zone() {
+    let far = |features| {
+        let world = |seed| World::calm(seed).with(features);
         mean(world, |o| f64::from(o.far) / f64::from(o.arrivals))
     };
-    assert!(far(WHOLE) < 0.06, "{}", far(WHOLE));
+    assert!(far(ALL_FEATURES) < 0.06, "{}", far(ALL_FEATURES));
     assert!(far(random()) > 0.6, "{}", far(random()));
 }
 
 #[test]
-fn a_seed_plays_the_same_day_each_time() {
+fn a_seed_gives_the_same_outcome_each_time() {
     let text = |seed| format!("{:?}", play(&World::overload(seed, 1.0)));
     assert_eq!(text(5), text(5));
     assert_ne!(text(5), text(6));
--- a/crates/kingcuploft/tests/fleet/vm.rs
+++ b/crates/kingcuploft/tests/fleet/vm.rs
@@ -1,4 +1,4 @@
-//! The VM's side of the fleet: its view of the servers, and each decision asked of the product.
+//! The VMs of the fleet: their view of the servers, and the decisions of the product.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 
 use crate::fleet::{Event, Fleet};
 use crate::world::{
-    Choose, Micros, NEAR, PROBES_PER_S, REPEAT_ALLOWANCE, REPEAT_RATIO, REPEAT_WINDOW, SERVICE,
-    Trouble,
+    Choose, Micros, NEAR_LATENCY, PROBES_PER_S, REPEAT_ALLOWANCE, REPEAT_RATIO, REPEAT_WINDOW,
+    SERVICE, Trouble,
 };
 
-/// How long readings are waited for at a time.
-const AWAIT: Micros = 2_000;
+/// How long load reports are awaited at a time.
+const REPORT_WAIT: Micros = 2_000;
 
-/// How long a probe may take, and how long a server that did not answer is left alone.
+/// The timeout of a probe, and how long a server that did not answer is avoided.
 const PROBE_TIMEOUT: Micros = 60_000;
-const MUTE: Micros = 400_000;
+const UNRESPONSIVE_PAUSE: Micros = 400_000;
 
-/// How long a second look waits for readings.
-const SECOND_LOOK: Micros = 5_000;
+/// How long a hedge waits for load reports.
+const HEDGE_WAIT: Micros = 5_000;
 
 impl Fleet<'_> {
     pub(crate) fn probe_answers(&mut self, vm: usize, server: usize) {
@@ -30,7 +30,7 @@
         let view = &mut self.vms[vm].views[server];
         view.reading = Some((now, reading));
         view.asked = false;
-        view.mute_until = 0;
+        view.avoided_until = 0;
     }
 
     pub(crate) fn probe_fails(&mut self, vm: usize, server: usize) {
@@ -39,26 +39,32 @@
         if view.asked && silent == Some(Trouble::Silent) {
             view.asked = false;
             view.reading = None;
-            view.mute_until = now + MUTE;
+            view.avoided_until = now + UNRESPONSIVE_PAUSE;
         }
     }
 
-    fn believed(&self) -> usize {
-        self.world.vms_believed.unwrap_or(self.live_vms())
+    fn assumed_vm_count(&self) -> usize {
+        self.world.assumed_vms.unwrap_or(self.live_vms())
     }
 
-    fn ask(&mut self, vm: usize, server: usize) {
-        let (now, life) = (self.now, self.life(vm));
-        let (vms, servers, instant) = (self.believed(), self.world.servers, self.instant(now));
+    fn probe(&mut self, vm: usize, server: usize) {
+        let (now, max_report_age) = (self.now, self.max_report_age(vm));
+        let (vms, servers, instant) = (
+            self.assumed_vm_count(),
+            self.world.servers,
+            self.instant(now),
+        );
         let link = self.link(vm, server);
         let of_vm = &mut self.vms[vm];
         let view = &mut of_vm.views[server];
-        let fresh = view.reading.is_some_and(|(at, _)| now - at < life);
-        if view.asked || fresh || now < view.mute_until {
+        let fresh = view
+            .reading
+            .is_some_and(|(at, _)| now - at < max_report_age);
+        if view.asked || fresh || now < view.avoided_until {
             return;
         }
         let room = of_vm.probing.try_take(instant, PROBES_PER_S, servers, vms);
-        if !room && self.world.parts.probe_budget {
+        if !room && self.world.features.probe_budget {
             return;
         }
         view.asked = true;
@@ -67,19 +73,28 @@
         self.at(now + PROBE_TIMEOUT, Event::ProbeFails(vm, server));
     }
 
-    fn life(&self, vm: usize) -> Micros {
+    fn max_report_age(&self, vm: usize) -> Micros {
         self.vms[vm].probing.max_report_age().as_micros() as Micros
     }
 
     fn usable(&self, request: usize, reach: ProbeScope) -> Vec<usize> {
         let of = &self.requests[request];
-        let stays = |server: &usize| self.trouble(*server, self.now) != Some(Trouble::Leaves);
+        let stays = |server: &usize| self.trouble(*server, self.now) != Some(Trouble::Drains);
         let untried = |server: &usize| !of.tried.contains(server);
-        let heard = |server: &usize| self.now >= self.vms[of.vm].views[*server].mute_until;
+        let responds = |server: &usize| self.now >= self.vms[of.vm].views[*server].avoided_until;
         let all: Vec<usize> = (0..self.world.servers).filter(stays).collect();
-        let audible: Vec<usize> = all.iter().copied().filter(untried).filter(heard).collect();
-        let all = if audible.is_empty() { all } else { audible };
-        let is_near = |server: &usize| self.link(of.vm, *server) == NEAR;
+        let responding: Vec<usize> = all
+            .iter()
+            .copied()
+            .filter(untried)
+            .filter(responds)
+            .collect();
+        let all = if responding.is_empty() {
+            all
+        } else {
+            responding
+        };
+        let is_near = |server: &usize| self.link(of.vm, *server) == NEAR_LATENCY;
         let (mut near, mut others): (Vec<usize>, Vec<usize>) = all.into_iter().partition(is_near);
         let asked = probe_fanout(near.len(), others.len(), reach);
         // Each VM has its own order of the servers.
@@ -93,23 +108,25 @@
         near
     }
 
-    fn candidate(&self, request: usize, server: usize, life: Micros) -> Candidate {
+    fn candidate(&self, request: usize, server: usize, max_report_age: Micros) -> Candidate {
         let of = &self.requests[request];
         let view = &self.vms[of.vm].views[server];
-        let reading = view.reading.filter(|(at, _)| self.now - at < life);
+        let reading = view
+            .reading
+            .filter(|(at, _)| self.now - at < max_report_age);
         let unseen = match reading {
             Some((at, _)) => view.sent.iter().filter(|sent| **sent >= at).count(),
             None => view.sent.len(),
         };
         Candidate {
-            near: self.link(of.vm, server) == NEAR,
+            near: self.link(of.vm, server) == NEAR_LATENCY,
             load_report: reading.map(|(_, reading)| reading),
             probe_pending: view.asked,
             sent_since_report: unseen as u32,
             own_in_flight: view.sent.len() as u32,
             slots: self.world.slots,
             cold: false,
-            failure_rate: match self.world.parts.avoids_failing {
+            failure_rate: match self.world.features.avoids_failing {
                 true => view.failures.rate(self.instant(self.now)),
                 false => 0.0,
             },
@@ -134,7 +151,7 @@
     }
 
     fn last_slot(&self, vm: usize) -> f64 {
-        match self.world.parts.learns_last_slot {
+        match self.world.features.learns_last_slot {
             true => self.vms[vm].last_slot.factor(),
             false => 1.0,
         }
@@ -144,7 +161,7 @@
         if self.requests[request].over {
             return;
         }
-        match self.world.parts.choose {
+        match self.world.features.choose {
             Choose::Placement => self.choose_by_placement(request),
             Choose::Random | Choose::LeastOwn => self.choose_naively(request),
             Choose::Ideal => self.choose_ideally(request),
@@ -153,11 +170,11 @@
 
     fn choose_naively(&mut self, request: usize) {
         let vm = self.requests[request].vm;
-        let stays = |server: &usize| self.trouble(*server, self.now) != Some(Trouble::Leaves);
+        let stays = |server: &usize| self.trouble(*server, self.now) != Some(Trouble::Drains);
         let all: Vec<usize> = (0..self.world.servers).filter(stays).collect();
         let any = all[self.rng.usize(..all.len())];
         let least = |server: &&usize| self.vms[vm].views[**server].sent.len();
-        let server = match self.world.parts.choose {
+        let server = match self.world.features.choose {
             Choose::LeastOwn => {
                 let offset = self.rng.usize(..all.len());
                 let turned = all.iter().cycle().skip(offset).take(all.len());
@@ -168,8 +185,8 @@
         self.send(request, server);
     }
 
-    /// Sends to the emptiest of the servers that are fast and have a free slot at this moment, and waits a
-    /// millisecond where there is none, as long as the answer can be in time.
+    /// Sends to the least loaded of the servers that are fast and have a free slot at this moment; without any, waits a
+    /// millisecond, as long as the answer can be in time.
     fn choose_ideally(&mut self, request: usize) {
         let now = self.now;
         let slots = self.world.slots as usize;
@@ -192,10 +209,12 @@
     fn choose_by_placement(&mut self, request: usize) {
         let (vm, reach) = (self.requests[request].vm, self.requests[request].reach);
         let servers = self.usable(request, reach);
-        servers.iter().for_each(|server| self.ask(vm, *server));
-        let begun = self.requests[request].look_begun;
-        let life = self.life(vm).max(self.now - begun) + AWAIT;
-        let candidates = servers.iter().map(|s| self.candidate(request, *s, life));
+        servers.iter().for_each(|server| self.probe(vm, *server));
+        let begun = self.requests[request].selection_started_at;
+        let max_report_age = self.max_report_age(vm).max(self.now - begun) + REPORT_WAIT;
+        let candidates = servers
+            .iter()
+            .map(|s| self.candidate(request, *s, max_report_age));
         let candidates: Vec<Candidate> = candidates.collect();
         let need = self.need(request, begun, reach);
         let step = place(&need, &candidates, || self.rng.f64());
@@ -205,16 +224,18 @@
                 self.requests[request].reach = further;
                 self.at(self.now, Event::Choose(request));
             }
-            Step::AwaitReports => self.at(self.now + AWAIT, Event::Choose(request)),
-            Step::Recheck(_) | Step::Refuse(_) if !self.world.parts.waits => {
+            Step::AwaitReports => self.at(self.now + REPORT_WAIT, Event::Choose(request)),
+            Step::Recheck(_) | Step::Refuse(_) if !self.world.features.waits => {
                 self.choose_naively(request);
             }
             Step::Recheck(after) => {
                 let again = self.now + after.as_micros() as Micros;
-                self.requests[request].look_begun = again;
+                self.requests[request].selection_started_at = again;
                 self.at(again, Event::Choose(request));
             }
-            Step::Refuse(_) if !self.world.parts.yields && need.deadline_left_ms > 0.0 => {
+            Step::Refuse(_)
+                if !self.world.features.yields_when_late && need.deadline_left_ms > 0.0 =>
+            {
                 self.choose_naively(request);
             }
             Step::Refuse(_) => self.give_up(request),
@@ -223,8 +244,8 @@
 
     fn send(&mut self, request: usize, server: usize) {
         let (now, vm) = (self.now, self.requests[request].vm);
-        let life = 3_600_000_000;
-        let seen = self.candidate(request, server, life);
+        let max_report_age = 3_600_000_000;
+        let seen = self.candidate(request, server, max_report_age);
         self.requests[request].sent = (now, seen.load_report.map(|r| (r.slowness, seen.slot())));
         let last_slot = self.last_slot(vm);
         let expected_ms = {
@@ -232,7 +253,7 @@
             let target =
                 Duration::from_secs_f64(self.world.target_ms * self.stretch(request) / 1000.0);
             let work_ms = self.vms[vm].times[of.kind].work_ms(target);
-            self.candidate(request, server, life)
+            self.candidate(request, server, max_report_age)
                 .expected_ms(work_ms, last_slot)
         };
         let of = &mut self.requests[request];
@@ -241,9 +262,9 @@
         self.vms[vm].views[server].sent.push(now);
         let link = self.link(vm, server);
         self.at(now + link, Event::Reaches { request, server });
-        if self.world.parts.second_look && self.requests[request].in_flight == 1 {
+        if self.world.features.hedges && self.requests[request].in_flight == 1 {
             let look = now + hedge_delay(expected_ms).as_micros() as Micros;
-            self.at(look, Event::LookAgain { request, server });
+            self.at(look, Event::ConsiderHedge { request, server });
         }
     }
 
@@ -259,7 +280,7 @@
         }
         let of = &mut self.requests[request];
         of.in_flight -= 1;
-        let verdict = of.attempts.record_outcome(end);
+        let action = of.attempts.record_outcome(end);
         if end == AttemptEnd::Succeeded {
             let (kind, (sent, seen)) = (of.kind, of.sent);
             let took = Duration::from_micros(self.now - sent);
@@ -269,11 +290,11 @@
             }
             return self.served(request);
         }
-        let tries = verdict == NextAction::Retry && self.take_repeat(vm);
+        let tries = action == NextAction::Retry && self.take_repeat(vm);
         if tries {
             let of = &mut self.requests[request];
             of.tried.push(server);
-            of.look_begun = self.now;
+            of.selection_started_at = self.now;
             self.at(self.now, Event::Choose(request));
         } else if self.requests[request].in_flight == 0 {
             self.give_up(request);
@@ -286,31 +307,31 @@
             allowance: REPEAT_ALLOWANCE,
             window: REPEAT_WINDOW,
         };
-        let (now, vms) = (self.instant(self.now), self.believed());
+        let (now, vms) = (self.instant(self.now), self.assumed_vm_count());
         let repeats = &mut self.vms[vm].repeats;
         let standing = repeats.try_take(now, &SERVICE.into(), &bounds, vms);
         standing.allows_repeat()
     }
 
-    pub(crate) fn look_again(&mut self, request: usize, server: usize) {
+    pub(crate) fn consider_hedge(&mut self, request: usize, server: usize) {
         let of = &self.requests[request];
         if of.over || of.in_flight != 1 {
             return;
         }
         let (vm, asked_at) = (of.vm, self.now);
-        self.ask(vm, server);
+        self.probe(vm, server);
         for other in self.usable(request, ProbeScope::Far) {
-            self.ask(vm, other);
+            self.probe(vm, other);
         }
-        let event = Event::SendSecond {
+        let event = Event::SendHedge {
             request,
             server,
             asked_at,
         };
-        self.at(self.now + SECOND_LOOK, event);
+        self.at(self.now + HEDGE_WAIT, event);
     }
 
-    pub(crate) fn send_second(&mut self, request: usize, server: usize, asked_at: Micros) {
+    pub(crate) fn send_hedge(&mut self, request: usize, server: usize, asked_at: Micros) {
         let of = &self.requests[request];
         if of.over || of.in_flight != 1 {
             return;
@@ -321,7 +342,7 @@
         let look = HedgeCheck {
             server_answers: view
                 .reading
-                .is_some_and(|(at, _)| at + self.life(vm) >= asked_at),
+                .is_some_and(|(at, _)| at + self.max_report_age(vm) >= asked_at),
             probe_budget_left: self.vms[vm].probing.remaining_share(),
             deadline_left_ms: need.deadline_left_ms,
             work_ms: need.work_ms,
@@ -331,10 +352,10 @@
         }
         let others = self.usable(request, ProbeScope::Far).into_iter();
         let others: Vec<usize> = others.filter(|other| *other != server).collect();
-        let life = self.life(vm) + SECOND_LOOK + AWAIT;
+        let max_report_age = self.max_report_age(vm) + HEDGE_WAIT + REPORT_WAIT;
         let seen = others
             .iter()
-            .map(|other| self.candidate(request, *other, life));
+            .map(|other| self.candidate(request, *other, max_report_age));
         let candidates: Vec<Candidate> = seen.collect();
         let step = place(&need, &candidates, || self.rng.f64());
         if let Step::Send(at) = step
--- a/crates/kingcuploft/tests/fleet/world.rs
+++ b/crates/kingcuploft/tests/fleet/world.rs
@@ -1,48 +1,48 @@
-//! What is played: the deployment, its load, its faults, and which parts of the product are switched on.
+//! The simulated deployment: its load, its faults, and which features of the product are enabled.
 
 use std::time::Duration;
 
-/// A time from the begin, in microseconds.
+/// The time since the start, in microseconds.
 pub(crate) type Micros = u64;
 
-/// How the server of a request is chosen.
+/// How the server of a request is selected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Choose {
-    /// As the product does, by fresh readings.
+    /// By recent load reports, as the product does.
     Placement,
-    /// Any server.
+    /// At random.
     Random,
-    /// The one with the fewest requests of the own VM.
+    /// The server with the fewest requests of the same VM.
     LeastOwn,
-    /// By the true state of all servers at the moment of choice, which no VM can know: a bound.
+    /// By the true state of all servers at that moment, which no VM can know: an upper bound.
     Ideal,
 }
 
-/// Which parts of the product take part.
+/// The enabled features of the product.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Parts {
+pub(crate) struct Features {
     pub(crate) choose: Choose,
-    /// Lookups that take long are looked at again.
-    pub(crate) second_look: bool,
-    /// Requests wait for a good server and are refused when none can answer.
+    /// Lookups that take long are hedged.
+    pub(crate) hedges: bool,
+    /// Requests wait for a good server, and are refused when none can answer in time.
     pub(crate) waits: bool,
     /// Servers that fail are avoided.
     pub(crate) avoids_failing: bool,
-    /// Requests that can't be in time any more leave the slots to those that can.
-    pub(crate) yields: bool,
-    /// Probes stay in their budget.
+    /// Requests that can't be answered in time leave the slots to others.
+    pub(crate) yields_when_late: bool,
+    /// Probes are limited by their budget.
     pub(crate) probe_budget: bool,
-    /// What a last slot costs is learned from the answers.
+    /// The last-slot slowdown is learned from the answers.
     pub(crate) learns_last_slot: bool,
 }
 
-/// All of them.
-pub(crate) const WHOLE: Parts = Parts {
+/// All features.
+pub(crate) const ALL_FEATURES: Features = Features {
     choose: Choose::Placement,
-    second_look: true,
+    hedges: true,
     waits: true,
     avoids_failing: true,
-    yields: true,
+    yields_when_late: true,
     probe_budget: true,
     learns_last_slot: true,
 };
@@ -52,15 +52,15 @@
 pub(crate) enum Trouble {
     /// Its work takes this many times as long.
     Slow(f64),
-    /// It does not answer, probes neither.
+    /// It answers neither requests nor probes.
     Silent,
-    /// It fails this share of its requests, and looks well.
-    Grey(f64),
-    /// It leaves, and gets no new work.
-    Leaves,
+    /// It fails this share of its requests, and reports that it is healthy.
+    FailsShare(f64),
+    /// It drains, and must get no new requests.
+    Drains,
 }
 
-/// A time during which a server is in trouble.
+/// A period during which a server is faulty.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fault {
     pub(crate) server: usize,
@@ -69,7 +69,7 @@
     pub(crate) until: Micros,
 }
 
-/// A deployment and its day.
+/// A deployment, its load and its faults.
 #[derive(Clone, Debug)]
 pub(crate) struct World {
     pub(crate) seed: u64,
@@ -80,23 +80,23 @@
     pub(crate) work_ms: f64,
     pub(crate) target_ms: f64,
     pub(crate) deadline_ms: f64,
-    /// Requests a second, and the share of them that take ten times as long.
+    /// Requests per second, and the share of them that take ten times as long.
     pub(crate) per_s: f64,
     pub(crate) long_share: f64,
     pub(crate) seconds: f64,
-    /// How many times longer work takes on a server whose last slot it takes.
+    /// How many times longer work takes in the last slot of a server.
     pub(crate) last_slot: f64,
-    /// What a probe takes of a slot.
+    /// The slot time that a probe takes.
     pub(crate) probe_cost_ms: f64,
-    /// From this moment on so many VMs are gone, and their callers go to the others.
+    /// From this time on this many VMs are gone, and their callers use the others.
     pub(crate) lost_vms: Option<(Micros, usize)>,
-    /// The number of VMs by which budgets are divided, if it is not their true number.
-    pub(crate) vms_believed: Option<usize>,
+    /// The VM count by which budgets are divided, if it is not the true one.
+    pub(crate) assumed_vms: Option<usize>,
     pub(crate) faults: Vec<Fault>,
-    pub(crate) parts: Parts,
+    pub(crate) features: Features,
 }
 
-/// The bound on probes, a server and second.
+/// The bound on probes per server and second.
 pub(crate) const PROBES_PER_S: f64 = 60.0;
 
 /// The one service.
@@ -108,7 +108,7 @@
 pub(crate) const REPEAT_WINDOW: Duration = Duration::from_secs(10);
 
 impl World {
-    /// A calm day of a booking service: 14 VMs, 16 servers of two slots, half of their time used.
+    /// A booking service under normal load: 14 VMs, 16 servers with two slots, half of their capacity used.
     pub(crate) fn calm(seed: u64) -> Self {
         Self {
             seed,
@@ -125,14 +125,14 @@
             last_slot: 1.0,
             probe_cost_ms: 6.0,
             lost_vms: None,
-            vms_believed: None,
+            assumed_vms: None,
             faults: Vec::new(),
-            parts: WHOLE,
+            features: ALL_FEATURES,
         }
     }
 
-    /// A calm day at servers whose two slots share a processor: work on the second takes 1.7 times as long.
-    /// A little over a third of the slots is in use, and every third answer of a second slot is late.
+    /// Normal load on servers whose two slots share a processor: work in the second slot takes 1.7 times as long. A
+    /// little over a third of the slots is in use, and every third answer of a second slot is late.
     pub(crate) fn shared_processors(seed: u64) -> Self {
         Self {
             work_ms: 220.0,
@@ -144,9 +144,9 @@
         }
     }
 
-    /// A deployment drawn by its seed: few or many VMs, servers, zones and slots, short or long work, tight or
-    /// loose targets, probes that cost slot time or don't, and a load from a third of what the servers can
-    /// do to a third beyond it.
+    /// A random deployment by its seed: few or many VMs, servers, zones and slots, short or long work, tight or loose
+    /// targets, probes that cost slot time or don't, and a load from a third of the servers' capacity to a third beyond
+    /// it.
     pub(crate) fn drawn(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed.wrapping_mul(0x9E37_79B9));
         let mut between = |least: f64, most: f64| least + (most - least) * rng.f64();
@@ -174,7 +174,8 @@
         }
     }
 
-    /// The same at so many times what the servers can do, the slow quarter of their time included.
+    /// Normal load scaled to this multiple of the servers' capacity, with their slow quarter of the time taken into
+    /// account.
     pub(crate) fn overload(seed: u64, times: f64) -> Self {
         let calm = Self::calm(seed);
         let slots = calm.servers as f64 * f64::from(calm.slots);
@@ -182,12 +183,12 @@
         Self { per_s, ..calm }
     }
 
-    pub(crate) fn with(mut self, parts: Parts) -> Self {
-        self.parts = parts;
+    pub(crate) fn with(mut self, features: Features) -> Self {
+        self.features = features;
         self
     }
 
-    /// Puts the first of the servers in trouble from the fourth second to the twelfth.
+    /// Makes the first servers faulty from the fourth second to the twelfth.
     pub(crate) fn trouble(mut self, servers: usize, trouble: Trouble) -> Self {
         self.faults.extend((0..servers).map(|server| Fault {
             server,
@@ -199,18 +200,18 @@
     }
 }
 
-/// How much longer work takes at the slow quarter of the draws, and the mean over all.
+/// The slowness of the slow quarter of the draws, and the mean over all.
 pub(crate) const SLOWNESS: f64 = 5.0;
 pub(crate) const MEAN_SLOWNESS: f64 = 0.75 + 0.25 * SLOWNESS;
 
-/// The time between two draws of the speeds.
-pub(crate) const REDRAW: Micros = 150_000;
+/// The time between two changes of the server speeds.
+pub(crate) const SPEED_CHANGE_INTERVAL: Micros = 150_000;
 
-/// One way within a zone, and to another.
-pub(crate) const NEAR: Micros = 100;
-pub(crate) const FAR: Micros = 1_000;
+/// The one-way latency within a zone, and to another.
+pub(crate) const NEAR_LATENCY: Micros = 100;
+pub(crate) const FAR_LATENCY: Micros = 1_000;
 
-/// What callers got.
+/// The answers that callers got.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) requests: u32,
@@ -218,20 +219,20 @@
     pub(crate) in_time: u32,
     /// Answered after it.
     pub(crate) late: u32,
-    /// Told "not run".
+    /// Refused with "not run".
     pub(crate) refused: u32,
     /// Answered with a failure, or not before the deadline.
     pub(crate) failed: u32,
     /// The longest time until a refusal, in milliseconds.
     pub(crate) longest_refusal_ms: f64,
-    /// How often requests reached servers, and of these after their first.
+    /// How often requests reached servers, and how many of these were repeats.
     pub(crate) arrivals: u32,
     pub(crate) repeats: u32,
-    /// Arrivals at a server that had left more than a round trip before.
-    pub(crate) after_leaving: u32,
+    /// Arrivals at a server that had been draining for more than a round trip.
+    pub(crate) after_draining: u32,
     /// Arrivals in another zone.
     pub(crate) far: u32,
-    /// Probes, a server and second.
+    /// Probes per server and second.
     pub(crate) probes_per_s: f64,
     /// The same outcome for the short requests alone.
     pub(crate) short_in_time: u32,
