--- a/crates/kingcuploft-entry/src/active_configuration.rs
+++ b/crates/kingcuploft-entry/src/active_configuration.rs
@@ -17,9 +17,9 @@
 #[derive(Debug, Default)]
 pub struct ActiveConfiguration {
     current: RefCell<Option<Arc<Configuration>>>,
-    adopted: Cell<Option<Instant>>,
-    changes: RefCell<ChangeLog>,
-    arriving: RefCell<ChangeAssembler>,
+    adopted_at: Cell<Option<Instant>>,
+    change_log: RefCell<ChangeLog>,
+    assembler: RefCell<ChangeAssembler>,
     needs_full_configuration: Cell<bool>,
     newest: Cell<Option<(ConfigurationVersion, Instant)>>,
     /// Wakes tasks that wait for a configuration to come into force.
@@ -39,8 +39,8 @@
 
     /// Returns how long the configuration has been in force; zero if none is.
     pub fn age(&self) -> Duration {
-        let adopted = self.adopted.get();
-        adopted.map_or(Duration::ZERO, |at| {
+        let adopted_at = self.adopted_at.get();
+        adopted_at.map_or(Duration::ZERO, |at| {
             clock::now().saturating_duration_since(at)
         })
     }
@@ -56,11 +56,11 @@
         if let Some(old) = &*current {
             configuration.share_routes(old);
             let change = ConfigurationChange::between(old, &configuration);
-            self.changes.borrow_mut().push(change, routes);
+            self.change_log.borrow_mut().push(change, routes);
         }
         *current = Some(Arc::new(configuration));
         self.needs_full_configuration.set(false);
-        self.adopted.set(Some(clock::now()));
+        self.adopted_at.set(Some(clock::now()));
         self.adopted_notify.notify_waiters();
         true
     }
@@ -77,7 +77,7 @@
         if version.is_some_and(|version| version >= current.version) {
             return Vec::new();
         }
-        let known = version.and_then(|version| self.changes.borrow().since(version));
+        let known = version.and_then(|version| self.change_log.borrow().since(version));
         known.unwrap_or_else(|| vec![Arc::new(ConfigurationChange::whole(&current))])
     }
 
@@ -89,17 +89,18 @@
     pub fn add_part(&self, part: ChangePart) -> Result<PartOutcome, PartError> {
         let current = self.current();
         let outcome = self
-            .arriving
+            .assembler
             .borrow_mut()
             .add_part(part, current.as_deref())?;
         if matches!(outcome, PartOutcome::Mismatch) {
             self.needs_full_configuration.set(true);
-            self.arriving.borrow_mut().reset();
+            self.assembler.borrow_mut().reset();
         }
         Ok(outcome)
     }
 
-    /// Returns the version to which another VM may send a delta, or `None` if this VM needs the whole configuration.
+    /// Returns the version on which a delta from another VM may build, or `None` if this VM needs the whole
+    /// configuration.
     pub fn delta_base(&self) -> Option<ConfigurationVersion> {
         self.version()
             .filter(|_| !self.needs_full_configuration.get())
@@ -107,7 +108,7 @@
 
     /// Returns how much of the next configuration has arrived.
     pub fn arrival_progress(&self) -> Option<AssemblyProgress> {
-        self.arriving.borrow().progress()
+        self.assembler.borrow().progress()
     }
 
     /// Records that a version exists; returns whether that was unknown.
--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -113,7 +113,7 @@
     /// When the VM started.
     pub started_at: Instant,
     stopping: Cell<Option<Instant>>,
-    closes_idle: Cell<bool>,
+    is_closing_idle: Cell<bool>,
     pub(crate) servers: RefCell<BackendServers>,
     servers_listed: Cell<bool>,
     upstreams: RefCell<HashMap<ServiceName, Vec<Rc<Upstream>>>>,
@@ -177,7 +177,7 @@
             caller_connections: Cell::new(0),
             started_at: clock::now(),
             stopping: Cell::new(None),
-            closes_idle: Cell::new(false),
+            is_closing_idle: Cell::new(false),
             active_configuration: ActiveConfiguration::default(),
             servers: RefCell::default(),
             servers_listed: Cell::new(false),
@@ -220,12 +220,12 @@
 
     /// Returns whether idle connections of callers are being closed.
     pub fn is_closing_idle(&self) -> bool {
-        self.closes_idle.get()
+        self.is_closing_idle.get()
     }
 
     /// Closes connections of callers as soon as they are idle, from now on.
     pub fn close_idle_connections(&self) {
-        self.closes_idle.set(true);
+        self.is_closing_idle.set(true);
         self.stop_requested.notify_waiters();
     }
 
--- a/crates/kingcuploft-entry/src/edge/attempt.rs
+++ b/crates/kingcuploft-entry/src/edge/attempt.rs
@@ -20,13 +20,13 @@
     /// Sends the request to a server and waits until the attempt ends.
     pub(super) async fn attempt(&self, upstream: &Rc<Upstream>) -> AttemptOutcome {
         let record = AttemptRecord::start(self, upstream);
-        let left = record.left;
-        let has_turn = |at: &Rc<Upstream>| Rc::ptr_eq(at, upstream);
+        let remaining = record.remaining;
+        let has_turn = |other: &Rc<Upstream>| Rc::ptr_eq(other, upstream);
         if !self.turn_at.as_ref().is_some_and(has_turn) {
-            limits::count_sent(self.context, upstream, record.at);
+            limits::count_sent(self.context, upstream, record.sent_at);
         }
         let run = SuspectRun::begin(self, upstream);
-        let outcome = exchange::attempt(self.context, upstream, self.request, left).await;
+        let outcome = exchange::attempt(self.context, upstream, self.request, remaining).await;
         record.finish(&outcome);
         self.record_run_end(upstream, outcome.end, run.known_crashes)
             .await;
@@ -42,24 +42,24 @@
 struct AttemptRecord<'a> {
     active: &'a ActiveRequest<'a>,
     upstream: Rc<Upstream>,
-    at: Instant,
-    left: Duration,
+    sent_at: Instant,
+    remaining: Duration,
     load_report: Option<(Duration, LoadReport)>,
     candidate: Candidate,
-    open: bool,
+    is_pending: bool,
 }
 
 impl<'a> AttemptRecord<'a> {
     fn start(active: &'a ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
-        let at = clock::now();
+        let sent_at = clock::now();
         Self {
             active,
-            at,
-            left: active.deadline.saturating_duration_since(at),
-            load_report: upstream.load_report(at),
-            candidate: upstream.candidate(at, MAX_LOGGED_LOAD_REPORT_AGE, false),
+            sent_at,
+            remaining: active.deadline.saturating_duration_since(sent_at),
+            load_report: upstream.load_report(sent_at),
+            candidate: upstream.candidate(sent_at, MAX_LOGGED_LOAD_REPORT_AGE, false),
             upstream: upstream.clone(),
-            open: true,
+            is_pending: true,
         }
     }
 
@@ -69,7 +69,7 @@
     }
 
     fn finish(mut self, outcome: &AttemptOutcome) {
-        self.open = false;
+        self.is_pending = false;
         let (active, context) = (self.active, self.active.context);
         context.metrics.count_attempt(outcome.end.label());
         let succeeded = outcome.end == AttemptEnd::Succeeded;
@@ -83,7 +83,7 @@
                 slot,
             );
         }
-        if !succeeded || context.writes_ordinary_line(self.at) {
+        if !succeeded || context.writes_ordinary_line(self.sent_at) {
             self.log(outcome.end.label(), outcome.detail, outcome.took);
         }
     }
@@ -100,9 +100,9 @@
             running = self.load_report.map(|(_, r)| r.running),
             waiting = self.load_report.map(|(_, r)| r.waiting),
             slowness = self.slowness(),
-            waited_ms = (self.at - request.arrived).as_millis() as u64,
+            waited_ms = (self.sent_at - request.arrived).as_millis() as u64,
             took_ms = took.as_millis() as u64,
-            left_ms = self.left.as_millis() as u64,
+            left_ms = self.remaining.as_millis() as u64,
             end,
             detail,
         );
@@ -111,10 +111,10 @@
 
 impl Drop for AttemptRecord<'_> {
     fn drop(&mut self) {
-        if self.open {
+        if self.is_pending {
             let why = "the caller left, or another server answered first";
             self.active.context.metrics.count_attempt("cancelled");
-            self.log("cancelled", why, clock::since(self.at));
+            self.log("cancelled", why, clock::since(self.sent_at));
         }
     }
 }
--- a/crates/kingcuploft-entry/src/edge/body_memory.rs
+++ b/crates/kingcuploft-entry/src/edge/body_memory.rs
@@ -1,8 +1,8 @@
 //! The bound on the memory of request bodies, over all connections.
 //!
 //! Failure: many callers send long bodies at once, or slowly; the VM keeps all of them, exceeds its memory and is
-//! killed with every request that it has. Guard: bodies may take a bounded share of the memory; a body that does not
-//! fit is refused as not run before more of it is read.
+//! killed with every request that it has. The guard: bodies may take a bounded share of the memory; a body that does
+//! not fit is refused as not run before more of it is read.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -70,7 +70,8 @@
         !quarantine.is_empty() && quarantine.is_suspect(self.request.fingerprint())
     }
 
-    /// Records how a run ended. `known_crashes` is the number of consecutive crashes that were known when the run started.
+    /// Records how a run ended. `known_crashes` is the number of consecutive crashes that were known when the run
+    /// started.
     pub(super) async fn record_run_end(
         &self,
         upstream: &Rc<Upstream>,
--- a/crates/kingcuploft-entry/src/server_updates.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -60,9 +60,9 @@
     servers: Vec<BackendServer>,
     names: &[String],
 ) {
-    let is_news = |server: &BackendServer| context.with_servers(|known| !known.is_known(server));
-    let news: Vec<BackendServer> = servers.iter().filter(|s| is_news(s)).cloned().collect();
-    let cold = cold_servers(&news);
+    let is_new = |server: &BackendServer| context.with_servers(|known| !known.is_known(server));
+    let new_servers: Vec<BackendServer> = servers.iter().filter(|s| is_new(s)).cloned().collect();
+    let cold = cold_servers(&new_servers);
     let entries = servers.into_iter();
     let joined =
         context.with_servers(|known| entries.filter_map(|s| known.update(s)).collect::<Vec<_>>());
@@ -73,17 +73,17 @@
     context.apply_server_changes(now, &changes);
     cold_servers::apply_store_report(context, &cold);
     context.set_servers_listed();
-    forward_to_followers(context, &news, &changes);
+    forward_to_followers(context, &new_servers, &changes);
 }
 
 /// Forwards the outcome of a complete list to the followers: the changes if they are few, or the whole table.
-fn forward_to_followers(context: &Context, news: &[BackendServer], changes: &[Change]) {
-    if news.len() + changes.len() > MAX_CHANGES_SENT_SINGLY {
+fn forward_to_followers(context: &Context, new_servers: &[BackendServer], changes: &[Change]) {
+    if new_servers.len() + changes.len() > MAX_CHANGES_SENT_SINGLY {
         let table = context.with_servers(|servers| ServerTable::from_servers(servers.present()));
         context.followers.send(&Frame::AllServers(table));
         return;
     }
-    for server in news {
+    for server in new_servers {
         context.followers.send(&Frame::Server(server.clone()));
     }
     for change in changes {
--- a/crates/kingcuploft-entry/src/upstream/mod.rs
+++ b/crates/kingcuploft-entry/src/upstream/mod.rs
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Keeps work from the server until it has reported whether it is cold, or for `max_cold_time`, after which it can't
-    /// be cold any more.
+    /// Keeps work from the server until it has reported whether it is cold, or for `max_cold_time`, after which it
+    /// can't be cold any more.
     pub fn require_cold_report(&self, now: Instant, max_cold_time: Duration) {
         self.cold_report_required_at.set(now);
         self.cold_report_required_until
