--- a/crates/kingcuploft-entry/src/run.rs
+++ b/crates/kingcuploft-entry/src/run.rs
@@ -73,13 +73,13 @@
 /// Returns an error if the VM can't start.
 pub async fn run<S: Store + 'static>(
     settings: EntrySettings,
-    vocabulary: WireNames,
+    wire_names: WireNames,
     store: S,
     reread: impl Fn() -> Result<EntrySettings, String>,
 ) -> Result<(), StartError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
     let mut hangup = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
-    let running = start(settings, vocabulary, store).await?;
+    let running = start(settings, wire_names, store).await?;
     loop {
         tokio::select! {
             biased;
@@ -99,7 +99,7 @@
 /// Returns an error if an address can't be bound.
 pub async fn start<S: Store + 'static>(
     settings: EntrySettings,
-    vocabulary: WireNames,
+    wire_names: WireNames,
     store: S,
 ) -> Result<Running, StartError> {
     let callers = listen(settings.caller_address)?;
@@ -110,7 +110,7 @@
         at(&ready, settings.readiness_address),
     );
     tracing::info!(event = "started", vm = %settings.vm, zone = %settings.zone);
-    let context = Rc::new(Context::new(settings, vocabulary));
+    let context = Rc::new(Context::new(settings, wire_names));
     let store = Rc::new(store);
     let store_access = Rc::new(StoreAccess::default());
     tokio::task::spawn_local(readiness::serve(context.clone(), ready));
