--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -93,7 +93,7 @@
     /// The queue of notices that wait to be written to the store.
     pub notice_writes: NoticeWriteQueue,
     /// How many connections of callers are open.
-    pub callers: Cell<usize>,
+    pub caller_connections: Cell<usize>,
     positions: RefCell<HashMap<Collection, Revision>>,
     /// Wakes tasks that wait until this VM knows a later revision of the store.
     pub position_advanced: Notify,
@@ -113,7 +113,7 @@
     /// When the VM started.
     pub started_at: Instant,
     stopping: Cell<Option<Instant>>,
-    closes_idle: Cell<bool>,
+    is_closing_idle: Cell<bool>,
     pub(crate) servers: RefCell<BackendServers>,
     servers_listed: Cell<bool>,
     upstreams: RefCell<HashMap<ServiceName, Vec<Rc<Upstream>>>>,
@@ -138,7 +138,7 @@
         settings: EntrySettings,
         wire_names: WireNames,
     ) -> Self {
-        let is_first = settings.all_start || settings.peers.is_none();
+        let is_first = settings.is_first_start || settings.peer_address.is_none();
         let is_first = is_first || planted::is_on(Planted::ForgetsRepeats);
         let repeats = match is_first {
             true => RepeatBudget::for_first_start(),
@@ -174,10 +174,10 @@
             limits: RefCell::new(ServerLimits::started_at(clock::now())),
             pending_turns: PendingTurns::default(),
             notice_writes: NoticeWriteQueue::default(),
-            callers: Cell::new(0),
+            caller_connections: Cell::new(0),
             started_at: clock::now(),
             stopping: Cell::new(None),
-            closes_idle: Cell::new(false),
+            is_closing_idle: Cell::new(false),
             active_configuration: ActiveConfiguration::default(),
             servers: RefCell::default(),
             servers_listed: Cell::new(false),
@@ -220,16 +220,16 @@
 
     /// Returns whether idle connections of callers are being closed.
     pub fn is_closing_idle(&self) -> bool {
-        self.closes_idle.get()
+        self.is_closing_idle.get()
     }
 
     /// Closes connections of callers as soon as they are idle, from now on.
     pub fn close_idle_connections(&self) {
-        self.closes_idle.set(true);
+        self.is_closing_idle.set(true);
         self.stop_requested.notify_waiters();
     }
 
-    /// Calls `news` with the table of backend servers and returns its result.
+    /// Calls `operation` with the table of backend servers and returns its result.
     pub fn with_servers<T>(&self, operation: impl FnOnce(&mut BackendServers) -> T) -> T {
         operation(&mut self.servers.borrow_mut())
     }
