--- a/crates/kingcuploft-entry/src/context.rs
+++ b/crates/kingcuploft-entry/src/context.rs
@@ -6,23 +6,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use kingcuploft::entry::account_replicas::AccountReplicas;
 use kingcuploft::entry::backend_servers::{BackendServers, Change};
-use kingcuploft::entry::configuration::{Configuration, Dealer, Destination, Route};
+use kingcuploft::entry::caller_timeouts::CallerTimeouts;
+use kingcuploft::entry::configuration::{Configuration, Destination, Route, WeightedSelector};
 use kingcuploft::entry::connections;
 use kingcuploft::entry::evacuations::Evacuations;
-use kingcuploft::entry::last_slot::LastSlot;
-use kingcuploft::entry::log_budget::LogBudget;
-use kingcuploft::entry::patience::Patience;
+use kingcuploft::entry::last_slot_slowdown::LastSlotSlowdown;
+use kingcuploft::entry::log_rate_limiter::LogRateLimiter;
 use kingcuploft::entry::placement::Slot;
 use kingcuploft::entry::probe_budget::ProbeBudget;
 use kingcuploft::entry::quarantine::Quarantine;
 use kingcuploft::entry::readers::Readers;
-use kingcuploft::entry::repeat_copies::RepeatCopies;
-use kingcuploft::entry::repeats::Repeats;
+use kingcuploft::entry::repeat_budget::RepeatBudget;
 use kingcuploft::entry::server_limits::ServerLimits;
 use kingcuploft::entry::service_time::ServiceTime;
 use kingcuploft::entry::vm_entry::VmEntry;
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::planted::{self, PlantedFault};
 use kingcuploft::utils::{HashMap, HashSet};
 use kingcuploft::world::ids::{RuleName, ServiceName, VmName};
 use tokio::sync::Notify;
@@ -69,7 +69,7 @@
     /// The datagram socket to the other VMs.
     pub peer_socket: OnceCell<Rc<dyn PeerSender>>,
     /// What other VMs have used of the repeat budget, stored for them in case they restart.
-    pub repeat_copies: RefCell<RepeatCopies>,
+    pub account_replicas: RefCell<AccountReplicas>,
     /// Wakes the task that sends this VM's usage of the repeat budget to other VMs.
     pub repeat_taken: Notify,
     /// The addresses of the other VMs of the zone.
@@ -89,11 +89,11 @@
     /// The rate limits that servers announce.
     pub limits: RefCell<ServerLimits>,
     /// The turns at rate-limited servers that this VM has requested from others.
-    pub asked_turns: PendingTurns,
+    pub pending_turns: PendingTurns,
     /// The queue of notices that wait to be written to the store.
     pub notice_writes: NoticeWriteQueue,
     /// How many connections of callers are open.
-    pub callers: Cell<usize>,
+    pub caller_connections: Cell<usize>,
     positions: RefCell<HashMap<Collection, Revision>>,
     /// Wakes tasks that wait until this VM knows a later revision of the store.
     pub position_advanced: Notify,
@@ -113,17 +113,17 @@
     /// When the VM started.
     pub started_at: Instant,
     stopping: Cell<Option<Instant>>,
-    closes_idle: Cell<bool>,
+    is_closing_idle: Cell<bool>,
     pub(crate) servers: RefCell<BackendServers>,
     servers_listed: Cell<bool>,
     upstreams: RefCell<HashMap<ServiceName, Vec<Rc<Upstream>>>>,
-    dealers: RefCell<HashMap<RuleName, Dealer>>,
+    selectors: RefCell<HashMap<RuleName, WeightedSelector>>,
     service_times: RefCell<HashMap<(RuleName, ServiceName), ServiceTime>>,
-    last_slots: RefCell<HashMap<ServiceName, LastSlot>>,
-    pub(crate) repeats: RefCell<Repeats>,
-    patience: RefCell<HashMap<RuleName, Patience>>,
+    last_slot_slowdowns: RefCell<HashMap<ServiceName, LastSlotSlowdown>>,
+    pub(crate) repeat_budget: RefCell<RepeatBudget>,
+    caller_timeouts: RefCell<HashMap<RuleName, CallerTimeouts>>,
     pub(crate) probe_budget: RefCell<ProbeBudget>,
-    pub(crate) log_budget: RefCell<LogBudget>,
+    pub(crate) log_rate_limiter: RefCell<LogRateLimiter>,
 }
 
 impl Context {
@@ -138,11 +138,11 @@
         settings: EntrySettings,
         wire_names: WireNames,
     ) -> Self {
-        let is_first = settings.all_start || settings.peers.is_none();
-        let is_first = is_first || planted::is_on(Planted::ForgetsRepeats);
+        let is_first = settings.is_first_start || settings.peer_address.is_none();
+        let is_first = is_first || planted::is_on(PlantedFault::ForgetsRepeats);
         let repeats = match is_first {
-            true => Repeats::first(),
-            false => Repeats::again(clock::now(), &settings.bounds.repeats),
+            true => RepeatBudget::for_first_start(),
+            false => RepeatBudget::after_restart(clock::now(), &settings.bounds.repeats),
         };
         Self {
             vm_count: Cell::new(VMS_WHILE_UNCOUNTED),
@@ -156,7 +156,7 @@
             metrics: Metrics::default(),
             readers: RefCell::default(),
             peer_socket: OnceCell::new(),
-            repeat_copies: RefCell::default(),
+            account_replicas: RefCell::default(),
             repeat_taken: Notify::new(),
             zone_peers: RefCell::default(),
             followers: Followers::default(),
@@ -171,24 +171,24 @@
             quarantine: RefCell::default(),
             rewinds: Rewinds::default(),
             evacuations: RefCell::default(),
-            limits: RefCell::new(ServerLimits::begun_at(clock::now())),
-            asked_turns: PendingTurns::default(),
+            limits: RefCell::new(ServerLimits::started_at(clock::now())),
+            pending_turns: PendingTurns::default(),
             notice_writes: NoticeWriteQueue::default(),
-            callers: Cell::new(0),
+            caller_connections: Cell::new(0),
             started_at: clock::now(),
             stopping: Cell::new(None),
-            closes_idle: Cell::new(false),
+            is_closing_idle: Cell::new(false),
             active_configuration: ActiveConfiguration::default(),
             servers: RefCell::default(),
             servers_listed: Cell::new(false),
             upstreams: RefCell::default(),
-            dealers: RefCell::default(),
+            selectors: RefCell::default(),
             service_times: RefCell::default(),
-            last_slots: RefCell::default(),
-            repeats: RefCell::new(repeats),
-            patience: RefCell::default(),
-            probe_budget: RefCell::new(ProbeBudget::begin(clock::now())),
-            log_budget: RefCell::default(),
+            last_slot_slowdowns: RefCell::default(),
+            repeat_budget: RefCell::new(repeats),
+            caller_timeouts: RefCell::default(),
+            probe_budget: RefCell::new(ProbeBudget::new(clock::now())),
+            log_rate_limiter: RefCell::default(),
         }
     }
 
@@ -220,18 +220,18 @@
 
     /// Returns whether idle connections of callers are being closed.
     pub fn is_closing_idle(&self) -> bool {
-        self.closes_idle.get()
+        self.is_closing_idle.get()
     }
 
     /// Closes connections of callers as soon as they are idle, from now on.
     pub fn close_idle_connections(&self) {
-        self.closes_idle.set(true);
+        self.is_closing_idle.set(true);
         self.stop_requested.notify_waiters();
     }
 
-    /// Calls `news` with the table of backend servers and returns its result.
-    pub fn with_servers<T>(&self, news: impl FnOnce(&mut BackendServers) -> T) -> T {
-        news(&mut self.servers.borrow_mut())
+    /// Calls `operation` with the table of backend servers and returns its result.
+    pub fn with_servers<T>(&self, operation: impl FnOnce(&mut BackendServers) -> T) -> T {
+        operation(&mut self.servers.borrow_mut())
     }
 
     /// Returns the revision up to which a collection of the store is known.
@@ -300,7 +300,7 @@
         let upstreams = self.upstreams.borrow();
         let evacuations = self.evacuations.borrow();
         let of_service = upstreams.get(service).into_iter().flatten();
-        let open = of_service.filter(|upstream| !evacuations.holds(&upstream.server.zone));
+        let open = of_service.filter(|upstream| !evacuations.is_evacuated(&upstream.server.zone));
         open.cloned().collect()
     }
 
@@ -319,13 +319,13 @@
         let upstreams = self.upstreams.borrow();
         let evacuations = self.evacuations.borrow();
         let of_service = upstreams.get(service).filter(|all| !all.is_empty());
-        of_service.is_some_and(|all| all.iter().all(|u| evacuations.holds(&u.server.zone)))
+        of_service.is_some_and(|all| all.iter().all(|u| evacuations.is_evacuated(&u.server.zone)))
     }
 
     /// Returns whether a request may still be sent to the server that was selected for it.
     pub fn takes_work(&self, upstream: &Upstream) -> bool {
         let server = &upstream.server;
-        let is_open = !self.evacuations.borrow().holds(&server.zone);
+        let is_open = !self.evacuations.borrow().is_evacuated(&server.zone);
         is_open && self.servers.borrow().takes_work(&server.name)
     }
 
@@ -336,7 +336,7 @@
         let service = services.and_then(|services| services.get(service));
         match (service, self.vm_count.get()) {
             (Some(service), vms) if vms != VMS_WHILE_UNCOUNTED => {
-                connections::share(service.most_connections, vms)
+                connections::per_vm_limit(service.most_connections, vms)
             }
             _ => usize::MAX,
         }
@@ -351,11 +351,11 @@
 
     /// Returns the destination of the next request of a route, by the weights of its destinations.
     pub fn next_destination(&self, route: &Route) -> Option<Destination> {
-        let mut dealers = self.dealers.borrow_mut();
-        let dealer = dealers
+        let mut selectors = self.selectors.borrow_mut();
+        let selector = selectors
             .entry(route.name.clone())
-            .or_insert_with(|| Dealer::new(fastrand::f64()));
-        dealer.deal(&route.destinations).cloned()
+            .or_insert_with(|| WeightedSelector::new(fastrand::f64()));
+        selector.select(&route.destinations).cloned()
     }
 
     /// Returns the estimated service time of a route at a service, in milliseconds, on a server of normal speed.
@@ -368,8 +368,8 @@
     /// Returns the factor by which work takes longer on a server of a service when it takes the server's last free
     /// slot.
     pub fn last_slot_factor(&self, service: &ServiceName) -> f64 {
-        let last_slots = self.last_slots.borrow();
-        last_slots
+        let last_slot_slowdowns = self.last_slot_slowdowns.borrow();
+        last_slot_slowdowns
             .get(service)
             .copied()
             .unwrap_or_default()
@@ -387,15 +387,17 @@
         slot: Slot,
     ) {
         let mut times = self.service_times.borrow_mut();
-        let mut last_slots = self.last_slots.borrow_mut();
+        let mut last_slot_slowdowns = self.last_slot_slowdowns.borrow_mut();
         let time = times.entry((route.name.clone(), service.clone()));
-        let last_slot = last_slots.entry(service.clone()).or_default();
-        time.or_default().measured(took, slowness, slot, last_slot);
+        let slowdown = last_slot_slowdowns.entry(service.clone()).or_default();
+        time.or_default().record(took, slowness, slot, slowdown);
     }
 
     /// Records how long a caller of a route will wait; returns how long it has waited already, at earlier attempts.
-    pub fn waited_before(&self, route: &Route, patience: Duration) -> Duration {
-        let mut all = self.patience.borrow_mut();
-        all.entry(route.name.clone()).or_default().told(patience)
+    pub fn waited_before(&self, route: &Route, caller_timeout: Duration) -> Duration {
+        let mut all = self.caller_timeouts.borrow_mut();
+        all.entry(route.name.clone())
+            .or_default()
+            .record(caller_timeout)
     }
 }
--- a/crates/kingcuploft-entry/src/edge/active_request.rs
+++ b/crates/kingcuploft-entry/src/edge/active_request.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use kingcuploft::entry::attempts::Attempts;
 use kingcuploft::entry::configuration::{Configuration, Route};
-use kingcuploft::entry::verdict::Attempts;
 use kingcuploft::world::ids::ServiceName;
 
 use super::answer::Answer;
@@ -34,8 +34,10 @@
     pub(super) configuration: Arc<Configuration>,
     pub(super) route: Arc<Route>,
     pub(super) service: ServiceName,
+    /// When the caller stops waiting.
     pub(super) deadline: Instant,
-    pub(super) target: Instant,
+    /// When the route's target latency is exceeded, counted from the caller's first attempt.
+    pub(super) target_at: Instant,
     /// Whether the caller made an earlier attempt at the same request.
     pub(super) is_returning: bool,
     /// Whether this VM holds the one trial of a quarantined request.
@@ -88,15 +90,17 @@
                 Some(DEFAULT_RETRY_AFTER),
             );
         };
-        let patience = request.patience(&context.wire_names);
-        let waited_before = patience.map_or(Duration::ZERO, |patience| {
-            context.waited_before(&route, patience)
+        let caller_timeout = request.caller_timeout(&context.wire_names);
+        let waited_before = caller_timeout.map_or(Duration::ZERO, |caller_timeout| {
+            context.waited_before(&route, caller_timeout)
+        });
+        let allowed = caller_timeout.map_or(route.timeout, |caller_timeout| {
+            caller_timeout.min(route.timeout)
         });
-        let allowed = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
         context.count_request(request.arrived, &destination.service);
         Routed::Active(Self {
             deadline: request.arrived + allowed,
-            target: (request.arrived + route.target)
+            target_at: (request.arrived + route.target)
                 .checked_sub(waited_before)
                 .unwrap_or(request.arrived),
             is_returning: waited_before > Duration::ZERO,
--- a/crates/kingcuploft-entry/src/edge/connection.rs
+++ b/crates/kingcuploft-entry/src/edge/connection.rs
@@ -29,7 +29,7 @@
 const READ_BUFFER_BYTES: usize = 4096;
 
 /// How much longer than allowed a connection may be idle, so that a request that the caller sends within the
-/// announced time does not meet a closed connection.
+/// allowed time does not meet a closed connection.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 /// How long a closing connection is read on after its last answer: closing with unread bytes would reset the connection
@@ -67,7 +67,9 @@
 where
     S: AsyncRead + AsyncWrite + 'static,
 {
-    context.callers.set(context.callers.get() + 1);
+    context
+        .caller_connections
+        .set(context.caller_connections.get() + 1);
     let (reader, writer) = tokio::io::split(stream);
     let (answers, queue) = mpsc::channel(MAX_PIPELINED_REQUESTS);
     let state = Rc::new(ConnectionState::default());
@@ -91,7 +93,9 @@
     }
     drop(reading);
     let _ = writing.await;
-    context.callers.set(context.callers.get() - 1);
+    context
+        .caller_connections
+        .set(context.caller_connections.get() - 1);
 }
 
 enum ReadEnd {
--- a/crates/kingcuploft-entry/src/edge/hedge.rs
+++ b/crates/kingcuploft-entry/src/edge/hedge.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::placement::{Candidate, Reach, Step, place};
-use kingcuploft::entry::second_look::{self, Look};
-use kingcuploft::entry::verdict::AttemptEnd;
+use kingcuploft::entry::attempts::AttemptEnd;
+use kingcuploft::entry::hedging::{self, HedgeCheck};
+use kingcuploft::entry::placement::{Candidate, ProbeScope, Step, place};
 
 use super::active_request::ActiveRequest;
 use super::selection::LOAD_REPORT_POLL_INTERVAL;
@@ -38,7 +38,7 @@
         tokio::select! {
             biased;
             outcome = &mut first => return (outcome, None),
-            () = tokio::time::sleep(second_look::look_after(expected_ms)) => {}
+            () = tokio::time::sleep(hedging::hedge_delay(expected_ms)) => {}
         }
         let second = tokio::select! {
             biased;
@@ -73,18 +73,18 @@
         tokio::time::sleep(HEDGE_LOAD_REPORT_WAIT).await;
         let now = clock::now();
         let age = upstream.load_report(now).map(|(age, _)| age);
-        let need = self.need(now, now, Reach::Far);
-        let look = Look {
-            answers: age
+        let need = self.need(now, now, ProbeScope::Far);
+        let check = HedgeCheck {
+            server_answers: age
                 .is_some_and(|age| age <= now - asked_at + self.context.max_load_report_age()),
-            probes_left: self.context.probe_budget_left(),
-            left_ms: need.deadline_left_ms,
+            probe_budget_left: self.context.probe_budget_left(),
+            deadline_left_ms: need.deadline_left_ms,
             work_ms: need.work_ms,
         };
-        if !second_look::wants_second(&look) || !self.attempts.may_send(1) {
+        if !hedging::should_hedge(&check) || !self.attempts.may_send(1) {
             return None;
         }
-        let other_upstreams: Vec<_> = self.candidate_upstreams(now, Reach::Far);
+        let other_upstreams: Vec<_> = self.candidate_upstreams(now, ProbeScope::Far);
         let other_upstreams: Vec<_> = other_upstreams
             .into_iter()
             .filter(|u| !Rc::ptr_eq(u, upstream))
@@ -94,15 +94,15 @@
         let now = clock::now();
         let max_age =
             self.context.max_load_report_age() + HEDGE_LOAD_REPORT_WAIT + LOAD_REPORT_POLL_INTERVAL;
-        let seen = other_upstreams
+        let candidates = other_upstreams
             .iter()
             .map(|u| u.candidate(now, max_age, self.is_excluded(u, now)));
-        let candidates: Vec<Candidate> = seen.collect();
-        let need = self.need(now, now, Reach::Near);
+        let candidates: Vec<Candidate> = candidates.collect();
+        let need = self.need(now, now, ProbeScope::Near);
         let Step::Send(at) = place(&need, &candidates, fastrand::f64) else {
             return None;
         };
-        let after = match look.answers {
+        let after = match check.server_answers {
             true => "late",
             false => "silent",
         };
--- a/crates/kingcuploft-entry/src/edge/request.rs
+++ b/crates/kingcuploft-entry/src/edge/request.rs
@@ -3,7 +3,7 @@
 use std::cell::OnceCell;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::fingerprint::{Fingerprint, Recurring};
+use kingcuploft::entry::fingerprint::{Fingerprint, RequestIdentity};
 
 use super::body_memory::BodyReservation;
 use crate::clock;
@@ -51,7 +51,7 @@
     pub fn fingerprint(&self) -> Fingerprint {
         let headers = &self.head.headers;
         *self.fingerprint.get_or_init(|| {
-            let recurring = Recurring {
+            let recurring = RequestIdentity {
                 method: &self.head.method,
                 host: headers.get("host").unwrap_or_default(),
                 target: &self.head.target,
@@ -63,7 +63,7 @@
     }
 
     /// Returns how long the caller waits after the request's arrival, if a header says so.
-    pub fn patience(&self, wire_names: &WireNames) -> Option<Duration> {
+    pub fn caller_timeout(&self, wire_names: &WireNames) -> Option<Duration> {
         let value = self.head.headers.get(wire_names.deadline_ms)?;
         let millis: f64 = value.parse().ok()?;
         let valid = millis.is_finite() && millis >= 0.0;
--- a/crates/kingcuploft-entry/src/edge/suspect.rs
+++ b/crates/kingcuploft-entry/src/edge/suspect.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use kingcuploft::entry::attempts::AttemptEnd;
 use kingcuploft::entry::fingerprint::Fingerprint;
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::quarantine::{Admission, Quarantine};
-use kingcuploft::entry::verdict::AttemptEnd;
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::planted::{self, PlantedFault};
 
 use super::active_request::ActiveRequest;
 use crate::clock;
@@ -31,7 +31,7 @@
     /// Returns whether the request may be sent.
     pub(super) async fn check_quarantine(&mut self) -> QuarantineDecision {
         let is_quarantine_empty = self.context.quarantine.borrow().is_empty();
-        if self.is_trial || is_quarantine_empty || planted::is_on(Planted::SendsSuspects) {
+        if self.is_trial || is_quarantine_empty || planted::is_on(PlantedFault::SendsSuspects) {
             return QuarantineDecision::Send;
         }
         let fingerprint = self.request.fingerprint();
@@ -42,8 +42,10 @@
             .admit(clock::now(), fingerprint);
         match admission {
             // A run that hangs must not delay the others beyond the target latency.
-            Admission::Wait if clock::now() < self.target => QuarantineDecision::Wait,
-            Admission::Free | Admission::Alone | Admission::Wait => QuarantineDecision::Send,
+            Admission::Wait if clock::now() < self.target_at => QuarantineDecision::Wait,
+            Admission::Unrestricted | Admission::Exclusive | Admission::Wait => {
+                QuarantineDecision::Send
+            }
             Admission::Refuse(after) => QuarantineDecision::Refuse(after),
             Admission::Trial(report) => {
                 match self
@@ -56,7 +58,7 @@
                         self.is_trial = true;
                         QuarantineDecision::Send
                     }
-                    false => QuarantineDecision::Refuse(Quarantine::tried_elsewhere()),
+                    false => QuarantineDecision::Refuse(Quarantine::trial_retry_delay()),
                 }
             }
         }
@@ -68,16 +70,17 @@
         !quarantine.is_empty() && quarantine.is_suspect(self.request.fingerprint())
     }
 
-    /// Records how a run ended. `known` is the number of consecutive crashes that were known when the run started.
+    /// Records how a run ended. `known_crashes` is the number of consecutive crashes that were known when the run
+    /// started.
     pub(super) async fn record_run_end(
         &self,
         upstream: &Rc<Upstream>,
         end: AttemptEnd,
-        known: u32,
+        known_crashes: u32,
     ) {
         match end {
             AttemptEnd::Succeeded if self.is_suspect() => self.clear_suspicion(),
-            AttemptEnd::Lost => self.check_server_after_loss(upstream, known).await,
+            AttemptEnd::Lost => self.check_server_after_loss(upstream, known_crashes).await,
             _ => {}
         }
     }
@@ -85,7 +88,7 @@
     fn clear_suspicion(&self) {
         let fingerprint = self.request.fingerprint();
         let ids = notices::log_quarantine_change(self.context, fingerprint, || {
-            self.context.quarantine.borrow_mut().answered(fingerprint)
+            self.context.quarantine.borrow_mut().clear(fingerprint)
         });
         tracing::info!(
             event = "suspect_cleared",
@@ -98,14 +101,14 @@
     }
 
     /// Checks whether the server that lost an answer has crashed, and reports the crash to the other VMs if so.
-    async fn check_server_after_loss(&self, upstream: &Rc<Upstream>, known: u32) {
+    async fn check_server_after_loss(&self, upstream: &Rc<Upstream>, known_crashes: u32) {
         let found = crash_check::check(&*self.context.network, upstream).await;
         let fingerprint = self.request.fingerprint();
         let server = &upstream.server.name;
         let report = (found == CrashCheck::Ended).then(|| {
             notices::log_quarantine_change(self.context, fingerprint, || {
                 let mut quarantine = self.context.quarantine.borrow_mut();
-                quarantine.server_ended(clock::now(), fingerprint, server, known)
+                quarantine.record_crash(clock::now(), fingerprint, server, known_crashes)
             })
         });
         tracing::info!(
@@ -130,17 +133,17 @@
     fingerprint: Option<Fingerprint>,
     _guard: Option<SuspectGuard>,
     /// How many consecutive crashes under the request were known when the run started.
-    pub(super) known_ends: u32,
+    pub(super) known_crashes: u32,
 }
 
 impl<'a> SuspectRun<'a> {
     pub(super) fn begin(active: &ActiveRequest<'a>, upstream: &Rc<Upstream>) -> Self {
         let suspect = active.is_suspect();
         let fingerprint = suspect.then(|| active.request.fingerprint());
-        let begins = |fp| active.context.quarantine.borrow_mut().begins(fp);
+        let begins = |fp| active.context.quarantine.borrow_mut().record_start(fp);
         Self {
             context: active.context,
-            known_ends: fingerprint.map_or(0, begins),
+            known_crashes: fingerprint.map_or(0, begins),
             _guard: suspect.then(|| upstream.track_suspect()),
             fingerprint,
         }
@@ -150,7 +153,7 @@
 impl Drop for SuspectRun<'_> {
     fn drop(&mut self) {
         if let Some(fingerprint) = self.fingerprint {
-            self.context.quarantine.borrow_mut().ends(fingerprint);
+            self.context.quarantine.borrow_mut().record_end(fingerprint);
         }
     }
 }
--- a/crates/kingcuploft-entry/src/evacuation.rs
+++ b/crates/kingcuploft-entry/src/evacuation.rs
@@ -15,32 +15,32 @@
 /// The `Retry-After` for a service all of whose servers are in evacuated zones: nobody knows when an evacuation ends.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Applies the start of a zone's evacuation, and forwards it if it is news.
+/// Applies the start of a zone's evacuation, and forwards it if it is new.
 pub fn apply_begin(context: &Context, zone: AvailabilityZone) {
     apply(context, |evacuations| {
-        evacuations.told(zone).into_iter().collect()
+        evacuations.add(zone).into_iter().collect()
     });
 }
 
-/// Applies the end of a zone's evacuation, and forwards it if it is news.
+/// Applies the end of a zone's evacuation, and forwards it if it is new.
 pub fn apply_end(context: &Context, zone: &str) {
     apply(context, |evacuations| {
-        evacuations.gone(zone).into_iter().collect()
+        evacuations.remove(zone).into_iter().collect()
     });
 }
 
-/// Applies the complete list of evacuations in the store, and forwards what is news.
+/// Applies the complete list of evacuations in the store, and forwards what is new.
 pub fn apply_full_list(context: &Context, zones: impl Iterator<Item = AvailabilityZone>) {
     let zones: HashSet<AvailabilityZone> = zones.collect();
     apply(context, |evacuations| {
-        evacuations.all_told(clock::now(), &zones)
+        evacuations.sync_with_store(clock::now(), &zones)
     });
 }
 
-/// Applies the list of evacuations from the feeder, and forwards what is news.
+/// Applies the list of evacuations from the feeder, and forwards what is new.
 pub fn apply_feeder_list(context: &Context, zones: Vec<AvailabilityZone>) {
     let zones: HashSet<AvailabilityZone> = zones.into_iter().collect();
-    apply(context, |evacuations| evacuations.followed(&zones));
+    apply(context, |evacuations| evacuations.sync_with_feeder(&zones));
 }
 
 /// Ends evacuations whose entries are not rewritten in time after the store was restored from an older copy.
@@ -48,8 +48,8 @@
     apply(context, |evacuations| evacuations.expire(now));
 }
 
-fn apply(context: &Context, news: impl FnOnce(&mut Evacuations) -> Vec<Change>) {
-    let changes = news(&mut context.evacuations.borrow_mut());
+fn apply(context: &Context, operation: impl FnOnce(&mut Evacuations) -> Vec<Change>) {
+    let changes = operation(&mut context.evacuations.borrow_mut());
     if changes.is_empty() {
         return;
     }
--- a/crates/kingcuploft-entry/src/peers/follower.rs
+++ b/crates/kingcuploft-entry/src/peers/follower.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use kingcuploft::entry::arriving::Taken;
 use kingcuploft::entry::backend_servers::BackendServer;
+use kingcuploft::entry::change_assembly::PartOutcome;
 use kingcuploft::entry::configuration::ConfigurationVersion;
 use kingcuploft::entry::configuration_change::ChangePart;
-use kingcuploft::entry::feeding;
+use kingcuploft::entry::dissemination;
 use kingcuploft::entry::notice::Notice;
 use kingcuploft::entry::notice_id::NoticeId;
 use kingcuploft::entry::server_table::ServerTable;
@@ -123,13 +123,13 @@
     tokio::select! {
         biased;
         result = receive(context, store_access, feeder, lines) => result,
-        result = report_descendants(context, write) => result,
+        result = report_to_feeder(context, write) => result,
     }
 }
 
 /// Reports to the feeder, until the link fails: how many VMs are fed through this one, each time that changes; this
 /// VM's configuration, if the feeder asks for it; and that a follower is ahead.
-async fn report_descendants(
+async fn report_to_feeder(
     context: &Context,
     mut stream: impl AsyncWrite + Unpin,
 ) -> Result<(), LinkError> {
@@ -198,7 +198,7 @@
                 }
                 has_snapshot = true;
                 store_access.stop_reading();
-                context.readers.borrow_mut().answered(&feeder.name);
+                context.readers.borrow_mut().record_answer(&feeder.name);
                 *context.feeder.borrow_mut() = Some(feeder.clone());
                 tracing::info!(
                     event = "following",
@@ -281,7 +281,7 @@
     store_access: &StoreAccess,
     status: &SyncStatus,
 ) -> Result<(), LinkError> {
-    if feeding::is_circle(&context.settings.vm, &status.path) {
+    if dissemination::has_cycle(&context.settings.vm, &status.path) {
         return Err(LinkError::Cycle);
     }
     let own = SyncStatus {
@@ -359,13 +359,13 @@
     transfer: &mut Transfer,
 ) -> Result<(), LinkError> {
     match context.active_configuration.add_part(part)? {
-        Taken::More | Taken::Known => Ok(()),
-        Taken::Whole(configuration) => {
+        PartOutcome::Incomplete | PartOutcome::AlreadyApplied => Ok(()),
+        PartOutcome::Complete(configuration) => {
             transfer.log_complete(configuration.version);
             store_watcher::adopt_configuration(context, *configuration);
             Ok(())
         }
-        Taken::OutOfStep => Err(LinkError::VersionMismatch),
+        PartOutcome::Mismatch => Err(LinkError::VersionMismatch),
     }
 }
 
--- a/crates/kingcuploft-entry/src/peers/frame.rs
+++ b/crates/kingcuploft-entry/src/peers/frame.rs
@@ -1,8 +1,8 @@
 //! The protocol of the links between VMs: frames, each a JSON object on a line of its own. Names that are sent are wire
 //! text; where the code uses another name, a serde attribute keeps the one on the wire.
 
-use kingcuploft::entry::arriving::Arrived;
 use kingcuploft::entry::backend_servers::BackendServer;
+use kingcuploft::entry::change_assembly::AssemblyProgress;
 use kingcuploft::entry::configuration::{Configuration, ConfigurationVersion};
 use kingcuploft::entry::configuration_change::ChangePart;
 use kingcuploft::entry::era::{Era, era_of};
@@ -32,7 +32,7 @@
     /// The sender feeds as many followers as it may, and redirects the receiver to one of them.
     #[serde(rename = "Elsewhere")]
     Redirect(VmEntry),
-    /// How many VMs are fed through the sender, at first or second hand; a follower reports it to its feeder.
+    /// How many VMs are fed through the sender, directly or indirectly; a follower reports it to its feeder.
     #[serde(rename = "Below")]
     Descendants(u32),
     /// A VM that asks to follow the sender knows a later revision of the store than the sender.
@@ -89,7 +89,7 @@
     /// The latest revision of the evacuations that it knows.
     #[serde(default)]
     pub evacuations: Option<Revision>,
-    /// How many VMs are fed through it, at first or second hand.
+    /// How many VMs are fed through it, directly or indirectly.
     #[serde(rename = "below")]
     pub descendants: u32,
     /// The version of the configuration that the parts of a change may build on; none if it needs the whole
@@ -98,7 +98,7 @@
     pub version: Option<ConfigurationVersion>,
     /// Which parts of the next configuration have arrived.
     #[serde(default)]
-    pub arrived: Option<Arrived>,
+    pub arrived: Option<AssemblyProgress>,
     /// A digest of the backend servers that it knows.
     #[serde(default)]
     pub servers_digest: Option<u64>,
--- a/crates/kingcuploft-entry/src/peers/repeat_replication.rs
+++ b/crates/kingcuploft-entry/src/peers/repeat_replication.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::repeat_account::Used;
-use kingcuploft::entry::repeat_copies::holders;
+use kingcuploft::entry::account_replicas::replica_holders;
+use kingcuploft::entry::repeat_account::UsageReport;
 use kingcuploft::world::ids::VmName;
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -68,7 +68,7 @@
         let sent_at = Instant::now();
         let vm = &context.settings.vm;
         let addresses = holder_addresses(context);
-        for used in used.parts(MAX_SERVICES_PER_DATAGRAM) {
+        for used in used.split(MAX_SERVICES_PER_DATAGRAM) {
             let vm = vm.clone();
             send(context, &PeerMessage::RepeatsUsed { vm, used }, &addresses);
         }
@@ -87,7 +87,7 @@
 /// Returns the addresses of the VMs that hold this VM's copies.
 fn holder_addresses(context: &Context) -> Vec<SocketAddr> {
     let records = context.readers.borrow().records();
-    let holders = holders(&context.settings.vm, &records);
+    let holders = replica_holders(&context.settings.vm, &records);
     holders.into_iter().map(|vm| vm.address).collect()
 }
 
@@ -98,24 +98,24 @@
 }
 
 /// Keeps a copy of what another VM has used.
-pub fn store_copy(context: &Context, vm: &VmName, used: &Used) {
-    let mut copies = context.repeat_copies.borrow_mut();
-    copies.told(clock::now(), vm.clone(), used.clone());
+pub fn store_copy(context: &Context, vm: &VmName, used: &UsageReport) {
+    let mut copies = context.account_replicas.borrow_mut();
+    copies.store(clock::now(), vm.clone(), used.clone());
 }
 
 /// Sends a VM that has just started what is kept for it.
 pub fn send_copies(context: &Context, vm: &VmName, from: SocketAddr) {
-    let copy = context.repeat_copies.borrow_mut().of(clock::now(), vm);
+    let copy = context.account_replicas.borrow_mut().get(clock::now(), vm);
     for used in copy
         .into_iter()
-        .flat_map(|used| used.parts(MAX_SERVICES_PER_DATAGRAM))
+        .flat_map(|used| used.split(MAX_SERVICES_PER_DATAGRAM))
     {
         send(context, &PeerMessage::RepeatsReply { used }, &[from]);
     }
 }
 
 /// Recovers what this VM had used before it started, from a holder's copy.
-pub fn restore_used(context: &Context, used: &Used, from: SocketAddr) {
+pub fn restore_used(context: &Context, used: &UsageReport, from: SocketAddr) {
     if context.recover_repeats(used) {
         tracing::info!(
             event = "repeats_recovered",
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kingcuploft::entry::server_limit::{ASK_AGAIN, Turn};
+use kingcuploft::entry::server_limit::{TURN_RETRY_DELAY, Turn};
 use kingcuploft::world::ids::BackendServerName;
 
 use super::peer_socket::PeerMessage;
@@ -18,15 +18,15 @@
 
 /// Requests a turn at a server for a request that may wait `max_wait` at most.
 pub async fn request(context: &Context, server: &BackendServerName, max_wait: Duration) -> Turn {
-    if limits::is_keeper(context, server) {
+    if limits::is_limit_owner(context, server) {
         let mut limits = context.limits.borrow_mut();
         return limits.give_turn(clock::now(), server, max_wait);
     }
-    let keeper = limits::pick_keeper(context, server);
+    let keeper = limits::pick_limit_owner(context, server);
     let (Some(keeper), Some(socket)) = (keeper, context.peer_socket.get()) else {
-        return Turn::TooLate(ASK_AGAIN);
+        return Turn::TooLate(TURN_RETRY_DELAY);
     };
-    let (request_id, reply) = context.asked_turns.register();
+    let (request_id, reply) = context.pending_turns.register();
     let message = PeerMessage::TurnRequest {
         server: server.clone(),
         max_wait_ms: max_wait.as_millis() as u64,
@@ -34,10 +34,10 @@
     };
     socket.send(&message, &[keeper.address]);
     let outcome = tokio::time::timeout(REPLY_TIMEOUT, reply).await;
-    context.asked_turns.cancel(request_id);
+    context.pending_turns.cancel(request_id);
     match outcome {
         Ok(Ok(turn)) => turn,
-        Ok(Err(_)) | Err(_) => Turn::TooLate(ASK_AGAIN),
+        Ok(Err(_)) | Err(_) => Turn::TooLate(TURN_RETRY_DELAY),
     }
 }
 
@@ -72,5 +72,5 @@
         true => Turn::After(after),
         false => Turn::TooLate(after),
     };
-    context.asked_turns.complete(request_id, turn);
+    context.pending_turns.complete(request_id, turn);
 }
--- a/crates/kingcuploft-entry/src/server_updates.rs
+++ b/crates/kingcuploft-entry/src/server_updates.rs
@@ -13,7 +13,7 @@
 /// The most changes that are sent and logged one by one when they come together.
 const MAX_CHANGES_SENT_SINGLY: usize = 4;
 
-/// Applies entries of backend servers, and forwards those that are news: a list repeats what is known, and hundreds of
+/// Applies entries of backend servers, and forwards those that are new: a list repeats what is known, and hundreds of
 /// frames at once exceed a follower's queue.
 pub fn apply_servers(context: &Context, now: Instant, mut servers: Vec<BackendServer>) {
     context.with_servers(|known| servers.retain(|server| !known.is_known(server)));
@@ -21,14 +21,14 @@
         [] => return,
         [server] => context.followers.send(&Frame::Server(server.clone())),
         several => {
-            let table = ServerTable::of(several.iter());
+            let table = ServerTable::from_servers(several.iter());
             context.followers.send(&Frame::Servers(table));
         }
     }
     let cold = cold_servers(&servers);
     let entries = servers.into_iter();
     let changes: Vec<Change> =
-        context.with_servers(|known| entries.filter_map(|s| known.told(s)).collect());
+        context.with_servers(|known| entries.filter_map(|s| known.update(s)).collect());
     log_changes(&changes);
     context.apply_server_changes(now, &changes);
     cold_servers::apply_store_report(context, &cold);
@@ -44,12 +44,12 @@
 /// Applies the removal of a backend server's entry, and forwards it.
 pub fn apply_removal(context: &Context, now: Instant, name: &str) {
     context.followers.send(&Frame::ServerGone(name.to_owned()));
-    if let Some(change) = context.with_servers(|servers| servers.gone(now, name)) {
+    if let Some(change) = context.with_servers(|servers| servers.remove(now, name)) {
         apply_change(context, now, &change);
     }
 }
 
-/// Applies a complete list of the backend servers, and forwards what is news. `servers` are the readable entries,
+/// Applies a complete list of the backend servers, and forwards what is new. `servers` are the readable entries,
 /// `names` the names of all entries.
 ///
 /// Load pattern: after an outage every VM learns of hundreds of servers at once. Each is applied alone, but they are
@@ -60,30 +60,30 @@
     servers: Vec<BackendServer>,
     names: &[String],
 ) {
-    let is_news = |server: &BackendServer| context.with_servers(|known| !known.is_known(server));
-    let news: Vec<BackendServer> = servers.iter().filter(|s| is_news(s)).cloned().collect();
-    let cold = cold_servers(&news);
+    let is_new = |server: &BackendServer| context.with_servers(|known| !known.is_known(server));
+    let new_servers: Vec<BackendServer> = servers.iter().filter(|s| is_new(s)).cloned().collect();
+    let cold = cold_servers(&new_servers);
     let entries = servers.into_iter();
     let joined =
-        context.with_servers(|known| entries.filter_map(|s| known.told(s)).collect::<Vec<_>>());
+        context.with_servers(|known| entries.filter_map(|s| known.update(s)).collect::<Vec<_>>());
     let present = names.iter().map(String::as_str);
-    let gone = context.with_servers(|known| known.all_told(now, present));
-    let changes: Vec<Change> = joined.into_iter().chain(gone).collect();
+    let removed = context.with_servers(|known| known.remove_missing(now, present));
+    let changes: Vec<Change> = joined.into_iter().chain(removed).collect();
     log_changes(&changes);
     context.apply_server_changes(now, &changes);
     cold_servers::apply_store_report(context, &cold);
     context.set_servers_listed();
-    forward_to_followers(context, &news, &changes);
+    forward_to_followers(context, &new_servers, &changes);
 }
 
 /// Forwards the outcome of a complete list to the followers: the changes if they are few, or the whole table.
-fn forward_to_followers(context: &Context, news: &[BackendServer], changes: &[Change]) {
-    if news.len() + changes.len() > MAX_CHANGES_SENT_SINGLY {
-        let table = context.with_servers(|servers| ServerTable::of(servers.present()));
+fn forward_to_followers(context: &Context, new_servers: &[BackendServer], changes: &[Change]) {
+    if new_servers.len() + changes.len() > MAX_CHANGES_SENT_SINGLY {
+        let table = context.with_servers(|servers| ServerTable::from_servers(servers.present()));
         context.followers.send(&Frame::AllServers(table));
         return;
     }
-    for server in news {
+    for server in new_servers {
         context.followers.send(&Frame::Server(server.clone()));
     }
     for change in changes {
--- a/crates/kingcuploft-entry/src/store_fallback.rs
+++ b/crates/kingcuploft-entry/src/store_fallback.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcuploft::entry::joining;
+use kingcuploft::entry::startup_delay;
 
 use crate::clock;
 use crate::context::Context;
@@ -16,23 +16,23 @@
 ///
 /// When the whole fleet starts for the first time there are no callers yet, and the VM keeps waiting for the others.
 pub(crate) async fn read_store_if_uninformed(context: Rc<Context>, store_access: Rc<StoreAccess>) {
-    let begun = clock::now();
+    let started_at = clock::now();
     let chance = fastrand::f64();
-    if context.settings.all_start {
+    if context.settings.is_first_start {
         return;
     }
     while !context.is_ready() && !context.is_stopping() {
-        let patience = {
+        let delay = {
             let readers = context.readers.borrow();
             let record = readers.record(&context.settings.zone);
-            joining::patience(
+            startup_delay::store_read_delay(
                 &context.settings.vm,
                 record,
                 context.feed_promised.get(),
                 chance,
             )
         };
-        if clock::since(begun) >= patience {
+        if clock::since(started_at) >= delay {
             return store_access.start_reading();
         }
         tokio::time::sleep(READINESS_POLL_INTERVAL).await;
--- a/crates/kingcuploft-entry/src/store_watcher.rs
+++ b/crates/kingcuploft-entry/src/store_watcher.rs
@@ -13,8 +13,8 @@
 use kingcuploft::entry::configuration::{Configuration, ConfigurationVersion};
 use kingcuploft::entry::era::{Era, era_of};
 use kingcuploft::entry::notice::Notice;
-use kingcuploft::entry::zone_record::{MOST_NAMED, ZoneRecord};
-use kingcuploft::planted::{self, Planted};
+use kingcuploft::entry::zone_record::{MAX_NAMED_VMS, ZoneRecord};
+use kingcuploft::planted::{self, PlantedFault};
 
 use crate::clock;
 use crate::cold_servers;
@@ -91,8 +91,8 @@
                 is_history_gone = false;
                 wait = WATCH_TIMEOUT;
                 context.set_position(collection, revision);
-                let standing = sync_status(&context, &store_access);
-                context.followers.send(&Frame::Status(standing));
+                let status = sync_status(&context, &store_access);
+                context.followers.send(&Frame::Status(status));
             }
             Err(StoreError::HistoryGone) => {
                 tracing::info!(event = "history_gone", collection = collection.label());
@@ -283,18 +283,18 @@
     }
 }
 
-/// Records that a version of the configuration exists, and forwards that if it is news.
+/// Records that a version of the configuration exists, and forwards that if it was unknown.
 pub fn note_configuration_version(context: &Context, version: ConfigurationVersion) {
     if context.active_configuration.note_version(version) {
         context.followers.send_newer_version(version);
     }
 }
 
-/// Records that the store answers again, and forwards that if it is news: a follower that has just joined may never
+/// Records that the store answers again, and forwards that if it was unknown: a follower that has just joined may never
 /// have lost the store, and would keep a leaving server in use for the grace period of a lapsed entry.
 pub fn note_store_return(context: &Context) {
-    let news = context.with_servers(|servers| servers.store_returned(clock::now()));
-    if news {
+    let is_news = context.with_servers(|servers| servers.store_returned(clock::now()));
+    if is_news {
         tracing::info!(event = "store_back");
         context.followers.send(&Frame::StoreReturned);
     }
@@ -316,30 +316,30 @@
     context.evacuations.borrow_mut().store_rewound(now);
 }
 
-/// Applies zone records, and forwards those that are news.
+/// Applies zone records, and forwards those that are new.
 pub fn apply_zone_records(context: &Context, records: Vec<ZoneRecord>) {
-    let news = context.readers.borrow_mut().told(records);
-    if news.is_empty() {
+    let updates = context.readers.borrow_mut().update(records);
+    if updates.is_empty() {
         return;
     }
     let readers = context.readers.borrow();
-    if let Some(count) = readers.count() {
-        let part = if planted::is_on(Planted::CountsTooFew) {
+    if let Some(count) = readers.vm_count() {
+        let divisor = if planted::is_on(PlantedFault::CountsTooFew) {
             5
         } else {
             1
         };
-        context.vm_count.set((count / part).max(1));
+        context.vm_count.set((count / divisor).max(1));
     }
     *context.zone_peers.borrow_mut() = zone_peers(context, readers.record(&context.settings.zone));
     drop(readers);
     limits::redistribute(context);
-    context.followers.send(&Frame::Zones(news));
+    context.followers.send(&Frame::Zones(updates));
 }
 
 /// Returns the addresses of the other VMs of the zone, if the record names all of them.
 fn zone_peers(context: &Context, record: Option<&ZoneRecord>) -> Vec<SocketAddr> {
-    let named_whole = record.filter(|record| record.count as usize <= MOST_NAMED);
+    let named_whole = record.filter(|record| record.count as usize <= MAX_NAMED_VMS);
     let vms = named_whole.into_iter().flat_map(|record| &record.vms);
     let others = vms.filter(|vm| vm.name != context.settings.vm);
     others.map(|vm| vm.address).collect()
--- a/crates/kingcuploft-simulation/src/header_names.rs
+++ b/crates/kingcuploft-simulation/src/header_names.rs
@@ -1,9 +1,9 @@
-//! The names of headers that the world's callers, servers and VMs use.
+//! The names of the headers that the simulated callers, servers and VMs use.
 
-use kingcuploft::entry::placement::Reading;
+use kingcuploft::entry::placement::LoadReport;
 use kingcuploft_entry::settings::WireNames;
 
-/// The names.
+/// The header names and the readiness path.
 pub const HEADER_NAMES: WireNames = WireNames {
     request_id: "x-id",
     deadline_ms: "x-deadline-ms",
@@ -14,15 +14,16 @@
     cold_ms: "x-cold-ms",
     not_run: "x-not-run",
     ready_path: "/ready",
-    parse_load: read_load,
+    parse_load,
 };
 
-fn read_load(value: &str) -> Option<Reading> {
-    let mut figures = value.split(',').map(|figure| figure.parse::<u32>().ok());
-    Some(Reading {
-        running: figures.next()??,
-        waiting: figures.next()??,
-        slots: figures.next()??,
-        slowness: f64::from(figures.next().flatten().unwrap_or(100)) / 100.0,
+/// Parses a load report: running requests, waiting requests, slots and, optionally, the slowness in percent.
+fn parse_load(value: &str) -> Option<LoadReport> {
+    let mut fields = value.split(',').map(|field| field.parse::<u32>().ok());
+    Some(LoadReport {
+        running: fields.next()??,
+        waiting: fields.next()??,
+        slots: fields.next()??,
+        slowness: f64::from(fields.next().flatten().unwrap_or(100)) / 100.0,
     })
 }
--- a/crates/kingcuploft-simulation/src/operator.rs
+++ b/crates/kingcuploft-simulation/src/operator.rs
@@ -1,4 +1,4 @@
-//! What the operator and the platform write to the store: configurations, servers, evacuations.
+//! The operator and the platform: write configurations, server entries and evacuations to the store.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,10 +18,10 @@
 /// How many connections a server accepts.
 const CONNECTIONS_PER_SERVER: u32 = 260;
 
-/// How many servers one request may reach.
+/// How many servers one request may be sent to.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Writes to the store.
+/// Writes to the store and records what the store accepted.
 #[derive(Debug)]
 pub struct Operator {
     deployment: Rc<Deployment>,
@@ -31,17 +31,17 @@
 }
 
 impl Operator {
-    /// Returns an operator that has written nothing.
-    pub fn new(deployment: Rc<Deployment>, store: TestStore, seen: Rc<History>) -> Self {
+    /// Returns an operator that has written nothing yet.
+    pub fn new(deployment: Rc<Deployment>, store: TestStore, history: Rc<History>) -> Self {
         Self {
             deployment,
             store,
-            history: seen,
+            history,
             version: Cell::new(0),
         }
     }
 
-    /// Writes the next configuration, with a route more than the last; returns its version.
+    /// Writes the next configuration, which has one route more than the last; returns its version.
     pub fn write_next_configuration(&self) -> u64 {
         let version = self.version.get() + 1;
         self.version.set(version);
@@ -75,12 +75,12 @@
                 lasts: Duration::from_millis(service.cold_ms),
                 per_1000_s: (service.cold_per_s * 1000.0) as u64,
             });
-            let known = Service {
+            let service_settings = Service {
                 health_path: "/health".into(),
                 most_connections: CONNECTIONS_PER_SERVER,
                 cold_start,
             };
-            (service.name.as_str().into(), known)
+            (service.name.as_str().into(), service_settings)
         });
         let routes = kinds.chain(added).collect();
         Configuration::new(version, routes, services.collect(), Limits::default())
@@ -98,7 +98,7 @@
             cold_for: server.cold_for(),
             started_at: None,
         });
-        let leaving = AcceptedWrite::ServerDraining {
+        let draining_write = AcceptedWrite::ServerDraining {
             server: server.index,
         };
         let is_known = self
@@ -106,7 +106,7 @@
             .accepted_writes
             .borrow()
             .iter()
-            .any(|(_, what)| *what == leaving);
+            .any(|(_, write)| *write == draining_write);
         if server.is_draining.get() && !is_known {
             self.history.record_write(AcceptedWrite::ServerDraining {
                 server: server.index,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Has a zone evacuated, or takes it back.
+    /// Evacuates a zone, or ends its evacuation.
     pub fn set_evacuated(&self, zone: usize, is_evacuated: bool) {
         self.store
             .0
@@ -125,31 +125,31 @@
         });
     }
 
-    /// Writes again what is in force, to a store that may lack it.
+    /// Writes the configuration and evacuations in force again, to a store that may lack them.
     pub fn rewrite(&self) {
         let configuration = self.configuration(self.version.get());
         self.store.0.write_configuration(configuration);
         for zone in 0..self.deployment.zones.len() {
-            let mut accepted = self
+            let mut writes = self
                 .history
                 .accepted_writes
                 .borrow()
                 .clone()
                 .into_iter()
                 .rev();
-            let last = accepted.find(|(_, what)| {
-                *what == AcceptedWrite::ZoneEvacuated { zone }
-                    || *what == AcceptedWrite::ZoneReinstated { zone }
+            let last_write = writes.find(|(_, write)| {
+                *write == AcceptedWrite::ZoneEvacuated { zone }
+                    || *write == AcceptedWrite::ZoneReinstated { zone }
             });
             let is_evacuated =
-                last.is_some_and(|(_, what)| what == AcceptedWrite::ZoneEvacuated { zone });
+                last_write.is_some_and(|(_, write)| write == AcceptedWrite::ZoneEvacuated { zone });
             self.store
                 .0
                 .set_evacuated(&format!("zone-{zone}"), is_evacuated);
         }
     }
 
-    /// Returns the version that was written last.
+    /// Returns the version of the last configuration written.
     pub fn version(&self) -> u64 {
         self.version.get()
     }
--- a/crates/kingcuploft/src/entry/mod.rs
+++ b/crates/kingcuploft/src/entry/mod.rs
@@ -1,40 +1,40 @@
-//! What one entry VM decides for each request, without socket, thread or clock of its own.
+//! The decisions of one entry VM about each request, without sockets, threads or a clock of their own.
 //!
-//! The event-driven entry (`kingcuploft-entry`) asks these modules what to do next and does it; the
-//! tests ask the same modules.
+//! The event-driven entry (`kingcuploft-entry`) calls these modules and carries out what they decide; the tests call
+//! the same modules.
 
-pub mod arriving;
-pub mod asked;
+pub mod account_replicas;
+pub mod attempts;
 pub mod backend_servers;
+pub mod caller_timeouts;
+pub mod change_assembly;
 pub mod change_log;
 pub mod configuration;
 pub mod configuration_change;
 pub mod connections;
 pub mod crash_report;
+pub mod dissemination;
 pub mod era;
 pub mod evacuations;
-pub mod failures;
-pub mod feeding;
+pub mod failure_rate;
 pub mod fingerprint;
-pub mod joining;
-pub mod last_slot;
+pub mod hedging;
+pub mod last_slot_slowdown;
 pub mod limit_notice;
-pub mod log_budget;
+pub mod log_rate_limiter;
 pub mod notice;
 pub mod notice_id;
-pub mod patience;
 pub mod placement;
 pub mod probe_budget;
+pub mod probe_fanout;
 pub mod quarantine;
 pub mod readers;
 pub mod repeat_account;
-pub mod repeat_copies;
-pub mod repeats;
-pub mod second_look;
+pub mod repeat_budget;
 pub mod server_limit;
 pub mod server_limits;
 pub mod server_table;
 pub mod service_time;
-pub mod verdict;
+pub mod startup_delay;
 pub mod vm_entry;
 pub mod zone_record;
--- a/crates/kingcuploft/tests/claim_model/model.rs
+++ b/crates/kingcuploft/tests/claim_model/model.rs
@@ -1,4 +1,4 @@
-//! The model: VMs, the store, its faults, and every move that can come next.
+//! The model: VMs, the store, its faults, and every transition that can come next.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,9 +22,9 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum Variant {
     Product,
-    /// A claim whose holder is silent is taken away, as an expired lease would be.
+    /// A claim whose holder is silent is removed, as an expired lease would be.
     LeaseReaped,
-    /// Silence of the store is taken for success, so nothing is read back before sending.
+    /// A missing answer of the store is taken for success, so nothing is read back before sending.
     SentBeforeReadBack,
 }
 
@@ -35,14 +35,14 @@
     Held,
     Sent,
     Ended,
-    ToldNotRun,
-    ToldOther,
+    RefusedNotRun,
+    OtherVerdict,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Model {
     vms: Vec<Partition>,
-    /// The open call of each VM, not yet at the store.
+    /// The store call in flight of each VM, not yet at the store.
     calls: Vec<Option<Operation>>,
     requests: Vec<Phase>,
     objects: BTreeMap<String, (Version, StoredObject)>,
@@ -52,7 +52,7 @@
     runs: u8,
     answered_by: Option<u8>,
     faults: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -64,7 +64,7 @@
     pub(crate) variant: Variant,
 }
 
-/// One fixed instant: all pauses are zero, so that time adds no states.
+/// The model at one fixed instant: all pauses are zero, so that time adds no states.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct World {
     bounds: Bounds,
@@ -101,7 +101,7 @@
             runs: 0,
             answered_by: None,
             faults: self.bounds.faults,
-            broken: None,
+            violation: None,
         }
     }
 
@@ -109,7 +109,7 @@
         request % self.bounds.vms
     }
 
-    /// Feeds one event to a VM and takes what comes out.
+    /// Passes one event to a VM and applies its outputs.
     fn feed(
         &self,
         model: &mut Model,
@@ -117,13 +117,13 @@
         event: impl FnOnce(&mut Partition, &mut EventContext<'_>, &mut Vec<Output>),
     ) {
         let mut rng = fastrand::Rng::with_seed(0);
-        let mut time = EventContext {
+        let mut context = EventContext {
             now: self.now,
             unix_ms: NOW_MS,
             rng: &mut rng,
         };
         let mut out = Vec::new();
-        event(&mut model.vms[vm], &mut time, &mut out);
+        event(&mut model.vms[vm], &mut context, &mut out);
         for output in out {
             match output {
                 Output::Store(operation) => model.calls[vm] = Some(operation),
@@ -133,15 +133,15 @@
         }
     }
 
-    fn order(&self, model: &mut Model, request: usize, order: ClaimCommand) {
+    fn command(&self, model: &mut Model, request: usize, command: ClaimCommand) {
         let vm = self.vm_of(request);
-        self.feed(model, vm, |partition, time, out| {
-            partition.handle_command(time, order, out);
+        self.feed(model, vm, |partition, context, out| {
+            partition.handle_command(context, command, out);
         });
     }
 
     fn successors(&self, model: &Model) -> Vec<Model> {
-        if model.broken.is_some() {
+        if model.violation.is_some() {
             return Vec::new();
         }
         let mut next = Vec::new();
@@ -152,8 +152,8 @@
             self.store_moves(model, vm, &mut next);
             if model.vms[vm].next_due().is_some_and(|due| due <= self.now) {
                 let mut ticked = model.clone();
-                self.feed(&mut ticked, vm, |partition, time, out| {
-                    partition.tick(time, out);
+                self.feed(&mut ticked, vm, |partition, context, out| {
+                    partition.tick(context, out);
                 });
                 next.push(ticked);
             }
@@ -182,32 +182,32 @@
                     fingerprint: 1,
                     claimant: claimant(request),
                     window: Duration::from_secs(60),
-                    // A tick at any moment gives the claim up.
+                    // A tick at any moment refuses the claim.
                     deadline: self.now,
                 };
-                self.order(&mut after, request, ClaimCommand::Claim(id, claim));
+                self.command(&mut after, request, ClaimCommand::Claim(id, claim));
             }
             Phase::Held => {
                 let mut released = model.clone();
-                released.requests[request] = Phase::ToldNotRun;
-                self.order(&mut released, request, ClaimCommand::Release(id));
+                released.requests[request] = Phase::RefusedNotRun;
+                self.command(&mut released, request, ClaimCommand::Release(id));
                 next.push(released);
                 after.requests[request] = Phase::Sent;
                 after.runs += 1;
                 if after.runs > 1 {
-                    after.broken = Some(TWO_RUNS);
+                    after.violation = Some(TWO_RUNS);
                 }
             }
             Phase::Sent => {
                 let mut unknown = model.clone();
                 unknown.requests[request] = Phase::Ended;
                 let end = ClaimCommand::Acknowledge(id, EntryState::EndUnknown);
-                self.order(&mut unknown, request, end);
+                self.command(&mut unknown, request, end);
                 next.push(unknown);
                 after.requests[request] = Phase::Ended;
                 after.answered_by = Some(request as u8);
                 let end = EntryState::Answered(Arc::new(record(request)));
-                self.order(&mut after, request, ClaimCommand::Acknowledge(id, end));
+                self.command(&mut after, request, ClaimCommand::Acknowledge(id, end));
             }
             _ => return,
         }
@@ -254,27 +254,26 @@
 
     fn answer(&self, model: &mut Model, vm: usize, answer: StoreAnswer) {
         model.calls[vm] = None;
-        self.feed(model, vm, |partition, time, out| {
-            partition.handle_answer(time, answer, out);
+        self.feed(model, vm, |partition, context, out| {
+            partition.handle_answer(context, answer, out);
         });
     }
 
-    /// Explores everything, or until two runs are found; returns the number of states and the
-    /// faults.
+    /// Explores all states, or until two runs are found; returns the number of states and the violations.
     pub(crate) fn explore(&self) -> (usize, BTreeSet<&'static str>) {
         let mut states = 0;
         let ends = RefCell::new(BTreeSet::new());
         let mut faults = BTreeSet::new();
         let successors = |model: &Model| {
             let next = self.successors(model);
-            if next.is_empty() && model.broken.is_none() {
-                ends.borrow_mut().extend(model.left_behind());
+            if next.is_empty() && model.violation.is_none() {
+                ends.borrow_mut().extend(model.orphan_claim());
             }
             next
         };
         for model in bfs_reach(self.start(), successors) {
             states += 1;
-            faults.extend(model.broken);
+            faults.extend(model.violation);
             if faults.contains(TWO_RUNS) {
                 break;
             }
@@ -287,19 +286,19 @@
 impl Model {
     fn verdict(&mut self, request: usize, verdict: &Verdict) {
         if self.requests[request] != Phase::Claiming {
-            self.broken = Some("a second verdict");
+            self.violation = Some("a second verdict");
             return;
         }
         self.requests[request] = match verdict {
             Verdict::Held => Phase::Held,
-            Verdict::Unavailable { .. } | Verdict::Reused | Verdict::Full => Phase::ToldNotRun,
+            Verdict::Unavailable { .. } | Verdict::Reused | Verdict::Full => Phase::RefusedNotRun,
             Verdict::Replay(record) => {
                 if self.answered_by != record.body.first().copied() {
-                    self.broken = Some("a recorded answer changed");
+                    self.violation = Some("a recorded answer changed");
                 }
-                Phase::ToldOther
+                Phase::OtherVerdict
             }
-            Verdict::AlreadyRan | Verdict::InProgress | Verdict::EndUnknown => Phase::ToldOther,
+            Verdict::AlreadyRan | Verdict::InProgress | Verdict::EndUnknown => Phase::OtherVerdict,
         };
     }
 
@@ -335,7 +334,7 @@
         }
     }
 
-    /// What an expired lease would do: the claim is gone, its holder may be paused.
+    /// Does what an expired lease would do: removes the claim, though its holder may be paused.
     fn reaped(&self) -> Option<Self> {
         let head = self.head()?;
         let mut free = Head::clone(head);
@@ -350,13 +349,12 @@
         Some(after)
     }
 
-    /// Where nothing can happen any more, no claim of a caller who was told "not run" may block
-    /// the key.
-    fn left_behind(&self) -> Option<&'static str> {
+    /// Checks a final state: no claim of a caller who was answered "not run" may block the key.
+    fn orphan_claim(&self) -> Option<&'static str> {
         let entry = self.head()?.entries.get(&KEY)?;
         let request = entry.claimant.nonce as usize;
-        let told_not_run = self.requests[request] == Phase::ToldNotRun;
-        told_not_run.then_some("an orphan claim blocks the key")
+        let was_refused_not_run = self.requests[request] == Phase::RefusedNotRun;
+        was_refused_not_run.then_some("an orphan claim blocks the key")
     }
 }
 
--- a/crates/kingcuploft/tests/entry/quarantine.rs
+++ b/crates/kingcuploft/tests/entry/quarantine.rs
@@ -1,19 +1,19 @@
-//! Which requests are kept from the servers, as servers end under them.
+//! Quarantine of requests that crash backend servers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use kingcuploft::entry::crash_report::CrashReport;
-use kingcuploft::entry::fingerprint::{Fingerprint, Recurring};
-use kingcuploft::entry::quarantine::{Admission, Quarantine, Told};
+use kingcuploft::entry::fingerprint::{Fingerprint, RequestIdentity};
+use kingcuploft::entry::quarantine::{Admission, Quarantine, ReportStatus};
 
 const REQUEST: Fingerprint = 7;
 
-/// A VM that learns of servers' ends, and the time.
+/// A VM with its quarantine and a clock.
 struct Vm {
     quarantine: Quarantine,
     now: Instant,
-    ends: u32,
+    crashes: u32,
 }
 
 impl Vm {
@@ -21,7 +21,7 @@
         Self {
             quarantine: Quarantine::default(),
             now: Instant::now(),
-            ends: 0,
+            crashes: 0,
         }
     }
 
@@ -33,64 +33,69 @@
         self.quarantine.admit(self.now, REQUEST)
     }
 
-    /// Runs the request at a server that ends under it.
+    /// Runs the request on a server that crashes under it.
     fn crash(&mut self) -> CrashReport {
-        let known = self.quarantine.begins(REQUEST);
+        let known = self.quarantine.record_start(REQUEST);
         self.crash_of_run(known)
     }
 
     fn crash_of_run(&mut self, known: u32) -> CrashReport {
-        self.ends += 1;
-        let server: Arc<str> = format!("s{}", self.ends).into();
+        self.crashes += 1;
+        let server: Arc<str> = format!("s{}", self.crashes).into();
         let now = self.now;
-        self.quarantine.ends(REQUEST);
-        self.quarantine.server_ended(now, REQUEST, &server, known)
+        self.quarantine.record_end(REQUEST);
+        self.quarantine.record_crash(now, REQUEST, &server, known)
     }
 
-    /// Tries the request, and its server ends; returns whether it could be tried.
+    /// Tries the refused request, and its server crashes; returns whether a trial was allowed.
     fn try_and_crash(&mut self) -> bool {
         let Admission::Trial(trial) = self.admit() else {
             return false;
         };
-        self.quarantine.told(self.now, &trial);
+        self.quarantine.add_report(self.now, &trial);
         self.crash();
         true
     }
 }
 
 #[test]
-fn a_request_is_refused_once_two_servers_ended_in_a_row_under_it() {
+fn a_request_is_refused_after_two_consecutive_crashes() {
     let mut vm = Vm::new();
-    assert_eq!(vm.admit(), Admission::Free);
+    assert_eq!(vm.admit(), Admission::Unrestricted);
     vm.crash();
-    assert_eq!(vm.admit(), Admission::Alone);
+    assert_eq!(vm.admit(), Admission::Exclusive);
     vm.crash();
     assert_eq!(vm.admit(), Admission::Refuse(Duration::from_secs(15)));
-    assert_eq!(vm.quarantine.admit(vm.now, REQUEST + 1), Admission::Free);
+    assert_eq!(
+        vm.quarantine.admit(vm.now, REQUEST + 1),
+        Admission::Unrestricted
+    );
 }
 
-/// Guards against a popular request refused for servers that end together for another reason.
+/// Failure: a popular request is refused because several servers crash together for another reason.
 #[test]
-fn servers_that_end_together_count_once() {
+fn servers_that_crash_together_count_once() {
     let mut vm = Vm::new();
-    let runs: Vec<u32> = (0..5).map(|_| vm.quarantine.begins(REQUEST)).collect();
+    let runs: Vec<u32> = (0..5)
+        .map(|_| vm.quarantine.record_start(REQUEST))
+        .collect();
     for known in runs {
         vm.crash_of_run(known);
     }
-    assert_eq!(vm.admit(), Admission::Alone);
+    assert_eq!(vm.admit(), Admission::Exclusive);
 }
 
 #[test]
 fn a_suspect_runs_alone_and_an_answer_clears_it() {
     let mut vm = Vm::new();
     let report = vm.crash();
-    vm.quarantine.begins(REQUEST);
+    vm.quarantine.record_start(REQUEST);
     assert_eq!(vm.admit(), Admission::Wait);
-    assert_eq!(vm.quarantine.answered(REQUEST), [report.id()]);
-    assert_eq!(vm.admit(), Admission::Free);
+    assert_eq!(vm.quarantine.clear(REQUEST), [report.id()]);
+    assert_eq!(vm.admit(), Admission::Unrestricted);
 }
 
-/// Guards against more than three servers lost to one request after it is known, and against one refused for good.
+/// Failure: a known deadly request crashes more than three servers a day, or is refused for good.
 #[test]
 fn a_refused_request_is_tried_three_times_in_a_day_by_one_vm_of_all() {
     let mut vm = Vm::new();
@@ -106,62 +111,68 @@
     let Admission::Trial(trial) = vm.admit() else {
         panic!("{:?}", vm.admit());
     };
-    vm.quarantine.told(vm.now, &trial);
+    vm.quarantine.add_report(vm.now, &trial);
     assert!(
         matches!(vm.admit(), Admission::Refuse(_)),
         "another VM tries"
     );
-    vm.quarantine.answered(REQUEST);
-    assert_eq!(vm.admit(), Admission::Free);
+    vm.quarantine.clear(REQUEST);
+    assert_eq!(vm.admit(), Admission::Unrestricted);
 }
 
 #[test]
-fn a_vm_knows_what_the_others_reported_and_withdrew() {
+fn reports_and_withdrawals_reach_other_vms() {
     let (mut one, mut other) = (Vm::new(), Vm::new());
     let reports = [one.crash(), one.crash()];
     for report in &reports {
-        assert_eq!(other.quarantine.told(other.now, report), Told::News);
-        assert_eq!(other.quarantine.told(other.now, report), Told::Known);
+        assert_eq!(
+            other.quarantine.add_report(other.now, report),
+            ReportStatus::New
+        );
+        assert_eq!(
+            other.quarantine.add_report(other.now, report),
+            ReportStatus::Known
+        );
     }
     assert!(matches!(other.admit(), Admission::Refuse(_)));
-    let ids = one.quarantine.answered(REQUEST);
-    assert!(ids.iter().all(|id| other.quarantine.withdrawn(id)));
-    assert_eq!(other.admit(), Admission::Free);
+    let ids = one.quarantine.clear(REQUEST);
+    assert!(ids.iter().all(|id| other.quarantine.remove_report(id)));
+    assert_eq!(other.admit(), Admission::Unrestricted);
 }
 
-/// Guards against reports that are kept for good by a VM that missed their withdrawal.
+/// Failure: a VM that missed the withdrawal of a report keeps it for good.
 #[test]
-fn reports_that_the_store_has_no_longer_are_forgotten_and_new_ones_are_not() {
+fn reports_removed_from_the_store_are_dropped_and_unstored_ones_are_kept() {
     let (mut one, mut other) = (Vm::new(), Vm::new());
     let report = other.crash();
-    one.quarantine.told(one.now, &report);
-    one.ends = 1;
+    one.quarantine.add_report(one.now, &report);
+    one.crashes = 1;
     one.crash();
-    let gone = one.quarantine.all_told(&[].into_iter().collect());
+    let gone = one.quarantine.remove_missing(&[].into_iter().collect());
     assert_eq!(gone, [report.id()]);
     assert!(one.quarantine.is_suspect(REQUEST), "its own is on its way");
 }
 
 #[test]
-fn a_suspect_that_does_not_come_again_is_forgotten_and_a_refused_request_is_kept() {
+fn a_suspect_expires_after_a_minute_and_a_refused_request_is_kept() {
     let mut vm = Vm::new();
     let report = vm.crash();
-    vm.quarantine.told(vm.now, &report);
+    vm.quarantine.add_report(vm.now, &report);
     vm.after(Duration::from_secs(61));
-    assert_eq!(vm.quarantine.outdated(vm.now), [report.id()]);
+    assert_eq!(vm.quarantine.expired_reports(vm.now), [report.id()]);
     let report = vm.crash();
-    vm.quarantine.told(vm.now, &report);
+    vm.quarantine.add_report(vm.now, &report);
     vm.after(Duration::from_secs(3600));
-    assert!(vm.quarantine.outdated(vm.now).is_empty());
+    assert!(vm.quarantine.expired_reports(vm.now).is_empty());
 }
 
-/// Guards against a memory that grows with the requests that servers end under.
+/// Failure: memory grows with the number of requests under which servers crash.
 #[test]
-fn a_vm_remembers_a_bounded_number_of_requests() {
+fn the_number_of_suspects_is_bounded() {
     let mut vm = Vm::new();
     let server: Arc<str> = "s".into();
     for fingerprint in 0..20_000 {
-        vm.quarantine.server_ended(vm.now, fingerprint, &server, 0);
+        vm.quarantine.record_crash(vm.now, fingerprint, &server, 0);
     }
     let suspects = (0..20_000).filter(|fp| vm.quarantine.is_suspect(*fp));
     assert_eq!(suspects.count(), 16 * 1024);
@@ -169,7 +180,7 @@
 
 #[test]
 fn a_fingerprint_tells_requests_apart_and_is_the_same_under_another_id() {
-    let request = Recurring {
+    let request = RequestIdentity {
         method: "POST",
         host: "a.example",
         target: "/book/a",
@@ -179,23 +190,23 @@
     assert_eq!(request.fingerprint(), request.fingerprint());
     let caller = [Some("somebody"), None];
     let others = [
-        Recurring {
+        RequestIdentity {
             method: "PUT",
             ..request
         },
-        Recurring {
+        RequestIdentity {
             host: "b.example",
             ..request
         },
-        Recurring {
+        RequestIdentity {
             target: "/book/b",
             ..request
         },
-        Recurring {
+        RequestIdentity {
             body: b"two beds",
             ..request
         },
-        Recurring { caller, ..request },
+        RequestIdentity { caller, ..request },
     ];
     for other in others {
         assert_ne!(request.fingerprint(), other.fingerprint(), "{other:?}");
@@ -203,7 +214,7 @@
 }
 
 #[test]
-fn a_report_is_read_from_its_name() {
+fn a_report_is_parsed_from_its_key() {
     let report = Vm::new().crash();
     assert_eq!(CrashReport::parse_id(&report.id()), Some((REQUEST, "s1")));
     assert_eq!(CrashReport::parse_id("no-report"), None);
--- a/crates/kingcuploft/tests/entry/zone_record.rs
+++ b/crates/kingcuploft/tests/entry/zone_record.rs
@@ -2,7 +2,8 @@
 
 use kingcuploft::entry::vm_entry::VmEntry;
 use kingcuploft::entry::zone_record::{
-    MOST_NAMED, Seen, ZoneCount, ZoneRecord, appended, handed_over, renewed, taken_over,
+    MAX_NAMED_VMS, ZoneCount, ZoneRecord, ZoneView, handed_to_larger, refreshed, with_leader,
+    with_unreachable_vm,
 };
 
 use crate::readers::vm;
@@ -21,26 +22,26 @@
     }
 }
 
-/// What `vm-0` sees, which these follow.
-fn seen(followers: Vec<VmEntry>) -> Seen {
+/// Returns the view of `vm-0` with these followers.
+fn seen(followers: Vec<VmEntry>) -> ZoneView {
     let below = followers.len() as u32;
-    Seen {
+    ZoneView {
         own: vm("vm-0", 200),
         followers,
-        below,
+        descendants: below,
     }
 }
 
-/// Guards against a call to the store for each VM that restarts.
+/// Failure: each VM that restarts costs a write to the store.
 #[test]
 fn restarts_of_followers_write_nothing() {
-    let old = record(named(MOST_NAMED), 50);
+    let old = record(named(MAX_NAMED_VMS), 50);
     let all: Vec<VmEntry> = (1..50).map(|at| vm(&format!("vm-{at}"), 200)).collect();
     for away in 0..all.len() {
         let mut left = all.clone();
         left.remove(away);
         assert_eq!(
-            renewed(&old, &seen(left), 50, true),
+            refreshed(&old, &seen(left), 50, true),
             None,
             "vm {away} is away"
         );
@@ -48,9 +49,9 @@
 }
 
 #[test]
-fn a_new_reader_that_is_followed_names_itself_first() {
+fn a_new_reader_with_followers_names_itself_first() {
     let old = record([vec![vm("gone", 200)], named(4)].concat(), 6);
-    let new = renewed(&old, &seen(named(4)[1..].to_vec()), 6, true).unwrap();
+    let new = refreshed(&old, &seen(named(4)[1..].to_vec()), 6, true).unwrap();
     assert!(new.is_led_by(&"vm-0".into()));
     assert!(new.version > old.version);
     assert_eq!(new.count, 6);
@@ -58,73 +59,82 @@
     assert_eq!(&*last.name, "gone", "it may come back, and there is room");
 }
 
-/// Guards against two VMs that write themselves into a zone's record by turns.
+/// Failure: two VMs alternately write themselves into a zone's record.
 #[test]
-fn a_vm_that_nobody_follows_does_not_name_itself_first() {
+fn a_vm_without_followers_does_not_name_itself_first() {
     let old = record([vec![vm("reader", 200)], named(4)].concat(), 50);
-    assert_eq!(renewed(&old, &seen(Vec::new()), 50, true), None);
+    assert_eq!(refreshed(&old, &seen(Vec::new()), 50, true), None);
 }
 
 #[test]
-fn a_zone_that_has_grown_is_written_at_once() {
-    let old = record(named(MOST_NAMED), 50);
+fn a_grown_zone_is_rewritten_at_once() {
+    let old = record(named(MAX_NAMED_VMS), 50);
     let more: Vec<VmEntry> = (1..60).map(|at| vm(&format!("vm-{at}"), 200)).collect();
-    let new = renewed(&old, &seen(more), 60, true).unwrap();
+    let new = refreshed(&old, &seen(more), 60, true).unwrap();
     assert_eq!(new.count, 60);
     assert_eq!(new.vms, old.vms, "those that are named and there stay");
 }
 
-/// Guards against a count of VMs that shrinks while they restart.
+/// Failure: the VM count shrinks while the VMs restart.
 #[test]
-fn a_zone_shrinks_late() {
+fn the_vm_count_shrinks_with_a_delay() {
     let (mut count, begun) = (ZoneCount::default(), Instant::now());
     let at = |s| begun + Duration::from_secs(s);
-    assert_eq!(count.holds(at(0), 50, 3), 50);
-    assert_eq!(count.holds(at(20), 50, 44), 50);
-    assert_eq!(count.holds(at(31), 50, 20), 44, "the most that was seen");
-    assert_eq!(count.holds(at(32), 44, 50), 50);
-    assert_eq!(count.holds(at(33), 50, 3), 50, "and anew");
+    assert_eq!(count.stable_count(at(0), 50, 3), 50);
+    assert_eq!(count.stable_count(at(20), 50, 44), 50);
+    assert_eq!(
+        count.stable_count(at(31), 50, 20),
+        44,
+        "the most that was seen"
+    );
+    assert_eq!(count.stable_count(at(32), 44, 50), 50);
+    assert_eq!(count.stable_count(at(33), 50, 3), 50, "and anew");
 }
 
-/// More than half of the VMs that a record names are lost for good. Who starts later must find one of those that run.
+/// Failure: more than half of the VMs that a record names are lost for good, and VMs that start later find none of the
+/// running ones.
 #[test]
-fn lost_vms_are_named_no_more() {
-    let old = record(named(MOST_NAMED), 30);
+fn lost_vms_are_replaced_in_the_record() {
+    let old = record(named(MAX_NAMED_VMS), 30);
     let others: Vec<VmEntry> = (20..40).map(|at| vm(&format!("vm-{at}"), 200)).collect();
-    let new = renewed(&old, &seen(others.clone()), 30, true).unwrap();
-    assert_eq!(new.vms.len(), MOST_NAMED);
+    let new = refreshed(&old, &seen(others.clone()), 30, true).unwrap();
+    assert_eq!(new.vms.len(), MAX_NAMED_VMS);
     assert!(new.vms[1..].iter().all(|vm| others.contains(vm)));
 }
 
-/// After an outage the small VMs of a zone are back first, and one of them reads for fifty others.
+/// Failure: after an outage the small VMs of a zone are back first, and one of them reads for fifty others.
 #[test]
 fn a_small_reader_hands_over_to_a_larger_vm() {
     let mut all = named(5);
     all[3].cpu_milli = 500;
     let old = record(named(3), 5);
-    let new = handed_over(&old, &seen(all[1..].to_vec())).unwrap();
+    let new = handed_to_larger(&old, &seen(all[1..].to_vec())).unwrap();
     assert!(new.is_led_by(&"vm-3".into()));
     assert!(new.vms.iter().any(|vm| &*vm.name == "vm-0"));
     all[3].cpu_milli = 200;
-    assert_eq!(handed_over(&old, &seen(all[1..].to_vec())), None);
+    assert_eq!(handed_to_larger(&old, &seen(all[1..].to_vec())), None);
 }
 
 #[test]
-fn a_vm_that_reaches_nobody_is_named_last_while_there_is_room() {
-    let mut record = record(named(MOST_NAMED), 50);
+fn a_vm_that_reaches_no_other_is_named_last_while_there_is_room() {
+    let mut record = record(named(MAX_NAMED_VMS), 50);
     for at in 0..3 {
-        record = appended(&record, &vm(&format!("alone-{at}"), 500)).unwrap();
+        record = with_unreachable_vm(&record, &vm(&format!("alone-{at}"), 500)).unwrap();
         assert!(record.is_led_by(&"vm-0".into()));
     }
-    assert_eq!(appended(&record, &vm("alone-3", 500)), None);
-    assert_eq!(appended(&record, &vm("alone-1", 500)), None, "it is named");
+    assert_eq!(with_unreachable_vm(&record, &vm("alone-3", 500)), None);
+    assert_eq!(
+        with_unreachable_vm(&record, &vm("alone-1", 500)),
+        None,
+        "it is named"
+    );
 }
 
 #[test]
-fn the_vm_that_the_store_answers_reads_in_place_of_the_first() {
-    let old = record(named(MOST_NAMED), 50);
-    let new = taken_over(&old, &old.vms[4]);
+fn a_vm_that_the_store_answers_replaces_the_first_as_reader() {
+    let old = record(named(MAX_NAMED_VMS), 50);
+    let new = with_leader(&old, &old.vms[4]);
     assert!(new.is_led_by(&"vm-4".into()));
-    assert_eq!(new.vms.len(), MOST_NAMED);
+    assert_eq!(new.vms.len(), MAX_NAMED_VMS);
     assert_eq!(new.vms.iter().filter(|vm| &*vm.name == "vm-4").count(), 1);
 }
