--- a/crates/kingcuploft/src/dispatcher/adoption.rs
+++ b/crates/kingcuploft/src/dispatcher/adoption.rs
@@ -14,7 +14,7 @@
     /// What waits stays in its queue, and what is in flight stays counted at its backend server,
     /// wherever that now stands in the manifest. Requests of a service that is gone are told so;
     /// its calls in flight still get their answers.
-    pub(super) fn adopted(
+    pub(super) fn adopt(
         &mut self,
         now: Instant,
         accepted: &AcceptedManifest,
@@ -23,7 +23,7 @@
         self.generation = accepted.generation;
         let mut old = std::mem::take(&mut self.services);
         for service in &accepted.manifest.services {
-            let state = self.state_under(now, service, old.remove(&service.name));
+            let state = self.build_state(now, service, old.remove(&service.name));
             self.services.insert(service.name.clone(), state);
         }
         for gone in old.into_values() {
@@ -32,10 +32,10 @@
                 self.refuse(id, refusal, actions);
             }
         }
-        self.pump_all(now, actions);
+        self.send_all_waiting(now, actions);
     }
 
-    fn state_under(
+    fn build_state(
         &self,
         now: Instant,
         service: &Arc<Service>,
@@ -43,10 +43,16 @@
     ) -> ServiceState {
         let attempts = self.attempts.values();
         let attempts = attempts.filter(|attempt| attempt.service == service.name);
-        let live_vms = self.live_vms;
-        let mut state =
-            ServiceState::new(Arc::clone(service), &self.vm, live_vms, old, now, attempts);
-        state.membership(now, &self.vm.name, &self.live);
+        let live_vm_count = self.live_vm_count;
+        let mut state = ServiceState::new(
+            Arc::clone(service),
+            &self.vm,
+            live_vm_count,
+            old,
+            now,
+            attempts,
+        );
+        state.update_members(now, &self.vm.name, &self.live_vm_names);
         state
     }
 }
--- a/crates/kingcuploft/src/dispatcher/attempt_end.rs
+++ b/crates/kingcuploft/src/dispatcher/attempt_end.rs
@@ -12,20 +12,25 @@
 
 impl ServiceState {
     /// Notes the end of an attempt; tells whether it brought news of a drain.
-    pub(super) fn ended(&mut self, now: Instant, attempt: &Attempt, report: &CallReport) -> bool {
+    pub(super) fn record_attempt_end(
+        &mut self,
+        now: Instant,
+        attempt: &Attempt,
+        report: &CallReport,
+    ) -> bool {
         if matches!(report.end, CallEnd::Answered { .. } | CallEnd::TimedOut) {
-            let usual = self.admission.service_time(&attempt.rule);
+            let service_time = self.admission.service_time(&attempt.rule);
             self.hedge
-                .record_latency(&attempt.backend_server, report.latency, &usual);
+                .record_latency(&attempt.backend_server, report.latency, &service_time);
             self.admission
                 .record_service_time(&attempt.rule, report.latency);
         }
         let server = self.server_of(attempt);
         let slots = server.map_or(u32::MAX, |i| self.service.backend_servers[i].slots);
-        let usual = self.admission.service_time(&attempt.rule);
+        let service_time = self.admission.service_time(&attempt.rule);
         let requests_wait = !self.admission.is_empty();
         self.concurrency
-            .record_end(report, slots, usual, requests_wait);
+            .record_end(report, slots, service_time, requests_wait);
         let Some(server) = server else {
             return false;
         };
@@ -40,7 +45,7 @@
     }
 
     /// Decides what follows an attempt that ended.
-    pub(super) fn after(
+    pub(super) fn decide_retry(
         &mut self,
         now: Instant,
         rng: &mut fastrand::Rng,
@@ -57,7 +62,7 @@
     }
 
     /// Lets a request wait for its next attempt.
-    pub(super) fn retry_at(
+    pub(super) fn queue_retry(
         &mut self,
         not_before: Instant,
         waiting: QueuedRequest,
--- a/crates/kingcuploft/src/dispatcher/attempts.rs
+++ b/crates/kingcuploft/src/dispatcher/attempts.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::explain::{Decision, SendReason};
-use super::request::{Attempt, Claim};
+use super::request::{Attempt, ClaimState};
 use super::{Action, Call, Dispatcher};
 use crate::decisions::hedge::HedgeStep;
 use crate::decisions::retry::RetryDecision;
@@ -18,7 +18,7 @@
 
 impl Dispatcher {
     /// Begins an attempt at a backend server of the service in force.
-    pub(super) fn call(
+    pub(super) fn start_attempt(
         &mut self,
         now: Instant,
         id: RequestId,
@@ -33,12 +33,12 @@
         };
         self.last_attempt += 1;
         let attempt = self.last_attempt;
-        let backend_server = state.sent(now, server);
+        let backend_server = state.record_sent(now, server);
         request.attempts += 1;
-        request.live.push(attempt);
+        request.in_flight.push(attempt);
         request.tried.push(backend_server.name.clone());
-        let give_up_at = request.deadline + ATTEMPT_GRACE;
-        self.attempt_timers.insert(give_up_at, attempt);
+        let expires_at = request.deadline + ATTEMPT_GRACE;
+        self.attempt_timers.insert(expires_at, attempt);
         self.attempts.insert(
             attempt,
             Attempt {
@@ -47,9 +47,9 @@
                 rule: request.route.rule().name.clone(),
                 backend_server: backend_server.name.clone(),
                 address: backend_server.address,
-                give_up_at,
+                expires_at,
                 sent_at: now,
-                look_at: None,
+                hedge_check_at: None,
                 is_hedge: false,
             },
         );
@@ -62,17 +62,17 @@
             deadline: request.deadline,
             waited: now.saturating_duration_since(request.arrived),
         }));
-        self.plan_look(now, attempt);
-        self.explain_call(now, id, attempt);
+        self.schedule_hedge_check(now, attempt);
+        self.explain_send(now, id, attempt);
     }
 
-    fn explain_call(&mut self, now: Instant, id: RequestId, attempt: AttemptId) {
+    fn explain_send(&mut self, now: Instant, id: RequestId, attempt: AttemptId) {
         let (Some(request), Some(sent)) = (self.requests.remove(&id), self.attempts.get(&attempt))
         else {
             return;
         };
         let why = match request.retry {
-            _ if request.live.len() > 1 => SendReason::Hedge,
+            _ if request.in_flight.len() > 1 => SendReason::Hedge,
             Some(reason) => reason.into(),
             None => SendReason::Turn,
         };
@@ -86,7 +86,7 @@
     }
 
     /// Takes the end of an attempt in; an attempt that was given up is not known any more.
-    pub(super) fn ended(
+    pub(super) fn on_attempt_end(
         &mut self,
         now: Instant,
         id: AttemptId,
@@ -96,20 +96,20 @@
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
         };
-        self.attempt_timers.remove(attempt.give_up_at, id);
-        self.forget_look(id, attempt.look_at);
+        self.attempt_timers.remove(attempt.expires_at, id);
+        self.cancel_hedge_check(id, attempt.hedge_check_at);
         if let Some(state) = self.services.get_mut(&attempt.service)
-            && state.ended(now, &attempt, report)
+            && state.record_attempt_end(now, &attempt, report)
         {
             let server = attempt.backend_server.clone();
             actions.push(Action::ShareDraining(attempt.service.clone(), server));
         }
-        self.settle(now, id, &attempt, report, actions);
-        self.pump(now, &attempt.service, actions);
+        self.follow_up(now, id, &attempt, report, actions);
+        self.send_waiting(now, &attempt.service, actions);
     }
 
     /// Counts attempts as ended that never reported.
-    pub(super) fn give_up_attempts(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(super) fn expire_attempts(&mut self, now: Instant, actions: &mut Vec<Action>) {
         while let Some(id) = self.attempt_timers.pop_due(now) {
             let report = CallReport {
                 end: CallEnd::Cancelled,
@@ -117,12 +117,12 @@
                 load: None,
                 draining: false,
             };
-            self.ended(now, id, &report, actions);
+            self.on_attempt_end(now, id, &report, actions);
         }
     }
 
     /// Decides what the end of an attempt means for its request.
-    fn settle(
+    fn follow_up(
         &mut self,
         now: Instant,
         id: AttemptId,
@@ -134,16 +134,16 @@
             return;
         };
         request.attempt_ended(id, report.end);
-        if request.told {
-            return self.record_untold(attempt.request, id, report.end, actions);
+        if request.is_caller_done {
+            return self.record_late_end(attempt.request, id, report.end, actions);
         }
         // Another attempt at the request is still in flight and may bring a better answer; the
         // retry budget is not touched for it.
-        if !request.live.is_empty() && !report.end.succeeded() {
+        if !request.in_flight.is_empty() && !report.end.succeeded() {
             return;
         }
         let verdict = match self.services.get_mut(&attempt.service) {
-            Some(state) => state.after(now, &mut self.rng, request, report),
+            Some(state) => state.decide_retry(now, &mut self.rng, request, report),
             None => RetryDecision::without_retry(report.end),
         };
         match verdict {
@@ -151,10 +151,10 @@
             RetryDecision::Retry { reason, after } => {
                 actions.push(Action::CountRetry(attempt.service.clone(), reason));
                 request.retry = Some(reason);
-                let waiting = request.waiting(attempt.request);
+                let waiting = request.queue_entry(attempt.request);
                 let tried = request.tried.clone();
                 if let Some(state) = self.services.get_mut(&attempt.service) {
-                    state.retry_at(now + after, waiting, tried, report.end);
+                    state.queue_retry(now + after, waiting, tried, report.end);
                 }
             }
             RetryDecision::Refuse(refusal) => self.refuse(attempt.request, refusal, actions),
@@ -169,35 +169,38 @@
         won: &Attempt,
         actions: &mut Vec<Action>,
     ) {
-        let Some(request) = self.forget(id) else {
+        let Some(request) = self.remove_request(id) else {
             return;
         };
         actions.push(Action::Answer(id, winner));
-        if request.claim == Claim::Held {
+        if request.claim == ClaimState::Held {
             actions.push(Action::Acknowledge(id, Some(winner)));
         }
         let service = &won.service;
         if won.is_hedge {
             actions.push(Action::CountHedge(service.clone(), HedgeStep::Won));
         }
-        let lost = request.live.iter().filter_map(|id| self.attempts.get(id));
+        let lost = request
+            .in_flight
+            .iter()
+            .filter_map(|id| self.attempts.get(id));
         let lost = lost.filter(|attempt| attempt.is_hedge);
         actions.extend(lost.map(|_| Action::CountHedge(service.clone(), HedgeStep::Cancelled)));
-        actions.extend(request.live.into_iter().map(Action::Cancel));
+        actions.extend(request.in_flight.into_iter().map(Action::Cancel));
     }
 
     /// Records how a protected request ended whose caller left or was told at its deadline.
-    fn record_untold(
+    fn record_late_end(
         &mut self,
         id: RequestId,
         attempt: AttemptId,
         end: CallEnd,
         actions: &mut Vec<Action>,
     ) {
-        let Some(request) = self.forget(id) else {
+        let Some(request) = self.remove_request(id) else {
             return;
         };
-        if request.claim != Claim::Held {
+        if request.claim != ClaimState::Held {
             return;
         }
         let answered = matches!(end, CallEnd::Answered { .. });
--- a/crates/kingcuploft/src/dispatcher/explain.rs
+++ b/crates/kingcuploft/src/dispatcher/explain.rs
@@ -117,15 +117,15 @@
 /// The last decisions.
 #[derive(Debug, Default)]
 pub(super) struct ExplanationLog {
-    kept: VecDeque<(Instant, Explanation)>,
+    entries: VecDeque<(Instant, Explanation)>,
 }
 
 impl ExplanationLog {
-    pub(super) fn keep(&mut self, now: Instant, explanation: Explanation) {
-        if self.kept.len() >= MAX_EXPLANATIONS {
-            self.kept.pop_front();
+    pub(super) fn record(&mut self, now: Instant, explanation: Explanation) {
+        if self.entries.len() >= MAX_EXPLANATIONS {
+            self.entries.pop_front();
         }
-        self.kept.push_back((now, explanation));
+        self.entries.push_back((now, explanation));
     }
 
     /// Returns the decisions that fit, newest first.
@@ -140,7 +140,7 @@
                 && caller.as_ref().is_none_or(|c| *c == explanation.caller)
                 && service.as_ref().is_none_or(|s| *s == explanation.service)
         };
-        let kept = self.kept.iter().rev();
+        let kept = self.entries.iter().rev();
         let kept = kept.filter(|(_, explanation)| fits(explanation));
         kept.map(|(at, explanation)| Explanation {
             ago_ms: ms(now.saturating_duration_since(*at)),
--- a/crates/kingcuploft/src/dispatcher/load_updates.rs
+++ b/crates/kingcuploft/src/dispatcher/load_updates.rs
@@ -10,7 +10,7 @@
 
 impl ServiceState {
     /// Takes the live VMs in, `own` among them.
-    pub(super) fn membership(&mut self, now: Instant, own: &VmName, live: &[VmName]) {
+    pub(super) fn update_members(&mut self, now: Instant, own: &VmName, live: &[VmName]) {
         self.measuring.update_members(now, own, live);
     }
 
@@ -29,7 +29,7 @@
     }
 
     /// Takes what a probe brought in; tells whether it brought news of a drain.
-    pub(super) fn probed(&mut self, now: Instant, probed: &ProbeResult) -> bool {
+    pub(super) fn record_probe(&mut self, now: Instant, probed: &ProbeResult) -> bool {
         let Some(&server) = self.by_name.get(&probed.backend_server) else {
             return false;
         };
@@ -48,12 +48,12 @@
     }
 
     /// Takes the notes that are due.
-    pub(super) fn take_notes(&mut self, now: Instant, peers: usize) -> Option<Vec<LoadNote>> {
+    pub(super) fn take_due_notes(&mut self, now: Instant, peers: usize) -> Option<Vec<LoadNote>> {
         self.notes.take_due(now, peers)
     }
 
     /// Takes a peer's note in.
-    pub(super) fn heard(&mut self, now: Instant, note: LoadNote) {
+    pub(super) fn record_peer_note(&mut self, now: Instant, note: LoadNote) {
         self.notes.record_peer_note(note);
         let (server, in_flight) = (usize::from(note.server), u32::from(note.in_flight));
         self.selection.record_load(now, server, in_flight);
--- a/crates/kingcuploft/src/dispatcher/mod.rs
+++ b/crates/kingcuploft/src/dispatcher/mod.rs
@@ -36,7 +36,7 @@
 use explain::{Decision, Explanation, ExplanationLog, LoadSnapshot, Query};
 pub use peer_notes::PeerNotes;
 pub use probing::{Probe, ProbeResult};
-use request::{Attempt, Claim, Request};
+use request::{Attempt, ClaimState, Request};
 use service_state::{Pick, ServiceState};
 use timers::Timers;
 
@@ -151,23 +151,23 @@
     /// The generation of the manifest in force.
     generation: Generation,
     /// The live VMs, as far as is known.
-    live: Vec<VmName>,
+    live_vm_names: Vec<VmName>,
     rng: fastrand::Rng,
     services: HashMap<ServiceName, ServiceState>,
     requests: HashMap<RequestId, Request>,
     attempts: HashMap<AttemptId, Attempt>,
     /// When each request that is not answered is due.
-    timers: Timers,
+    deadline_timers: Timers,
     /// When each attempt that does not report is given up.
     attempt_timers: Timers,
     /// When each lookup in flight is looked at, whether to hedge it.
-    look_timers: Timers,
+    hedge_timers: Timers,
     /// How many entry VMs are live, once that is known.
-    live_vms: Option<u32>,
+    live_vm_count: Option<u32>,
     /// The time of the last event.
-    now: Option<Instant>,
+    last_event_at: Option<Instant>,
     last_attempt: AttemptId,
-    explained: ExplanationLog,
+    explanations: ExplanationLog,
 }
 
 impl Dispatcher {
@@ -176,55 +176,59 @@
         Self {
             vm,
             generation: 0,
-            live: Vec::new(),
+            live_vm_names: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             services: HashMap::default(),
             requests: HashMap::default(),
             attempts: HashMap::default(),
-            timers: Timers::default(),
+            deadline_timers: Timers::default(),
             attempt_timers: Timers::default(),
-            look_timers: Timers::default(),
-            live_vms: None,
-            now: None,
+            hedge_timers: Timers::default(),
+            live_vm_count: None,
+            last_event_at: None,
             last_attempt: 0,
-            explained: ExplanationLog::default(),
+            explanations: ExplanationLog::default(),
         }
     }
 
     /// Takes one event in and appends what to do next.
     pub fn on_event(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
-        self.now = Some(now);
+        self.last_event_at = Some(now);
         match event {
-            Event::Arrived(arrival) => self.arrived(now, arrival, actions),
-            Event::Claimed(request, end) => self.claimed(now, request, end, actions),
-            Event::AttemptEnded(attempt, report) => self.ended(now, attempt, &report, actions),
-            Event::CallerDisconnected(request) => self.caller_left(now, request, actions),
-            Event::ManifestAdopted(accepted) => self.adopted(now, &accepted, actions),
-            Event::ServerDraining(service, server) => self.draining(&service, &server, actions),
-            Event::MembershipChanged(live) => self.membership(now, live),
-            Event::Probed(probed) => self.probed(now, &probed, actions),
-            Event::NotesReceived(notes) => self.notes_heard(now, &notes),
-            Event::LiveVmCount(live_vms) => {
-                self.live_vms = Some(live_vms);
+            Event::Arrived(arrival) => self.on_arrival(now, arrival, actions),
+            Event::Claimed(request, end) => self.on_claim_result(now, request, end, actions),
+            Event::AttemptEnded(attempt, report) => {
+                self.on_attempt_end(now, attempt, &report, actions)
+            }
+            Event::CallerDisconnected(request) => self.on_caller_disconnect(now, request, actions),
+            Event::ManifestAdopted(accepted) => self.adopt(now, &accepted, actions),
+            Event::ServerDraining(service, server) => {
+                self.on_server_draining(&service, &server, actions)
+            }
+            Event::MembershipChanged(live) => self.on_membership_change(now, live),
+            Event::Probed(probed) => self.on_probe_result(now, &probed, actions),
+            Event::NotesReceived(notes) => self.on_peer_notes(now, &notes),
+            Event::LiveVmCount(live_vm_count) => {
+                self.live_vm_count = Some(live_vm_count);
                 let states = self.services.values_mut();
-                states.for_each(|state| state.live_vms(live_vms));
-                self.pump_all(now, actions);
+                states.for_each(|state| state.set_live_vm_count(live_vm_count));
+                self.send_all_waiting(now, actions);
             }
-            Event::Tick => self.tick(now, actions),
+            Event::Tick => self.on_tick(now, actions),
         }
-        self.tell_notes(now, actions);
-        self.probe(now, actions);
+        self.share_due_notes(now, actions);
+        self.start_due_probes(now, actions);
     }
 
     /// Returns when the next [`Event::Tick`] is due at the latest.
     pub fn next_tick(&self) -> Option<Instant> {
-        let now = self.now?;
+        let now = self.last_event_at?;
         let retries = self.services.values();
         let retries = retries.filter_map(|state| state.next_due(now));
         let timers = [
-            self.timers.next(),
+            self.deadline_timers.next(),
             self.attempt_timers.next(),
-            self.look_timers.next(),
+            self.hedge_timers.next(),
         ];
         timers.into_iter().flatten().chain(retries).min()
     }
@@ -242,12 +246,12 @@
     /// Returns how many calls to a backend server of a service are counted as in flight.
     pub fn calls_in_flight_to(&self, service: &ServiceName, server: &BackendServerName) -> u32 {
         let state = self.services.get(service);
-        state.map_or(0, |state| state.calls_at(server))
+        state.map_or(0, |state| state.calls_in_flight_to(server))
     }
 
     /// Returns the last decisions that fit, newest first.
     pub fn find_explanations(&self, now: Instant, query: &Query) -> Vec<Explanation> {
-        self.explained.find(now, query)
+        self.explanations.find(now, query)
     }
 
     /// Returns the load of each service.
@@ -259,7 +263,7 @@
     /// Keeps a decision for who asks why.
     fn explain(&mut self, now: Instant, id: RequestId, request: &Request, decided: Decision) {
         let state = self.services.get(request.service());
-        let load = state.map(|state| state.load_for(now, &request.waiting(id)));
+        let load = state.map(|state| state.load_for(now, &request.queue_entry(id)));
         let explanation = Explanation {
             ago_ms: 0,
             request: id,
@@ -270,35 +274,35 @@
             load: load.unwrap_or_default(),
             decided,
         };
-        self.explained.keep(now, explanation);
+        self.explanations.record(now, explanation);
     }
 
-    fn arrived(&mut self, now: Instant, arrival: Arrival, actions: &mut Vec<Action>) {
+    fn on_arrival(&mut self, now: Instant, arrival: Arrival, actions: &mut Vec<Action>) {
         let id = arrival.request;
         let request = Request::new(arrival);
-        let waiting = request.waiting(id);
+        let waiting = request.queue_entry(id);
         let Some(state) = self.services.get_mut(request.service()) else {
             let refusal = Refusal::not_run(RefusalReason::NoSuchService);
             return actions.push(Action::Refuse(id, refusal));
         };
-        let claims = request.claim == Claim::Asked;
-        if claims && let Some(refusal) = state.check(now, &waiting) {
+        let claims = request.claim == ClaimState::Requested;
+        if claims && let Some(refusal) = state.check_before_claim(now, &waiting) {
             self.explain(now, id, &request, refusal.into());
             return actions.push(Action::Refuse(id, refusal));
         }
         let service = request.service().clone();
-        self.timers.insert(request.deadline, id);
+        self.deadline_timers.insert(request.deadline, id);
         self.requests.insert(id, request);
         if claims {
             return actions.push(Action::Claim(id));
         }
         self.enqueue(now, waiting, actions);
-        self.pump(now, &service, actions);
+        self.send_waiting(now, &service, actions);
     }
 
     /// Takes the end of a claim in. One that comes after its request has ended (its caller left,
     /// or its deadline passed) is given back, as nothing was sent.
-    fn claimed(
+    fn on_claim_result(
         &mut self,
         now: Instant,
         id: RequestId,
@@ -306,26 +310,26 @@
         actions: &mut Vec<Action>,
     ) {
         let asked = self.requests.get_mut(&id);
-        let Some(request) = asked.filter(|request| request.claim == Claim::Asked) else {
+        let Some(request) = asked.filter(|request| request.claim == ClaimState::Requested) else {
             if end == ClaimResult::Held {
                 actions.push(Action::Release(id));
             }
             return;
         };
-        let waiting = request.waiting(id);
+        let waiting = request.queue_entry(id);
         let service = request.service().clone();
         match end {
             ClaimResult::Held => {
-                request.claim = Claim::Held;
+                request.claim = ClaimState::Held;
                 if let Some(state) = self.services.get_mut(&service) {
-                    state.claim_settled(&waiting.rule);
+                    state.claim_ended(&waiting.rule);
                 }
                 self.enqueue(now, waiting, actions);
             }
             ClaimResult::Refused(refusal) => self.refuse(id, refusal, actions),
-            ClaimResult::Replayed => drop(self.forget(id)),
+            ClaimResult::Replayed => drop(self.remove_request(id)),
         }
-        self.pump(now, &service, actions);
+        self.send_waiting(now, &service, actions);
     }
 
     /// Queues a request whose claim, if it needs one, is held.
@@ -346,17 +350,17 @@
     }
 
     /// Sends waiting requests while there is room.
-    fn pump(&mut self, now: Instant, service: &ServiceName, actions: &mut Vec<Action>) {
+    fn send_waiting(&mut self, now: Instant, service: &ServiceName, actions: &mut Vec<Action>) {
         while let Some(state) = self.services.get_mut(service) {
             match state.pick(now, &mut self.rng) {
                 Pick::Idle => return,
                 Pick::Refuse(id, refusal) => self.refuse(id, refusal, actions),
-                Pick::Send(id, server) => self.call(now, id, server, actions),
+                Pick::Send(id, server) => self.start_attempt(now, id, server, actions),
             }
         }
     }
 
-    fn draining(
+    fn on_server_draining(
         &mut self,
         service: &ServiceName,
         server: &BackendServerName,
@@ -365,15 +369,15 @@
         let Some(state) = self.services.get_mut(service) else {
             return;
         };
-        if state.draining(server) {
+        if state.report_draining(server) {
             actions.push(Action::ShareDraining(service.clone(), server.clone()));
         }
     }
 
-    fn pump_all(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn send_all_waiting(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let names: Vec<ServiceName> = self.services.keys().cloned().collect();
         for name in names {
-            self.pump(now, &name, actions);
+            self.send_waiting(now, &name, actions);
         }
     }
 }
--- a/crates/kingcuploft/src/dispatcher/peer_notes.rs
+++ b/crates/kingcuploft/src/dispatcher/peer_notes.rs
@@ -19,11 +19,14 @@
 
 impl Dispatcher {
     /// Sends the notes that are due.
-    pub(super) fn tell_notes(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let peers = self.live.iter().filter(|name| **name != self.vm.name);
+    pub(super) fn share_due_notes(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let peers = self
+            .live_vm_names
+            .iter()
+            .filter(|name| **name != self.vm.name);
         let peers = peers.count();
         for (service, state) in &mut self.services {
-            if let Some(notes) = state.take_notes(now, peers) {
+            if let Some(notes) = state.take_due_notes(now, peers) {
                 actions.push(Action::ShareNotes(PeerNotes {
                     service: service.clone(),
                     generation: self.generation,
@@ -34,20 +37,23 @@
     }
 
     /// Takes a peer's notes in; numbers of another manifest mean other backend servers.
-    pub(super) fn notes_heard(&mut self, now: Instant, heard: &PeerNotes) {
+    pub(super) fn on_peer_notes(&mut self, now: Instant, heard: &PeerNotes) {
         if heard.generation != self.generation {
             return;
         }
         if let Some(state) = self.services.get_mut(&heard.service) {
-            heard.notes.iter().for_each(|&note| state.heard(now, note));
+            heard
+                .notes
+                .iter()
+                .for_each(|&note| state.record_peer_note(now, note));
         }
     }
 
     /// Takes the live VMs in.
-    pub(super) fn membership(&mut self, now: Instant, live: Vec<VmName>) {
-        self.live = live;
+    pub(super) fn on_membership_change(&mut self, now: Instant, live: Vec<VmName>) {
+        self.live_vm_names = live;
         for state in self.services.values_mut() {
-            state.membership(now, &self.vm.name, &self.live);
+            state.update_members(now, &self.vm.name, &self.live_vm_names);
         }
     }
 }
--- a/crates/kingcuploft/src/dispatcher/probing.rs
+++ b/crates/kingcuploft/src/dispatcher/probing.rs
@@ -40,7 +40,7 @@
 
 impl Dispatcher {
     /// Asks for the probes that are due.
-    pub(super) fn probe(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(super) fn start_due_probes(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let states = self.services.values_mut();
         actions.extend(
             states
@@ -50,11 +50,16 @@
     }
 
     /// Takes what a probe brought in.
-    pub(super) fn probed(&mut self, now: Instant, probed: &ProbeResult, actions: &mut Vec<Action>) {
+    pub(super) fn on_probe_result(
+        &mut self,
+        now: Instant,
+        probed: &ProbeResult,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(state) = self.services.get_mut(&probed.service) else {
             return;
         };
-        if state.probed(now, probed) {
+        if state.record_probe(now, probed) {
             let (service, server) = (probed.service.clone(), probed.backend_server.clone());
             actions.push(Action::ShareDraining(service, server));
         }
--- a/crates/kingcuploft/src/dispatcher/request.rs
+++ b/crates/kingcuploft/src/dispatcher/request.rs
@@ -22,12 +22,12 @@
     /// How many attempts were begun.
     pub(super) attempts: u32,
     /// The attempts that have not ended.
-    pub(super) live: Vec<AttemptId>,
+    pub(super) in_flight: Vec<AttemptId>,
     /// The backend servers that were tried.
     pub(super) tried: Vec<BackendServerName>,
-    pub(super) claim: Claim,
+    pub(super) claim: ClaimState,
     /// Whether the caller has its final answer or has left.
-    pub(super) told: bool,
+    pub(super) is_caller_done: bool,
     /// Whether an attempt that ended may have run the request.
     may_have_run: bool,
     /// Why the next attempt is made, where it is a retry.
@@ -39,11 +39,11 @@
 
 /// Where the claim of a request stands.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Claim {
+pub(super) enum ClaimState {
     /// None is needed.
     NotNeeded,
     /// It is asked for.
-    Asked,
+    Requested,
     /// It is held.
     Held,
 }
@@ -56,14 +56,14 @@
             route: arrival.route,
             deadline: arrival.deadline,
             attempts: 0,
-            live: Vec::new(),
+            in_flight: Vec::new(),
             tried: Vec::new(),
             claim: if claims {
-                Claim::Asked
+                ClaimState::Requested
             } else {
-                Claim::NotNeeded
+                ClaimState::NotNeeded
             },
-            told: false,
+            is_caller_done: false,
             may_have_run: false,
             retry: None,
             arrived: arrival.arrived,
@@ -81,7 +81,7 @@
     }
 
     /// Returns what the queue needs to know of the request.
-    pub(super) fn waiting(&self, id: RequestId) -> QueuedRequest {
+    pub(super) fn queue_entry(&self, id: RequestId) -> QueuedRequest {
         let rule = self.route.rule();
         QueuedRequest {
             request: id,
@@ -98,7 +98,7 @@
 
     /// Notes the end of an attempt.
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, end: CallEnd) {
-        self.live.retain(|&live| live != attempt);
+        self.in_flight.retain(|&live| live != attempt);
         self.may_have_run |= end.may_have_run();
     }
 
@@ -107,11 +107,11 @@
     /// This guards against the lie that a request was not run: a lookup whose first attempt was
     /// cut may wait for its second when it is refused. Every refusal's outcome passes here.
     pub(super) fn may_have_run(&self) -> bool {
-        self.may_have_run || !self.live.is_empty()
+        self.may_have_run || !self.in_flight.is_empty()
     }
 
     /// Returns the refusal with an outcome that is true for this request.
-    pub(super) fn truthful(&self, refusal: Refusal) -> Refusal {
+    pub(super) fn correct_outcome(&self, refusal: Refusal) -> Refusal {
         match refusal.outcome {
             Outcome::NotRun if self.may_have_run() => Refusal {
                 outcome: Outcome::Unknown,
@@ -131,10 +131,10 @@
     pub(super) backend_server: BackendServerName,
     pub(super) address: SocketAddr,
     /// When the dispatcher counts it as ended without a report.
-    pub(super) give_up_at: Instant,
+    pub(super) expires_at: Instant,
     pub(super) sent_at: Instant,
     /// When it is looked at, whether to hedge it.
-    pub(super) look_at: Option<Instant>,
+    pub(super) hedge_check_at: Option<Instant>,
     /// Whether it was sent while another attempt was in flight.
     pub(super) is_hedge: bool,
 }
--- a/crates/kingcuploft/src/dispatcher/request_end.rs
+++ b/crates/kingcuploft/src/dispatcher/request_end.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use super::request::{Claim, Request};
+use super::request::{ClaimState, Request};
 use super::{Action, Dispatcher};
 use crate::world::contract::Contract;
 use crate::world::ids::RequestId;
@@ -18,80 +18,85 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if request.told {
+        if request.is_caller_done {
             return;
         }
-        let refusal = request.truthful(refusal);
-        if let (Some(now), Some(request)) = (self.now, self.requests.remove(&id)) {
+        let refusal = request.correct_outcome(refusal);
+        if let (Some(now), Some(request)) = (self.last_event_at, self.requests.remove(&id)) {
             self.explain(now, id, &request, refusal.into());
             self.requests.insert(id, request);
         }
         actions.push(Action::Refuse(id, refusal));
-        self.leave(id, actions);
+        self.abandon(id, actions);
     }
 
     /// Forgets a request that its caller does not wait for any more.
     ///
     /// A lookup's attempts are cancelled. A protected action runs on, so that its end can be
     /// recorded.
-    pub(super) fn leave(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn abandon(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if request.contract() == Contract::AtMostOnce && !request.live.is_empty() {
-            request.told = true;
-            return self.timers.remove(request.deadline, id);
+        if request.contract() == Contract::AtMostOnce && !request.in_flight.is_empty() {
+            request.is_caller_done = true;
+            return self.deadline_timers.remove(request.deadline, id);
         }
-        let Some(request) = self.forget(id) else {
+        let Some(request) = self.remove_request(id) else {
             return;
         };
         if let Some(state) = self.services.get_mut(request.service()) {
             state.remove(id);
         }
-        if request.claim == Claim::Held {
+        if request.claim == ClaimState::Held {
             actions.push(match request.may_have_run() {
                 true => Action::Acknowledge(id, None),
                 false => Action::Release(id),
             });
         }
-        actions.extend(request.live.into_iter().map(Action::Cancel));
+        actions.extend(request.in_flight.into_iter().map(Action::Cancel));
     }
 
     /// Takes a request out of every table of the dispatcher but the queue.
-    pub(super) fn forget(&mut self, id: RequestId) -> Option<Request> {
+    pub(super) fn remove_request(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
-        self.timers.remove(request.deadline, id);
+        self.deadline_timers.remove(request.deadline, id);
         let Some(state) = self.services.get_mut(request.service()) else {
             return Some(request);
         };
-        if request.claim == Claim::Asked {
-            state.claim_settled(&request.route.rule().name);
+        if request.claim == ClaimState::Requested {
+            state.claim_ended(&request.route.rule().name);
         }
         if let Some(key) = request
             .key
             .as_ref()
-            .filter(|_| request.claim != Claim::NotNeeded)
+            .filter(|_| request.claim != ClaimState::NotNeeded)
         {
             state.key_ended(key);
         }
         Some(request)
     }
 
-    pub(super) fn caller_left(&mut self, now: Instant, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn on_caller_disconnect(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let service = request.service().clone();
-        self.leave(id, actions);
-        self.pump(now, &service, actions);
+        self.abandon(id, actions);
+        self.send_waiting(now, &service, actions);
     }
 
-    pub(super) fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        while let Some(id) = self.timers.pop_due(now) {
+    pub(super) fn on_tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        while let Some(id) = self.deadline_timers.pop_due(now) {
             self.refuse(id, Refusal::not_run(RefusalReason::DeadlinePassed), actions);
         }
-        self.give_up_attempts(now, actions);
-        self.look_at_attempts(now, actions);
-        self.pump_all(now, actions);
+        self.expire_attempts(now, actions);
+        self.check_due_hedges(now, actions);
+        self.send_all_waiting(now, actions);
     }
 }
--- a/crates/kingcuploft/src/dispatcher/retry_queue.rs
+++ b/crates/kingcuploft/src/dispatcher/retry_queue.rs
@@ -5,7 +5,7 @@
 use crate::world::backend_server::CallEnd;
 use crate::world::ids::{BackendServerName, RequestId};
 
-/// A request that waits for another attempt.
+/// A request that retry for another attempt.
 #[derive(Debug)]
 pub(super) struct PendingRetry {
     pub(super) not_before: Instant,
@@ -19,39 +19,39 @@
 /// The retry budget keeps this list short, so that a sorted vector does.
 #[derive(Debug, Default)]
 pub(super) struct RetryQueue {
-    waits: Vec<PendingRetry>,
+    retries: Vec<PendingRetry>,
 }
 
 impl RetryQueue {
-    pub(super) fn insert(&mut self, waits: PendingRetry) {
+    pub(super) fn insert(&mut self, retry: PendingRetry) {
         let at = self
-            .waits
-            .partition_point(|w| w.not_before <= waits.not_before);
-        self.waits.insert(at, waits);
+            .retries
+            .partition_point(|r| r.not_before <= retry.not_before);
+        self.retries.insert(at, retry);
     }
 
     /// Returns how many may begin now; they come first.
     pub(super) fn due(&self, now: Instant) -> usize {
-        self.waits.partition_point(|w| w.not_before <= now)
+        self.retries.partition_point(|r| r.not_before <= now)
     }
 
     pub(super) fn get(&self, at: usize) -> &PendingRetry {
-        &self.waits[at]
+        &self.retries[at]
     }
 
     pub(super) fn take(&mut self, at: usize) -> PendingRetry {
-        self.waits.remove(at)
+        self.retries.remove(at)
     }
 
     pub(super) fn remove(&mut self, request: RequestId) {
-        self.waits.retain(|w| w.request != request);
+        self.retries.retain(|r| r.request != request);
     }
 
     pub(super) fn next_due(&self, now: Instant) -> Option<Instant> {
-        self.waits.get(self.due(now)).map(|w| w.not_before)
+        self.retries.get(self.due(now)).map(|r| r.not_before)
     }
 
     pub(super) fn into_requests(self) -> impl Iterator<Item = RequestId> {
-        self.waits.into_iter().map(|w| w.request)
+        self.retries.into_iter().map(|r| r.request)
     }
 }
--- a/crates/kingcuploft/src/dispatcher/service_state.rs
+++ b/crates/kingcuploft/src/dispatcher/service_state.rs
@@ -52,7 +52,7 @@
     pub(super) retry: Retry,
     pub(super) hedge: Hedge,
     /// When a request last waited because all was full.
-    last_full: Option<Instant>,
+    last_full_at: Option<Instant>,
 }
 
 impl ServiceState {
@@ -64,7 +64,7 @@
     pub(super) fn new<'a>(
         service: Arc<Service>,
         vm: &Vm,
-        live_vms: Option<u32>,
+        live_vm_count: Option<u32>,
         old: Option<Self>,
         now: Instant,
         attempts: impl Iterator<Item = &'a Attempt>,
@@ -77,20 +77,20 @@
             service.policy.drain.keep_share,
             service.backend_servers.len(),
         );
-        let old_of = old_indices(&service, old.as_ref());
+        let old_index_of = old_indices(&service, old.as_ref());
         let (admission, retries, mut concurrency, retry, hedge) = match old {
             None => (
                 Admission::new(&service),
                 RetryQueue::default(),
-                ConcurrencyLimit::new(&service, live_vms),
+                ConcurrencyLimit::new(&service, live_vm_count),
                 Retry::new(&service.policy.retry),
                 Hedge::new(&service.policy.hedge),
             ),
             Some(mut old) => {
-                selection.carry_over(&old.selection, &old_of);
-                drain.carry_over(&old.drain, &old_of);
-                measuring.carry_over(&old.measuring, &old_of);
-                outlier.carry_over(&old.outlier, &old_of);
+                selection.carry_over(&old.selection, &old_index_of);
+                drain.carry_over(&old.drain, &old_index_of);
+                measuring.carry_over(&old.measuring, &old_index_of);
+                outlier.carry_over(&old.outlier, &old_index_of);
                 old.admission.update_service(&service);
                 old.concurrency.update_service(&service);
                 old.retry.update_settings(&service.policy.retry);
@@ -123,12 +123,12 @@
             measuring,
             retry,
             hedge,
-            last_full: None,
+            last_full_at: None,
             service,
         };
         for attempt in attempts {
             if let Some(server) = state.server_of(attempt)
-                && old_of[server].is_none()
+                && old_index_of[server].is_none()
             {
                 state.selection.record_sent(now, server);
             }
@@ -143,7 +143,7 @@
         same.then_some(server)
     }
 
-    pub(super) fn calls_at(&self, server: &BackendServerName) -> u32 {
+    pub(super) fn calls_in_flight_to(&self, server: &BackendServerName) -> u32 {
         let server = self.by_name.get(server);
         server.map_or(0, |&server| self.selection.in_flight(server))
     }
@@ -161,16 +161,20 @@
 
     /// Returns the load as one request finds it.
     pub(super) fn load_for(&self, now: Instant, waiting: &QueuedRequest) -> LoadSnapshot {
-        let outlook = self.admission.estimate_wait(now, waiting);
+        let estimate = self.admission.estimate_wait(now, waiting);
         LoadSnapshot {
-            expected_wait_ms: ms(outlook.wait),
-            service_time_ms: ms(outlook.service_time),
+            expected_wait_ms: ms(estimate.wait),
+            service_time_ms: ms(estimate.service_time),
             ..self.load()
         }
     }
 
     /// Judges a protected request at the door, before its claim is asked for.
-    pub(super) fn check(&mut self, now: Instant, waiting: &QueuedRequest) -> Option<Refusal> {
+    pub(super) fn check_before_claim(
+        &mut self,
+        now: Instant,
+        waiting: &QueuedRequest,
+    ) -> Option<Refusal> {
         match self.admission.check(now, waiting) {
             AdmissionDecision::Refused(refusal) => Some(refusal),
             AdmissionDecision::Queued | AdmissionDecision::QueuedReplacing(..) => {
@@ -181,11 +185,11 @@
         }
     }
 
-    pub(super) fn live_vms(&mut self, live_vms: u32) {
-        self.concurrency.set_live_vms(live_vms);
+    pub(super) fn set_live_vm_count(&mut self, live_vm_count: u32) {
+        self.concurrency.set_live_vms(live_vm_count);
     }
 
-    pub(super) fn claim_settled(&mut self, rule: &RuleName) {
+    pub(super) fn claim_ended(&mut self, rule: &RuleName) {
         self.admission.claim_ended(rule);
     }
 
@@ -208,9 +212,9 @@
         }
         let choice = self.choose(now, rng, &[]);
         if choice == Choice::Full {
-            self.last_full = Some(now);
-            let given_up = self.admission.shed_one(now);
-            return given_up.map_or(Pick::Idle, |(id, refusal)| Pick::Refuse(id, refusal));
+            self.last_full_at = Some(now);
+            let shed = self.admission.shed_one(now);
+            return shed.map_or(Pick::Idle, |(id, refusal)| Pick::Refuse(id, refusal));
         }
         let waiting = match self.admission.next(now) {
             NextRequest::Empty => return Pick::Idle,
@@ -284,13 +288,13 @@
         request: &Request,
         attempt: &Attempt,
     ) -> HedgePick {
-        let look = AttemptProgress {
+        let progress = AttemptProgress {
             elapsed: now - attempt.sent_at.min(now),
             remaining: request.deadline.saturating_duration_since(now),
             service_time: self.admission.service_time(&attempt.rule),
-            since_last_wait: self.last_full.map(|at| now - at.min(now)),
+            since_last_wait: self.last_full_at.map(|at| now - at.min(now)),
         };
-        let reason = match self.hedge.decide(&attempt.backend_server, &look) {
+        let reason = match self.hedge.decide(&attempt.backend_server, &progress) {
             HedgeDecision::DoNotHedge => return HedgePick::DoNotHedge,
             HedgeDecision::CheckAgain(after) => return HedgePick::CheckAgain(now + after),
             HedgeDecision::Hedge(reason) => reason,
@@ -320,13 +324,13 @@
         )
     }
 
-    pub(super) fn sent(&mut self, now: Instant, server: usize) -> &BackendServer {
+    pub(super) fn record_sent(&mut self, now: Instant, server: usize) -> &BackendServer {
         self.selection.record_sent(now, server);
         self.concurrency.record_sent();
         &self.service.backend_servers[server]
     }
 
-    pub(super) fn draining(&mut self, server: &BackendServerName) -> bool {
+    pub(super) fn report_draining(&mut self, server: &BackendServerName) -> bool {
         let server = self.by_name.get(server);
         server.is_some_and(|&server| self.drain.report_draining(server))
     }
@@ -342,13 +346,13 @@
     /// for room.
     pub(super) fn next_due(&self, now: Instant) -> Option<Instant> {
         let waits = !self.admission.is_empty() || self.retries.due(now) > 0;
-        let look_again = self.selection.recheck_at().filter(|_| waits);
+        let recheck_at = self.selection.recheck_at().filter(|_| waits);
         let due = [
             self.retries.next_due(now),
             self.admission.next_shed_at(),
             self.notes.due(),
             self.measuring.due(),
-            look_again,
+            recheck_at,
         ];
         due.into_iter().flatten().min()
     }
--- a/crates/kingcuploft/src/planted.rs
+++ b/crates/kingcuploft/src/planted.rs
@@ -70,10 +70,10 @@
 
 #[cfg(not(feature = "planted"))]
 mod on {
-    use super::Planted;
+    use super::PlantedFault;
 
     /// Returns whether a fault is planted: none is.
-    pub const fn is_on(_: Planted) -> bool {
+    pub const fn is_on(_: PlantedFault) -> bool {
         false
     }
 }
