--- a/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
@@ -14,7 +14,7 @@
 use kingcuploft::world::vm::Vm;
 use kingcuploft_platform::client::{Client, ClientSettings};
 use kingcuploftd::claims;
-use kingcuploftd::message::{Answer, ClaimOrder, Message};
+use kingcuploftd::message::{Answer, ClaimTask, Message};
 use kingcuploftd::settings::Settings;
 use kingcuploftd::shared::Shared;
 
@@ -31,7 +31,7 @@
 /// A VM whose claims go to the ledger.
 #[derive(Debug)]
 pub(in crate::experiments) struct LedgerVm {
-    orders: Sender<ClaimOrder>,
+    orders: Sender<ClaimTask>,
     began: Began,
     duty: JoinHandle<()>,
     actions: JoinHandle<Claimed>,
@@ -69,7 +69,7 @@
         let now = Instant::now();
         let mut began = self.began.lock().unwrap_or_else(PoisonError::into_inner);
         began.insert(action, now);
-        let claim = ClaimOrder::Claim {
+        let claim = ClaimTask::Claim {
             request: action,
             key: KeyHash::from(action),
             fingerprint: 1,
@@ -91,14 +91,14 @@
 }
 
 /// Runs the held actions, each for its time, until there has been none for a while.
-fn run_actions(verdicts: &Receiver<Message>, began: &Began, ends: Sender<ClaimOrder>) -> Claimed {
+fn run_actions(verdicts: &Receiver<Message>, began: &Began, ends: Sender<ClaimTask>) -> Claimed {
     let mut claimed = Claimed::default();
     let mut running: VecDeque<(Instant, u64)> = VecDeque::new();
     let mut last = Instant::now();
     loop {
         while let Some((_, action)) = running.pop_front_if(|(end, _)| *end <= Instant::now()) {
             let answer = Some(Box::new(answer()));
-            drop(ends.send(ClaimOrder::Acknowledge {
+            drop(ends.send(ClaimTask::Acknowledge {
                 request: action,
                 answer,
             }));
--- a/crates/kingcuploft-standins/src/experiments/peer_slope.rs
+++ b/crates/kingcuploft-standins/src/experiments/peer_slope.rs
@@ -85,7 +85,7 @@
         // There is no store to wait for before a peer's first manifest is taken.
         shared
             .manifest
-            .learn(&shared, "the experiment", |adoption| {
+            .update(&shared, "the experiment", |adoption| {
                 Ok(adoption.sources_asked())
             });
         let keys = Keys::read(&shared.settings.peer).map_err(std::io::Error::other)?;
@@ -125,11 +125,11 @@
     /// Teaches this node a manifest as the store would.
     fn learn(&self, root: &Root, objects: &[ServiceObject]) {
         let keeper = &self.shared.manifest;
-        keeper.learn(&self.shared, "the experiment", |adoption| {
+        keeper.update(&self.shared, "the experiment", |adoption| {
             adoption.root_text(&root.text())
         });
         for object in objects {
-            keeper.learn(&self.shared, "the experiment", |adoption| {
+            keeper.update(&self.shared, "the experiment", |adoption| {
                 adoption.service_text(&object.hash, &object.text)
             });
         }
--- a/crates/kingcuploft-standins/src/experiments/propagation.rs
+++ b/crates/kingcuploft-standins/src/experiments/propagation.rs
@@ -154,10 +154,10 @@
     let shared = fleet.daemons[round % fleet.daemons.len()].shared();
     shared
         .manifest
-        .learn(shared, "an operator", |a| a.root_text(&root.text()));
+        .update(shared, "an operator", |a| a.root_text(&root.text()));
     for object in service_objects(&manifest) {
         let learn = |text: &str| {
-            shared.manifest.learn(shared, "an operator", |a| {
+            shared.manifest.update(shared, "an operator", |a| {
                 a.service_text(&object.hash, text)
             })
         };
--- a/crates/kingcuploft-standins/tests/claims/entry.rs
+++ b/crates/kingcuploft-standins/tests/claims/entry.rs
@@ -13,7 +13,7 @@
 use kingcuploft_standins::deployment::{Deployment, ServicePlan};
 use kingcuploft_standins::fleet::{Fleet, Variant};
 use kingcuploftd::claims;
-use kingcuploftd::message::{Answer, ClaimOrder, Message, RequestParts};
+use kingcuploftd::message::{Answer, ClaimTask, Message, RequestParts};
 use kingcuploftd::shared::Shared;
 
 const RULES: &[&str] = &[
@@ -121,7 +121,7 @@
 
 /// A VM's claims duty in the hands of a test: it claims, and then does nothing until it is told to.
 pub(crate) struct HandHeld {
-    orders: Sender<ClaimOrder>,
+    orders: Sender<ClaimTask>,
     verdicts: Receiver<Message>,
     duty: std::thread::JoinHandle<()>,
 }
@@ -154,7 +154,7 @@
             headers: HeaderMap::new(),
             body: Bytes::copy_from_slice(body.as_bytes()),
         };
-        let claim = ClaimOrder::Claim {
+        let claim = ClaimTask::Claim {
             request: 1,
             key: key_hash(&"trip".into(), key),
             fingerprint: claims::fingerprint(&parts),
@@ -180,7 +180,7 @@
             body: Bytes::from_static(body),
             rest: None,
         };
-        let order = ClaimOrder::Acknowledge {
+        let order = ClaimTask::Acknowledge {
             request: 1,
             answer: Some(Box::new(answer)),
         };
--- a/crates/kingcuploft-standins/tests/edges/harness.rs
+++ b/crates/kingcuploft-standins/tests/edges/harness.rs
@@ -52,7 +52,7 @@
         generation: 1,
         manifest: Arc::new(manifest(servers, rule)),
     };
-    daemon.shared().put_in_force(accepted);
+    daemon.shared().activate_manifest(accepted);
     Bench {
         daemon,
         _runtimes: vec![runtime],
--- a/crates/kingcuploft-standins/tests/edges/overdue.rs
+++ b/crates/kingcuploft-standins/tests/edges/overdue.rs
@@ -7,7 +7,7 @@
 use kingcuploft::manifest::routing::route;
 use kingcuploft_standins::backend_server::{BackendServer, Work};
 use kingcuploftd::backend_edge;
-use kingcuploftd::message::{CallOrder, RequestParts};
+use kingcuploftd::message::{CallTask, RequestParts};
 
 use crate::harness::{Bench, bench};
 
@@ -30,7 +30,7 @@
     drop(bench.with(runtime));
 }
 
-fn order(bench: &Bench, server: &BackendServer, number: u64, deadline: Instant) -> CallOrder {
+fn order(bench: &Bench, server: &BackendServer, number: u64, deadline: Instant) -> CallTask {
     let mut headers = http::HeaderMap::new();
     headers.insert("x-call-id", number.to_string().parse().unwrap());
     let parts = RequestParts {
@@ -49,5 +49,5 @@
         deadline,
         waited: Duration::ZERO,
     };
-    CallOrder { call, parts }
+    CallTask { call, parts }
 }
--- a/crates/kingcuploft-standins/tests/fleet/members.rs
+++ b/crates/kingcuploft-standins/tests/fleet/members.rs
@@ -7,7 +7,7 @@
 use kingcuploft::decisions::notes::LoadNote;
 use kingcuploft::dispatcher::PeerNotes;
 use kingcuploft_platform::{ListedVm, ObjectStore, VmState};
-use kingcuploftd::fleet_keeper::{DrainNotice, PeerNews};
+use kingcuploftd::fleet_state::{DrainNotice, PeerUpdate};
 
 use crate::harness::{Bench, IN_FORCE, start_daemon, until};
 
@@ -84,7 +84,7 @@
     bench.live(5);
     bench.platform.set_down(true);
     let shared = bench.daemons[3].shared();
-    shared.fleet.drain(shared, notice(1));
+    shared.fleet.record_drain(shared, notice(1));
     drains_everywhere(&bench);
     bench.stop();
 }
@@ -96,7 +96,7 @@
     bench.live(3);
     bench.platform.set_down(true);
     let shared = bench.daemons[0].shared();
-    shared.fleet.drain(shared, notice(1));
+    shared.fleet.record_drain(shared, notice(1));
     drains_everywhere(&bench);
     bench.daemons.remove(0).stop();
     bench.add();
@@ -142,7 +142,7 @@
     bench.in_force(bench.apply(&[("trip", 1)]));
     bench.live(2);
     let shared = bench.daemons[0].shared();
-    shared.fleet.drain(shared, notice(1));
+    shared.fleet.record_drain(shared, notice(1));
     drains_everywhere(&bench);
     // The same name at another address: `venue` goes first, so `trip-1` listens on port 2.
     bench.in_force(bench.apply(&[("venue", 1), ("trip", 1)]));
@@ -180,7 +180,7 @@
                 in_flight: 9,
             }],
         };
-        tells.fleet.tell(tells, PeerNews::Notes(notes));
+        tells.fleet.send_to_peers(tells, PeerUpdate::Notes(notes));
         std::thread::sleep(Duration::from_millis(1));
     }
     let heard = || hears.metrics.fleet.notes("received");
--- a/crates/kingcuploft-standins/tests/tool.rs
+++ b/crates/kingcuploft-standins/tests/tool.rs
@@ -6,7 +6,7 @@
 
 use kingcuploft_standins::platform::{Outage, Platform};
 use kingcuploftctl::args::parse;
-use kingcuploftctl::exit::{Code, Ending};
+use kingcuploftctl::exit::{Code, Outcome};
 use kingcuploftctl::run::run;
 use kingcuploftd::daemon::Daemon;
 use kingcuploftd::settings::Settings;
@@ -30,7 +30,7 @@
     }
 
     /// Runs a command line with the platform's address before it.
-    fn tool(&self, line: &str) -> Ending {
+    fn tool(&self, line: &str) -> Outcome {
         tool(&format!("--platform {} {line}", self.platform.address()))
     }
 
@@ -74,15 +74,15 @@
     )
 }
 
-fn tool(line: &str) -> Ending {
+fn tool(line: &str) -> Outcome {
     let words = line.split_whitespace().map(Into::into);
     match parse(words) {
         Ok(args) => run(&args),
-        Err(error) => Ending::because(Code::Wrong, error.to_string()),
+        Err(error) => Outcome::failure(Code::InvalidInput, error.to_string()),
     }
 }
 
-fn json(ending: &Ending) -> Value {
+fn json(ending: &Outcome) -> Value {
     serde_json::from_str(&ending.out).unwrap_or_else(|error| panic!("{error}: {ending:?}"))
 }
 
@@ -121,7 +121,7 @@
         ),
     ] {
         let ending = tool(line);
-        assert_eq!(ending.code, Code::Wrong, "{line}: {ending:?}");
+        assert_eq!(ending.code, Code::InvalidInput, "{line}: {ending:?}");
         assert!(ending.err.contains(said), "{line}: {ending:?}");
     }
     for line in ["--help", "-h", "status --help"] {
@@ -154,7 +154,7 @@
     let bench = Bench::start();
     let first = bench.manifest("first.yaml", 1000);
     let checked = tool(&format!("manifest check {first}"));
-    assert_eq!(checked.code, Code::Done, "{checked:?}");
+    assert_eq!(checked.code, Code::Success, "{checked:?}");
     assert!(
         checked
             .out
@@ -162,7 +162,7 @@
     );
     let wrong = bench.manifest("wrong.yaml", 0);
     let checked = tool(&format!("--json manifest check {wrong}"));
-    assert_eq!(checked.code, Code::Wrong);
+    assert_eq!(checked.code, Code::InvalidInput);
     let place = "wrong.yaml:7: services[0].rules[0].deadline_ms: 0 found";
     assert!(checked.err.contains(place), "{checked:?}");
     assert_eq!(json(&checked)["faults"].as_array().map(Vec::len), Some(1));
@@ -170,10 +170,10 @@
     let empty = bench.tool("manifest show");
     assert_eq!(empty.code, Code::Failed);
     let applied = bench.tool(&format!("--json manifest apply {first} --author lin"));
-    assert_eq!(applied.code, Code::Done, "{applied:?}");
+    assert_eq!(applied.code, Code::Success, "{applied:?}");
     assert_eq!(json(&applied)["generation"], 1);
     let same = bench.tool(&format!("manifest diff {first}"));
-    assert_eq!((same.code, same.out.as_str()), (Code::Done, ""));
+    assert_eq!((same.code, same.out.as_str()), (Code::Success, ""));
     let second = bench.manifest("second.yaml", 2000);
     let differs = bench.tool(&format!("manifest diff {second}"));
     assert_eq!(differs.code, Code::Differs);
@@ -184,7 +184,7 @@
     let applied = bench.tool(&format!("manifest apply {second} --base 1"));
     assert_eq!(
         (applied.code, applied.out.as_str()),
-        (Code::Done, "accepted as generation 2\n")
+        (Code::Success, "accepted as generation 2\n")
     );
     let between = bench.tool("--json manifest diff --from 2 --to 1");
     assert_eq!(between.code, Code::Differs);
@@ -204,7 +204,7 @@
     let back = bench.tool(&format!("manifest apply {}", path.display()));
     assert_eq!(back.out, "accepted as generation 3\n", "{back:?}");
     let none = bench.tool(&format!("manifest diff {first}"));
-    assert_eq!(none.code, Code::Done, "{none:?}");
+    assert_eq!(none.code, Code::Success, "{none:?}");
 }
 
 #[test]
@@ -213,14 +213,14 @@
     let file = bench.manifest("manifest.yaml", 1000);
     bench.tool(&format!("manifest apply {file}"));
     let lost = bench.tool(&format!("--json manifest apply {file} --base 0"));
-    assert_eq!(lost.code, Code::Lost, "{lost:?}");
+    assert_eq!(lost.code, Code::Conflict, "{lost:?}");
     assert_eq!(json(&lost)["outcome"], "lost");
     // The store accepts writes and none of their answers arrives, nor any read.
     bench
         .platform
         .change_faults(|faults| faults.lost_answer_share = 1.0);
     let settled = bench.tool(&format!("manifest apply {file}"));
-    assert_eq!(settled.code, Code::Done, "{settled:?}");
+    assert_eq!(settled.code, Code::Success, "{settled:?}");
     assert_eq!(settled.out, "accepted as generation 2\n");
     bench
         .platform
@@ -236,7 +236,7 @@
     bench.tool(&format!("manifest apply {file}"));
     let (daemons, vms) = bench.daemons();
     until("ready", || {
-        tool(&format!("{vms} status")).code == Code::Done
+        tool(&format!("{vms} status")).code == Code::Success
     });
     until("members", || {
         tool(&format!("{vms} --json status"))
@@ -289,7 +289,7 @@
     let text = tool(&format!("{vms} explain --request {id}"));
     assert!(text.out.contains("ms ago"), "{text:?}");
     let none = tool(&format!("{vms} explain --service venue"));
-    assert_eq!((none.code, none.out.as_str()), (Code::Done, ""));
+    assert_eq!((none.code, none.out.as_str()), (Code::Success, ""));
     daemons.into_iter().for_each(Daemon::stop);
 }
 
@@ -300,7 +300,7 @@
     bench.tool(&format!("manifest apply {file}"));
     let (daemons, vms) = bench.daemons();
     until("ready", || {
-        tool(&format!("{vms} status")).code == Code::Done
+        tool(&format!("{vms} status")).code == Code::Success
     });
     let links = |daemon: &Daemon| daemon.shared().metrics.fleet.peer_links.get();
     until("linked", || daemons.iter().all(|daemon| links(daemon) > 0));
@@ -311,7 +311,7 @@
     assert_eq!(unknown.code, Code::Failed, "{unknown:?}");
     let only_first = format!("--vm {}", daemons[0].admin_address());
     let drained = bench.tool(&format!("{only_first} drain trip trip-1"));
-    assert_eq!(drained.code, Code::Done, "{drained:?}");
+    assert_eq!(drained.code, Code::Success, "{drained:?}");
     assert!(drained.err.contains("not written to the store"));
     let known = |daemon: &Daemon| daemon.shared().fleet.drains().len() == 1;
     until("known everywhere", || daemons.iter().all(known));
@@ -321,7 +321,7 @@
     let listed = json(&bench.tool("--json backend-server list trip"));
     assert_eq!(listed[0]["draining"], false);
     for _ in 0..2 {
-        assert_eq!(bench.tool("drain trip trip-1").code, Code::Done);
+        assert_eq!(bench.tool("drain trip trip-1").code, Code::Success);
     }
     let listed = json(&bench.tool("--json backend-server list trip"));
     assert_eq!(listed[0]["draining"], true);
@@ -342,7 +342,7 @@
     bench.tool(&format!("manifest apply {first}"));
     let (daemons, vms) = bench.daemons();
     until("ready", || {
-        tool(&format!("{vms} status")).code == Code::Done
+        tool(&format!("{vms} status")).code == Code::Success
     });
     let links = |daemon: &Daemon| daemon.shared().metrics.fleet.peer_links.get();
     until("linked", || daemons.iter().all(|daemon| links(daemon) > 0));
@@ -353,7 +353,7 @@
         .change_faults(|faults| faults.stalled_watch = true);
     let only_second = format!("--vm {}", daemons[1].admin_address());
     let applied = bench.tool(&format!("{only_second} manifest apply {second}"));
-    assert_eq!(applied.code, Code::Done, "{applied:?}");
+    assert_eq!(applied.code, Code::Success, "{applied:?}");
     bench
         .platform
         .change_faults(|faults| faults.outage = Some(Outage::Silence));
--- a/crates/kingcuploftctl/src/apply.rs
+++ b/crates/kingcuploftctl/src/apply.rs
@@ -9,7 +9,7 @@
 
 use crate::args::ApplyArgs;
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 use crate::manifest;
 
 /// How many VMs are handed an accepted manifest; they pass it on.
@@ -20,7 +20,7 @@
 /// # Errors
 ///
 /// An ending that tells why it is not in force.
-pub fn apply(context: &Context<'_>, args: &ApplyArgs) -> Result<Ending, Ending> {
+pub fn apply(context: &Context<'_>, args: &ApplyArgs) -> Result<Outcome, Outcome> {
     let checked = manifest::read(context, &args.file)?;
     let store = context.store()?;
     let apply = Apply {
@@ -33,10 +33,10 @@
         verify: args.verify,
     };
     let applied = apply.run(&store).map_err(|error| match error {
-        ApplyError::TooLarge { .. } => Ending::because(Code::Wrong, error.to_string()),
+        ApplyError::TooLarge { .. } => Outcome::failure(Code::InvalidInput, error.to_string()),
         other => manifest::failed(other),
     })?;
-    let mut ending = told(context, &apply.apply_id, &applied);
+    let mut ending = outcome(context, &apply.apply_id, &applied);
     if let Applied::Accepted(_) = applied {
         ending.err += &hand_on(context, &store, &apply.manifest);
     }
@@ -47,15 +47,15 @@
 }
 
 /// Says how an apply ended.
-pub fn told(context: &Context<'_>, apply_id: &str, applied: &Applied) -> Ending {
+pub fn outcome(context: &Context<'_>, apply_id: &str, applied: &Applied) -> Outcome {
     let (code, text, json) = match applied {
         Applied::Accepted(generation) => (
-            Code::Done,
+            Code::Success,
             format!("accepted as generation {generation}"),
             serde_json::json!({ "outcome": "accepted", "generation": generation }),
         ),
         Applied::Superseded { generation, by } => (
-            Code::Done,
+            Code::Success,
             format!("accepted as generation {generation}, then replaced by generation {by}"),
             serde_json::json!({
                 "outcome": "accepted", "generation": generation, "replaced_by": by,
@@ -72,7 +72,7 @@
                 false => format!(" by {author}"),
             };
             (
-                Code::Lost,
+                Code::Conflict,
                 format!(
                     "not accepted: generation {generation}{by} came first; it changed:{}",
                     lines.concat()
@@ -93,12 +93,12 @@
             serde_json::json!({ "outcome": "unknown", "why": why }),
         ),
     };
-    let mut ending = Ending::with(code, format!("{text}\n"));
+    let mut ending = Outcome::with_code(code, format!("{text}\n"));
     if context.json() {
         let mut json = json;
         json["apply_id"] = apply_id.into();
         ending.out = format!("{json}\n");
-    } else if code != Code::Done {
+    } else if code != Code::Success {
         ending.err = std::mem::take(&mut ending.out);
     }
     ending
--- a/crates/kingcuploftctl/src/claim.rs
+++ b/crates/kingcuploftctl/src/claim.rs
@@ -4,24 +4,24 @@
 use kingcuploft_platform::claim_lookup;
 
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 
 /// Prints what the ledger knows of an idempotency key.
 ///
 /// # Errors
 ///
 /// An ending with code 1 where the store does not answer or knows no such key.
-pub fn show(context: &Context<'_>, service: &str, key: &str) -> Result<Ending, Ending> {
+pub fn show(context: &Context<'_>, service: &str, key: &str) -> Result<Outcome, Outcome> {
     let store = context.store()?;
     let found = claim_lookup::find(&store, &service.into(), key)
-        .map_err(|error| Ending::because(Code::Failed, error.to_string()))?;
+        .map_err(|error| Outcome::failure(Code::Failed, error.to_string()))?;
     let partition = found.partition;
     let Some(entry) = found.entry else {
         let why = format!(
             "no claim of this key of {service}: it never ran, or its window is over (partition \
              {partition})"
         );
-        return Err(Ending::because(Code::Failed, why));
+        return Err(Outcome::failure(Code::Failed, why));
     };
     let (state, means) = match &entry.state {
         EntryState::Claimed => ("claimed", "it may be running, have run, or never run"),
@@ -40,10 +40,10 @@
             "claimed_ms": entry.claimed_ms, "expires_ms": entry.expires_ms,
             "vm": claimant.vm, "incarnation": claimant.incarnation,
         });
-        return Ok(Ending::done(format!("{out}\n")));
+        return Ok(Outcome::success(format!("{out}\n")));
     }
     let status = status.map_or(String::new(), |status| format!(", status {status}"));
-    Ok(Ending::done(format!(
+    Ok(Outcome::success(format!(
         "{state}{status}: {means}\nclaimed by {} (life {}) at {} s, remembered until {} s, \
          partition {partition}\n",
         claimant.vm,
--- a/crates/kingcuploftctl/src/context.rs
+++ b/crates/kingcuploftctl/src/context.rs
@@ -5,7 +5,7 @@
 
 use crate::admin_client::AdminClient;
 use crate::args::Args;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 
 /// The seed of the client's pauses; one command makes few calls.
 const SEED: u64 = 1;
@@ -32,10 +32,10 @@
     /// # Errors
     ///
     /// An ending with code 2 where no address was given.
-    pub fn store(&self) -> Result<Client, Ending> {
+    pub fn store(&self) -> Result<Client, Outcome> {
         let Some(platform) = &self.args.platform else {
             let why = "--platform HOST:PORT is needed for this command";
-            return Err(Ending::because(Code::Wrong, why));
+            return Err(Outcome::failure(Code::InvalidInput, why));
         };
         // A person waits: longer than a VM would, and no circuit between the tries.
         let settings = ClientSettings {
@@ -58,13 +58,13 @@
     ///
     /// An ending where none was named, the token can not be read or the VM list is needed and the
     /// platform does not answer.
-    pub fn vms(&self) -> Result<Vec<AdminClient>, Ending> {
+    pub fn vms(&self) -> Result<Vec<AdminClient>, Outcome> {
         let mut addresses = self.args.vms.clone();
         if let Some(port) = self.args.admin_port {
             let listed = self.store()?.vms();
             let listed = listed.map_err(|error| {
                 let why = format!("the VM list can not be read: {error}; name VMs with --vm");
-                Ending::because(Code::Failed, why)
+                Outcome::failure(Code::Failed, why)
             })?;
             let hosts = listed.iter().filter_map(|vm| vm.address.rsplit_once(':'));
             let mut hosts: Vec<&str> = hosts.map(|(host, _)| host).collect();
@@ -74,7 +74,7 @@
         }
         if addresses.is_empty() {
             let why = "--vm HOST:PORT,... or --platform with --admin-port is needed";
-            return Err(Ending::because(Code::Wrong, why));
+            return Err(Outcome::failure(Code::InvalidInput, why));
         }
         let token = self.token()?;
         let clients = addresses
@@ -83,7 +83,7 @@
         Ok(clients.collect())
     }
 
-    fn token(&self) -> Result<Option<String>, Ending> {
+    fn token(&self) -> Result<Option<String>, Outcome> {
         let Some(file) = &self.args.token else {
             return Ok(None);
         };
@@ -91,7 +91,7 @@
             Ok(token) => Ok(Some(token.trim().to_owned())),
             Err(error) => {
                 let why = format!("{}: {error}", file.display());
-                Err(Ending::because(Code::Wrong, why))
+                Err(Outcome::failure(Code::InvalidInput, why))
             }
         }
     }
--- a/crates/kingcuploftctl/src/diff.rs
+++ b/crates/kingcuploftctl/src/diff.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 use crate::manifest;
 
 /// Compares the accepted manifest with a file.
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// An ending where either is not to be had.
-pub fn with_file(context: &Context<'_>, file: &Path) -> Result<Ending, Ending> {
+pub fn with_file(context: &Context<'_>, file: &Path) -> Result<Outcome, Outcome> {
     let checked = manifest::read(context, file)?;
     let store = context.store()?;
     let accepted = match manifest_root::read_root(&store).map_err(manifest::failed)? {
@@ -32,7 +32,11 @@
 /// # Errors
 ///
 /// An ending where either is not to be had.
-pub fn between(context: &Context<'_>, from: Generation, to: Generation) -> Result<Ending, Ending> {
+pub fn between(
+    context: &Context<'_>,
+    from: Generation,
+    to: Generation,
+) -> Result<Outcome, Outcome> {
     let store = context.store()?;
     let read = |generation| {
         let root = manifest::root(&store, Some(generation))?;
@@ -41,19 +45,19 @@
     Ok(print(context, &lines(&read(from)?, &read(to)?)))
 }
 
-fn print(context: &Context<'_>, lines: &[String]) -> Ending {
+fn print(context: &Context<'_>, lines: &[String]) -> Outcome {
     let code = match lines.is_empty() {
-        true => Code::Done,
+        true => Code::Success,
         false => Code::Differs,
     };
     if context.json() {
-        return Ending::with(
+        return Outcome::with_code(
             code,
             format!("{}\n", serde_json::json!({ "changes": lines })),
         );
     }
     let text: Vec<String> = lines.iter().map(|line| format!("{line}\n")).collect();
-    Ending::with(code, text.concat())
+    Outcome::with_code(code, text.concat())
 }
 
 /// Returns a line for each field that differs.
--- a/crates/kingcuploftctl/src/drain.rs
+++ b/crates/kingcuploftctl/src/drain.rs
@@ -5,7 +5,7 @@
 
 use crate::admin_client::AdminClient;
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 use crate::manifest;
 
 /// How many VMs are told; they tell the others.
@@ -20,7 +20,7 @@
 /// # Errors
 ///
 /// An ending with code 1 where neither took it.
-pub fn drain(context: &Context<'_>, service: &str, server: &str) -> Result<Ending, Ending> {
+pub fn drain(context: &Context<'_>, service: &str, server: &str) -> Result<Outcome, Outcome> {
     let mut told = Vec::new();
     let mut why = Vec::new();
     if context.has_vms() {
@@ -41,9 +41,9 @@
         Err(_) => false,
     };
     if told.is_empty() && !stored {
-        return Err(Ending::because(Code::Failed, why.join("\n")));
+        return Err(Outcome::failure(Code::Failed, why.join("\n")));
     }
-    let mut ending = Ending::done(match context.json() {
+    let mut ending = Outcome::success(match context.json() {
         true => format!(
             "{}\n",
             serde_json::json!({ "told": told, "stored": stored })
@@ -77,14 +77,14 @@
 }
 
 /// Writes the drain's object, at the place where the accepted manifest has the backend server.
-fn write(store: &dyn ObjectStore, service: &str, server: &str) -> Result<(), Ending> {
+fn write(store: &dyn ObjectStore, service: &str, server: &str) -> Result<(), Outcome> {
     let root = manifest::root(store, None)?;
     let accepted = manifest_root::read_manifest(store, &root).map_err(manifest::failed)?;
     let found = accepted.services.iter().find(|s| &*s.name == service);
     let mut servers = found.iter().flat_map(|s| &s.backend_servers);
     let Some(found) = servers.find(|s| &*s.name == server) else {
         let why = format!("the accepted manifest has no backend server {server} of {service}");
-        return Err(Ending::because(Code::Failed, why));
+        return Err(Outcome::failure(Code::Failed, why));
     };
     let value = serde_json::json!({
         "service": service, "backend_server": server, "address": found.address,
@@ -94,7 +94,7 @@
         &format!("drains/{service}/{server}"),
         &value.to_string(),
     )
-    .map_err(|error| Ending::because(Code::Failed, format!("the store: {error}")))
+    .map_err(|error| Outcome::failure(Code::Failed, format!("the store: {error}")))
 }
 
 /// Writes an object whatever is there: of two drains of one backend server either may stand.
--- a/crates/kingcuploftctl/src/exit.rs
+++ b/crates/kingcuploftctl/src/exit.rs
@@ -4,13 +4,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Code {
     /// Done.
-    Done = 0,
+    Success = 0,
     /// Not done: the store or a VM refused or was not reached.
     Failed = 1,
     /// The command line or the manifest is wrong.
-    Wrong = 2,
+    InvalidInput = 2,
     /// Another operator's apply came first.
-    Lost = 3,
+    Conflict = 3,
     /// Whether it was done is not known.
     Unknown = 4,
     /// What was compared differs: two manifests, or the VMs of a fleet.
@@ -19,7 +19,7 @@
 
 /// How a command ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Ending {
+pub struct Outcome {
     /// The exit code.
     pub code: Code,
     /// For the standard output, in text or JSON.
@@ -28,18 +28,18 @@
     pub err: String,
 }
 
-impl Ending {
+impl Outcome {
     /// Ends well with an output.
-    pub fn done(out: impl Into<String>) -> Self {
+    pub fn success(out: impl Into<String>) -> Self {
         Self {
-            code: Code::Done,
+            code: Code::Success,
             out: out.into(),
             err: String::new(),
         }
     }
 
     /// Ends badly with a reason.
-    pub fn because(code: Code, err: impl Into<String>) -> Self {
+    pub fn failure(code: Code, err: impl Into<String>) -> Self {
         Self {
             code,
             out: String::new(),
@@ -48,10 +48,10 @@
     }
 
     /// Ends with a code and an output.
-    pub fn with(code: Code, out: impl Into<String>) -> Self {
+    pub fn with_code(code: Code, out: impl Into<String>) -> Self {
         Self {
             code,
-            ..Self::done(out)
+            ..Self::success(out)
         }
     }
 }
--- a/crates/kingcuploftctl/src/explain.rs
+++ b/crates/kingcuploftctl/src/explain.rs
@@ -5,14 +5,14 @@
 use crate::admin_client::AdminClient;
 use crate::args::ExplainArgs;
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 
 /// Prints the last decisions of the VMs that fit, newest first.
 ///
 /// # Errors
 ///
 /// An ending with code 1 where no VM answers.
-pub fn explain(context: &Context<'_>, wanted: &ExplainArgs) -> Result<Ending, Ending> {
+pub fn explain(context: &Context<'_>, wanted: &ExplainArgs) -> Result<Outcome, Outcome> {
     let fields = [
         ("service", &wanted.service),
         ("reason", &wanted.reason),
@@ -29,11 +29,11 @@
         }
     }
     if why.len() == vms.len() {
-        return Err(Ending::because(Code::Failed, why.join("\n")));
+        return Err(Outcome::failure(Code::Failed, why.join("\n")));
     }
     found.sort_by_key(|(_, decision)| std::cmp::Reverse(decision["at_ms"].as_u64()));
     let inputs = inputs(&vms, wanted);
-    let mut ending = Ending::done(match context.json() {
+    let mut ending = Outcome::success(match context.json() {
         true => {
             let decisions = found.iter();
             let decisions = decisions.map(|(vm, d)| serde_json::json!({ "vm": vm, "decision": d }));
--- a/crates/kingcuploftctl/src/list.rs
+++ b/crates/kingcuploftctl/src/list.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 use crate::manifest;
 
 /// Prints the services of the accepted manifest.
@@ -13,7 +13,7 @@
 /// # Errors
 ///
 /// An ending with code 1 where the store does not answer.
-pub fn services(context: &Context<'_>) -> Result<Ending, Ending> {
+pub fn services(context: &Context<'_>) -> Result<Outcome, Outcome> {
     let accepted = accepted(context)?;
     if context.json() {
         let lines = accepted.services.iter().map(|service| {
@@ -23,7 +23,10 @@
                 "rules": service.rules.iter().map(|rule| &rule.name).collect::<Vec<_>>(),
             })
         });
-        return Ok(Ending::done(format!("{}\n", Value::Array(lines.collect()))));
+        return Ok(Outcome::success(format!(
+            "{}\n",
+            Value::Array(lines.collect())
+        )));
     }
     let mut out = format!(
         "{:<24} {:>7} {:>5}  HOSTS; RULES\n",
@@ -40,7 +43,7 @@
             rules.join(" "),
         );
     }
-    Ok(Ending::done(out))
+    Ok(Outcome::success(out))
 }
 
 fn slots(service: &Service) -> u64 {
@@ -53,14 +56,14 @@
 /// # Errors
 ///
 /// An ending with code 1 where the store does not answer or has no such service.
-pub fn backend_servers(context: &Context<'_>, wanted: Option<&str>) -> Result<Ending, Ending> {
+pub fn backend_servers(context: &Context<'_>, wanted: Option<&str>) -> Result<Outcome, Outcome> {
     let accepted = accepted(context)?;
     let drains = drains(context)?;
     let fits = |service: &&std::sync::Arc<Service>| wanted.is_none_or(|w| *service.name == *w);
     let services: Vec<_> = accepted.services.iter().filter(fits).collect();
     if let (Some(wanted), true) = (wanted, services.is_empty()) {
         let why = format!("the accepted manifest has no service {wanted}");
-        return Err(Ending::because(Code::Failed, why));
+        return Err(Outcome::failure(Code::Failed, why));
     }
     let mut out = format!(
         "{:<16} {:<20} {:<22} {:<12} {:>5} {:>11} DRAINS\n",
@@ -88,16 +91,16 @@
             }));
         }
     }
-    Ok(Ending::done(match context.json() {
+    Ok(Outcome::success(match context.json() {
         true => format!("{}\n", Value::Array(lines)),
         false => out,
     }))
 }
 
 /// Returns the drains in the store, as service, name and address.
-fn drains(context: &Context<'_>) -> Result<Vec<String>, Ending> {
+fn drains(context: &Context<'_>) -> Result<Vec<String>, Outcome> {
     let listed = context.store()?.list("drains/");
-    let listed = listed.map_err(|error| Ending::because(Code::Failed, error.to_string()))?;
+    let listed = listed.map_err(|error| Outcome::failure(Code::Failed, error.to_string()))?;
     let values = listed
         .changes
         .iter()
@@ -115,7 +118,7 @@
     Ok(values.map(key).collect())
 }
 
-fn accepted(context: &Context<'_>) -> Result<Manifest, Ending> {
+fn accepted(context: &Context<'_>) -> Result<Manifest, Outcome> {
     let store = context.store()?;
     let root = manifest::root(&store, None)?;
     manifest_root::read_manifest(&store, &root).map_err(manifest::failed)
--- a/crates/kingcuploftctl/src/main.rs
+++ b/crates/kingcuploftctl/src/main.rs
@@ -3,14 +3,14 @@
 use std::io::Write;
 use std::process::ExitCode;
 
-use kingcuploftctl::exit::{Code, Ending};
+use kingcuploftctl::exit::{Code, Outcome};
 use kingcuploftctl::{args, run};
 
 fn main() -> ExitCode {
     let ending = match args::parse(std::env::args_os().skip(1)) {
         Ok(args) => run::run(&args),
-        Err(error) => Ending::because(
-            Code::Wrong,
+        Err(error) => Outcome::failure(
+            Code::InvalidInput,
             format!("kingcuploftctl: {error}; see kingcuploftctl --help"),
         ),
     };
--- a/crates/kingcuploftctl/src/manifest.rs
+++ b/crates/kingcuploftctl/src/manifest.rs
@@ -10,20 +10,20 @@
 use kingcuploft_platform::manifest_root::{self, ApplyError};
 
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 
 /// Checks a manifest file.
 ///
 /// # Errors
 ///
 /// An ending with code 2 that tells every fault.
-pub fn check(context: &Context<'_>, file: &Path) -> Result<Ending, Ending> {
+pub fn check(context: &Context<'_>, file: &Path) -> Result<Outcome, Outcome> {
     let checked = read(context, file)?;
     let figures = ManifestSize::of(&checked.manifest);
     let warnings: Vec<String> = checked.warnings.iter().map(ToString::to_string).collect();
     if context.json() {
         let out = serde_json::json!({ "faults": [], "warnings": warnings, "figures": figures });
-        return Ok(Ending::done(format!("{out}\n")));
+        return Ok(Outcome::success(format!("{out}\n")));
     }
     let mut out = String::new();
     for warning in warnings {
@@ -37,7 +37,7 @@
         figures.slots,
         figures.rules
     );
-    Ok(Ending::done(out))
+    Ok(Outcome::success(out))
 }
 
 /// Reads and checks a manifest file.
@@ -45,13 +45,13 @@
 /// # Errors
 ///
 /// An ending with code 2.
-pub fn read(context: &Context<'_>, file: &Path) -> Result<CheckedManifest, Ending> {
+pub fn read(context: &Context<'_>, file: &Path) -> Result<CheckedManifest, Outcome> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file)
-        .map_err(|error| Ending::because(Code::Wrong, format!("{name}: {error}")))?;
+        .map_err(|error| Outcome::failure(Code::InvalidInput, format!("{name}: {error}")))?;
     reader::read_checked(&name, &text).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        let mut ending = Ending::because(Code::Wrong, lines.join("\n"));
+        let mut ending = Outcome::failure(Code::InvalidInput, lines.join("\n"));
         if context.json() {
             ending.out = format!("{}\n", serde_json::json!({ "faults": lines }));
         }
@@ -64,22 +64,22 @@
 /// # Errors
 ///
 /// An ending with code 1 where it is not to be had.
-pub fn show(context: &Context<'_>, generation: Option<Generation>) -> Result<Ending, Ending> {
+pub fn show(context: &Context<'_>, generation: Option<Generation>) -> Result<Outcome, Outcome> {
     let store = context.store()?;
     let root = root(&store, generation)?;
     let manifest = manifest_root::read_manifest(&store, &root).map_err(failed)?;
     if context.json() {
         let out = serde_json::json!({ "root": root, "manifest": manifest });
-        return Ok(Ending::done(format!("{out}\n")));
+        return Ok(Outcome::success(format!("{out}\n")));
     }
     let text = yaml(&manifest)?;
     let title = title(&root);
-    Ok(Ending::done(format!("# {title}\n{text}")))
+    Ok(Outcome::success(format!("# {title}\n{text}")))
 }
 
-fn yaml(manifest: &Manifest) -> Result<String, Ending> {
+fn yaml(manifest: &Manifest) -> Result<String, Outcome> {
     serde_saphyr::to_string(manifest)
-        .map_err(|error| Ending::because(Code::Failed, error.to_string()))
+        .map_err(|error| Outcome::failure(Code::Failed, error.to_string()))
 }
 
 /// Prints who applied what, newest first.
@@ -87,7 +87,7 @@
 /// # Errors
 ///
 /// An ending with code 1 where the store does not answer.
-pub fn history(context: &Context<'_>) -> Result<Ending, Ending> {
+pub fn history(context: &Context<'_>) -> Result<Outcome, Outcome> {
     let store = context.store()?;
     let roots = roots(&store)?;
     if context.json() {
@@ -101,7 +101,7 @@
             })
         });
         let lines: Vec<_> = lines.collect();
-        return Ok(Ending::done(format!("{}\n", serde_json::json!(lines))));
+        return Ok(Outcome::success(format!("{}\n", serde_json::json!(lines))));
     }
     let mut out = String::new();
     for (i, root) in roots.iter().enumerate() {
@@ -113,7 +113,7 @@
             }
         }
     }
-    Ok(Ending::done(out))
+    Ok(Outcome::success(out))
 }
 
 /// Returns a line about a root.
@@ -138,7 +138,7 @@
 /// # Errors
 ///
 /// An ending with code 1 where it is not to be had.
-pub fn root(store: &dyn ObjectStore, generation: Option<Generation>) -> Result<Root, Ending> {
+pub fn root(store: &dyn ObjectStore, generation: Option<Generation>) -> Result<Root, Outcome> {
     let mut roots = roots(store)?.into_iter();
     let found = match generation {
         None => roots.next(),
@@ -146,12 +146,12 @@
     };
     found.ok_or_else(|| {
         let what = generation.map_or("manifest".into(), |g| format!("generation {g}"));
-        Ending::because(Code::Failed, format!("no {what} is in the store"))
+        Outcome::failure(Code::Failed, format!("no {what} is in the store"))
     })
 }
 
 /// Returns the roots that the store has, newest first.
-fn roots(store: &dyn ObjectStore) -> Result<Vec<Root>, Ending> {
+fn roots(store: &dyn ObjectStore) -> Result<Vec<Root>, Outcome> {
     let accepted = manifest_root::read_root(store).map_err(failed)?;
     let mut roots = manifest_root::read_history(store).map_err(failed)?;
     roots.extend(accepted.map(|(_, root)| root));
@@ -161,6 +161,6 @@
 }
 
 /// Turns an error of the store into an ending.
-pub fn failed(error: ApplyError) -> Ending {
-    Ending::because(Code::Failed, error.to_string())
+pub fn failed(error: ApplyError) -> Outcome {
+    Outcome::failure(Code::Failed, error.to_string())
 }
--- a/crates/kingcuploftctl/src/run.rs
+++ b/crates/kingcuploftctl/src/run.rs
@@ -2,17 +2,17 @@
 
 use crate::args::{Args, Command};
 use crate::context::Context;
-use crate::exit::Ending;
+use crate::exit::Outcome;
 use crate::{apply, claim, diff, drain, explain, help, list, manifest, status, trace};
 
 /// Runs the command of a command line.
-pub fn run(args: &Args) -> Ending {
+pub fn run(args: &Args) -> Outcome {
     let context = Context::new(args);
     let ended = match &args.command {
-        Command::Help => Ok(Ending::done(help::HELP)),
+        Command::Help => Ok(Outcome::success(help::HELP)),
         Command::Version => {
             let version = env!("CARGO_PKG_VERSION");
-            Ok(Ending::done(format!("kingcuploftctl {version}\n")))
+            Ok(Outcome::success(format!("kingcuploftctl {version}\n")))
         }
         Command::Check(file) => manifest::check(&context, file),
         Command::Apply(apply) => apply::apply(&context, apply),
--- a/crates/kingcuploftctl/src/status.rs
+++ b/crates/kingcuploftctl/src/status.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 
 /// Prints the state of each VM; the code tells whether all answer, are ready and have the same
 /// generation in force.
@@ -11,7 +11,7 @@
 /// # Errors
 ///
 /// An ending where no VM was named.
-pub fn status(context: &Context<'_>) -> Result<Ending, Ending> {
+pub fn status(context: &Context<'_>) -> Result<Outcome, Outcome> {
     let vms = context.vms()?;
     let read = vms
         .iter()
@@ -23,7 +23,7 @@
     generations.dedup();
     let all_ready = answered().all(|s| s["ready"] == true) && answered().count() == read.len();
     let code = match all_ready && generations.len() == 1 {
-        true => Code::Done,
+        true => Code::Success,
         false => Code::Differs,
     };
     if context.json() {
@@ -31,7 +31,7 @@
             Ok(status) => serde_json::json!({ "address": address, "status": status }),
             Err(error) => serde_json::json!({ "address": address, "error": error.to_string() }),
         });
-        return Ok(Ending::with(
+        return Ok(Outcome::with_code(
             code,
             format!("{}\n", Value::Array(lines.collect())),
         ));
@@ -49,7 +49,7 @@
     if generations.len() > 1 {
         out += &format!("generations in force: {generations:?}\n");
     }
-    Ok(Ending::with(code, out))
+    Ok(Outcome::with_code(code, out))
 }
 
 fn generation(status: &Value) -> u64 {
--- a/crates/kingcuploftctl/src/trace.rs
+++ b/crates/kingcuploftctl/src/trace.rs
@@ -8,7 +8,7 @@
 
 use serde_json::Value;
 
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 
 /// One log line that has to do with the request.
 struct Line {
@@ -22,7 +22,7 @@
 /// # Errors
 ///
 /// Returns an ending that says which file can't be read.
-pub fn trace(request: &str, files: &[PathBuf]) -> Result<Ending, Ending> {
+pub fn trace(request: &str, files: &[PathBuf]) -> Result<Outcome, Outcome> {
     let mut texts = Vec::new();
     for file in files {
         let text = std::fs::read(file).map_err(|error| unreadable(&file.display(), &error))?;
@@ -37,12 +37,12 @@
     Ok(trace_texts(request, &texts))
 }
 
-fn unreadable(name: &dyn std::fmt::Display, error: &std::io::Error) -> Ending {
-    Ending::because(Code::Failed, format!("kingcuploftctl: {name}: {error}"))
+fn unreadable(name: &dyn std::fmt::Display, error: &std::io::Error) -> Outcome {
+    Outcome::failure(Code::Failed, format!("kingcuploftctl: {name}: {error}"))
 }
 
 /// Prints the way of a request from logs, each with its name.
-pub fn trace_texts(request: &str, logs: &[(String, Vec<u8>)]) -> Ending {
+pub fn trace_texts(request: &str, logs: &[(String, Vec<u8>)]) -> Outcome {
     let (mut lines, mut left_out) = (Vec::new(), 0);
     for (name, bytes) in logs {
         let text = String::from_utf8_lossy(bytes);
@@ -62,8 +62,8 @@
         out.push_str("Some lines were left out of these logs: the writer was behind, or they told of attempts that went well.\n");
     }
     match lines.is_empty() {
-        true => Ending::with(Code::Failed, out),
-        false => Ending::done(out),
+        true => Outcome::with_code(Code::Failed, out),
+        false => Outcome::success(out),
     }
 }
 
--- a/crates/kingcuploftctl/tests/trace.rs
+++ b/crates/kingcuploftctl/tests/trace.rs
@@ -21,7 +21,7 @@
     let (prefixed, noise) = (format!("0.74 front-c-3 {GAVE_UP}"), "not a log line {");
     let logs = logs(&[("a.log", &[OTHER, noise]), ("b.log", &[&prefixed, LOST])]);
     let ending = trace_texts("0d16", &logs);
-    assert_eq!(ending.code, Code::Done);
+    assert_eq!(ending.code, Code::Success);
     let lines: Vec<&str> = ending.out.lines().collect();
     assert_eq!(lines.len(), 2, "{}", ending.out);
     assert!(lines[0].contains("b.log  sent to i-16 after 1 ms, its reading 8 ms old"));
--- a/crates/kingcuploftd/src/admin.rs
+++ b/crates/kingcuploftd/src/admin.rs
@@ -84,7 +84,7 @@
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let open = matches!(request.uri().path(), "/live" | "/ready");
-    if open || token.is_none_or(|token| token.is_in(request.headers())) {
+    if open || token.is_none_or(|token| token.is_valid(request.headers())) {
         return answer(shared, request).await;
     }
     let mut response = Response::new(Full::new(Bytes::from("a bearer token is needed\n")));
--- a/crates/kingcuploftd/src/admin_fleet.rs
+++ b/crates/kingcuploftd/src/admin_fleet.rs
@@ -11,7 +11,7 @@
 use kingcuploft::manifest::root::ContentHash;
 use serde::{Deserialize, Serialize};
 
-use crate::fleet_keeper;
+use crate::fleet_state;
 use crate::shared::Shared;
 
 /// Where these pages begin.
@@ -23,7 +23,7 @@
 /// An accepted manifest, handed to a VM by who applied it: should the store go down before any VM
 /// has read it, the VMs pass it on all the same.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct HandedManifest {
+pub struct ManifestUpload {
     /// The root object's text.
     pub root: String,
     /// The service objects' texts; those that the VM has may be left out.
@@ -47,7 +47,7 @@
             Some(delta) => json(&delta.root),
             None => (StatusCode::NOT_FOUND, "no manifest is in force\n".into()),
         },
-        (&Method::GET, ["decisions"]) => json(&shared.decisions.found(&query)),
+        (&Method::GET, ["decisions"]) => json(&shared.decisions.search(&query)),
         (&Method::POST, ["drain", service, server]) => drain(shared, service, server),
         (&Method::POST, ["manifest"]) => {
             let body = Limited::new(request.into_body(), BODY_BYTES)
@@ -67,9 +67,9 @@
 
 fn drain(shared: &Shared, service: &str, server: &str) -> Page {
     let manifest = Arc::clone(&shared.accepted.load().manifest);
-    match fleet_keeper::notice(&manifest, &service.into(), &server.into()) {
+    match fleet_state::drain_notice(&manifest, &service.into(), &server.into()) {
         Some(notice) => {
-            shared.fleet.drain(shared, notice.clone());
+            shared.fleet.record_drain(shared, notice.clone());
             json(&notice)
         }
         None => {
@@ -81,7 +81,7 @@
 
 /// Takes an accepted manifest as from any other source: by hash, and only forward.
 fn handed(shared: &Shared, body: &Bytes) -> Page {
-    let handed: HandedManifest = match serde_json::from_slice(body) {
+    let handed: ManifestUpload = match serde_json::from_slice(body) {
         Ok(handed) => handed,
         Err(error) => return (StatusCode::BAD_REQUEST, format!("{error}\n")),
     };
@@ -89,7 +89,7 @@
     let learn = |teach: &mut dyn FnMut(&mut _) -> Result<AdoptionStep, AdoptionError>| {
         shared
             .manifest
-            .learn(shared, source, |adoption| teach(adoption))
+            .update(shared, source, |adoption| teach(adoption))
     };
     if !learn(&mut |adoption| adoption.root_text(&handed.root)) {
         return (StatusCode::BAD_REQUEST, "the root was not taken\n".into());
--- a/crates/kingcuploftd/src/admin_token.rs
+++ b/crates/kingcuploftd/src/admin_token.rs
@@ -32,7 +32,7 @@
 
     /// Tells whether a request carries the token. A file that can not be read just now leaves the
     /// last token in force; one that was never read or is empty lets nobody in.
-    pub fn is_in(&self, headers: &HeaderMap) -> bool {
+    pub fn is_valid(&self, headers: &HeaderMap) -> bool {
         let mut values = headers.get_all(AUTHORIZATION).iter();
         let (Some(value), None) = (values.next(), values.next()) else {
             return false;
--- a/crates/kingcuploftd/src/stream.rs
+++ b/crates/kingcuploftd/src/answer_stream.rs
@@ -27,15 +27,15 @@
 
 /// The worker's end of the ring.
 #[derive(Debug)]
-pub struct RestSender(Sender<Chunk>);
+pub struct BodySender(Sender<Chunk>);
 
 /// The rest of an answer; clones share it, and the first to take it has it.
 #[derive(Clone, Debug)]
-pub struct Rest(Arc<Mutex<Option<Chunks>>>);
+pub struct RemainingBody(Arc<Mutex<Option<BodyChunks>>>);
 
 /// The caller edge's end of the ring.
 #[derive(Debug)]
-pub struct Chunks {
+pub struct BodyChunks {
     receiver: Receiver<Chunk>,
     /// The connection the body comes from.
     source: Option<Arc<BackendConnection>>,
@@ -55,7 +55,7 @@
 
 /// Why a body was not passed on to its end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Stalled {
+pub enum BodySendError {
     /// The caller went away.
     CallerLeft,
     /// The caller did not take it before the deadline.
@@ -63,23 +63,26 @@
 }
 
 /// Opens a ring for a body that comes from a connection.
-pub fn rest(source: Option<Arc<BackendConnection>>) -> (RestSender, Rest) {
+pub fn rest(source: Option<Arc<BackendConnection>>) -> (BodySender, RemainingBody) {
     let (sender, receiver) = channel(CHUNKS);
-    let chunks = Chunks {
+    let chunks = BodyChunks {
         receiver,
         source,
         ended: false,
     };
-    (RestSender(sender), Rest(Arc::new(Mutex::new(Some(chunks)))))
+    (
+        BodySender(sender),
+        RemainingBody(Arc::new(Mutex::new(Some(chunks)))),
+    )
 }
 
-impl RestSender {
+impl BodySender {
     /// Passes a piece on, waiting for room until the deadline.
     ///
     /// # Errors
     ///
-    /// [`Stalled`] where nobody takes it.
-    pub fn send(&self, data: Bytes, deadline: Instant) -> Result<(), Stalled> {
+    /// [`BodySendError`] where nobody takes it.
+    pub fn send(&self, data: Bytes, deadline: Instant) -> Result<(), BodySendError> {
         self.send_chunk(Chunk::Data(data), deadline)
     }
 
@@ -88,37 +91,37 @@
     ///
     /// # Errors
     ///
-    /// [`Stalled::DeadlinePassed`] where the caller does not take what it was given.
-    pub fn end(self, deadline: Instant) -> Result<(), Stalled> {
+    /// [`BodySendError::DeadlinePassed`] where the caller does not take what it was given.
+    pub fn end(self, deadline: Instant) -> Result<(), BodySendError> {
         match self.send_chunk(Chunk::End, deadline) {
-            Err(Stalled::DeadlinePassed) => Err(Stalled::DeadlinePassed),
-            Ok(()) | Err(Stalled::CallerLeft) => Ok(()),
+            Err(BodySendError::DeadlinePassed) => Err(BodySendError::DeadlinePassed),
+            Ok(()) | Err(BodySendError::CallerLeft) => Ok(()),
         }
     }
 
-    fn send_chunk(&self, mut chunk: Chunk, deadline: Instant) -> Result<(), Stalled> {
+    fn send_chunk(&self, mut chunk: Chunk, deadline: Instant) -> Result<(), BodySendError> {
         loop {
             chunk = match self.0.try_send(chunk) {
                 Ok(()) => return Ok(()),
-                Err(TrySendError::Closed(_)) => return Err(Stalled::CallerLeft),
+                Err(TrySendError::Closed(_)) => return Err(BodySendError::CallerLeft),
                 Err(TrySendError::Full(chunk)) => chunk,
             };
             if Instant::now() >= deadline {
-                return Err(Stalled::DeadlinePassed);
+                return Err(BodySendError::DeadlinePassed);
             }
             std::thread::sleep(FULL_PAUSE);
         }
     }
 }
 
-impl Rest {
+impl RemainingBody {
     /// Takes the ring's end; `None` where it was taken before.
-    pub fn take(&self) -> Option<Chunks> {
+    pub fn take(&self) -> Option<BodyChunks> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 }
 
-impl Chunks {
+impl BodyChunks {
     /// Returns what comes next, once it is there.
     pub fn poll_next(&mut self, context: &mut Context<'_>) -> Poll<NextChunk> {
         self.receiver.poll_recv(context).map(|chunk| match chunk {
@@ -132,7 +135,7 @@
     }
 }
 
-impl Drop for Chunks {
+impl Drop for BodyChunks {
     /// Ends the call whose body nobody wants any more: its worker may be blocked in a read.
     fn drop(&mut self) {
         if let Some(source) = self.source.take().filter(|_| !self.ended) {
--- a/crates/kingcuploftd/src/backend_edge/exchange.rs
+++ b/crates/kingcuploftd/src/backend_edge/exchange.rs
@@ -11,9 +11,9 @@
 
 use super::framing::{Framing, framing};
 use super::registry::BackendConnection;
+use crate::answer_stream::{BodySendError, BodySender, RemainingBody, rest};
 use crate::message::{Answer, RequestParts};
 use crate::shared::Shared;
-use crate::stream::{Rest, RestSender, Stalled, rest};
 
 /// How much of a body is read at once.
 const CHUNK_BYTES: usize = 64 * 1024;
@@ -63,7 +63,7 @@
     Backend(#[from] ExchangeError),
     /// The caller did not take it.
     #[error("the caller did not take it: {0:?}")]
-    Caller(Stalled),
+    Caller(BodySendError),
 }
 
 /// With less time than this left to the deadline a call is not begun.
@@ -170,7 +170,7 @@
 /// A longer answer's unread part, with the ring to the caller edge.
 pub(super) struct Remainder {
     unread: Unread,
-    sender: RestSender,
+    sender: BodySender,
 }
 
 impl Remainder {
@@ -179,7 +179,7 @@
     pub(super) fn of(
         unread: Option<Unread>,
         connection: Option<Arc<BackendConnection>>,
-    ) -> Option<(Rest, Self)> {
+    ) -> Option<(RemainingBody, Self)> {
         let unread = unread?;
         if let Some(connection) = &connection {
             connection.retire();
--- a/crates/kingcuploftd/src/backend_edge/mod.rs
+++ b/crates/kingcuploftd/src/backend_edge/mod.rs
@@ -17,7 +17,7 @@
 use ureq::Agent;
 use ureq::http::HeaderMap;
 
-use crate::message::{Answer, CallOrder, Message};
+use crate::message::{Answer, CallTask, Message};
 use crate::shared::Shared;
 use exchange::{ExchangeError, Received, Remainder};
 
@@ -30,7 +30,7 @@
 const IDLE_CONNECTIONS_EACH: usize = 64;
 
 /// Runs one worker until the dispatch duty ends.
-pub fn run(shared: &Arc<Shared>, ring: &Receiver<CallOrder>, agent: &Agent) {
+pub fn run(shared: &Arc<Shared>, ring: &Receiver<CallTask>, agent: &Agent) {
     for order in ring {
         let deadline = order.call.deadline;
         let (message, remainder) = call(shared, agent, order);
@@ -61,23 +61,23 @@
         .build();
     Agent::with_parts(
         config,
-        transport::WitnessConnector,
+        transport::TrackingConnector,
         ureq::unversioned::resolver::DefaultResolver::default(),
     )
 }
 
 /// Calls a backend server; returns what the dispatch duty is told, and what is left to read.
-fn call(shared: &Arc<Shared>, agent: &Agent, order: CallOrder) -> (Message, Option<Remainder>) {
+fn call(shared: &Arc<Shared>, agent: &Agent, order: CallTask) -> (Message, Option<Remainder>) {
     let began = Instant::now();
     let call = order.call;
     let attempt = call.attempt;
-    transport::begin_call(shared, attempt, shared.connections_to(&call));
-    let result = match shared.calls.cancelled(attempt) {
+    transport::begin_call(shared, attempt, shared.connection_share(&call));
+    let result = match shared.calls.is_cancelled(attempt) {
         true => Err(ExchangeError::Cancelled),
         false => exchange::exchange(shared, agent, &call, order.parts, began),
     };
-    let cancelled = shared.calls.cancelled(attempt);
-    let connection = shared.calls.ended(attempt);
+    let cancelled = shared.calls.is_cancelled(attempt);
+    let connection = shared.calls.remove(attempt);
     let signals = &call.route.service.signals;
     let (end, received) = match result {
         Ok(received) => {
@@ -102,7 +102,7 @@
         let answer = Answer { rest, ..answer };
         (Some(Box::new(answer)), remainder)
     });
-    let ended = Message::Ended {
+    let ended = Message::AttemptEnded {
         attempt,
         report,
         answer,
--- a/crates/kingcuploftd/src/backend_edge/registry.rs
+++ b/crates/kingcuploftd/src/backend_edge/registry.rs
@@ -84,7 +84,7 @@
     }
 
     /// Notes that a call was ordered.
-    pub fn ordered(&self, attempt: AttemptId) {
+    pub fn add(&self, attempt: AttemptId) {
         self.calls().insert(attempt, InFlight::Waiting);
     }
 
@@ -94,7 +94,11 @@
     /// another one. That one would be cut, and a protected action's outcome unknown. So cancelling
     /// and taking a connection over both happen under the lock, and cancelling ends a connection
     /// only while it still carries the cancelled call.
-    pub(super) fn running(&self, attempt: AttemptId, connection: &Arc<BackendConnection>) -> bool {
+    pub(super) fn assign_connection(
+        &self,
+        attempt: AttemptId,
+        connection: &Arc<BackendConnection>,
+    ) -> bool {
         let mut calls = self.calls();
         let state = calls.entry(attempt).or_insert(InFlight::Waiting);
         if matches!(state, InFlight::Cancelled) || connection.retired() {
@@ -106,12 +110,12 @@
     }
 
     /// Tells whether a call was cancelled.
-    pub(super) fn cancelled(&self, attempt: AttemptId) -> bool {
+    pub(super) fn is_cancelled(&self, attempt: AttemptId) -> bool {
         matches!(self.calls().get(&attempt), Some(InFlight::Cancelled))
     }
 
     /// Forgets a call that ended; returns the connection it was on.
-    pub fn ended(&self, attempt: AttemptId) -> Option<Arc<BackendConnection>> {
+    pub fn remove(&self, attempt: AttemptId) -> Option<Arc<BackendConnection>> {
         match self.calls().remove(&attempt)? {
             InFlight::Running(connection) => Some(connection),
             InFlight::Waiting | InFlight::Cancelled => None,
--- a/crates/kingcuploftd/src/backend_edge/transport.rs
+++ b/crates/kingcuploftd/src/backend_edge/transport.rs
@@ -54,10 +54,10 @@
 
 /// Connects over TCP.
 #[derive(Debug)]
-pub(super) struct WitnessConnector;
+pub(super) struct TrackingConnector;
 
-impl Connector<()> for WitnessConnector {
-    type Out = WitnessTransport;
+impl Connector<()> for TrackingConnector {
+    type Out = TrackingTransport;
 
     fn connect(
         &self,
@@ -88,7 +88,7 @@
         stream.set_nodelay(true)?;
         let config = &details.config;
         let buffers = LazyBuffers::new(config.input_buffer_size(), config.output_buffer_size());
-        Ok(Some(WitnessTransport {
+        Ok(Some(TrackingTransport {
             connection: Arc::new(BackendConnection::new(stream)),
             buffers,
             read_timeout: SetTimeout::default(),
@@ -100,7 +100,7 @@
 
 /// A TCP connection with the witness.
 #[derive(Debug)]
-pub(super) struct WitnessTransport {
+pub(super) struct TrackingTransport {
     connection: Arc<BackendConnection>,
     buffers: LazyBuffers,
     read_timeout: SetTimeout,
@@ -108,7 +108,7 @@
     _counted: CountedConnection,
 }
 
-impl WitnessTransport {
+impl TrackingTransport {
     /// Notes, before the first byte of a call goes out, that it is on this connection.
     fn witness(&self) -> Result<(), Error> {
         CURRENT.with_borrow_mut(|current| {
@@ -119,7 +119,7 @@
                 return Ok(());
             }
             let calls = &current.shared.calls;
-            if !calls.running(current.attempt, &self.connection) {
+            if !calls.assign_connection(current.attempt, &self.connection) {
                 return Err(Error::Io(ErrorKind::ConnectionAborted.into()));
             }
             current.sent = true;
@@ -128,7 +128,7 @@
     }
 }
 
-impl Transport for WitnessTransport {
+impl Transport for TrackingTransport {
     fn buffers(&mut self) -> &mut dyn Buffers {
         &mut self.buffers
     }
--- a/crates/kingcuploftd/src/caller_edge/activity.rs
+++ b/crates/kingcuploftd/src/caller_edge/activity.rs
@@ -58,7 +58,7 @@
     /// Notes that a request's head is whole; returns the verdict on it.
     pub(super) fn begin(self: &Rc<Self>) -> (Busy, Verdict) {
         self.turn(State::Busy);
-        let verdict = self.inspector.borrow_mut().verdict();
+        let verdict = self.inspector.borrow_mut().next_verdict();
         (Busy(Rc::clone(self)), verdict)
     }
 
@@ -98,7 +98,7 @@
         if bytes.is_empty() {
             return;
         }
-        self.inspector.borrow_mut().feed(bytes);
+        self.inspector.borrow_mut().process(bytes);
         if matches!(self.state.get(), State::Waiting { .. }) {
             self.turn(State::Head);
         }
--- a/crates/kingcuploftd/src/caller_edge/inspector.rs
+++ b/crates/kingcuploftd/src/caller_edge/inspector.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// It has one reading.
-    Fine,
+    Valid,
     /// It could be read in two ways, or names no host or two.
     Ambiguous,
     /// It is too long.
@@ -66,12 +66,12 @@
     }
 
     /// Takes the verdict on the next request; requests come in the order of their heads.
-    pub fn verdict(&mut self) -> Verdict {
+    pub fn next_verdict(&mut self) -> Verdict {
         self.verdicts.pop_front().unwrap_or(Verdict::Ambiguous)
     }
 
     /// Takes in what was read.
-    pub fn feed(&mut self, mut bytes: &[u8]) {
+    pub fn process(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let used = match &mut self.phase {
                 Phase::Ended => return,
@@ -143,7 +143,7 @@
         if head.ambiguous() {
             return self.end(Verdict::Ambiguous);
         }
-        self.verdicts.push_back(Verdict::Fine);
+        self.verdicts.push_back(Verdict::Valid);
         self.phase = match (head.chunked, head.length) {
             (true, _) => Phase::ChunkSize,
             (false, 0) => Phase::Head,
--- a/crates/kingcuploftd/src/caller_edge/mod.rs
+++ b/crates/kingcuploftd/src/caller_edge/mod.rs
@@ -4,7 +4,7 @@
 mod body;
 mod headers;
 pub mod inspector;
-mod refuse;
+mod overload;
 mod reply;
 mod reply_body;
 
@@ -27,7 +27,7 @@
 use tokio::sync::{Semaphore, oneshot, watch};
 use tokio::task::{JoinSet, LocalSet};
 
-use crate::decision_log::Decided;
+use crate::decision_log::DecisionKind;
 use crate::hop_by_hop::end_to_end;
 use crate::message::{Message, Reply, RequestParts};
 use crate::shared::Shared;
@@ -142,7 +142,7 @@
             shared: Arc::clone(shared),
             connections: JoinSet::new(),
             room: Arc::new(Semaphore::new(shared.settings.limits.connections)),
-            refusals: Arc::new(Semaphore::new(refuse::REFUSALS_AT_ONCE)),
+            refusals: Arc::new(Semaphore::new(overload::REFUSALS_AT_ONCE)),
         }
     }
 
@@ -157,11 +157,11 @@
             });
             return;
         }
-        shared.metrics.refused(RefusalReason::Overloaded);
+        shared.metrics.count_refusal(RefusalReason::Overloaded);
         shared.metrics.connections_refused.inc();
         if let Ok(refusal) = Arc::clone(&self.refusals).try_acquire_owned() {
             self.connections.spawn_local(async move {
-                refuse::refuse(shared, stream).await;
+                overload::refuse(shared, stream).await;
                 drop(refusal);
             });
         }
@@ -206,7 +206,7 @@
     if let Err(error) = ended {
         if error.is_parse() {
             // The HTTP library has answered 400 or 431 by itself.
-            shared.metrics.refused(RefusalReason::BadRequest);
+            shared.metrics.count_refusal(RefusalReason::BadRequest);
         }
         tracing::debug!("caller: a connection ended: {error}.");
     }
@@ -228,7 +228,7 @@
     };
     let reply = admitted.unwrap_or_else(Reply::Refused);
     if let Reply::Refused(refusal) = &reply {
-        shared.metrics.refused(refusal.reason);
+        shared.metrics.count_refusal(refusal.reason);
         note(shared, id, &asked, refusal);
     }
     reply::response(shared, id, head_only, reply).map(|body| body.until_written(busy))
@@ -240,10 +240,10 @@
     match verdict {
         Verdict::TooLarge => Err(Refusal::not_run(RefusalReason::HeadersTooLarge)),
         Verdict::Ambiguous => Err(Refusal::not_run(RefusalReason::BadRequest)),
-        Verdict::Fine if uri.authority().is_some() => {
+        Verdict::Valid if uri.authority().is_some() => {
             Err(Refusal::not_run(RefusalReason::BadRequest))
         }
-        Verdict::Fine => Ok(()),
+        Verdict::Valid => Ok(()),
     }
 }
 
@@ -282,7 +282,7 @@
     let request = shared.request_name(id);
     let reason = refusal.reason.label();
     let decisions = &shared.decisions;
-    decisions.note(Decided::Refused, reason, service, &request, inputs);
+    decisions.record(DecisionKind::Refused, reason, service, &request, inputs);
 }
 
 /// Reads a request whole, passes it on and waits for its reply.
@@ -326,7 +326,7 @@
         deadline,
     };
     let (sender, receiver) = oneshot::channel();
-    let message = Message::Arrived {
+    let message = Message::RequestArrived {
         arrival,
         parts: Box::new(parts),
         reply: sender,
@@ -357,7 +357,11 @@
 impl Drop for CallerLeft {
     fn drop(&mut self) {
         if let Some(shared) = self.shared.take() {
-            drop(shared.dispatch.try_send(Message::CallerLeft(self.id)));
+            drop(
+                shared
+                    .dispatch
+                    .try_send(Message::CallerDisconnected(self.id)),
+            );
         }
     }
 }
--- a/crates/kingcuploftd/src/caller_edge/reply.rs
+++ b/crates/kingcuploftd/src/caller_edge/reply.rs
@@ -11,10 +11,10 @@
 use kingcuploft::world::refusal::{Refusal, RefusalReason};
 
 use super::reply_body::ReplyBody;
+use crate::answer_stream::RemainingBody;
 use crate::hop_by_hop::end_to_end;
 use crate::message::{Answer, Reply};
 use crate::shared::Shared;
-use crate::stream::Rest;
 
 /// After which pause a caller whom this VM has no room for may come back.
 pub(super) const OVERLOADED_PAUSE: Duration = Duration::from_secs(1);
@@ -53,7 +53,7 @@
 /// does not go out with it: for a streamed answer, and for the head of one.
 fn answered(answer: Answer, head_only: bool) -> Response<ReplyBody> {
     let length = answer.headers.get(CONTENT_LENGTH).cloned();
-    let rest = answer.rest.as_ref().and_then(Rest::take);
+    let rest = answer.rest.as_ref().and_then(RemainingBody::take);
     let tell_length = head_only || rest.is_some();
     let mut response = Response::new(ReplyBody::new(answer.body, rest));
     *response.status_mut() = answer.status;
--- a/crates/kingcuploftd/src/caller_edge/reply_body.rs
+++ b/crates/kingcuploftd/src/caller_edge/reply_body.rs
@@ -7,7 +7,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 
 use super::activity::Busy;
-use crate::stream::{Chunks, NextChunk};
+use crate::answer_stream::{BodyChunks, NextChunk};
 
 /// A streamed answer was cut: the HTTP library closes the caller's connection, so that the caller
 /// can not take the part it has for the whole.
@@ -19,13 +19,13 @@
 #[derive(Debug)]
 pub(super) struct ReplyBody {
     beginning: Option<Bytes>,
-    rest: Option<Chunks>,
+    rest: Option<BodyChunks>,
     _busy: Option<Busy>,
 }
 
 impl ReplyBody {
     /// Builds a body; it is whole where there is no rest.
-    pub(super) fn new(beginning: Bytes, rest: Option<Chunks>) -> Self {
+    pub(super) fn new(beginning: Bytes, rest: Option<BodyChunks>) -> Self {
         let beginning = Some(beginning).filter(|bytes| !bytes.is_empty());
         Self {
             beginning,
--- a/crates/kingcuploftd/src/claims/calls.rs
+++ b/crates/kingcuploftd/src/claims/calls.rs
@@ -52,7 +52,7 @@
             (CallKind::Delete, deleted.map(|()| StoreAnswer::Deleted))
         }
     };
-    metrics.called(kind, answer.as_ref().err());
+    metrics.count_call(kind, answer.as_ref().err());
     answer.unwrap_or_else(|error| failed(&error))
 }
 
--- a/crates/kingcuploftd/src/claims/layout.rs
+++ b/crates/kingcuploftd/src/claims/layout.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::records;
-use crate::message::{ClaimOrder, Message};
+use crate::message::{ClaimTask, Message};
 use crate::shared::Shared;
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use kingcuploft::decisions::claim::ledger::{LAYOUT_KEY, Layout};
@@ -20,7 +20,7 @@
 /// are refused until it is read.
 pub(super) fn partitions(
     shared: &Shared,
-    ring: &Receiver<ClaimOrder>,
+    ring: &Receiver<ClaimTask>,
     store: &dyn ObjectStore,
 ) -> Option<u16> {
     let wanted = shared.settings.claims.partitions.max(1);
@@ -58,13 +58,13 @@
 }
 
 /// Refuses claims for a while; tells whether the daemon goes on.
-fn refuse_for(shared: &Shared, ring: &Receiver<ClaimOrder>, time: Duration) -> bool {
+fn refuse_for(shared: &Shared, ring: &Receiver<ClaimTask>, time: Duration) -> bool {
     let until = Instant::now() + time;
     loop {
         match ring.recv_deadline(until) {
-            Ok(ClaimOrder::Claim { request, .. }) => {
+            Ok(ClaimTask::Claim { request, .. }) => {
                 let verdict = Verdict::Unavailable { retry_after: PAUSE };
-                shared.metrics.claims.decided(&verdict);
+                shared.metrics.claims.count_verdict(&verdict);
                 let (end, _) = records::claim_end(&verdict);
                 drop(shared.dispatch.send(Message::Claimed {
                     request,
--- a/crates/kingcuploftd/src/claims/metrics.rs
+++ b/crates/kingcuploftd/src/claims/metrics.rs
@@ -81,7 +81,7 @@
     }
 
     /// Counts a verdict.
-    pub(super) fn decided(&self, verdict: &Verdict) {
+    pub(super) fn count_verdict(&self, verdict: &Verdict) {
         let verdict = match verdict {
             Verdict::Held => "held",
             Verdict::Replay(_) => "replayed",
@@ -96,7 +96,7 @@
     }
 
     /// Counts an event.
-    pub(super) fn count(&self, counted: ClaimEvent) {
+    pub(super) fn count_event(&self, counted: ClaimEvent) {
         let event = match counted {
             ClaimEvent::Group(size) => return self.group_size.observe(size as f64),
             ClaimEvent::Conflict => "conflict",
@@ -111,7 +111,7 @@
     }
 
     /// Counts a call to the store.
-    pub(super) fn called(&self, kind: CallKind, error: Option<&StoreError>) {
+    pub(super) fn count_call(&self, kind: CallKind, error: Option<&StoreError>) {
         let label = CallLabel {
             kind: kind.label(),
             result: error.map_or("done", StoreError::label),
--- a/crates/kingcuploftd/src/claims/mod.rs
+++ b/crates/kingcuploftd/src/claims/mod.rs
@@ -21,7 +21,7 @@
 use kingcuploft_platform::ObjectStore;
 
 use self::calls::{Call, CallAnswer};
-use crate::message::{ClaimOrder, Message};
+use crate::message::{ClaimTask, Message};
 use crate::shared::Shared;
 
 pub use self::records::fingerprint;
@@ -53,7 +53,7 @@
 }
 
 /// Runs the duty until the dispatch duty ends and the last ends are written.
-pub fn run<S: ObjectStore>(shared: Arc<Shared>, ring: &Receiver<ClaimOrder>, store: S) {
+pub fn run<S: ObjectStore>(shared: Arc<Shared>, ring: &Receiver<ClaimTask>, store: S) {
     let Some(count) = layout::partitions(&shared, ring, &store) else {
         return;
     };
@@ -88,7 +88,7 @@
         }
     }
 
-    fn run(mut self, ring: &Receiver<ClaimOrder>, answers: &Receiver<CallAnswer>) {
+    fn run(mut self, ring: &Receiver<ClaimTask>, answers: &Receiver<CallAnswer>) {
         loop {
             select! {
                 recv(ring) -> order => match order {
@@ -130,9 +130,9 @@
         left.map_or(LONGEST_SLEEP, |left| left.min(LONGEST_SLEEP))
     }
 
-    fn order(&mut self, order: ClaimOrder) {
+    fn order(&mut self, order: ClaimTask) {
         match order {
-            ClaimOrder::Claim {
+            ClaimTask::Claim {
                 request,
                 key,
                 fingerprint,
@@ -155,12 +155,12 @@
                 };
                 self.pass(placed, ClaimCommand::Claim(request, claim));
             }
-            ClaimOrder::Release { request } => {
+            ClaimTask::Release { request } => {
                 if let Some(placed) = self.placed.remove(&request) {
                     self.pass(placed, ClaimCommand::Release(request));
                 }
             }
-            ClaimOrder::Acknowledge { request, answer } => {
+            ClaimTask::Acknowledge { request, answer } => {
                 if let Some(placed) = self.placed.remove(&request) {
                     let end = records::end(answer.as_deref(), placed.record_bytes);
                     self.pass(placed, ClaimCommand::Acknowledge(request, end));
@@ -242,12 +242,12 @@
                 }
             }
             Output::Verdict(request, verdict) => self.verdict(request, &verdict),
-            Output::Event(counted) => self.shared.metrics.claims.count(counted),
+            Output::Event(counted) => self.shared.metrics.claims.count_event(counted),
         }
     }
 
     fn verdict(&mut self, request: RequestId, verdict: &Verdict) {
-        self.shared.metrics.claims.decided(verdict);
+        self.shared.metrics.claims.count_verdict(verdict);
         if *verdict != Verdict::Held {
             self.placed.remove(&request);
         }
--- a/crates/kingcuploftd/src/daemon.rs
+++ b/crates/kingcuploftd/src/daemon.rs
@@ -10,14 +10,14 @@
 use kingcuploft_platform::client::Client;
 use socket2::{Domain, Socket, Type};
 
-use crate::dispatch::Rings;
+use crate::dispatch::TaskSenders;
 use crate::message::Message;
 use crate::peer_link::{Keys, PeerSettings};
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::{
-    admin, backend_edge, caller_edge, claims, dispatch, manifest_watch, measure, membership_duty,
-    peer_link,
+    admin, backend_edge, caller_edge, claims, dispatch, manifest_watch, membership_sync, peer_link,
+    prober,
 };
 
 /// Probes that wait for the measuring duty; more would be old before they run.
@@ -99,7 +99,7 @@
         let duty = move || manifest_watch::run(&context, &own_store);
         others.push(spawn("manifest", duty)?);
         let context = shared.clone();
-        let duty = move || membership_duty::run(&context, &fleet_store);
+        let duty = move || membership_sync::run(&context, &fleet_store);
         others.push(spawn("membership", duty)?);
         let peer_address = peers.as_ref().map(|peers| peers.address);
         if let Some(peers) = peers {
@@ -116,10 +116,10 @@
         let duty = move || admin::run(&context, admins);
         others.push(spawn("admin", duty)?);
         let context = shared.clone();
-        let duty = move || measure::run(&context, &probe_orders);
+        let duty = move || prober::run(&context, &probe_orders);
         others.push(spawn("measure", duty)?);
         let context = shared.clone();
-        let rings = Rings {
+        let rings = TaskSenders {
             calls,
             probes,
             claims,
--- a/crates/kingcuploftd/src/decision_log.rs
+++ b/crates/kingcuploftd/src/decision_log.rs
@@ -18,7 +18,7 @@
 /// What was decided.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Decided {
+pub enum DecisionKind {
     /// A request was refused.
     Refused,
     /// A request is sent again.
@@ -33,7 +33,7 @@
     /// When, in ms since 1970.
     pub at_ms: u64,
     /// What was decided.
-    pub decided: Decided,
+    pub decided: DecisionKind,
     /// Why: the word of the metric.
     pub reason: String,
     /// The service, where one was found.
@@ -52,9 +52,9 @@
 
 impl DecisionLog {
     /// Keeps a decision.
-    pub fn note(
+    pub fn record(
         &self,
-        decided: Decided,
+        decided: DecisionKind,
         reason: &str,
         service: &str,
         request: &str,
@@ -78,7 +78,7 @@
 
     /// Returns the decisions that a query such as `service=trip&reason=queue_full` asks for, newest
     /// first.
-    pub fn found(&self, query: &str) -> Vec<Decision> {
+    pub fn search(&self, query: &str) -> Vec<Decision> {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         let wanted: Vec<(&str, &str)> = pairs.collect();
         let fits = |decision: &&Decision| {
--- a/crates/kingcuploftd/src/dispatch.rs
+++ b/crates/kingcuploftd/src/dispatch.rs
@@ -15,9 +15,9 @@
 use tokio::sync::oneshot;
 
 use crate::claims;
-use crate::decision_log::Decided;
-use crate::fleet_keeper::{self, PeerNews};
-use crate::message::{Answer, CallOrder, ClaimOrder, Message, Reply, RequestParts};
+use crate::decision_log::DecisionKind;
+use crate::fleet_state::{self, PeerUpdate};
+use crate::message::{Answer, CallTask, ClaimTask, Message, Reply, RequestParts};
 use crate::shared::Shared;
 
 /// The longest sleep without an event.
@@ -25,13 +25,13 @@
 
 /// The rings out of the dispatch duty.
 #[derive(Debug)]
-pub struct Rings {
+pub struct TaskSenders {
     /// To the backend edge.
-    pub calls: Sender<CallOrder>,
+    pub calls: Sender<CallTask>,
     /// To the measuring duty.
     pub probes: Sender<Probe>,
     /// To the claims duty.
-    pub claims: Sender<ClaimOrder>,
+    pub claims: Sender<ClaimTask>,
 }
 
 /// A request whose caller waits.
@@ -39,14 +39,14 @@
     service: ServiceName,
     arrived: Instant,
     /// How its key is claimed, where it has one.
-    claim: Option<ClaimOrder>,
+    claim: Option<ClaimTask>,
     parts: Box<RequestParts>,
     reply: oneshot::Sender<Reply>,
 }
 
 struct Dispatch {
     shared: Arc<Shared>,
-    rings: Rings,
+    rings: TaskSenders,
     dispatcher: Dispatcher,
     pending: HashMap<RequestId, Pending>,
     /// Answers of attempts, between their end and what the dispatcher makes of them.
@@ -65,11 +65,11 @@
     /// Claims that could not be handed to the claims duty.
     not_claimed: Vec<RequestId>,
     /// Releases and acknowledgements that its ring had no room for, oldest first.
-    late_claim_ends: VecDeque<ClaimOrder>,
+    late_claim_ends: VecDeque<ClaimTask>,
 }
 
 /// Runs the duty until a stop has been asked for and nothing is in flight.
-pub fn run(shared: Arc<Shared>, ring: &Receiver<Message>, rings: Rings, seed: u64) {
+pub fn run(shared: Arc<Shared>, ring: &Receiver<Message>, rings: TaskSenders, seed: u64) {
     let dispatcher = Dispatcher::new(shared.vm.clone(), seed);
     let mut dispatch = Dispatch {
         shared,
@@ -122,8 +122,8 @@
             self.look_at_membership();
             let metrics = &self.shared.metrics.service;
             let loads = self.dispatcher.loads();
-            loads.for_each(|(service, load)| metrics.loaded(service, &load));
-            let sharing = self.shared.fleet.sharing(&self.shared);
+            loads.for_each(|(service, load)| metrics.set_load(service, &load));
+            let sharing = self.shared.fleet.sharing_vm_count(&self.shared);
             if sharing != self.sharing {
                 self.sharing = sharing;
                 self.on_event(Event::LiveVmCount(
@@ -149,7 +149,7 @@
 
     fn on_message(&mut self, message: Message) {
         match message {
-            Message::Arrived {
+            Message::RequestArrived {
                 arrival,
                 parts,
                 reply,
@@ -166,11 +166,11 @@
                 self.pending.insert(id, pending);
                 self.on_event(Event::Arrived(arrival));
             }
-            Message::CallerLeft(id) => {
+            Message::CallerDisconnected(id) => {
                 self.pending.remove(&id);
                 self.on_event(Event::CallerDisconnected(id));
             }
-            Message::Ended {
+            Message::AttemptEnded {
                 attempt,
                 report,
                 answer,
@@ -189,7 +189,7 @@
                 }
                 self.on_event(Event::Claimed(request, end));
             }
-            Message::Adopted(accepted) => {
+            Message::ManifestAdopted(accepted) => {
                 self.shared
                     .metrics
                     .generation
@@ -198,8 +198,8 @@
                 self.on_event(Event::ManifestAdopted(accepted));
             }
             Message::Probed(probed) => self.on_event(Event::Probed(probed)),
-            Message::Told(notes) => self.on_event(Event::NotesReceived(notes)),
-            Message::Draining(service, server) => {
+            Message::NotesReceived(notes) => self.on_event(Event::NotesReceived(notes)),
+            Message::ServerDraining(service, server) => {
                 self.on_event(Event::ServerDraining(service, server))
             }
             Message::Explain(query, reply) => {
@@ -247,10 +247,10 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Claim(request) => self.claim(request),
-            Action::Release(request) => self.end_claim(ClaimOrder::Release { request }),
+            Action::Release(request) => self.end_claim(ClaimTask::Release { request }),
             Action::Acknowledge(request, attempt) => {
                 let answer = attempt.and_then(|attempt| self.answers.get(&attempt).cloned());
-                self.end_claim(ClaimOrder::Acknowledge {
+                self.end_claim(ClaimTask::Acknowledge {
                     request,
                     answer: answer.map(Box::new),
                 });
@@ -266,17 +266,25 @@
             Action::ShareDraining(service, server) => {
                 tracing::info!("drain: {server} of {service} takes no new work.");
                 let decisions = &self.shared.decisions;
-                decisions.note(Decided::Drained, "drain", &service, "", server.to_string());
-                if let Some(notice) = fleet_keeper::notice(&self.manifest, &service, &server) {
-                    self.shared.fleet.drain_seen(&self.shared, notice);
+                decisions.record(
+                    DecisionKind::Drained,
+                    "drain",
+                    &service,
+                    "",
+                    server.to_string(),
+                );
+                if let Some(notice) = fleet_state::drain_notice(&self.manifest, &service, &server) {
+                    self.shared.fleet.record_own_drain(&self.shared, notice);
                 }
             }
-            Action::CountHedge(service, step) => self.shared.metrics.service.hedged(&service, step),
+            Action::CountHedge(service, step) => {
+                self.shared.metrics.service.count_hedge(&service, step)
+            }
             Action::CountRetry(service, reason) => {
-                self.shared.metrics.retried(reason);
+                self.shared.metrics.count_retry(reason);
                 let decisions = &self.shared.decisions;
-                decisions.note(
-                    Decided::Retried,
+                decisions.record(
+                    DecisionKind::Retried,
                     reason.label(),
                     &service,
                     "",
@@ -286,7 +294,7 @@
             Action::Probe(probe) => self.probe(probe),
             Action::ShareNotes(notes) => {
                 let fleet = &self.shared.fleet;
-                fleet.tell(&self.shared, PeerNews::Notes(notes));
+                fleet.send_to_peers(&self.shared, PeerUpdate::Notes(notes));
             }
         }
     }
@@ -305,7 +313,7 @@
 
     /// Hands the end of a claim to the claims duty. A lost one would leave its key blocked, so it
     /// is kept until there is room; there are never more than requests in flight.
-    fn end_claim(&mut self, order: ClaimOrder) {
+    fn end_claim(&mut self, order: ClaimTask) {
         self.late_claim_ends.push_back(order);
         self.hand_over_late_claim_ends();
     }
@@ -323,17 +331,17 @@
     fn call(&mut self, call: Call) {
         let attempt = call.attempt;
         let metrics = &self.shared.metrics.service;
-        metrics.waited(&call.route.service.name, call.waited);
+        metrics.record_wait(&call.route.service.name, call.waited);
         let Some(pending) = self.pending.get(&call.request) else {
             return self.not_handed_over.push(attempt);
         };
-        let order = CallOrder {
+        let order = CallTask {
             call,
             parts: (*pending.parts).clone(),
         };
-        self.shared.calls.ordered(attempt);
+        self.shared.calls.add(attempt);
         if self.rings.calls.try_send(order).is_err() {
-            drop(self.shared.calls.ended(attempt));
+            drop(self.shared.calls.remove(attempt));
             self.not_handed_over.push(attempt);
         }
     }
@@ -349,7 +357,7 @@
     fn refuse(&mut self, request: RequestId, refusal: Refusal) {
         if let Some(pending) = self.pending.get(&request) {
             let metrics = &self.shared.metrics.service;
-            metrics.refused(&pending.service, refusal.reason);
+            metrics.count_refusal(&pending.service, refusal.reason);
         }
         self.reply(request, Reply::Refused(refusal));
     }
@@ -357,7 +365,7 @@
     fn reply(&mut self, request: RequestId, reply: Reply) {
         if let Some(pending) = self.pending.remove(&request) {
             let metrics = &self.shared.metrics;
-            metrics.answered(&pending.service, pending.arrived.elapsed());
+            metrics.record_latency(&pending.service, pending.arrived.elapsed());
             // A caller that left has dropped its end.
             drop(pending.reply.send(reply));
         }
@@ -365,10 +373,10 @@
 }
 
 /// Returns the order that claims a request's key, where it has one.
-fn claim_order(arrival: &Arrival, parts: &RequestParts) -> Option<ClaimOrder> {
+fn claim_order(arrival: &Arrival, parts: &RequestParts) -> Option<ClaimTask> {
     let key = arrival.key.as_ref()?;
     let idempotency = &arrival.route.rule().idempotency;
-    Some(ClaimOrder::Claim {
+    Some(ClaimTask::Claim {
         request: arrival.request,
         key: claims::key_hash(&arrival.route.service.name, key),
         fingerprint: claims::fingerprint(parts),
--- a/crates/kingcuploftd/src/fleet_keeper.rs
+++ b/crates/kingcuploftd/src/fleet_state.rs
@@ -36,7 +36,7 @@
 
 /// What other duties want told to the peers.
 #[derive(Clone, Debug)]
-pub enum PeerNews {
+pub enum PeerUpdate {
     /// A backend server drains.
     Draining(DrainNotice),
     /// Backend servers turned full or free.
@@ -45,14 +45,14 @@
 
 /// What this VM knows of the fleet.
 #[derive(Debug)]
-pub struct FleetKeeper {
+pub struct FleetState {
     membership: Mutex<Membership>,
     drains: Mutex<HashMap<DrainNotice, Instant>>,
-    outbox: mpsc::Sender<PeerNews>,
-    inbox: Mutex<Option<mpsc::Receiver<PeerNews>>>,
+    outbox: mpsc::Sender<PeerUpdate>,
+    inbox: Mutex<Option<mpsc::Receiver<PeerUpdate>>>,
 }
 
-impl FleetKeeper {
+impl FleetState {
     /// Builds the view of a VM that knows only itself.
     pub fn new(membership: Membership) -> Self {
         let (outbox, inbox) = mpsc::channel(OUTBOX);
@@ -71,13 +71,13 @@
     }
 
     /// Takes the end at which news arrive; the peer duty does this once.
-    pub fn take_inbox(&self) -> Option<mpsc::Receiver<PeerNews>> {
+    pub fn take_inbox(&self) -> Option<mpsc::Receiver<PeerUpdate>> {
         let mut inbox = self.inbox.lock().unwrap_or_else(PoisonError::into_inner);
         inbox.take()
     }
 
     /// Hands news to the peer duty; where its ring is full they are counted and left out.
-    pub fn tell(&self, shared: &Shared, news: PeerNews) {
+    pub fn send_to_peers(&self, shared: &Shared, news: PeerUpdate) {
         if self.outbox.try_send(news).is_err() {
             shared.metrics.fleet.peer_over_budget.inc();
         }
@@ -85,16 +85,16 @@
 
     /// Takes a drain from any source but the dispatch duty: that is told, and the peers, if it is
     /// news.
-    pub fn drain(&self, shared: &Shared, notice: DrainNotice) {
-        if self.drain_seen(shared, notice.clone()) {
-            feed(shared, &shared.accepted.load().manifest, &notice);
+    pub fn record_drain(&self, shared: &Shared, notice: DrainNotice) {
+        if self.record_own_drain(shared, notice.clone()) {
+            notify_dispatch(shared, &shared.accepted.load().manifest, &notice);
         }
     }
 
     /// Takes a drain that the dispatch duty saw itself; tells whether it is news.
     ///
     /// The dispatch duty must not be sent what it is the reader of: its ring may be full.
-    pub fn drain_seen(&self, shared: &Shared, notice: DrainNotice) -> bool {
+    pub fn record_own_drain(&self, shared: &Shared, notice: DrainNotice) -> bool {
         let mut drains = self.drains.lock().unwrap_or_else(PoisonError::into_inner);
         if drains.contains_key(&notice) {
             return false;
@@ -111,7 +111,7 @@
             address,
         } = &notice;
         tracing::info!("drain: {backend_server} of {service} at {address} is leaving.");
-        self.tell(shared, PeerNews::Draining(notice));
+        self.send_to_peers(shared, PeerUpdate::Draining(notice));
         true
     }
 
@@ -126,15 +126,15 @@
 
     /// Tells the dispatch duty of the drains that a manifest that has come in force knows, and
     /// forgets those of backend servers that are no more.
-    pub fn manifest_in_force(&self, shared: &Shared, manifest: &Manifest) {
+    pub fn match_drains(&self, shared: &Shared, manifest: &Manifest) {
         let mut drains = self.drains.lock().unwrap_or_else(PoisonError::into_inner);
         drains.retain(|notice, since| {
-            feed(shared, manifest, notice) || since.elapsed() < UNKNOWN_DRAIN
+            notify_dispatch(shared, manifest, notice) || since.elapsed() < UNKNOWN_DRAIN
         });
     }
 
     /// Sets the metrics of the fleet and how many VMs share the backend servers.
-    pub fn show(&self, shared: &Shared) {
+    pub fn update_metrics(&self, shared: &Shared) {
         let membership = self.membership();
         let members = membership.members();
         let metrics = &shared.metrics.fleet;
@@ -143,14 +143,14 @@
             metrics.set_members(state.label(), count);
         }
         drop(membership);
-        shared.set_live_vms(self.sharing(shared));
+        shared.set_live_vms(self.sharing_vm_count(shared));
     }
 
     /// Returns how many VMs share the backend servers.
     ///
     /// A VM that hears nobody has lost its links rather than its fleet: it goes by the number in
     /// its settings. To take the whole of every backend server would be the costlier mistake.
-    pub fn sharing(&self, shared: &Shared) -> usize {
+    pub fn sharing_vm_count(&self, shared: &Shared) -> usize {
         match self.membership().serving_vms() {
             1 => shared.settings.limits.vms,
             sharing => sharing,
@@ -164,20 +164,24 @@
 }
 
 /// Tells the dispatch duty of a drain if the manifest has the backend server at that place.
-fn feed(shared: &Shared, manifest: &Manifest, notice: &DrainNotice) -> bool {
+fn notify_dispatch(shared: &Shared, manifest: &Manifest, notice: &DrainNotice) -> bool {
     let service = manifest.services.iter().find(|s| s.name == notice.service);
     let mut servers = service.iter().flat_map(|s| &s.backend_servers);
     let known = servers
         .any(|server| server.name == notice.backend_server && server.address == notice.address);
     if known {
         let (service, server) = (notice.service.clone(), notice.backend_server.clone());
-        drop(shared.dispatch.send(Message::Draining(service, server)));
+        drop(
+            shared
+                .dispatch
+                .send(Message::ServerDraining(service, server)),
+        );
     }
     known
 }
 
 /// Returns the place of a backend server in a manifest.
-pub fn notice(
+pub fn drain_notice(
     manifest: &Manifest,
     service: &ServiceName,
     server: &BackendServerName,
--- a/crates/kingcuploftd/src/manifest_keeper.rs
+++ b/crates/kingcuploftd/src/manifest_state.rs
@@ -10,12 +10,12 @@
 
 /// What this VM knows of the manifest.
 #[derive(Debug)]
-pub struct ManifestKeeper {
+pub struct ManifestState {
     adoption: Mutex<Adoption>,
     in_force: watch::Sender<Generation>,
 }
 
-impl Default for ManifestKeeper {
+impl Default for ManifestState {
     fn default() -> Self {
         Self {
             adoption: Mutex::new(Adoption::awaiting_sources()),
@@ -24,7 +24,7 @@
     }
 }
 
-impl ManifestKeeper {
+impl ManifestState {
     /// Returns what a look at the adoption gives.
     pub fn read<T>(&self, look: impl FnOnce(&Adoption) -> T) -> T {
         look(&self.lock())
@@ -34,7 +34,7 @@
     ///
     /// The lock is held until the manifest is handed on, so two duties that complete two
     /// generations at once hand them on in order.
-    pub fn learn(
+    pub fn update(
         &self,
         shared: &Shared,
         source: &str,
@@ -46,7 +46,7 @@
             Ok(AdoptionStep::InForce(accepted)) => {
                 let generation = accepted.generation;
                 tracing::info!("manifest: generation {generation} is in force, from {source}.");
-                shared.put_in_force(accepted);
+                shared.activate_manifest(accepted);
                 self.in_force.send_replace(generation);
                 true
             }
--- a/crates/kingcuploftd/src/manifest_watch.rs
+++ b/crates/kingcuploftd/src/manifest_watch.rs
@@ -142,13 +142,13 @@
     fn gathered(&self, source: &str) {
         let keeper = &self.shared.manifest;
         if keeper.read(|adoption| adoption.awaits_sources()) {
-            keeper.learn(self.shared, source, |adoption| Ok(adoption.sources_asked()));
+            keeper.update(self.shared, source, |adoption| Ok(adoption.sources_asked()));
         }
     }
 
     fn learn_root(&self, text: &str) {
         let keeper = &self.shared.manifest;
-        keeper.learn(self.shared, "the store", |adoption| {
+        keeper.update(self.shared, "the store", |adoption| {
             adoption.root_text(text)
         });
     }
@@ -190,7 +190,7 @@
         for hash in missing {
             if let Some(text) = values.get(&service_key(hash)) {
                 let keeper = &self.shared.manifest;
-                keeper.learn(self.shared, "the store", |adoption| {
+                keeper.update(self.shared, "the store", |adoption| {
                     adoption.service_text(hash, text)
                 });
             }
@@ -202,7 +202,7 @@
         let keeper = &self.shared.manifest;
         match self.store.get(&service_key(hash)) {
             Ok(Some(object)) => {
-                let taken = keeper.learn(self.shared, "the store", |adoption| {
+                let taken = keeper.update(self.shared, "the store", |adoption| {
                     adoption.service_text(hash, &object.value)
                 });
                 let corrupt = || format!("service object {hash} is corrupt in the store");
@@ -211,7 +211,7 @@
                     .ok_or_else(|| Unfetched::Object(corrupt()))
             }
             Ok(None) => {
-                keeper.learn(self.shared, "the store", |adoption| {
+                keeper.update(self.shared, "the store", |adoption| {
                     adoption.service_missing(hash)
                 });
                 let why = format!("service object {hash} is missing in the store");
--- a/crates/kingcuploftd/src/membership_duty.rs
+++ b/crates/kingcuploftd/src/membership_sync.rs
@@ -8,7 +8,7 @@
 use kingcuploft::world::ids::{BackendServerName, ServiceName};
 use kingcuploft_platform::{Change, ListedVm, ObjectStore, StoreError, Version, VmState};
 
-use crate::fleet_keeper::{DrainNotice, notice};
+use crate::fleet_state::{DrainNotice, drain_notice};
 use crate::shared::Shared;
 
 /// Where the operators' drains stand, as `drains/SERVICE/BACKEND_SERVER`.
@@ -60,7 +60,7 @@
     *after = drains.version;
     for change in drains.changes {
         match drain_of(&change) {
-            Some(notice) => shared.fleet.drain(shared, notice),
+            Some(notice) => shared.fleet.record_drain(shared, notice),
             None => tracing::debug!("membership: {} tells no drain.", change.key),
         }
     }
@@ -110,7 +110,7 @@
     service: &ServiceName,
     server: &BackendServerName,
 ) {
-    if let Some(notice) = notice(manifest, service, server) {
-        shared.fleet.drain(shared, notice);
+    if let Some(notice) = drain_notice(manifest, service, server) {
+        shared.fleet.record_drain(shared, notice);
     }
 }
--- a/crates/kingcuploftd/src/message.rs
+++ b/crates/kingcuploftd/src/message.rs
@@ -13,7 +13,7 @@
 use kingcuploft::world::refusal::Refusal;
 use tokio::sync::oneshot;
 
-use crate::stream::Rest;
+use crate::answer_stream::RemainingBody;
 
 /// A request's HTTP parts, kept until it is answered.
 #[derive(Clone, Debug)]
@@ -38,7 +38,7 @@
     /// The whole body, or its beginning where there is a rest.
     pub body: Bytes,
     /// The rest of a body that is longer than the rule's `whole_answer_bytes`.
-    pub rest: Option<Rest>,
+    pub rest: Option<RemainingBody>,
 }
 
 /// What the caller edge sends to its caller.
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub enum Message {
     /// A request arrived.
-    Arrived {
+    RequestArrived {
         /// What the decisions need to know.
         arrival: Arrival,
         /// Its HTTP parts.
@@ -63,9 +63,9 @@
         reply: oneshot::Sender<Reply>,
     },
     /// The caller of a request went away.
-    CallerLeft(RequestId),
+    CallerDisconnected(RequestId),
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
         /// What it told.
@@ -83,11 +83,11 @@
         recorded: Option<Box<Answer>>,
     },
     /// A newer manifest is known.
-    Adopted(AcceptedManifest),
+    ManifestAdopted(AcceptedManifest),
     /// A peer told of backend servers that turned full or free.
-    Told(PeerNotes),
+    NotesReceived(PeerNotes),
     /// A backend server drains.
-    Draining(ServiceName, BackendServerName),
+    ServerDraining(ServiceName, BackendServerName),
     /// A probe came back, or failed.
     Probed(ProbeResult),
     /// An operator asks why.
@@ -98,7 +98,7 @@
 
 /// A call for the backend edge.
 #[derive(Debug)]
-pub struct CallOrder {
+pub struct CallTask {
     /// Where, and until when.
     pub call: Call,
     /// What to send.
@@ -107,7 +107,7 @@
 
 /// Work for the claims duty.
 #[derive(Debug)]
-pub enum ClaimOrder {
+pub enum ClaimTask {
     /// Claim a key before anything is sent.
     Claim {
         /// The request.
--- a/crates/kingcuploftd/src/metrics.rs
+++ b/crates/kingcuploftd/src/metrics.rs
@@ -155,7 +155,7 @@
 
 impl Metrics {
     /// Counts a refusal.
-    pub fn refused(&self, reason: RefusalReason) {
+    pub fn count_refusal(&self, reason: RefusalReason) {
         let reason = reason.label();
         self.refusals.get_or_create(&ReasonLabel { reason }).inc();
     }
@@ -167,13 +167,13 @@
     }
 
     /// Counts a retry.
-    pub fn retried(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         let reason = reason.label();
         self.retries.get_or_create(&ReasonLabel { reason }).inc();
     }
 
     /// Records the time from a request's arrival to its answer.
-    pub fn answered(&self, service: &ServiceName, latency: Duration) {
+    pub fn record_latency(&self, service: &ServiceName, latency: Duration) {
         let service = service.to_string();
         let histogram = self.latency.get_or_create(&ServiceLabel { service });
         histogram.observe(latency.as_secs_f64());
--- a/crates/kingcuploftd/src/metrics_service.rs
+++ b/crates/kingcuploftd/src/metrics_service.rs
@@ -70,7 +70,7 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, service: &ServiceName, reason: RefusalReason) {
+    pub fn count_refusal(&self, service: &ServiceName, reason: RefusalReason) {
         let label = RefusalLabel {
             service: service.to_string(),
             reason: reason.label(),
@@ -79,7 +79,7 @@
     }
 
     /// Counts a step of a hedge.
-    pub fn hedged(&self, service: &ServiceName, step: HedgeStep) {
+    pub fn count_hedge(&self, service: &ServiceName, step: HedgeStep) {
         let label = HedgeLabel {
             service: service.to_string(),
             step: step.label(),
@@ -88,7 +88,7 @@
     }
 
     /// Records the time from a request's arrival until a call.
-    pub fn waited(&self, service: &ServiceName, wait: Duration) {
+    pub fn record_wait(&self, service: &ServiceName, wait: Duration) {
         let histogram = self.wait.get_or_create(&of(service));
         histogram.observe(wait.as_secs_f64());
     }
@@ -100,7 +100,7 @@
     }
 
     /// Shows the load of a service.
-    pub fn loaded(&self, service: &ServiceName, load: &LoadSnapshot) {
+    pub fn set_load(&self, service: &ServiceName, load: &LoadSnapshot) {
         let label = of(service);
         let show = |gauges: &Family<OfService, Gauge>, value: u64| {
             gauges.get_or_create(&label).set(value as i64);
--- a/crates/kingcuploftd/src/peer_link/telling.rs
+++ b/crates/kingcuploftd/src/peer_link/broadcast.rs
@@ -7,20 +7,23 @@
 use kingcuploft::utils::HashSet;
 
 use super::node::{Link, Node, in_time};
-use super::wire::{Beat, write_drain, write_notes};
-use crate::fleet_keeper::{DrainNotice, PeerNews};
+use super::wire::{Heartbeat, write_drain, write_notes};
+use crate::fleet_state::{DrainNotice, PeerUpdate};
 
 /// Sends a heartbeat to some links at once, and takes their answers.
-pub(super) async fn push_beat(node: &Rc<Node>, links: &[Rc<Link>]) {
+pub(super) async fn send_heartbeats(node: &Rc<Node>, links: &[Rc<Link>]) {
     let pushes = links.iter().map(|link| async {
         let mut request = link.peer.beat_request();
         node.beat().write(request.get().init_beat());
         let Ok(answer) = in_time(request.send().promise).await else {
             return;
         };
-        let beat = answer.get().and_then(|a| a.get_beat()).and_then(Beat::read);
+        let beat = answer
+            .get()
+            .and_then(|a| a.get_beat())
+            .and_then(Heartbeat::read);
         if let Ok(beat) = beat {
-            node.heard(link, &beat);
+            node.handle_heartbeat(link, &beat);
         }
     });
     futures::future::join_all(pushes).await;
@@ -28,25 +31,25 @@
 
 /// Tells a manifest that has come in force on: to the links that do not have it yet, and to the
 /// drains that wait for it.
-pub(super) async fn follow_manifest(node: Rc<Node>) {
+pub(super) async fn announce_manifest(node: Rc<Node>) {
     let mut in_force = node.shared.manifest.subscribe();
     while in_force.changed().await.is_ok() {
         let generation = *in_force.borrow_and_update();
         let manifest = Arc::clone(&node.shared.accepted.load().manifest);
-        node.shared.fleet.manifest_in_force(&node.shared, &manifest);
+        node.shared.fleet.match_drains(&node.shared, &manifest);
         let behind = node
             .links()
             .into_iter()
-            .filter(|l| l.knows.get() < generation);
+            .filter(|l| l.known_generation.get() < generation);
         let behind: Vec<_> = behind.collect();
         let node = Rc::clone(&node);
-        tokio::task::spawn_local(async move { push_beat(&node, &behind).await });
+        tokio::task::spawn_local(async move { send_heartbeats(&node, &behind).await });
     }
 }
 
 /// Tells the peers what other duties want told. Drains are always told; notes only within the byte
 /// budget, for they are worth little when late.
-pub(super) async fn tell_peers(node: Rc<Node>) {
+pub(super) async fn send_updates(node: Rc<Node>) {
     let Some(mut inbox) = node.shared.fleet.take_inbox() else {
         return;
     };
@@ -56,22 +59,22 @@
         let mut next = Some(first);
         while let Some(news) = next {
             match news {
-                PeerNews::Draining(notice) => drop(drains.insert(notice)),
-                PeerNews::Notes(batch) => notes.push(batch),
+                PeerUpdate::Draining(notice) => drop(drains.insert(notice)),
+                PeerUpdate::Notes(batch) => notes.push(batch),
             }
             next = inbox.try_recv().ok();
         }
         let drains: Vec<DrainNotice> = drains.into_iter().collect();
         for link in node.links() {
             if !drains.is_empty() {
-                tell_drains(&link, &drains);
+                send_drains(&link, &drains);
             }
             for batch in &notes {
                 match node.has_budget() {
                     true => {
                         let metrics = &node.shared.metrics.fleet;
                         metrics.count_notes("sent", batch.notes.len());
-                        tell_notes(&link, batch);
+                        send_notes(&link, batch);
                     }
                     false => drop(node.shared.metrics.fleet.peer_over_budget.inc()),
                 }
@@ -82,7 +85,7 @@
 
 /// Sends drains on a link without waiting; where it fails the link ends, and the drains are read
 /// again with the members when the next one begins.
-pub(super) fn tell_drains(link: &Link, drains: &[DrainNotice]) {
+pub(super) fn send_drains(link: &Link, drains: &[DrainNotice]) {
     let mut request = link.peer.drains_request();
     let mut list = request.get().init_drains(drains.len() as u32);
     for (i, notice) in drains.iter().enumerate() {
@@ -92,7 +95,7 @@
     tokio::task::spawn_local(async move { drop(in_time(promise).await) });
 }
 
-fn tell_notes(link: &Link, notes: &PeerNotes) {
+fn send_notes(link: &Link, notes: &PeerNotes) {
     let mut request = link.peer.notes_request();
     write_notes(notes, request.get());
     let promise = request.send().promise;
--- a/crates/kingcuploftd/src/peer_link/budget.rs
+++ b/crates/kingcuploftd/src/peer_link/budget.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(super) fn has_room(&mut self, shared: &Shared) -> bool {
+    pub(super) fn has_bytes(&mut self, shared: &Shared) -> bool {
         let now = Instant::now();
         let counted = shared.metrics.fleet.all_peer_bytes();
         let spent = counted.saturating_sub(self.counted) as f64;
--- a/crates/kingcuploftd/src/peer_link/counted.rs
+++ b/crates/kingcuploftd/src/peer_link/byte_counter.rs
@@ -9,18 +9,18 @@
 use crate::shared::Shared;
 
 /// A stream whose bytes are counted.
-pub(super) struct Counted<S> {
+pub(super) struct CountedStream<S> {
     stream: S,
     shared: Arc<Shared>,
 }
 
-impl<S> Counted<S> {
+impl<S> CountedStream<S> {
     pub(super) fn new(stream: S, shared: Arc<Shared>) -> Self {
         Self { stream, shared }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -35,7 +35,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/kingcuploftd/src/peer_link/link.rs
+++ b/crates/kingcuploftd/src/peer_link/link.rs
@@ -14,22 +14,22 @@
 use tokio::task::JoinHandle;
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-use super::counted::Counted;
+use super::broadcast::{send_drains, send_heartbeats};
+use super::byte_counter::CountedStream;
 use super::node::{Link, Node, in_time};
 use super::peer_capnp::peer;
 use super::server::PeerServer;
-use super::telling::{push_beat, tell_drains};
-use super::wire::{Beat, read_member, write_member};
+use super::wire::{Heartbeat, read_member, write_member};
 
 /// How long a connection, a TLS handshake or a greeting may take.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The longest message, in words of 8 bytes: 32 service objects of ordinary size, or a root of 740
 /// services, fit many times.
-const MESSAGE_WORDS: usize = 512 * 1024;
+const MAX_MESSAGE_WORDS: usize = 512 * 1024;
 
 /// The deepest nesting of a message; the schema needs 5.
-const NESTING: i32 = 16;
+const MAX_NESTING: i32 = 16;
 
 /// The members asked for in one call.
 pub(super) const MEMBERS_PER_PAGE: usize = 64;
@@ -75,7 +75,7 @@
     }
 
     /// Tells whether the other end had greeted.
-    pub(super) fn was_linked(&self) -> bool {
+    pub(super) fn was_established(&self) -> bool {
         matches!(self, Self::Silent | Self::Lost | Self::NotNeeded)
     }
 }
@@ -96,11 +96,11 @@
     };
     drop(stream.set_nodelay(true));
     match &node.tls {
-        None => dialled(node, stream).await,
+        None => run_dialled(node, stream).await,
         Some(tls) => {
             let handshake = tls.connect(neighbour.address.ip(), stream);
             match tokio::time::timeout(OPEN_TIMEOUT, handshake).await {
-                Ok(Ok(stream)) => dialled(node, stream).await,
+                Ok(Ok(stream)) => run_dialled(node, stream).await,
                 Ok(Err(why)) => Err(LinkEnd::Tls(why)),
                 Err(_) => Err(LinkEnd::Tls("timeout".into())),
             }
@@ -112,9 +112,9 @@
 pub(super) async fn accept(node: &Rc<Node>, stream: TcpStream) -> Result<(), LinkEnd> {
     drop(stream.set_nodelay(true));
     match &node.tls {
-        None => accepted(node, stream).await,
+        None => run_accepted(node, stream).await,
         Some(tls) => match tokio::time::timeout(OPEN_TIMEOUT, tls.accept(stream)).await {
-            Ok(Ok(stream)) => accepted(node, stream).await,
+            Ok(Ok(stream)) => run_accepted(node, stream).await,
             Ok(Err(why)) => Err(LinkEnd::Tls(why)),
             Err(_) => Err(LinkEnd::Tls("timeout".into())),
         },
@@ -133,12 +133,12 @@
     where
         S: AsyncRead + AsyncWrite + Unpin + 'static,
     {
-        let stream = Counted::new(stream, node.shared.clone());
+        let stream = CountedStream::new(stream, node.shared.clone());
         let (reader, writer) = tokio::io::split(stream);
         let writer = futures::io::BufWriter::new(writer.compat_write());
         let mut options = ReaderOptions::new();
-        options.traversal_limit_in_words(Some(MESSAGE_WORDS));
-        options.nesting_limit(NESTING);
+        options.traversal_limit_in_words(Some(MAX_MESSAGE_WORDS));
+        options.nesting_limit(MAX_NESTING);
         let network = VatNetwork::new(reader.compat(), writer, side, options);
         let server = Rc::new(PeerServer::new(Rc::clone(node)));
         let own: peer::Client = capnp_rpc::new_client_from_rc(Rc::clone(&server));
@@ -160,22 +160,22 @@
     }
 }
 
-async fn dialled<S>(node: &Rc<Node>, stream: S) -> Result<LinkEnd, LinkEnd>
+async fn run_dialled<S>(node: &Rc<Node>, stream: S) -> Result<LinkEnd, LinkEnd>
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
 {
     let mut connection = Connection::new(node, stream, Side::Client, Side::Server);
     let link = greet(node, &connection).await?;
     connection.server.set_link(Rc::clone(&link));
-    node.linked(Rc::clone(&link));
+    node.add_link(Rc::clone(&link));
     if let Err(error) = node.read_fleet(&link, false).await {
         tracing::debug!("peer: {} does not tell its members: {error}.", link.name);
     }
     let drains = node.shared.fleet.drains();
     if !drains.is_empty() {
-        tell_drains(&link, &drains);
+        send_drains(&link, &drains);
     }
-    Ok(keep(node, &link, &mut connection).await)
+    Ok(run_heartbeats(node, &link, &mut connection).await)
 }
 
 /// Says who this VM is and learns who the other end is.
@@ -188,7 +188,10 @@
     let answer = in_time(request.send().promise).await.map_err(greeting)?;
     let answer = answer.get().map_err(greeting)?;
     let member = answer.get_self().and_then(read_member).map_err(greeting)?;
-    let beat = answer.get_beat().and_then(Beat::read).map_err(greeting)?;
+    let beat = answer
+        .get_beat()
+        .and_then(Heartbeat::read)
+        .map_err(greeting)?;
     let now = Instant::now();
     if !node.shared.fleet.membership().accept_peer(now, &member) {
         return Err(LinkEnd::Replaced);
@@ -196,15 +199,15 @@
     let link = Rc::new(Link {
         name: member.name,
         peer: connection.peer.clone(),
-        knows: Cell::new(beat.generation),
-        heard: Cell::new(now),
+        known_generation: Cell::new(beat.generation),
+        last_received_at: Cell::new(now),
     });
-    node.heard(&link, &beat);
+    node.handle_heartbeat(&link, &beat);
     Ok(link)
 }
 
 /// Sends heartbeats until the link ends.
-async fn keep(node: &Rc<Node>, link: &Rc<Link>, connection: &mut Connection) -> LinkEnd {
+async fn run_heartbeats(node: &Rc<Node>, link: &Rc<Link>, connection: &mut Connection) -> LinkEnd {
     let settings = &node.shared.settings.peer.membership;
     loop {
         let pause = Duration::from_millis(settings.beat_ms).mul_f64(0.9 + 0.2 * fastrand::f64());
@@ -212,17 +215,17 @@
             _ = &mut connection.rpc => return LinkEnd::Lost,
             () = tokio::time::sleep(pause) => {}
         }
-        if node.is_spare(link) {
+        if node.is_redundant(link) {
             return LinkEnd::NotNeeded;
         }
-        push_beat(node, std::slice::from_ref(link)).await;
-        if link.heard.get().elapsed() > Duration::from_millis(settings.suspect_ms) {
+        send_heartbeats(node, std::slice::from_ref(link)).await;
+        if link.last_received_at.get().elapsed() > Duration::from_millis(settings.suspect_ms) {
             return LinkEnd::Silent;
         }
     }
 }
 
-async fn accepted<S>(node: &Rc<Node>, stream: S) -> Result<(), LinkEnd>
+async fn run_accepted<S>(node: &Rc<Node>, stream: S) -> Result<(), LinkEnd>
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
 {
@@ -238,7 +241,7 @@
         let Some(link) = connection.server.link() else {
             return Err(LinkEnd::Greeting("timeout".into()));
         };
-        let silent = link.heard.get().elapsed();
+        let silent = link.last_received_at.get().elapsed();
         if silent > silence {
             return Err(LinkEnd::Silent);
         }
--- a/crates/kingcuploftd/src/peer_link/mod.rs
+++ b/crates/kingcuploftd/src/peer_link/mod.rs
@@ -6,7 +6,7 @@
 //! service objects are checked against their hashes, generations only grow.
 
 mod budget;
-mod counted;
+mod byte_counter;
 mod link;
 mod node;
 #[expect(
@@ -16,9 +16,9 @@
 )]
 #[rustfmt::skip]
 pub mod peer_capnp;
+mod broadcast;
 mod server;
 pub mod settings;
-mod telling;
 mod tls;
 pub mod wire;
 
@@ -36,16 +36,16 @@
 use tls::Tls;
 
 /// How often the loops look whether to stop.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How often the neighbours are chosen anew.
-const CHOOSE: Duration = Duration::from_millis(100);
+const NEIGHBOUR_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often silence is looked at.
-const TICK: Duration = Duration::from_millis(200);
+/// How often silence is checked_at at.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Links that others may open to this VM; at 200 VMs with 3 neighbours each, a handful do.
-const ACCEPTED_LINKS: usize = 128;
+const MAX_ACCEPTED_LINKS: usize = 128;
 
 /// The keys of the links, read at start.
 #[derive(Debug)]
@@ -83,13 +83,13 @@
         .fleet
         .membership()
         .add_candidates(Instant::now(), seeds);
-    tokio::task::spawn_local(telling::tell_peers(Rc::clone(&node)));
-    tokio::task::spawn_local(telling::follow_manifest(Rc::clone(&node)));
+    tokio::task::spawn_local(broadcast::send_updates(Rc::clone(&node)));
+    tokio::task::spawn_local(broadcast::announce_manifest(Rc::clone(&node)));
     tokio::task::spawn_local(choose_links(Rc::clone(&node)));
-    tokio::task::spawn_local(watch_silence(Rc::clone(&node)));
-    let accepted_links = Arc::new(Semaphore::new(ACCEPTED_LINKS));
+    tokio::task::spawn_local(detect_silent_members(Rc::clone(&node)));
+    let accepted_links = Arc::new(Semaphore::new(MAX_ACCEPTED_LINKS));
     while !shared.ended() {
-        let accepted = tokio::time::timeout(STOP_POLL, listener.accept()).await;
+        let accepted = tokio::time::timeout(STOP_CHECK_INTERVAL, listener.accept()).await;
         let Ok(Ok((stream, _))) = accepted else {
             continue;
         };
@@ -100,24 +100,24 @@
         let node = Rc::clone(&node);
         tokio::task::spawn_local(async move {
             if let Err(end) = link::accept(&node, stream).await {
-                node.ended(end);
+                node.record_link_end(end);
             }
             drop(permit);
         });
     }
-    node.say_goodbye().await;
+    node.announce_leave().await;
 }
 
 /// Looks for members that have fallen silent.
-async fn watch_silence(node: Rc<Node>) {
+async fn detect_silent_members(node: Rc<Node>) {
     let fleet = &node.shared.fleet;
     while !node.shared.ended() {
         let changed = fleet.membership().tick(Instant::now());
         if changed {
             tracing::info!("membership: the view of the fleet changed.");
         }
-        fleet.show(&node.shared);
-        tokio::time::sleep(TICK).await;
+        fleet.update_metrics(&node.shared);
+        tokio::time::sleep(SILENCE_CHECK_INTERVAL).await;
     }
 }
 
@@ -134,6 +134,6 @@
                 });
             }
         }
-        tokio::time::sleep(CHOOSE).await;
+        tokio::time::sleep(NEIGHBOUR_CHECK_INTERVAL).await;
     }
 }
--- a/crates/kingcuploftd/src/peer_link/node.rs
+++ b/crates/kingcuploftd/src/peer_link/node.rs
@@ -14,38 +14,38 @@
 use kingcuploft::world::ids::{Generation, VmName};
 use kingcuploft_platform::backoff::Backoff;
 
+use super::broadcast::send_heartbeats;
 use super::budget::ByteBudget;
 use super::link::{LinkEnd, MEMBERS_PER_PAGE};
 use super::peer_capnp::peer;
-use super::telling::push_beat;
 use super::tls::Tls;
-use super::wire::{Beat, read_drain, read_member};
+use super::wire::{Heartbeat, read_drain, read_member};
 use crate::message::Message;
 use crate::shared::Shared;
 
 /// The most lines of news on one heartbeat.
-const NEWS: usize = 4;
+const MAX_GOSSIP_ENTRIES: usize = 4;
 
 /// The most pages of members that are read from one peer.
-const MEMBER_PAGES: u32 = 64;
+const MAX_MEMBER_PAGES: u32 = 64;
 
 /// The most service objects asked for in one call.
-const SERVICES_PER_CALL: usize = 32;
+const MAX_SERVICES_PER_CALL: usize = 32;
 
 /// How long a call to a peer may take; a link that is slower is cut.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The pause before a failed pull is tried again, here or by another link's heartbeat.
-const PULL_PAUSE: Duration = Duration::from_millis(100);
+const PULL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A link whose other end has said who it is.
 pub(super) struct Link {
     pub(super) name: VmName,
     pub(super) peer: peer::Client,
     /// The newest generation the other end is known to have in force.
-    pub(super) knows: Cell<Generation>,
+    pub(super) known_generation: Cell<Generation>,
     /// When the other end was last heard.
-    pub(super) heard: Cell<Instant>,
+    pub(super) last_received_at: Cell<Instant>,
 }
 
 /// Tries to reach one address.
@@ -80,30 +80,31 @@
     }
 
     /// Returns the heartbeat to send now.
-    pub(super) fn beat(&self) -> Beat {
+    pub(super) fn beat(&self) -> Heartbeat {
         let (generation, root_hash) = self.shared.manifest.read(|adoption| {
             let hash = adoption.root_hash().map_or(0, ContentHash::short);
             (adoption.generation(), hash)
         });
         let room = self.has_budget();
         let mut membership = self.shared.fleet.membership();
-        Beat {
+        Heartbeat {
             generation,
             root_hash,
             beat: membership.next_heartbeat(),
             digest: membership.digest(),
-            news: membership.next_gossip(if room { NEWS } else { 0 }),
+            gossip: membership.next_gossip(if room { MAX_GOSSIP_ENTRIES } else { 0 }),
         }
     }
 
     /// Takes a heartbeat from a link.
-    pub(super) fn heard(self: &Rc<Self>, link: &Rc<Link>, beat: &Beat) {
+    pub(super) fn handle_heartbeat(self: &Rc<Self>, link: &Rc<Link>, beat: &Heartbeat) {
         let now = Instant::now();
-        link.heard.set(now);
-        link.knows.set(link.knows.get().max(beat.generation));
+        link.last_received_at.set(now);
+        link.known_generation
+            .set(link.known_generation.get().max(beat.generation));
         let mut membership = self.shared.fleet.membership();
         membership.record_heartbeat(now, &link.name, beat.beat);
-        for member in &beat.news {
+        for member in &beat.gossip {
             membership.apply_gossip(now, member);
         }
         let differs = membership.needs_resync(now, beat.digest);
@@ -112,11 +113,11 @@
             let (node, link) = (Rc::clone(self), Rc::clone(link));
             tokio::task::spawn_local(async move { drop(node.read_fleet(&link, true).await) });
         }
-        self.compare(link, beat);
+        self.compare_manifests(link, beat);
     }
 
     /// Pulls a newer manifest, and notices the same generation with another content.
-    fn compare(self: &Rc<Self>, link: &Rc<Link>, beat: &Beat) {
+    fn compare_manifests(self: &Rc<Self>, link: &Rc<Link>, beat: &Heartbeat) {
         let keeper = &self.shared.manifest;
         let own = keeper.read(|adoption| {
             let hash = adoption.root_hash().map_or(0, ContentHash::short);
@@ -128,7 +129,7 @@
             tracing::error!("manifest: {name} has another content of generation {generation}.");
         }
         if beat.generation > own.0 {
-            keeper.learn(&self.shared, "a peer", |adoption| {
+            keeper.update(&self.shared, "a peer", |adoption| {
                 adoption.note_generation(beat.generation);
                 Ok(kingcuploft::decisions::adoption::AdoptionStep::Unchanged)
             });
@@ -147,7 +148,7 @@
                 let name = &link.name;
                 tracing::warn!("manifest: a pull from {name} failed: {error}.");
                 // Another link's heartbeat, or this one's next, tries again.
-                tokio::time::sleep(PULL_PAUSE).await;
+                tokio::time::sleep(PULL_RETRY_DELAY).await;
             }
             node.pulling.set(false);
         });
@@ -178,14 +179,14 @@
         let taken = self
             .shared
             .manifest
-            .learn(&self.shared, source, |adoption| adoption.root_delta(&delta));
+            .update(&self.shared, source, |adoption| adoption.root_delta(&delta));
         taken
             .then_some(())
             .ok_or_else(|| failed("its root was not taken"))
     }
 
     async fn pull_services(&self, link: &Link, missing: &[ContentHash]) -> capnp::Result<()> {
-        let wanted = &missing[..missing.len().min(SERVICES_PER_CALL)];
+        let wanted = &missing[..missing.len().min(MAX_SERVICES_PER_CALL)];
         let mut request = link.peer.services_request();
         let mut hashes = request.get().init_hashes(wanted.len() as u32);
         for (i, hash) in wanted.iter().enumerate() {
@@ -203,7 +204,7 @@
             taken += usize::from(
                 self.shared
                     .manifest
-                    .learn(&self.shared, source, |adoption| {
+                    .update(&self.shared, source, |adoption| {
                         adoption.service_text(hash, text)
                     }),
             );
@@ -216,9 +217,9 @@
 
     /// Reads all members and drains that the other end knows, as a VM that just started or was cut off
     /// needs them.
-    pub(super) async fn read_fleet(&self, link: &Link, mends: bool) -> capnp::Result<()> {
+    pub(super) async fn read_fleet(&self, link: &Link, reconcile: bool) -> capnp::Result<()> {
         let mut list = Vec::new();
-        for page in 0..MEMBER_PAGES {
+        for page in 0..MAX_MEMBER_PAGES {
             let from = page * MEMBERS_PER_PAGE as u32;
             let mut request = link.peer.members_request();
             request.get().set_from(from);
@@ -229,14 +230,16 @@
                 list.push(read_member(member)?);
             }
             for drain in answer.get_drains()? {
-                self.shared.fleet.drain(&self.shared, read_drain(drain)?);
+                self.shared
+                    .fleet
+                    .record_drain(&self.shared, read_drain(drain)?);
             }
             if members.len() < MEMBERS_PER_PAGE as u32 {
                 break;
             }
         }
         let mut membership = self.shared.fleet.membership();
-        match mends {
+        match reconcile {
             true => membership.reconcile_list(Instant::now(), &list),
             false => membership.merge_list(Instant::now(), &list),
         }
@@ -244,13 +247,13 @@
     }
 
     /// Adds a link that has said who it is.
-    pub(super) fn linked(&self, link: Rc<Link>) {
+    pub(super) fn add_link(&self, link: Rc<Link>) {
         self.links.borrow_mut().push(link);
-        self.show_links();
+        self.update_link_count();
     }
 
     /// Takes a link out.
-    pub(super) fn unlinked(&self, link: &Rc<Link>) {
+    pub(super) fn remove_link(&self, link: &Rc<Link>) {
         let mut links = self.links.borrow_mut();
         links.retain(|other| !Rc::ptr_eq(other, link));
         let left = links.iter().any(|other| other.name == link.name);
@@ -258,10 +261,10 @@
         if !left {
             self.shared.fleet.membership().record_unlinked(&link.name);
         }
-        self.show_links();
+        self.update_link_count();
     }
 
-    fn show_links(&self) {
+    fn update_link_count(&self) {
         let links = self.links.borrow().len();
         self.shared.metrics.fleet.peer_links.set(links as i64);
     }
@@ -305,7 +308,7 @@
         let mut dials = self.dials.borrow_mut();
         if let Some(dial) = dials.get_mut(&neighbour.address) {
             dial.running = false;
-            if end.was_linked() {
+            if end.was_established() {
                 dial.backoff.reset();
             }
             dial.not_before = now + dial.backoff.pause(&mut fastrand::Rng::new());
@@ -313,16 +316,16 @@
         // Addresses of long ago would pile up with each replaced VM.
         dials.retain(|_, dial| dial.running || now < dial.not_before + Duration::from_secs(60));
         drop(dials);
-        if !end.was_linked() {
+        if !end.was_established() {
             let mut membership = self.shared.fleet.membership();
             membership.record_unreachable(now, neighbour.address);
         }
-        self.ended(end);
+        self.record_link_end(end);
     }
 
     /// Tells whether a link that this VM opened may end: the other end is no neighbour any more,
     /// or both opened a link and this one is the one that both give up.
-    pub(super) fn is_spare(&self, link: &Rc<Link>) -> bool {
+    pub(super) fn is_redundant(&self, link: &Rc<Link>) -> bool {
         let twin = |other: &Rc<Link>| other.name == link.name && !Rc::ptr_eq(other, link);
         let gives_up = self.shared.vm.name > link.name;
         if gives_up && self.links.borrow().iter().any(twin) {
@@ -335,16 +338,21 @@
     }
 
     /// Hands a peer's notes to the dispatch duty; where its ring is full they are worth least.
-    pub(super) fn take_notes(&self, notes: PeerNotes) {
+    pub(super) fn forward_notes(&self, notes: PeerNotes) {
         let metrics = &self.shared.metrics.fleet;
         metrics.count_notes("received", notes.notes.len());
-        if self.shared.dispatch.try_send(Message::Told(notes)).is_err() {
+        if self
+            .shared
+            .dispatch
+            .try_send(Message::NotesReceived(notes))
+            .is_err()
+        {
             self.shared.metrics.fleet.peer_over_budget.inc();
         }
     }
 
     /// Counts the end of a link.
-    pub(super) fn ended(&self, end: LinkEnd) {
+    pub(super) fn record_link_end(&self, end: LinkEnd) {
         let label = end.label();
         self.shared.metrics.fleet.count_link_end(label);
         tracing::debug!("peer: a link ended: {end}.");
@@ -352,13 +360,13 @@
 
     /// Tells whether the byte budget allows what can be left out.
     pub(super) fn has_budget(&self) -> bool {
-        self.budget.borrow_mut().has_room(&self.shared)
+        self.budget.borrow_mut().has_bytes(&self.shared)
     }
 
     /// Tells the neighbours that this VM stops.
-    pub(super) async fn say_goodbye(self: &Rc<Self>) {
+    pub(super) async fn announce_leave(self: &Rc<Self>) {
         self.shared.fleet.membership().leave();
-        push_beat(self, &self.links()).await;
+        send_heartbeats(self, &self.links()).await;
     }
 }
 
--- a/crates/kingcuploftd/src/peer_link/server.rs
+++ b/crates/kingcuploftd/src/peer_link/server.rs
@@ -9,10 +9,10 @@
 use super::link::MEMBERS_PER_PAGE;
 use super::node::{Link, Node};
 use super::peer_capnp::peer;
-use super::wire::{Beat, read_drain, read_member, read_notes, write_drain, write_member};
+use super::wire::{Heartbeat, read_drain, read_member, read_notes, write_drain, write_member};
 
 /// The most bytes of service objects in one answer; the rest is asked for again.
-const SERVICES_BYTES: usize = 1024 * 1024;
+const MAX_SERVICES_BYTES: usize = 1024 * 1024;
 
 /// This VM's end of one link.
 pub(super) struct PeerServer {
@@ -49,7 +49,7 @@
     pub(super) fn close(&self) {
         self.peer.replace(None);
         if let Some(link) = self.link.replace(None) {
-            self.node.unlinked(&link);
+            self.node.remove_link(&link);
         }
     }
 
@@ -66,7 +66,7 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let member = read_member(params.get_self()?)?;
-        let beat = Beat::read(params.get_beat()?)?;
+        let beat = Heartbeat::read(params.get_beat()?)?;
         let peer = self.peer.borrow().clone();
         let (None, Some(peer)) = (self.link(), peer) else {
             return Err(refused("the greeting was said"));
@@ -79,15 +79,15 @@
         let link = Rc::new(Link {
             name: member.name,
             peer,
-            knows: Cell::new(beat.generation),
-            heard: Cell::new(now),
+            known_generation: Cell::new(beat.generation),
+            last_received_at: Cell::new(now),
         });
         self.set_link(Rc::clone(&link));
-        node.linked(Rc::clone(&link));
+        node.add_link(Rc::clone(&link));
         let own = node.shared.fleet.membership().own().clone();
         write_member(&own, results.get().init_self());
         node.beat().write(results.get().init_beat());
-        node.heard(&link, &beat);
+        node.handle_heartbeat(&link, &beat);
         Ok(())
     }
 
@@ -97,9 +97,9 @@
         mut results: peer::BeatResults,
     ) -> Result<(), capnp::Error> {
         let link = self.greeted()?;
-        let beat = Beat::read(params.get()?.get_beat()?)?;
+        let beat = Heartbeat::read(params.get()?.get_beat()?)?;
         self.node.beat().write(results.get().init_beat());
-        self.node.heard(&link, &beat);
+        self.node.handle_heartbeat(&link, &beat);
         Ok(())
     }
 
@@ -135,7 +135,7 @@
             let Some(text) = keeper.read(|adoption| adoption.service(&hash).cloned()) else {
                 continue;
             };
-            if bytes > 0 && bytes + text.len() > SERVICES_BYTES {
+            if bytes > 0 && bytes + text.len() > MAX_SERVICES_BYTES {
                 break;
             }
             bytes += text.len();
@@ -152,7 +152,7 @@
         self.greeted()?;
         let shared = &self.node.shared;
         for drain in params.get()?.get_drains()? {
-            shared.fleet.drain(shared, read_drain(drain)?);
+            shared.fleet.record_drain(shared, read_drain(drain)?);
         }
         Ok(())
     }
@@ -164,7 +164,7 @@
     ) -> Result<(), capnp::Error> {
         self.greeted()?;
         let notes = read_notes(params.get()?)?;
-        self.node.take_notes(notes);
+        self.node.forward_notes(notes);
         Ok(())
     }
 
--- a/crates/kingcuploftd/src/peer_link/tls.rs
+++ b/crates/kingcuploftd/src/peer_link/tls.rs
@@ -1,7 +1,7 @@
 //! Mutual TLS of the peer links, with files that may change while the daemon runs.
 //!
 //! Each VM's certificate is signed by the fleet's authority and names the VM's IP address. The
-//! files are looked at when a link is opened, at most once a second; a set that can not be read is
+//! files are checked_at at when a link is opened, at most once a second; a set that can not be read is
 //! told in the log and the last good one stays in use.
 
 use std::net::IpAddr;
@@ -19,8 +19,8 @@
 
 use super::settings::TlsFiles;
 
-/// How often the files are looked at.
-const LOOK: Duration = Duration::from_secs(1);
+/// How often the files are checked_at at.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The keys of this VM's links.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     client: Arc<ClientConfig>,
     server: Arc<ServerConfig>,
     changed: [Option<SystemTime>; 3],
-    looked: Instant,
+    checked_at: Instant,
 }
 
 impl Tls {
@@ -72,10 +72,10 @@
     /// Returns the keys, read again if the files changed.
     fn current(&self) -> Loaded {
         let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
-        if loaded.looked.elapsed() < LOOK {
+        if loaded.checked_at.elapsed() < FILE_CHECK_INTERVAL {
             return loaded.clone();
         }
-        loaded.looked = Instant::now();
+        loaded.checked_at = Instant::now();
         if loaded.changed != changed(&self.files) {
             match load(&self.files) {
                 Ok(fresh) => {
@@ -126,7 +126,7 @@
         client: Arc::new(client.map_err(|error| error.to_string())?),
         server: Arc::new(server.map_err(|error| error.to_string())?),
         changed,
-        looked: Instant::now(),
+        checked_at: Instant::now(),
     })
 }
 
--- a/crates/kingcuploftd/src/peer_link/wire.rs
+++ b/crates/kingcuploftd/src/peer_link/wire.rs
@@ -8,17 +8,17 @@
 use kingcuploft::world::ids::Generation;
 
 use super::peer_capnp::{beat, drain, member, peer};
-use crate::fleet_keeper::DrainNotice;
+use crate::fleet_state::DrainNotice;
 
 /// The longest name or zone that is taken, in bytes.
-const NAME_BYTES: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 
 /// The most notes that are taken in one message.
-const NOTES: u32 = 1024;
+const MAX_NOTES: u32 = 1024;
 
 /// A heartbeat.
 #[derive(Clone, Debug, Default)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The generation in force; 0 for none.
     pub generation: Generation,
     /// The first bytes of its root's hash.
@@ -28,22 +28,22 @@
     /// A digest of the members that the sender counts as live.
     pub digest: u32,
     /// News of members.
-    pub news: Vec<Member>,
+    pub gossip: Vec<Member>,
 }
 
-impl Beat {
+impl Heartbeat {
     /// Writes it into a message.
     pub fn write(&self, mut to: beat::Builder<'_>) {
         to.set_generation(self.generation);
         to.set_root_hash(self.root_hash);
         to.set_beat(self.beat);
         to.set_digest(self.digest);
-        if self.news.is_empty() {
+        if self.gossip.is_empty() {
             return;
         }
-        let mut news = to.init_news(self.news.len() as u32);
-        for (i, member) in self.news.iter().enumerate() {
-            write_member(member, news.reborrow().get(i as u32));
+        let mut gossip = to.init_news(self.gossip.len() as u32);
+        for (i, member) in self.gossip.iter().enumerate() {
+            write_member(member, gossip.reborrow().get(i as u32));
         }
     }
 
@@ -53,13 +53,13 @@
     ///
     /// The library's error, or one of a field that is malformed or too long.
     pub fn read(from: beat::Reader<'_>) -> capnp::Result<Self> {
-        let news = from.get_news()?.iter().map(read_member);
+        let gossip = from.get_news()?.iter().map(read_member);
         Ok(Self {
             generation: from.get_generation(),
             root_hash: from.get_root_hash(),
             beat: from.get_beat(),
             digest: from.get_digest(),
-            news: news.collect::<capnp::Result<_>>()?,
+            gossip: gossip.collect::<capnp::Result<_>>()?,
         })
     }
 }
@@ -120,7 +120,7 @@
 
 pub(super) fn read_notes(from: peer::notes_params::Reader<'_>) -> capnp::Result<PeerNotes> {
     let entries = from.get_entries()?;
-    if entries.len() > NOTES {
+    if entries.len() > MAX_NOTES {
         return Err(capnp::Error::failed("too many notes".into()));
     }
     let notes = entries.iter().map(|entry| LoadNote {
@@ -136,7 +136,7 @@
 
 fn text(from: capnp::text::Reader<'_>) -> capnp::Result<&str> {
     let text = from.to_str()?;
-    match text.len() <= NAME_BYTES && !text.is_empty() {
+    match text.len() <= MAX_NAME_BYTES && !text.is_empty() {
         true => Ok(text),
         false => Err(capnp::Error::failed("a name is empty or too long".into())),
     }
--- a/crates/kingcuploftd/src/shared.rs
+++ b/crates/kingcuploftd/src/shared.rs
@@ -17,8 +17,8 @@
 
 use crate::backend_edge::CallRegistry;
 use crate::decision_log::DecisionLog;
-use crate::fleet_keeper::FleetKeeper;
-use crate::manifest_keeper::ManifestKeeper;
+use crate::fleet_state::FleetState;
+use crate::manifest_state::ManifestState;
 use crate::message::Message;
 use crate::metrics::Metrics;
 use crate::settings::Settings;
@@ -35,9 +35,9 @@
     /// The hosts of the manifest in force; empty until one is known.
     pub routes: ArcSwap<Routes>,
     /// What is known of the manifest, in force or not.
-    pub manifest: ManifestKeeper,
+    pub manifest: ManifestState,
     /// What is known of the fleet.
-    pub fleet: FleetKeeper,
+    pub fleet: FleetState,
     /// The last decisions, for operators.
     pub decisions: DecisionLog,
     /// The counters.
@@ -57,13 +57,13 @@
     /// Builds the context.
     pub fn new(settings: Settings, vm: Vm, dispatch: Sender<Message>) -> Arc<Self> {
         let live_vms = settings.limits.vms;
-        let fleet = FleetKeeper::new(membership(&settings, &vm));
+        let fleet = FleetState::new(membership(&settings, &vm));
         Arc::new(Self {
             settings,
             vm,
             accepted: ArcSwap::default(),
             routes: ArcSwap::default(),
-            manifest: ManifestKeeper::default(),
+            manifest: ManifestState::default(),
             fleet,
             decisions: DecisionLog::default(),
             metrics: Metrics::default(),
@@ -78,10 +78,10 @@
     }
 
     /// Puts a manifest in force on this VM, for callers first and then for the dispatch duty.
-    pub fn put_in_force(&self, accepted: AcceptedManifest) {
+    pub fn activate_manifest(&self, accepted: AcceptedManifest) {
         self.routes.store(Arc::new(Routes::new(&accepted.manifest)));
         self.accepted.store(Arc::new(accepted.clone()));
-        drop(self.dispatch.send(Message::Adopted(accepted)));
+        drop(self.dispatch.send(Message::ManifestAdopted(accepted)));
     }
 
     /// Tells whether this VM is one of those that watch the store for manifests.
@@ -141,7 +141,7 @@
     }
 
     /// Returns this VM's share of the connections that a call's backend server accepts.
-    pub fn connections_to(&self, call: &Call) -> usize {
+    pub fn connection_share(&self, call: &Call) -> usize {
         let servers = &call.route.service.backend_servers;
         let server = servers.iter().find(|s| s.name == call.backend_server);
         let connections = server.map_or(1, |server| server.connections as usize);
--- a/crates/kingcuploftd/tests/inspector.rs
+++ b/crates/kingcuploftd/tests/inspector.rs
@@ -30,8 +30,10 @@
             }
             let verdicts = |chunk: usize| {
                 let mut inspector = Inspector::new(200);
-                bytes.chunks(chunk).for_each(|chunk| inspector.feed(chunk));
-                let verdicts: Vec<Verdict> = (0..25).map(|_| inspector.verdict()).collect();
+                bytes
+                    .chunks(chunk)
+                    .for_each(|chunk| inspector.process(chunk));
+                let verdicts: Vec<Verdict> = (0..25).map(|_| inspector.next_verdict()).collect();
                 verdicts
             };
             let whole = verdicts(usize::MAX);
--- a/crates/kingcuploftd/tests/peer_messages.rs
+++ b/crates/kingcuploftd/tests/peer_messages.rs
@@ -5,7 +5,7 @@
 use capnp::serialize;
 use kingcuploft::decisions::membership::{Member, MemberState};
 use kingcuploftd::peer_link::peer_capnp::beat;
-use kingcuploftd::peer_link::wire::Beat;
+use kingcuploftd::peer_link::wire::Heartbeat;
 
 fn member(name: &str) -> Member {
     Member {
@@ -18,43 +18,43 @@
     }
 }
 
-fn message(beat: &Beat) -> Vec<u8> {
+fn message(beat: &Heartbeat) -> Vec<u8> {
     let mut message = Builder::new_default();
     beat.write(message.init_root::<beat::Builder<'_>>());
     serialize::write_message_to_words(&message)
 }
 
-fn read(bytes: &[u8]) -> capnp::Result<Beat> {
+fn read(bytes: &[u8]) -> capnp::Result<Heartbeat> {
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(1024));
     options.nesting_limit(16);
     let message = serialize::read_message(bytes, options)?;
-    Beat::read(message.get_root()?)
+    Heartbeat::read(message.get_root()?)
 }
 
 #[test]
 fn a_heartbeat_is_read_as_it_was_written() {
-    let beat = Beat {
+    let beat = Heartbeat {
         generation: 12,
         root_hash: 34,
         beat: 5,
         digest: 6,
-        news: vec![member("entry-1"), member("entry-2")],
+        gossip: vec![member("entry-1"), member("entry-2")],
     };
     let back = read(&message(&beat)).unwrap();
     assert_eq!(
         (back.generation, back.root_hash, back.beat, back.digest),
         (12, 34, 5, 6)
     );
-    assert_eq!(back.news, beat.news);
+    assert_eq!(back.gossip, beat.gossip);
 }
 
 #[test]
 fn names_that_are_empty_or_too_long_are_refused() {
     for name in [String::new(), "x".repeat(300)] {
-        let beat = Beat {
-            news: vec![member(&name)],
-            ..Beat::default()
+        let beat = Heartbeat {
+            gossip: vec![member(&name)],
+            ..Heartbeat::default()
         };
         assert!(read(&message(&beat)).is_err());
     }
@@ -62,9 +62,9 @@
 
 #[test]
 fn no_bytes_panic_the_reader() {
-    let good = message(&Beat {
-        news: vec![member("entry-1"), member("entry-2")],
-        ..Beat::default()
+    let good = message(&Heartbeat {
+        gossip: vec![member("entry-1"), member("entry-2")],
+        ..Heartbeat::default()
     });
     arbtest(|u| {
         let mut bytes = good.clone();
