--- a/crates/kingcuploft/src/entry/account_replicas.rs
+++ b/crates/kingcuploft/src/entry/account_replicas.rs
@@ -43,7 +43,7 @@
 /// What one VM reported.
 #[derive(Clone, Debug)]
 struct Replica {
-    heard: Instant,
+    heard_at: Instant,
     unknown_until: Instant,
     accounts: HashMap<ServiceName, AccountSnapshot>,
 }
@@ -72,16 +72,16 @@
             return;
         }
         let replica = self.replicas.entry(vm).or_insert_with(|| Replica {
-            heard: now,
+            heard_at: now,
             unknown_until,
             accounts: HashMap::default(),
         });
-        replica.heard = now;
+        replica.heard_at = now;
         replica.unknown_until = unknown_until;
-        for told in used.accounts {
-            let account = told.account;
+        for reported in used.accounts {
+            let account = reported.account;
             replica.accounts.insert(
-                told.service,
+                reported.service,
                 AccountSnapshot {
                     account,
                     as_of: now,
@@ -97,15 +97,15 @@
         let accounts = replica
             .accounts
             .iter()
-            .map(|(service, kept)| ServiceAccount {
+            .map(|(service, snapshot)| ServiceAccount {
                 service: service.clone(),
-                age_ms: now.saturating_duration_since(kept.as_of).as_millis() as u64,
-                account: kept.account.clone(),
+                age_ms: now.saturating_duration_since(snapshot.as_of).as_millis() as u64,
+                account: snapshot.account.clone(),
             });
         let unknown_for = replica.unknown_until.saturating_duration_since(now);
         Some(UsageReport {
             unknown_ms: unknown_for.as_millis() as u64,
-            heard_ms: now.saturating_duration_since(replica.heard).as_millis() as u64,
+            heard_ms: now.saturating_duration_since(replica.heard_at).as_millis() as u64,
             accounts: accounts.collect(),
         })
     }
@@ -123,8 +123,10 @@
     fn forget(&mut self, now: Instant) {
         let is_old = |at: Instant| now.saturating_duration_since(at) >= RETENTION;
         self.replicas.retain(|_, replica| {
-            replica.accounts.retain(|_, kept| !is_old(kept.as_of));
-            !is_old(replica.heard)
+            replica
+                .accounts
+                .retain(|_, snapshot| !is_old(snapshot.as_of));
+            !is_old(replica.heard_at)
         });
     }
 }
--- a/crates/kingcuploft/src/entry/backend_servers.rs
+++ b/crates/kingcuploft/src/entry/backend_servers.rs
@@ -1,9 +1,10 @@
 //! The backend servers that may be sent requests, by their entries in the platform's store.
 //!
-//! Failures: a draining server must get no new requests, and a stale entry that arrives after the news would bring it
-//! back; entries expire while the store is unavailable though their servers are healthy. The guards: a draining server
-//! stays out for good, until the platform reports a later start under its name; servers whose entries expire around an
-//! outage of the store stay in use for a short grace period after its return, and only then count as gone.
+//! Failures: a draining server must get no new requests, and a stale entry that arrives after its draining state would
+//! bring it back; entries expire while the store is unavailable though their servers are healthy. The guards: a
+//! draining server stays out for good, until the platform reports a later start under its name; servers whose entries
+//! expire around an outage of the store stay in use for a short grace period after its return, and only then count as
+//! gone.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/kingcuploft/src/entry/dissemination.rs
+++ b/crates/kingcuploft/src/entry/dissemination.rs
@@ -40,33 +40,40 @@
     Reject,
 }
 
-/// Decides about a VM that wants to follow this one, by the current followers `fed` and the `path` of VMs between this
-/// one and the store. A VM of another zone is always accepted: it feeds its whole zone and must not be redirected to a
+/// Decides about a VM that wants to follow this one, by the current `followers` and the `path` of VMs between this one
+/// and the store. A VM of another zone is always accepted: it feeds its whole zone and must not be redirected to a
 /// smaller VM of this one.
 pub fn admit(
     candidate: &VmEntry,
     zone: &AvailabilityZone,
     path: &[VmName],
-    fed: &[FollowerLoad],
+    followers: &[FollowerLoad],
 ) -> Admission {
     if path.contains(&candidate.name) || path.len() >= MAX_DEPTH {
         return Admission::Reject;
     }
-    let of_zone = |fed: &FollowerLoad| fed.vm.zone == *zone;
-    let room = fed.iter().filter(|fed| of_zone(fed)).count() < MAX_FOLLOWERS;
-    if room || candidate.zone != *zone {
+    let is_of_zone = |follower: &FollowerLoad| follower.vm.zone == *zone;
+    let has_room = followers
+        .iter()
+        .filter(|follower| is_of_zone(follower))
+        .count()
+        < MAX_FOLLOWERS;
+    if has_room || candidate.zone != *zone {
         return Admission::Accept;
     }
-    let others = fed.iter().enumerate();
-    let others = others.filter(|(_, fed)| of_zone(fed) && fed.vm.name != candidate.name);
-    let smallest = others.min_by_key(|(_, fed)| fed.descendants + fed.redirected);
+    let others = followers.iter().enumerate();
+    let others =
+        others.filter(|(_, follower)| is_of_zone(follower) && follower.vm.name != candidate.name);
+    let smallest = others.min_by_key(|(_, follower)| follower.descendants + follower.redirected);
     smallest.map_or(Admission::Accept, |(at, _)| Admission::Redirect(at))
 }
 
 /// Returns how many VMs of the zone are below this one, at any depth.
-pub fn descendants(zone: &AvailabilityZone, fed: &[FollowerLoad]) -> u32 {
-    let of_zone = fed.iter().filter(|fed| fed.vm.zone == *zone);
-    of_zone.map(|fed| fed.descendants + 1).sum()
+pub fn descendants(zone: &AvailabilityZone, followers: &[FollowerLoad]) -> u32 {
+    let of_zone = followers
+        .iter()
+        .filter(|follower| follower.vm.zone == *zone);
+    of_zone.map(|follower| follower.descendants + 1).sum()
 }
 
 /// Returns whether a VM with this path to the store is fed through itself.
--- a/crates/kingcuploft/src/entry/last_slot_slowdown.rs
+++ b/crates/kingcuploft/src/entry/last_slot_slowdown.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: the slots of some servers share one processor, and work that takes the last free slot takes 1.7 times
 //! as long as on an idle server; on other servers it makes no difference. A VM that ignores this fills near servers to
-//! the last slot while idle ones stand in the other zones, and one answer in twenty is late on a calm day. So the
+//! the last slot while idle ones stand in the other zones, and one answer in twenty is late under normal load. So the
 //! slowdown is estimated for each service from its answers.
 
 /// Estimate before any answer: just above what counts as good, so that a VM without data prefers idle servers. A VM
--- a/crates/kingcuploft/src/entry/placement.rs
+++ b/crates/kingcuploft/src/entry/placement.rs
@@ -191,16 +191,16 @@
     /// Returns how many requests the server has, or an estimate without a load report.
     fn busy(&self) -> f64 {
         match self.load_report {
-            Some(reading) => f64::from(reading.running + reading.waiting + self.sent_since_report),
+            Some(report) => f64::from(report.running + report.waiting + self.sent_since_report),
             None => f64::from(self.own_in_flight) + f64::from(self.slots.max(1)) / 2.0,
         }
     }
 
     /// Returns how long a request that is sent now waits until it runs, in milliseconds.
-    fn wait_ms(&self, reading: &LoadReport, work_ms: f64) -> f64 {
-        let slots = f64::from(reading.slots.max(1));
-        let busy = f64::from(reading.running + reading.waiting + self.sent_since_report);
-        queue_wait_ms(busy, slots, work_ms * reading.slowness)
+    fn wait_ms(&self, report: &LoadReport, work_ms: f64) -> f64 {
+        let slots = f64::from(report.slots.max(1));
+        let busy = f64::from(report.running + report.waiting + self.sent_since_report);
+        queue_wait_ms(busy, slots, work_ms * report.slowness)
     }
 
     /// Returns whether the server works at about its usual speed. Requests that are late in any case must not take
@@ -211,8 +211,8 @@
     }
 
     fn is_full(&self) -> bool {
-        let reading = self.load_report;
-        reading.is_some_and(|r| r.running + r.waiting + self.sent_since_report >= r.slots.max(1))
+        let report = self.load_report;
+        report.is_some_and(|r| r.running + r.waiting + self.sent_since_report >= r.slots.max(1))
     }
 }
 
@@ -348,8 +348,8 @@
 
 /// Returns the retry delay: when a slot is likely to be free at the server with the shortest queue.
 fn retry_delay(need: &PlacementNeed, candidates: &[Candidate]) -> Duration {
-    let reported = candidates.iter().filter_map(|c| Some((c, c.load_report?)));
-    let waits = reported.map(|(c, reading)| c.wait_ms(&reading, need.work_ms));
+    let with_report = candidates.iter().filter_map(|c| Some((c, c.load_report?)));
+    let waits = with_report.map(|(c, report)| c.wait_ms(&report, need.work_ms));
     match waits.min_by(f64::total_cmp) {
         Some(wait_ms) => Duration::try_from_secs_f64(wait_ms / 1000.0)
             .unwrap_or(MAX_RETRY_DELAY)
--- a/crates/kingcuploft/src/entry/probe_budget.rs
+++ b/crates/kingcuploft/src/entry/probe_budget.rs
@@ -32,15 +32,15 @@
 /// Fraction of the budget below which a repeated selection probes fewer servers.
 const FULL_PROBING_THRESHOLD: f64 = 0.5;
 
-/// Returns the share of its candidate servers that a request probes after `looks` unsuccessful selections, with this
-/// fraction of the probe budget left.
+/// Returns the share of its candidate servers that a request probes after `selections` unsuccessful selections, with
+/// this fraction of the probe budget left.
 ///
 /// Load pattern: an overload in which a hundred requests wait and each probes sixteen servers fifty times a second. The
 /// budget is used up, load reports age, and ten requests at once see a slot that becomes free.
-pub fn probe_share(probes_left: f64, looks: u32) -> f64 {
-    match looks {
+pub fn probe_share(budget_left: f64, selections: u32) -> f64 {
+    match selections {
         0 => 1.0,
-        _ => (probes_left / FULL_PROBING_THRESHOLD).clamp(MIN_PROBE_SHARE, 1.0),
+        _ => (budget_left / FULL_PROBING_THRESHOLD).clamp(MIN_PROBE_SHARE, 1.0),
     }
 }
 
--- a/crates/kingcuploft/src/entry/probe_fanout.rs
+++ b/crates/kingcuploft/src/entry/probe_fanout.rs
@@ -29,16 +29,16 @@
 /// zone with more servers than the probe limit must not keep its requests to itself. Conversely, with few servers
 /// elsewhere or none, more servers of the own zone are probed; otherwise a few VMs would fill six servers each and
 /// leave thirty idle.
-pub fn probe_fanout(near: usize, far: usize, reach: ProbeScope) -> ProbeFanout {
+pub fn probe_fanout(near: usize, far: usize, scope: ProbeScope) -> ProbeFanout {
     let first_near = near.min(MAX_PROBED_FIRST);
-    let max_far = match (reach, first_near) {
+    let max_far = match (scope, first_near) {
         (ProbeScope::Far, _) => MAX_PROBED - first_near,
         (_, 0) => MAX_PROBED_FIRST,
         (ProbeScope::FewFar, _) => FEW_FAR_SERVERS,
         (ProbeScope::Near, _) => 0,
     };
     let far = far.min(max_far);
-    let near = match reach {
+    let near = match scope {
         ProbeScope::Far => near.min(MAX_PROBED - far),
         ProbeScope::FewFar if far == 0 => near.min(MAX_PROBED_FIRST + FEW_FAR_SERVERS),
         ProbeScope::Near | ProbeScope::FewFar => first_near,
--- a/crates/kingcuploft/src/entry/repeat_account.rs
+++ b/crates/kingcuploft/src/entry/repeat_account.rs
@@ -29,13 +29,13 @@
     }
 
     /// Adds the counts of a snapshot.
-    pub fn add(&mut self, kept: &AccountSnapshot, now: Instant, bounds: &RepeatBounds) {
-        for (age, count) in kept.ages(&kept.account.requests, now, bounds) {
+    pub fn add(&mut self, snapshot: &AccountSnapshot, now: Instant, bounds: &RepeatBounds) {
+        for (age, count) in snapshot.ages(&snapshot.account.requests, now, bounds) {
             if age <= bounds.window {
                 self.add_requests(age, bounds, count);
             }
         }
-        for (age, count) in kept.ages(&kept.account.repeats, now, bounds) {
+        for (age, count) in snapshot.ages(&snapshot.account.repeats, now, bounds) {
             if age <= bounds.repeat_lifetime() {
                 self.add_repeats(age, bounds, count);
             }
@@ -49,11 +49,11 @@
 }
 
 fn add(counts: &mut Vec<u32>, age: Duration, bounds: &RepeatBounds, count: u32) {
-    let at = (age.as_secs_f64() / step(bounds).as_secs_f64()) as usize;
-    if counts.len() <= at {
-        counts.resize(at + 1, 0);
+    let index = (age.as_secs_f64() / step(bounds).as_secs_f64()) as usize;
+    if counts.len() <= index {
+        counts.resize(index + 1, 0);
     }
-    counts[at] += count;
+    counts[index] += count;
 }
 
 fn step(bounds: &RepeatBounds) -> Duration {
@@ -93,7 +93,7 @@
     ) -> impl Iterator<Item = (Duration, u32)> + 'a {
         let since = now.saturating_duration_since(self.as_of);
         let step = step(bounds);
-        let ages = (0..).map(move |at: u32| since + step * at);
+        let ages = (0..).map(move |index: u32| since + step * index);
         ages.zip(counts.iter().copied())
     }
 }
--- a/crates/kingcuploft/src/entry/repeat_budget.rs
+++ b/crates/kingcuploft/src/entry/repeat_budget.rs
@@ -75,12 +75,13 @@
         forget(&mut self.repeats, now, bounds.repeat_lifetime());
     }
 
-    fn standing(&mut self, now: Instant, bounds: &RepeatBounds, share: f64) -> BudgetStatus {
+    fn status(&mut self, now: Instant, bounds: &RepeatBounds, share: f64) -> BudgetStatus {
         self.forget(now, bounds);
         let before = self.before.as_ref();
-        let requests = self.requests.len() + before.map_or(0, |kept| kept.requests(now, bounds));
+        let requests =
+            self.requests.len() + before.map_or(0, |snapshot| snapshot.requests(now, bounds));
         BudgetStatus {
-            used: self.repeats.len() + before.map_or(0, |kept| kept.repeats(now, bounds)),
+            used: self.repeats.len() + before.map_or(0, |snapshot| snapshot.repeats(now, bounds)),
             allowed: SAFETY_FACTOR * (bounds.ratio * requests as f64 + share),
         }
     }
@@ -116,20 +117,20 @@
     started_at: Instant,
     /// Until when repeats from before the start count, of which no replica has reported yet.
     unknown_until: Instant,
-    /// When the VM had last sent anything to the replica whose report is used.
-    heard: Option<Instant>,
+    /// When the replica whose report is used had last received anything from the VM.
+    heard_at: Option<Instant>,
 }
 
 impl PriorRun {
-    /// Returns whether a report of a replica that last received a message at `heard` is valid: this VM has not sent
-    /// that message since its start, the replica was in contact with it until shortly before the start, and no other
-    /// replica received a later message.
-    fn is_valid(&self, heard: Instant) -> bool {
-        let is_before = heard <= self.started_at;
-        let is_late = heard + MAX_CONTACT_GAP >= self.started_at;
+    /// Returns whether a report is valid of a replica that last received a message from this VM at `heard_at`: the VM
+    /// has not sent that message since its start, the replica was in contact with it until shortly before the start,
+    /// and no other replica received a later message.
+    fn is_valid(&self, heard_at: Instant) -> bool {
+        let is_before = heard_at <= self.started_at;
+        let is_late = heard_at + MAX_CONTACT_GAP >= self.started_at;
         let is_latest = self
-            .heard
-            .is_none_or(|known| heard + SAME_TIME_TOLERANCE >= known);
+            .heard_at
+            .is_none_or(|known| heard_at + SAME_TIME_TOLERANCE >= known);
         is_before && is_late && is_latest
     }
 }
@@ -149,7 +150,7 @@
             prior_run: Some(PriorRun {
                 started_at: now,
                 unknown_until: now + bounds.repeat_lifetime(),
-                heard: None,
+                heard_at: None,
             }),
             ..Self::for_first_start()
         }
@@ -172,7 +173,7 @@
             true => bounds.allowance / vms.max(1) as f64,
             false => 0.0,
         };
-        self.counted(service).standing(now, bounds, share)
+        self.counted(service).status(now, bounds, share)
     }
 
     /// Counts a repeat if one more is allowed; returns the use of the budget before it.
@@ -183,11 +184,11 @@
         bounds: &RepeatBounds,
         vms: usize,
     ) -> BudgetStatus {
-        let standing = self.status(now, service, bounds, vms);
-        if standing.allows_repeat() {
+        let status = self.status(now, service, bounds, vms);
+        if status.allows_repeat() {
             self.counted(service).repeats.push_back(now);
         }
-        standing
+        status
     }
 
     /// Returns for how much longer repeats from before the start count, of which no replica has reported yet.
@@ -215,22 +216,22 @@
     /// Continues from another VM's replica; returns whether it contained news.
     pub fn recover(&mut self, now: Instant, used: &UsageReport) -> bool {
         let ago = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
-        let heard = ago(used.heard_ms);
+        let heard_at = ago(used.heard_ms);
         let Some(prior_run) = self
             .prior_run
             .as_mut()
-            .filter(|prior_run| prior_run.is_valid(heard))
+            .filter(|prior_run| prior_run.is_valid(heard_at))
         else {
             return false;
         };
         let until = now + Duration::from_millis(used.unknown_ms);
         let is_later = prior_run
-            .heard
-            .is_none_or(|known| heard > known + SAME_TIME_TOLERANCE);
+            .heard_at
+            .is_none_or(|known| heard_at > known + SAME_TIME_TOLERANCE);
         let mut is_news = is_later || until < prior_run.unknown_until;
         if is_news {
             prior_run.unknown_until = until;
-            prior_run.heard = Some(heard);
+            prior_run.heard_at = Some(heard_at);
         }
         let started_at = prior_run.started_at;
         for reported in &used.accounts {
@@ -239,7 +240,7 @@
             let is_newer = counted
                 .before
                 .as_ref()
-                .is_none_or(|kept| kept.as_of < as_of);
+                .is_none_or(|snapshot| snapshot.as_of < as_of);
             if is_newer && as_of <= started_at {
                 counted.before = Some(AccountSnapshot {
                     account: reported.account.clone(),
--- a/crates/kingcuploft/src/entry/zone_record.rs
+++ b/crates/kingcuploft/src/entry/zone_record.rs
@@ -88,15 +88,15 @@
 
 impl ZoneCount {
     /// Returns the effective count, given the recorded count and the observed one.
-    pub fn stable_count(&mut self, now: Instant, recorded: u32, seen: u32) -> u32 {
-        if seen >= recorded {
+    pub fn stable_count(&mut self, now: Instant, recorded: u32, observed: u32) -> u32 {
+        if observed >= recorded {
             self.lower_since = None;
-            return seen;
+            return observed;
         }
-        let (since, most) = self.lower_since.unwrap_or((now, seen));
-        self.lower_since = Some((since, most.max(seen)));
+        let (since, most) = self.lower_since.unwrap_or((now, observed));
+        self.lower_since = Some((since, most.max(observed)));
         match now.saturating_duration_since(since) >= SHRINK_DELAY {
-            true => most.max(seen),
+            true => most.max(observed),
             false => recorded,
         }
     }
@@ -106,25 +106,25 @@
 /// the zone's VMs have had time to be counted.
 pub fn refreshed(
     old: &ZoneRecord,
-    seen: &ZoneView,
+    view: &ZoneView,
     count: u32,
     settled: bool,
 ) -> Option<ZoneRecord> {
-    let leads = old.vms.first() == Some(&seen.own);
+    let is_leader = old.vms.first() == Some(&view.own);
     // A VM without followers may be cut off from a reader that is alive.
-    if !leads && seen.followers.is_empty() && (old.count > 1 || !old.settled) {
+    if !is_leader && view.followers.is_empty() && (old.count > 1 || !old.settled) {
         return None;
     }
     let grown = f64::from(count) > f64::from(old.count) * (1.0 + COUNT_TOLERANCE);
     let shrunk = f64::from(count) < f64::from(old.count) * (1.0 - COUNT_TOLERANCE);
     let settles = settled && !old.settled;
-    let misleads = grown || shrunk || names_too_few(old, seen);
+    let misleads = grown || shrunk || names_too_few(old, view);
     // Until a new zone has settled, its record would change with every VM that finds it.
-    let misleads = !leads || settles || old.settled && misleads;
+    let misleads = !is_leader || settles || old.settled && misleads;
     misleads.then(|| ZoneRecord {
         zone: old.zone.clone(),
         version: old.version + 1,
-        vms: named_vms(old, seen),
+        vms: named_vms(old, view),
         count,
         settled: old.settled || settled,
     })
@@ -132,27 +132,27 @@
 
 /// Returns whether less than half of the VMs that could be named are named and alive, or another VM could be named as
 /// well.
-fn names_too_few(old: &ZoneRecord, seen: &ZoneView) -> bool {
-    let others = seen.followers.iter();
+fn names_too_few(old: &ZoneRecord, view: &ZoneView) -> bool {
+    let others = view.followers.iter();
     let alive = others.filter(|vm| old.names(&vm.name)).count();
-    let could = seen.followers.len().min(MAX_NAMED_VMS - 1);
-    let has_room = old.vms.len() < MAX_NAMED_VMS && alive < could;
-    has_room || 2 * alive < could
+    let nameable = view.followers.len().min(MAX_NAMED_VMS - 1);
+    let has_room = old.vms.len() < MAX_NAMED_VMS && alive < nameable;
+    has_room || 2 * alive < nameable
 }
 
 /// Returns the VMs that a new record names: this VM, the followers that are already named, then the other followers by
 /// size; if there is room, also the named VMs that are not there now, as they may come back.
-fn named_vms(old: &ZoneRecord, seen: &ZoneView) -> Vec<VmEntry> {
-    let mut vms = vec![seen.own.clone()];
-    let (mut kept, mut new): (Vec<_>, Vec<_>) = seen
+fn named_vms(old: &ZoneRecord, view: &ZoneView) -> Vec<VmEntry> {
+    let mut vms = vec![view.own.clone()];
+    let (mut kept, mut new): (Vec<_>, Vec<_>) = view
         .followers
         .iter()
         .cloned()
         .partition(|vm| old.names(&vm.name));
     kept.sort_by_key(|vm| old.vms.iter().position(|named| named.name == vm.name));
     new.sort_by_key(reader_rank);
-    let away = old.vms.iter().cloned();
-    for vm in kept.into_iter().chain(new).chain(away) {
+    let absent = old.vms.iter().cloned();
+    for vm in kept.into_iter().chain(new).chain(absent) {
         if vms.len() < MAX_NAMED_VMS && !vms.iter().any(|named| named.name == vm.name) {
             vms.push(vm);
         }
@@ -188,9 +188,9 @@
 ///
 /// Failure: the small VMs of a zone restart first after an outage, and one of them becomes the reader. With a tenth of
 /// a core and dozens of followers it misses its heartbeats while it sends them hundreds of servers.
-pub fn handed_to_larger(old: &ZoneRecord, seen: &ZoneView) -> Option<ZoneRecord> {
-    let largest = seen.followers.iter().min_by_key(|vm| reader_rank(vm))?;
-    if largest.cpu_milli <= seen.own.cpu_milli {
+pub fn handed_to_larger(old: &ZoneRecord, view: &ZoneView) -> Option<ZoneRecord> {
+    let largest = view.followers.iter().min_by_key(|vm| reader_rank(vm))?;
+    if largest.cpu_milli <= view.own.cpu_milli {
         return None;
     }
     Some(with_leader(old, largest))
--- a/crates/kingcuploft/tests/entry/cold_servers.rs
+++ b/crates/kingcuploft/tests/entry/cold_servers.rs
@@ -100,7 +100,7 @@
     }
 
     /// Simulates a zone that becomes cold; returns what each server got at each step.
-    fn play(&self, seed: u64) -> Vec<Vec<usize>> {
+    fn simulate(&self, seed: u64) -> Vec<Vec<usize>> {
         let (begun, mut rng) = (Instant::now(), Rng::with_seed(seed));
         let records = self.records();
         let owners: Vec<Vec<usize>> = (0..self.servers)
@@ -169,10 +169,10 @@
 
     /// Returns the maximum number of requests that a server got in a second, and the used fraction of what all servers
     /// accept.
-    fn judge(&self) -> (usize, f64) {
+    fn measure(&self) -> (usize, f64) {
         let (mut most, mut used) = (0, 0);
         for seed in 0..RUNS as u64 {
-            for of_server in self.play(seed) {
+            for of_server in self.simulate(seed) {
                 let in_second = of_server.windows(SECOND).map(|steps| steps.iter().sum());
                 most = most.max(in_second.max().unwrap_or(0));
                 used += of_server.iter().take(COLD).sum::<usize>();
@@ -200,7 +200,7 @@
             counted: 1.0,
             sharing: Sharing::Turns,
         };
-        let (most, used) = fleet.judge();
+        let (most, used) = fleet.measure();
         assert!(most <= allowed(), "{vms} VMs: {most} in a second");
         assert!(
             (0.85..=1.5).contains(&used),
@@ -220,7 +220,7 @@
                 counted,
                 sharing: Sharing::Turns,
             };
-            let (most, _) = fleet.judge();
+            let (most, _) = fleet.measure();
             assert!(most <= allowed(), "{vms} VMs that count {counted}: {most}");
         }
     }
@@ -230,24 +230,24 @@
 #[test]
 fn equal_shares_per_vm_waste_capacity_or_exceed_the_bound() {
     for (vms, servers) in SIZES {
-        let play = |sharing| {
-            let judged = Fleet {
+        let simulate = |sharing| {
+            let measured = Fleet {
                 vms,
                 servers,
                 counted: 1.0,
                 sharing,
             }
-            .judge();
+            .measure();
             println!(
                 "{vms} VMs, {sharing:?}: {} in a second, use {:.2}",
-                judged.0, judged.1
+                measured.0, measured.1
             );
-            judged
+            measured
         };
-        let (_, used) = play(Sharing::Turns);
-        assert!(play(Sharing::ByHead).1 < used / 2.0, "{vms} VMs");
-        assert!(play(Sharing::ByHeadSaved).0 > allowed(), "{vms} VMs");
-        assert!(play(Sharing::Unshared).0 > allowed(), "{vms} VMs");
+        let (_, used) = simulate(Sharing::Turns);
+        assert!(simulate(Sharing::ByHead).1 < used / 2.0, "{vms} VMs");
+        assert!(simulate(Sharing::ByHeadSaved).0 > allowed(), "{vms} VMs");
+        assert!(simulate(Sharing::Unshared).0 > allowed(), "{vms} VMs");
     }
 }
 
--- a/crates/kingcuploft/tests/entry/placement.rs
+++ b/crates/kingcuploft/tests/entry/placement.rs
@@ -249,7 +249,7 @@
     assert!(naive < 0.80, "random choice was in time for {naive}");
     assert!(
         by_load_reports > 0.99,
-        "choice by readings: {by_load_reports}"
+        "choice by load reports: {by_load_reports}"
     );
 }
 
--- a/crates/kingcuploft/tests/entry/server_limit.rs
+++ b/crates/kingcuploft/tests/entry/server_limit.rs
@@ -69,7 +69,7 @@
     per_s: f64,
 }
 
-fn play(
+fn simulate(
     vms: usize,
     per_s: PerSecond,
     demand: Demand,
@@ -124,7 +124,7 @@
 #[test]
 fn all_vms_together_keep_to_a_limit_and_use_it() {
     for (vms, per_s) in FLEETS {
-        let got = play(vms, per_s, Demand::Always, |_| records(vms));
+        let got = simulate(vms, per_s, Demand::Always, |_| records(vms));
         let most = got.most_in_window;
         assert!(
             most <= allowed(per_s),
@@ -142,7 +142,7 @@
 #[test]
 fn a_burst_after_a_quiet_time_gets_no_more_than_the_limit() {
     for (vms, per_s) in FLEETS {
-        let got = play(vms, per_s, Demand::Bursts, |_| records(vms));
+        let got = simulate(vms, per_s, Demand::Bursts, |_| records(vms));
         let most = got.most_in_window;
         assert!(
             most <= allowed(per_s),
@@ -163,7 +163,7 @@
                 others
             }
         };
-        let got = play(vms, per_s, Demand::Always, halves);
+        let got = simulate(vms, per_s, Demand::Always, halves);
         let most = got.most_in_window;
         assert!(
             most <= allowed(per_s),
@@ -271,7 +271,7 @@
     }
 
     /// Simulates VMs that use the limits that they own, and ask for turns at three other servers.
-    fn play(&self) -> (usize, f64) {
+    fn simulate(&self) -> (usize, f64) {
         let (begun, mut rng) = (Instant::now(), fastrand::Rng::with_seed(11));
         let (mut fleet, owners) = (self.limits(begun, &mut rng), self.owners());
         let demand = 2.0 * self.per_s * self.servers as f64 * STEP.as_secs_f64() / self.vms as f64;
@@ -337,7 +337,7 @@
                 per_s,
                 max_wait,
             };
-            let (most, used) = service.play();
+            let (most, used) = service.simulate();
             let fleet = format!("{vms} VMs, {servers} servers, {per_s}, {max_wait} steps");
             assert!(most <= allowed(per_s), "{fleet}: {most}");
             assert!(used >= 0.85, "{fleet}: {used}");
--- a/crates/kingcuploft/tests/fleet/drawn.rs
+++ b/crates/kingcuploft/tests/fleet/drawn.rs
@@ -1,6 +1,6 @@
 //! Random deployments by seed, for which nothing was tuned.
 
-use crate::fleet::play;
+use crate::fleet::simulate;
 use crate::world::{ALL_FEATURES, Choose, Features, Outcome, World};
 
 /// The seeds of each test run; all two hundred take minutes.
@@ -16,13 +16,13 @@
 }
 
 impl Compared {
-    fn play(seed: u64) -> Self {
+    fn simulate(seed: u64) -> Self {
         let in_time = |choose| {
             let features = Features {
                 choose,
                 ..ALL_FEATURES
             };
-            Outcome::in_time_share(&play(&World::drawn(seed).with(features)))
+            Outcome::in_time_share(&simulate(&World::random(seed).with(features)))
         };
         Self {
             seed,
@@ -41,7 +41,7 @@
 #[test]
 fn random_deployments_are_served_no_worse_than_by_naive_selection() {
     for seed in SEEDS {
-        let compared = Compared::play(seed);
+        let compared = Compared::simulate(seed);
         assert!(compared.own > compared.naive - 0.02, "{compared:?}");
     }
 }
@@ -50,7 +50,7 @@
 #[test]
 #[ignore = "takes minutes; its figures stand in docs/measurements/further.md"]
 fn two_hundred_drawn_deployments() {
-    let mut all: Vec<Compared> = (1..=200).map(Compared::play).collect();
+    let mut all: Vec<Compared> = (1..=200).map(Compared::simulate).collect();
     all.sort_by(|a, b| a.of_ideal().total_cmp(&b.of_ideal()));
     let worse = all.iter().filter(|c| c.own < c.naive - 0.02).count();
     println!("worse than a naive choice by more than 0.02: {worse}");
@@ -59,6 +59,6 @@
     }
     all[..10]
         .iter()
-        .for_each(|worst| println!("{worst:?} {:?}", World::drawn(worst.seed)));
+        .for_each(|worst| println!("{worst:?} {:?}", World::random(worst.seed)));
     assert!(worse <= all.len() / 20);
 }
--- a/crates/kingcuploft/tests/fleet/fleet.rs
+++ b/crates/kingcuploft/tests/fleet/fleet.rs
@@ -15,8 +15,8 @@
 use kingcuploft::world::contract::Contract;
 
 use crate::world::{
-    FAR_LATENCY, Micros, NEAR_LATENCY, Outcome, SERVICE, SLOWNESS, SPEED_CHANGE_INTERVAL, Trouble,
-    World,
+    FAR_LATENCY, FaultKind, Micros, NEAR_LATENCY, Outcome, SERVICE, SLOWNESS,
+    SPEED_CHANGE_INTERVAL, World,
 };
 
 /// The queue length of a server; it refuses further requests as not run.
@@ -100,8 +100,8 @@
 
 #[derive(Clone, Default)]
 pub(crate) struct View {
-    pub(crate) reading: Option<(Micros, LoadReport)>,
-    pub(crate) asked: bool,
+    pub(crate) load_report: Option<(Micros, LoadReport)>,
+    pub(crate) probe_pending: bool,
     pub(crate) avoided_until: Micros,
     pub(crate) sent: Vec<Micros>,
     pub(crate) failures: FailureRate,
@@ -116,12 +116,12 @@
 }
 
 /// Simulates a deployment and returns the answers that callers got.
-pub(crate) fn play(world: &World) -> Outcome {
+pub(crate) fn simulate(world: &World) -> Outcome {
     let mut fleet = Fleet::new(world);
     fleet.at(0, Event::Arrives);
     while let Some(Reverse((now, _, event))) = fleet.events.pop() {
         fleet.now = now;
-        fleet.happen(event);
+        fleet.handle(event);
     }
     let server_seconds = world.servers as f64 * world.seconds;
     fleet.outcome.probes_per_s = f64::from(fleet.probes) / server_seconds;
@@ -177,7 +177,7 @@
         self.start + BEFORE_TRAFFIC + Duration::from_micros(at)
     }
 
-    pub(crate) fn happen(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         match event {
             Event::Arrives => self.arrives(),
             Event::Choose(request) => self.choose(request),
@@ -201,10 +201,10 @@
         }
     }
 
-    pub(crate) fn trouble(&self, server: usize, at: Micros) -> Option<Trouble> {
+    pub(crate) fn fault_kind(&self, server: usize, at: Micros) -> Option<FaultKind> {
         let mut faults = self.world.faults.iter();
         let struck = faults.find(|f| f.server == server && (f.from..f.until).contains(&at));
-        struck.map(|fault| fault.trouble)
+        struck.map(|fault| fault.kind)
     }
 
     pub(crate) fn slowness(&self, server: usize) -> f64 {
@@ -215,8 +215,8 @@
             0 => SLOWNESS,
             _ => 1.0,
         };
-        match self.trouble(server, self.now) {
-            Some(Trouble::Slow(times)) => drawn.max(times),
+        match self.fault_kind(server, self.now) {
+            Some(FaultKind::Slow(times)) => drawn.max(times),
             _ => drawn,
         }
     }
@@ -235,7 +235,7 @@
         }
     }
 
-    pub(crate) fn reading(&self, server: usize) -> LoadReport {
+    pub(crate) fn load_report(&self, server: usize) -> LoadReport {
         let of = &self.servers[server];
         LoadReport {
             running: of.running.len() as u32,
@@ -288,7 +288,7 @@
     }
 
     pub(crate) fn probe_arrives(&mut self, vm: usize, server: usize) {
-        if self.trouble(server, self.now) == Some(Trouble::Silent) {
+        if self.fault_kind(server, self.now) == Some(FaultKind::Silent) {
             return;
         }
         self.servers[server].debt_ms += self.world.probe_cost_ms;
@@ -303,7 +303,7 @@
         self.outcome.repeats += u32::from(self.requests[request].reached > 1);
         self.outcome.far += u32::from(self.link(vm, server) == FAR_LATENCY);
         let before = self.now.saturating_sub(2 * FAR_LATENCY);
-        let had_left = self.trouble(server, before) == Some(Trouble::Drains);
+        let had_left = self.fault_kind(server, before) == Some(FaultKind::Drains);
         self.outcome.after_draining += u32::from(had_left);
         let job = Job { request, vm };
         let slots = self.world.slots as usize;
@@ -346,9 +346,9 @@
             return;
         };
         let (_, job) = running.swap_remove(at);
-        let end = match self.trouble(server, self.now) {
-            Some(Trouble::Silent) => None,
-            Some(Trouble::FailsShare(share)) if self.rng.f64() < share => Some(1),
+        let end = match self.fault_kind(server, self.now) {
+            Some(FaultKind::Silent) => None,
+            Some(FaultKind::FailsShare(share)) if self.rng.f64() < share => Some(1),
             _ => Some(0),
         };
         if let Some(end) = end {
--- a/crates/kingcuploft/tests/fleet/scenarios.rs
+++ b/crates/kingcuploft/tests/fleet/scenarios.rs
@@ -1,16 +1,16 @@
 //! One scenario for each feature of the product: callers get good answers, and worse ones with the feature disabled.
 
-use crate::fleet::play;
+use crate::fleet::simulate;
 use crate::world::{
-    ALL_FEATURES, Choose, Features, Outcome, PROBES_PER_S, REPEAT_ALLOWANCE, REPEAT_RATIO, Trouble,
-    World,
+    ALL_FEATURES, Choose, FaultKind, Features, Outcome, PROBES_PER_S, REPEAT_ALLOWANCE,
+    REPEAT_RATIO, World,
 };
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
 /// Returns the mean of a figure of the outcome over several seeds.
 fn mean(world: impl Fn(u64) -> World, figure: impl Fn(&Outcome) -> f64) -> f64 {
-    let figures: Vec<f64> = SEEDS.map(|seed| figure(&play(&world(seed)))).collect();
+    let figures: Vec<f64> = SEEDS.map(|seed| figure(&simulate(&world(seed)))).collect();
     figures.iter().sum::<f64>() / figures.len() as f64
 }
 
@@ -33,7 +33,7 @@
 fn callers_under_normal_load_are_answered_in_time() {
     let in_time = |features| {
         mean(
-            |seed| World::calm(seed).with(features),
+            |seed| World::normal_load(seed).with(features),
             Outcome::in_time_share,
         )
     };
@@ -105,7 +105,7 @@
 fn refusals_of_an_overload_come_before_the_deadline() {
     for seed in SEEDS {
         let world = World::overload(seed, 3.0);
-        let outcome = play(&world);
+        let outcome = simulate(&world);
         assert!(outcome.refused > 1000, "{outcome:?}");
         let latest_ms = world.deadline_ms - world.work_ms;
         assert!(outcome.longest_refusal_ms < latest_ms, "{outcome:?}");
@@ -136,7 +136,11 @@
             hedges,
             ..ALL_FEATURES
         };
-        let world = |seed| World::calm(seed).trouble(4, Trouble::Silent).with(features);
+        let world = |seed| {
+            World::normal_load(seed)
+                .with_faults(4, FaultKind::Silent)
+                .with(features)
+        };
         mean(world, |outcome| f64::from(outcome.failed))
     };
     let (with, without) = (failed(true), failed(false));
@@ -151,8 +155,8 @@
             avoids_failing,
             ..ALL_FEATURES
         };
-        let grey = Trouble::FailsShare(0.5);
-        let world = |seed| World::calm(seed).trouble(4, grey).with(features);
+        let grey = FaultKind::FailsShare(0.5);
+        let world = |seed| World::normal_load(seed).with_faults(4, grey).with(features);
         mean(world, |outcome| f64::from(outcome.repeats))
     };
     let (avoided, drawn) = (repeats(true), repeats(false));
@@ -163,8 +167,8 @@
 #[test]
 fn requests_are_not_held_if_all_servers_fail_alike() {
     for seed in SEEDS {
-        let failing = World::calm(seed).trouble(16, Trouble::FailsShare(0.5));
-        let outcome = play(&failing);
+        let failing = World::normal_load(seed).with_faults(16, FaultKind::FailsShare(0.5));
+        let outcome = simulate(&failing);
         assert_eq!(outcome.refused, 0, "{outcome:?}");
         assert!(outcome.in_time_share() > 0.74, "{outcome:?}");
     }
@@ -175,8 +179,8 @@
 fn servers_that_turn_slow_are_avoided() {
     let in_time = |features| {
         let world = |seed| {
-            World::calm(seed)
-                .trouble(6, Trouble::Slow(8.0))
+            World::normal_load(seed)
+                .with_faults(6, FaultKind::Slow(8.0))
                 .with(features)
         };
         mean(world, Outcome::in_time_share)
@@ -189,8 +193,8 @@
 #[test]
 fn draining_servers_get_no_new_requests_under_load() {
     for seed in SEEDS {
-        let leaving = World::calm(seed).trouble(4, Trouble::Drains);
-        let outcome = play(&leaving);
+        let leaving = World::normal_load(seed).with_faults(4, FaultKind::Drains);
+        let outcome = simulate(&leaving);
         assert_eq!(outcome.after_draining, 0);
         assert!(outcome.served_share() > 0.97, "{outcome:?}");
     }
@@ -203,7 +207,7 @@
         let world = |seed| World {
             long_share: 0.03,
             per_s: 60.0,
-            ..World::calm(seed).with(features)
+            ..World::normal_load(seed).with(features)
         };
         mean(world, |outcome| {
             f64::from(outcome.short_in_time) / f64::from(outcome.short_requests)
@@ -220,9 +224,9 @@
         let lost = World {
             lost_vms: Some((5_000_000, 7)),
             assumed_vms: Some(14),
-            ..World::calm(seed)
+            ..World::normal_load(seed)
         };
-        let outcome = play(&lost);
+        let outcome = simulate(&lost);
         assert!(outcome.served_share() > 0.99, "{outcome:?}");
         assert!(outcome.in_time_share() > 0.90, "{outcome:?}");
     }
@@ -234,9 +238,9 @@
     for seed in SEEDS {
         let failing = World {
             per_s: 200.0,
-            ..World::calm(seed).trouble(8, Trouble::FailsShare(0.5))
+            ..World::normal_load(seed).with_faults(8, FaultKind::FailsShare(0.5))
         };
-        let outcome = play(&failing);
+        let outcome = simulate(&failing);
         // Two windows of ten seconds.
         let most = REPEAT_RATIO * f64::from(outcome.requests) + 2.0 * REPEAT_ALLOWANCE;
         assert!(f64::from(outcome.repeats) <= most, "{outcome:?}");
@@ -264,7 +268,7 @@
 #[test]
 fn requests_under_normal_load_stay_in_their_zone() {
     let far = |features| {
-        let world = |seed| World::calm(seed).with(features);
+        let world = |seed| World::normal_load(seed).with(features);
         mean(world, |o| f64::from(o.far) / f64::from(o.arrivals))
     };
     assert!(far(ALL_FEATURES) < 0.06, "{}", far(ALL_FEATURES));
@@ -273,7 +277,7 @@
 
 #[test]
 fn a_seed_gives_the_same_outcome_each_time() {
-    let text = |seed| format!("{:?}", play(&World::overload(seed, 1.0)));
+    let text = |seed| format!("{:?}", simulate(&World::overload(seed, 1.0)));
     assert_eq!(text(5), text(5));
     assert_ne!(text(5), text(6));
 }
--- a/crates/kingcuploft/tests/fleet/vm.rs
+++ b/crates/kingcuploft/tests/fleet/vm.rs
@@ -10,8 +10,8 @@
 
 use crate::fleet::{Event, Fleet};
 use crate::world::{
-    Choose, Micros, NEAR_LATENCY, PROBES_PER_S, REPEAT_ALLOWANCE, REPEAT_RATIO, REPEAT_WINDOW,
-    SERVICE, Trouble,
+    Choose, FaultKind, Micros, NEAR_LATENCY, PROBES_PER_S, REPEAT_ALLOWANCE, REPEAT_RATIO,
+    REPEAT_WINDOW, SERVICE,
 };
 
 /// How long load reports are awaited at a time.
@@ -26,19 +26,19 @@
 
 impl Fleet<'_> {
     pub(crate) fn probe_answers(&mut self, vm: usize, server: usize) {
-        let (now, reading) = (self.now, self.reading(server));
+        let (now, load_report) = (self.now, self.load_report(server));
         let view = &mut self.vms[vm].views[server];
-        view.reading = Some((now, reading));
-        view.asked = false;
+        view.load_report = Some((now, load_report));
+        view.probe_pending = false;
         view.avoided_until = 0;
     }
 
     pub(crate) fn probe_fails(&mut self, vm: usize, server: usize) {
-        let (now, silent) = (self.now, self.trouble(server, self.now));
+        let (now, silent) = (self.now, self.fault_kind(server, self.now));
         let view = &mut self.vms[vm].views[server];
-        if view.asked && silent == Some(Trouble::Silent) {
-            view.asked = false;
-            view.reading = None;
+        if view.probe_pending && silent == Some(FaultKind::Silent) {
+            view.probe_pending = false;
+            view.load_report = None;
             view.avoided_until = now + UNRESPONSIVE_PAUSE;
         }
     }
@@ -58,16 +58,16 @@
         let of_vm = &mut self.vms[vm];
         let view = &mut of_vm.views[server];
         let fresh = view
-            .reading
+            .load_report
             .is_some_and(|(at, _)| now - at < max_report_age);
-        if view.asked || fresh || now < view.avoided_until {
+        if view.probe_pending || fresh || now < view.avoided_until {
             return;
         }
         let room = of_vm.probing.try_take(instant, PROBES_PER_S, servers, vms);
         if !room && self.world.features.probe_budget {
             return;
         }
-        view.asked = true;
+        view.probe_pending = true;
         self.probes += 1;
         self.at(now + link, Event::ProbeArrives(vm, server));
         self.at(now + PROBE_TIMEOUT, Event::ProbeFails(vm, server));
@@ -79,7 +79,7 @@
 
     fn usable(&self, request: usize, reach: ProbeScope) -> Vec<usize> {
         let of = &self.requests[request];
-        let stays = |server: &usize| self.trouble(*server, self.now) != Some(Trouble::Drains);
+        let stays = |server: &usize| self.fault_kind(*server, self.now) != Some(FaultKind::Drains);
         let untried = |server: &usize| !of.tried.contains(server);
         let responds = |server: &usize| self.now >= self.vms[of.vm].views[*server].avoided_until;
         let all: Vec<usize> = (0..self.world.servers).filter(stays).collect();
@@ -96,14 +96,14 @@
         };
         let is_near = |server: &usize| self.link(of.vm, *server) == NEAR_LATENCY;
         let (mut near, mut others): (Vec<usize>, Vec<usize>) = all.into_iter().partition(is_near);
-        let asked = probe_fanout(near.len(), others.len(), reach);
+        let fanout = probe_fanout(near.len(), others.len(), reach);
         // Each VM has its own order of the servers.
         let (first_near, first_far) = (of.vm, of.vm * 5);
         let (near_len, far_len) = (near.len().max(1), others.len().max(1));
         near.rotate_left(first_near % near_len);
         others.rotate_left(first_far % far_len);
-        near.truncate(asked.near);
-        others.truncate(asked.far);
+        near.truncate(fanout.near);
+        others.truncate(fanout.far);
         near.append(&mut others);
         near
     }
@@ -111,18 +111,18 @@
     fn candidate(&self, request: usize, server: usize, max_report_age: Micros) -> Candidate {
         let of = &self.requests[request];
         let view = &self.vms[of.vm].views[server];
-        let reading = view
-            .reading
+        let load_report = view
+            .load_report
             .filter(|(at, _)| self.now - at < max_report_age);
-        let unseen = match reading {
+        let sent_since = match load_report {
             Some((at, _)) => view.sent.iter().filter(|sent| **sent >= at).count(),
             None => view.sent.len(),
         };
         Candidate {
             near: self.link(of.vm, server) == NEAR_LATENCY,
-            load_report: reading.map(|(_, reading)| reading),
-            probe_pending: view.asked,
-            sent_since_report: unseen as u32,
+            load_report: load_report.map(|(_, load_report)| load_report),
+            probe_pending: view.probe_pending,
+            sent_since_report: sent_since as u32,
             own_in_flight: view.sent.len() as u32,
             slots: self.world.slots,
             cold: false,
@@ -170,7 +170,7 @@
 
     fn choose_naively(&mut self, request: usize) {
         let vm = self.requests[request].vm;
-        let stays = |server: &usize| self.trouble(*server, self.now) != Some(Trouble::Drains);
+        let stays = |server: &usize| self.fault_kind(*server, self.now) != Some(FaultKind::Drains);
         let all: Vec<usize> = (0..self.world.servers).filter(stays).collect();
         let any = all[self.rng.usize(..all.len())];
         let least = |server: &&usize| self.vms[vm].views[**server].sent.len();
@@ -263,17 +263,17 @@
         let link = self.link(vm, server);
         self.at(now + link, Event::Reaches { request, server });
         if self.world.features.hedges && self.requests[request].in_flight == 1 {
-            let look = now + hedge_delay(expected_ms).as_micros() as Micros;
-            self.at(look, Event::ConsiderHedge { request, server });
+            let check = now + hedge_delay(expected_ms).as_micros() as Micros;
+            self.at(check, Event::ConsiderHedge { request, server });
         }
     }
 
     pub(crate) fn answers(&mut self, request: usize, server: usize, end: AttemptEnd) {
         let (now, vm) = (self.instant(self.now), self.requests[request].vm);
-        let reading = self.reading(server);
+        let load_report = self.load_report(server);
         let view = &mut self.vms[vm].views[server];
         view.sent.pop();
-        view.reading = Some((self.now, reading));
+        view.load_report = Some((self.now, load_report));
         view.failures.record(now, end != AttemptEnd::Succeeded);
         if self.requests[request].over {
             return;
@@ -339,15 +339,15 @@
         let vm = of.vm;
         let view = &self.vms[vm].views[server];
         let need = self.need(request, self.now, ProbeScope::Near);
-        let look = HedgeCheck {
+        let check = HedgeCheck {
             server_answers: view
-                .reading
+                .load_report
                 .is_some_and(|(at, _)| at + self.max_report_age(vm) >= asked_at),
             probe_budget_left: self.vms[vm].probing.remaining_share(),
             deadline_left_ms: need.deadline_left_ms,
             work_ms: need.work_ms,
         };
-        if !should_hedge(&look) || !of.attempts.may_send(1) {
+        if !should_hedge(&check) || !of.attempts.may_send(1) {
             return;
         }
         let others = self.usable(request, ProbeScope::Far).into_iter();
--- a/crates/kingcuploft/tests/fleet/world.rs
+++ b/crates/kingcuploft/tests/fleet/world.rs
@@ -49,7 +49,7 @@
 
 /// What happens to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Trouble {
+pub(crate) enum FaultKind {
     /// Its work takes this many times as long.
     Slow(f64),
     /// It answers neither requests nor probes.
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fault {
     pub(crate) server: usize,
-    pub(crate) trouble: Trouble,
+    pub(crate) kind: FaultKind,
     pub(crate) from: Micros,
     pub(crate) until: Micros,
 }
@@ -109,7 +109,7 @@
 
 impl World {
     /// A booking service under normal load: 14 VMs, 16 servers with two slots, half of their capacity used.
-    pub(crate) fn calm(seed: u64) -> Self {
+    pub(crate) fn normal_load(seed: u64) -> Self {
         Self {
             seed,
             vms: 14,
@@ -140,14 +140,14 @@
             deadline_ms: 1500.0,
             per_s: 25.0,
             last_slot: 1.7,
-            ..Self::calm(seed)
+            ..Self::normal_load(seed)
         }
     }
 
     /// A random deployment by its seed: few or many VMs, servers, zones and slots, short or long work, tight or loose
     /// targets, probes that cost slot time or don't, and a load from a third of the servers' capacity to a third beyond
     /// it.
-    pub(crate) fn drawn(seed: u64) -> Self {
+    pub(crate) fn random(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed.wrapping_mul(0x9E37_79B9));
         let mut between = |least: f64, most: f64| least + (most - least) * rng.f64();
         let work_ms = 30.0 * between(0.0, 3.0).exp();
@@ -170,14 +170,14 @@
             last_slot,
             probe_cost_ms: [0.0, 6.0][between(0.0, 2.0) as usize],
             seconds: 8.0,
-            ..Self::calm(seed)
+            ..Self::normal_load(seed)
         }
     }
 
     /// Normal load scaled to this multiple of the servers' capacity, with their slow quarter of the time taken into
     /// account.
     pub(crate) fn overload(seed: u64, times: f64) -> Self {
-        let calm = Self::calm(seed);
+        let calm = Self::normal_load(seed);
         let slots = calm.servers as f64 * f64::from(calm.slots);
         let per_s = times * slots * 1000.0 / (calm.work_ms * MEAN_SLOWNESS);
         Self { per_s, ..calm }
@@ -189,10 +189,10 @@
     }
 
     /// Makes the first servers faulty from the fourth second to the twelfth.
-    pub(crate) fn trouble(mut self, servers: usize, trouble: Trouble) -> Self {
+    pub(crate) fn with_faults(mut self, servers: usize, kind: FaultKind) -> Self {
         self.faults.extend((0..servers).map(|server| Fault {
             server,
-            trouble,
+            kind,
             from: 4_000_000,
             until: 12_000_000,
         }));
