--- a/crates/kingcuploft-entry/src/peers/feeder.rs
+++ b/crates/kingcuploft-entry/src/peers/feeder.rs
@@ -48,10 +48,10 @@
         }
         let status = sync_status(&context, &store_access);
         let has_changed = last_sent.as_ref() != Some(&status);
-        let line = Frame::Status(status.clone());
+        let frame = Frame::Status(status.clone());
         match has_changed {
-            true => context.followers.send(&line),
-            false => context.followers.send_alive(&line),
+            true => context.followers.send(&frame),
+            false => context.followers.send_alive(&frame),
         }
         last_sent = Some(status);
     }
--- a/crates/kingcuploft-entry/src/peers/load_reports.rs
+++ b/crates/kingcuploft-entry/src/peers/load_reports.rs
@@ -37,15 +37,15 @@
 pub fn share_report(
     context: &Context,
     server: &BackendServerName,
-    reading: LoadReport,
+    report: LoadReport,
     cold_for: Option<Duration>,
 ) {
     let message = PeerMessage::LoadReport {
         server: server.clone(),
-        running: reading.running,
-        waiting: reading.waiting,
-        slots: reading.slots,
-        slowness: reading.slowness,
+        running: report.running,
+        waiting: report.waiting,
+        slots: report.slots,
+        slowness: report.slowness,
         cold_ms: cold_for.map(|cold_for| cold_for.as_millis() as u64),
     };
     broadcast(context, &message);
@@ -91,7 +91,7 @@
             slowness,
             cold_ms,
         } => {
-            let reading = LoadReport {
+            let report = LoadReport {
                 running,
                 waiting,
                 slots,
@@ -102,7 +102,7 @@
                     let asked_at = now.checked_sub(MAX_REPORT_AGE).unwrap_or(now);
                     cold_servers::apply_probe_answer(context, &upstream, cold_for, asked_at);
                 }
-                upstream.record_load_report(now, reading);
+                upstream.record_load_report(now, report);
                 context.load_report_received.notify_waiters();
             }
         }
--- a/crates/kingcuploft-entry/src/peers/peer_socket.rs
+++ b/crates/kingcuploft-entry/src/peers/peer_socket.rs
@@ -36,7 +36,7 @@
         /// The server.
         server: BackendServerName,
     },
-    /// Requests a turn at a server whose limit the receiver keeps.
+    /// Requests a turn at a server whose limit the receiver owns.
     #[serde(rename = "AskTurn")]
     TurnRequest {
         /// The server.
@@ -60,7 +60,7 @@
         #[serde(rename = "given")]
         granted: bool,
     },
-    /// A server names another limit than before; sent to the VMs that keep the limit.
+    /// A server names another limit than before; sent to the VMs that own the limit.
     #[serde(rename = "Limit")]
     LimitChanged {
         /// The server.
--- a/crates/kingcuploft-entry/src/peers/turns.rs
+++ b/crates/kingcuploft-entry/src/peers/turns.rs
@@ -1,4 +1,4 @@
-//! Turns at backend servers that name a limit, requested from the VMs that keep the limit.
+//! Turns at backend servers that name a limit, requested from the VMs that own the limit.
 //!
 //! A request and its reply are one datagram each. A lost datagram costs a turn, and never grants one too many.
 
@@ -22,8 +22,8 @@
         let mut limits = context.limits.borrow_mut();
         return limits.give_turn(clock::now(), server, max_wait);
     }
-    let keeper = limits::pick_limit_owner(context, server);
-    let (Some(keeper), Some(socket)) = (keeper, context.peer_socket.get()) else {
+    let owner = limits::pick_limit_owner(context, server);
+    let (Some(owner), Some(socket)) = (owner, context.peer_socket.get()) else {
         return Turn::TooLate(TURN_RETRY_DELAY);
     };
     let (request_id, reply) = context.pending_turns.register();
@@ -32,7 +32,7 @@
         max_wait_ms: max_wait.as_millis() as u64,
         request_id,
     };
-    socket.send(&message, &[keeper.address]);
+    socket.send(&message, &[owner.address]);
     let outcome = tokio::time::timeout(REPLY_TIMEOUT, reply).await;
     context.pending_turns.cancel(request_id);
     match outcome {
--- a/crates/kingcuploft-entry/tests/entry/limits.rs
+++ b/crates/kingcuploft-entry/tests/entry/limits.rs
@@ -151,7 +151,7 @@
     });
 }
 
-/// Guards against a limit that only the callers of the VM that keeps it can use.
+/// Guards against a limit that only the callers of the VM that owns it can use.
 #[test]
 fn callers_of_all_vms_have_turns_at_a_server_that_names_a_limit() {
     run_test(async {
