--- a/crates/kingcuploft-platform/src/backoff.rs
+++ b/crates/kingcuploft-platform/src/backoff.rs
@@ -5,26 +5,26 @@
 /// The pauses between tries, each drawn evenly below a bound that doubles.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    first: Duration,
-    longest: Duration,
+    initial: Duration,
+    max: Duration,
     tries: u32,
 }
 
 impl Backoff {
     /// Builds the pauses; the first is at most `first`, none is above `longest`.
-    pub fn new(first: Duration, longest: Duration) -> Self {
+    pub fn new(initial: Duration, max: Duration) -> Self {
         Self {
-            first,
-            longest,
+            initial,
+            max,
             tries: 0,
         }
     }
 
     /// Returns the next pause.
-    pub fn pause(&mut self, rng: &mut fastrand::Rng) -> Duration {
+    pub fn next_delay(&mut self, rng: &mut fastrand::Rng) -> Duration {
         let factor = 1_u32 << self.tries.min(16);
         self.tries += 1;
-        let bound = self.first.saturating_mul(factor).min(self.longest);
+        let bound = self.initial.saturating_mul(factor).min(self.max);
         bound.mul_f64(rng.f64())
     }
 
--- a/crates/kingcuploft-platform/src/budget.rs
+++ b/crates/kingcuploft-platform/src/call_budget.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// The longest wait that is told.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// The calls that a VM may still make.
 ///
@@ -33,7 +33,7 @@
     /// # Errors
     ///
     /// The time until there is one, where the bucket is empty.
-    pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
+    pub fn try_take(&mut self, now: Instant) -> Result<(), Duration> {
         let since = self.filled.map(|at| now.saturating_duration_since(at));
         let earned = since.unwrap_or_default().as_secs_f64() * self.calls_per_s;
         self.tokens = (self.tokens + earned).min(self.burst);
@@ -44,7 +44,7 @@
         }
         let missing_s = (1.0 - self.tokens) / self.calls_per_s;
         // A rate of nothing would give a time that no clock can add.
-        let missing = Duration::try_from_secs_f64(missing_s).unwrap_or(LONGEST_WAIT);
-        Err(missing.min(LONGEST_WAIT))
+        let missing = Duration::try_from_secs_f64(missing_s).unwrap_or(MAX_RETRY_AFTER);
+        Err(missing.min(MAX_RETRY_AFTER))
     }
 }
--- a/crates/kingcuploft-platform/src/circuit.rs
+++ b/crates/kingcuploft-platform/src/circuit_breaker.rs
@@ -10,63 +10,63 @@
 /// time; an interval far below a second brings a VM back within a second, and its jitter spreads
 /// the VMs over the interval.
 #[derive(Debug)]
-pub struct Circuit {
+pub struct CircuitBreaker {
     failures_to_open: u32,
     probe_interval: Duration,
     failures: u32,
-    next_probe: Option<Instant>,
+    next_probe_at: Option<Instant>,
 }
 
 /// Whether a call may go to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Passage {
+pub enum CallPermission {
     /// It may.
-    Pass,
+    Allowed,
     /// It may, as the probe of a store that is thought to be down.
     Probe,
     /// It may not; the next probe is due after this time.
     Blocked(Duration),
 }
 
-impl Circuit {
+impl CircuitBreaker {
     /// Builds a closed circuit.
     pub fn new(failures_to_open: u32, probe_interval: Duration) -> Self {
         Self {
             failures_to_open,
             probe_interval,
             failures: 0,
-            next_probe: None,
+            next_probe_at: None,
         }
     }
 
     /// Tells whether a call may go out now.
-    pub fn pass(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Passage {
-        match self.next_probe {
-            None => Passage::Pass,
-            Some(at) if at > now => Passage::Blocked(at - now),
+    pub fn permit(&mut self, now: Instant, rng: &mut fastrand::Rng) -> CallPermission {
+        match self.next_probe_at {
+            None => CallPermission::Allowed,
+            Some(at) if at > now => CallPermission::Blocked(at - now),
             Some(_) => {
-                self.next_probe = Some(now + self.jittered(rng));
-                Passage::Probe
+                self.next_probe_at = Some(now + self.jittered(rng));
+                CallPermission::Probe
             }
         }
     }
 
     /// Tells when the next probe is due; `None` while the circuit is closed.
-    pub fn next_probe(&self) -> Option<Instant> {
-        self.next_probe
+    pub fn next_probe_at(&self) -> Option<Instant> {
+        self.next_probe_at
     }
 
     /// Notes that the store answered.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
-        self.next_probe = None;
+        self.next_probe_at = None;
     }
 
     /// Notes that the store did not answer; enough of these in a row open the circuit.
-    pub fn failed(&mut self, now: Instant, rng: &mut fastrand::Rng) {
+    pub fn record_failure(&mut self, now: Instant, rng: &mut fastrand::Rng) {
         self.failures = self.failures.saturating_add(1);
-        if self.failures >= self.failures_to_open && self.next_probe.is_none() {
-            self.next_probe = Some(now + self.jittered(rng));
+        if self.failures >= self.failures_to_open && self.next_probe_at.is_none() {
+            self.next_probe_at = Some(now + self.jittered(rng));
         }
     }
 
--- a/crates/kingcuploft-platform/src/claim_lookup.rs
+++ b/crates/kingcuploft-platform/src/claim_lookup.rs
@@ -12,7 +12,7 @@
 
 /// What the ledger holds of a key.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct FoundClaim {
+pub struct ClaimEntry {
     /// The partition that decides the key.
     pub partition: u16,
     /// The object that the entry stands in; `None` where the key is not claimed.
@@ -43,11 +43,11 @@
 /// # Errors
 ///
 /// [`ClaimLookupError`] where the store fails or an object can not be read.
-pub fn find(
+pub fn look_up(
     store: &dyn ObjectStore,
     service: &ServiceName,
     key: &str,
-) -> Result<FoundClaim, ClaimLookupError> {
+) -> Result<ClaimEntry, ClaimLookupError> {
     let layout = read::<Layout>(store, LAYOUT_KEY)?;
     let partitions = layout.map_or(1, |layout| layout.partitions);
     let key = key_hash(service, key);
@@ -56,17 +56,17 @@
     let head = read::<Head>(store, &head_name)?.unwrap_or_default();
     let found = match head.entries.get(&key) {
         Some(entry) => Some((head_name, entry.clone())),
-        None => find_sealed(store, &head, key)?,
+        None => look_up_in_segments(store, &head, key)?,
     };
     let (object, entry) = found.unzip();
-    Ok(FoundClaim {
+    Ok(ClaimEntry {
         partition,
         object,
         entry,
     })
 }
 
-fn find_sealed(
+fn look_up_in_segments(
     store: &dyn ObjectStore,
     head: &Head,
     key: KeyHash,
--- a/crates/kingcuploft-platform/src/client.rs
+++ b/crates/kingcuploft-platform/src/client.rs
@@ -7,9 +7,9 @@
 use ureq::http::StatusCode;
 use ureq::{Agent, Timeout};
 
-use crate::budget::CallBudget;
-use crate::circuit::{Circuit, Passage};
-use crate::{Changes, Expect, ListedVm, Object, ObjectStore, StoreError, Version};
+use crate::call_budget::CallBudget;
+use crate::circuit_breaker::{CallPermission, CircuitBreaker};
+use crate::{Changes, ListedVm, Object, ObjectStore, StoreError, Version, WriteCondition};
 
 /// How the platform's object API is called.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -47,9 +47,9 @@
 
 /// What bounds the calls of one VM.
 #[derive(Debug)]
-struct Guard {
+struct CallGuard {
     budget: CallBudget,
-    circuit: Circuit,
+    circuit_breaker: CircuitBreaker,
     rng: fastrand::Rng,
 }
 
@@ -59,7 +59,7 @@
     agent: Agent,
     base: String,
     settings: ClientSettings,
-    guard: Arc<Mutex<Guard>>,
+    guard: Arc<Mutex<CallGuard>>,
 }
 
 impl Client {
@@ -77,9 +77,9 @@
             .timeout_connect(Some(ms(settings.connect_timeout_ms)))
             .build();
         let interval = ms(settings.probe_interval_ms);
-        let guard = Guard {
+        let guard = CallGuard {
             budget: CallBudget::new(settings.calls_per_s, settings.calls_burst),
-            circuit: Circuit::new(settings.failures_to_open, interval),
+            circuit_breaker: CircuitBreaker::new(settings.failures_to_open, interval),
             rng: fastrand::Rng::with_seed(seed),
         };
         Self {
@@ -91,12 +91,12 @@
     }
 
     /// Tells for how long the store counts as down at least; `None` while calls go through.
-    pub fn down_for(&self, now: Instant) -> Option<Duration> {
-        let probe = self.guarded(|guard| guard.circuit.next_probe())?;
+    pub fn retry_after(&self, now: Instant) -> Option<Duration> {
+        let probe = self.with_guard(|guard| guard.circuit_breaker.next_probe_at())?;
         Some(probe.saturating_duration_since(now))
     }
 
-    fn guarded<T>(&self, act: impl FnOnce(&mut Guard) -> T) -> T {
+    fn with_guard<T>(&self, act: impl FnOnce(&mut CallGuard) -> T) -> T {
         act(&mut self.guard.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
@@ -106,18 +106,20 @@
         wait: Duration,
         exchange: impl FnOnce(Duration) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
-        let timeout = self.guarded(Guard::enter)?;
+        let timeout = self.with_guard(CallGuard::admit)?;
         let timeout = match timeout {
-            Passage::Probe => ms(self.settings.probe_timeout_ms),
+            CallPermission::Probe => ms(self.settings.probe_timeout_ms),
             _ => ms(self.settings.call_timeout_ms),
         };
         let result = exchange(timeout + wait);
         // A watch that stalls alone says nothing of the store: it is not counted.
         let failed = result.as_ref().is_err_and(StoreError::is_outage);
-        self.guarded(|guard| match failed {
-            true if wait.is_zero() => guard.circuit.failed(Instant::now(), &mut guard.rng),
+        self.with_guard(|guard| match failed {
+            true if wait.is_zero() => guard
+                .circuit_breaker
+                .record_failure(Instant::now(), &mut guard.rng),
             true => {}
-            false => guard.circuit.answered(),
+            false => guard.circuit_breaker.record_success(),
         });
         result
     }
@@ -129,27 +131,27 @@
     ) -> Result<T, StoreError> {
         let request = self.agent.get(format!("{}/{path}", self.base)).config();
         let request = request.timeout_global(Some(timeout)).build();
-        let mut response = request.call().map_err(failure)?;
+        let mut response = request.call().map_err(exchange_error)?;
         match response.status() {
             StatusCode::OK => {
-                let body = response.body_mut().with_config().limit(READ_BYTES);
-                body.read_json().map_err(silent)
+                let body = response.body_mut().with_config().limit(MAX_READ_BYTES);
+                body.read_json().map_err(no_answer)
             }
-            StatusCode::GONE => Err(StoreError::Lapsed),
-            status => Err(refused(status)),
+            StatusCode::GONE => Err(StoreError::WatchExpired),
+            status => Err(status_error(status)),
         }
     }
 }
 
 /// The longest answer to a read, in bytes: a listing may hold many values.
-const READ_BYTES: u64 = 64 * 1024 * 1024;
+const MAX_READ_BYTES: u64 = 64 * 1024 * 1024;
 
-impl Guard {
-    fn enter(&mut self) -> Result<Passage, StoreError> {
+impl CallGuard {
+    fn admit(&mut self) -> Result<CallPermission, StoreError> {
         let now = Instant::now();
-        match self.circuit.pass(now, &mut self.rng) {
-            Passage::Blocked(retry_after) => Err(StoreError::Down { retry_after }),
-            passage => match self.budget.take(now) {
+        match self.circuit_breaker.permit(now, &mut self.rng) {
+            CallPermission::Blocked(retry_after) => Err(StoreError::Down { retry_after }),
+            passage => match self.budget.try_take(now) {
                 Ok(()) => Ok(passage),
                 Err(retry_after) => Err(StoreError::OverBudget { retry_after }),
             },
@@ -166,15 +168,15 @@
         })
     }
 
-    fn put(&self, key: &str, value: &str, expect: Expect) -> Result<Version, StoreError> {
+    fn put(&self, key: &str, value: &str, expect: WriteCondition) -> Result<Version, StoreError> {
         self.call(Duration::ZERO, |timeout| {
             let request = self.agent.put(format!("{}/objects/{key}", self.base));
             let request = match expect {
-                Expect::Absent => request.header("if-none-match", "*"),
-                Expect::Version(version) => request.header("if-match", version.to_string()),
+                WriteCondition::Absent => request.header("if-none-match", "*"),
+                WriteCondition::Version(version) => request.header("if-match", version.to_string()),
             };
             let request = request.config().timeout_global(Some(timeout)).build();
-            written(request.send(value).map_err(failure)?)
+            written_version(request.send(value).map_err(exchange_error)?)
         })
     }
 
@@ -183,7 +185,7 @@
             let request = self.agent.delete(format!("{}/objects/{key}", self.base));
             let request = request.header("if-match", version.to_string());
             let request = request.config().timeout_global(Some(timeout)).build();
-            written(request.call().map_err(failure)?).map(|_| ())
+            written_version(request.call().map_err(exchange_error)?).map(|_| ())
         })
     }
 
@@ -205,37 +207,37 @@
 
 /// The answer to a write: the version written, or the version that stood in the way.
 #[derive(Deserialize)]
-struct Written {
+struct WriteReply {
     version: Option<Version>,
 }
 
-fn written(mut response: ureq::http::Response<ureq::Body>) -> Result<Version, StoreError> {
+fn written_version(mut response: ureq::http::Response<ureq::Body>) -> Result<Version, StoreError> {
     let status = response.status();
     match status {
         StatusCode::OK | StatusCode::PRECONDITION_FAILED => {}
-        _ => return Err(refused(status)),
+        _ => return Err(status_error(status)),
     }
-    let written: Written = response.body_mut().read_json().map_err(silent)?;
-    match (status, written.version) {
+    let reply: WriteReply = response.body_mut().read_json().map_err(no_answer)?;
+    match (status, reply.version) {
         (StatusCode::OK, Some(version)) => Ok(version),
-        (StatusCode::OK, None) => Err(StoreError::Silent("no version in the answer".into())),
+        (StatusCode::OK, None) => Err(StoreError::NoAnswer("no version in the answer".into())),
         (_, found) => Err(StoreError::Conflict { found }),
     }
 }
 
 /// Turns a status into an error: one that something between here and the store may have made
 /// says nothing about a write.
-fn refused(status: StatusCode) -> StoreError {
+fn status_error(status: StatusCode) -> StoreError {
     match status {
         StatusCode::INTERNAL_SERVER_ERROR
         | StatusCode::BAD_GATEWAY
-        | StatusCode::GATEWAY_TIMEOUT => StoreError::Silent(format!("status {status}")),
+        | StatusCode::GATEWAY_TIMEOUT => StoreError::NoAnswer(format!("status {status}")),
         _ => StoreError::Refused(status.as_u16()),
     }
 }
 
 /// Turns a failed exchange into an error: only a failure to connect proves that nothing was sent.
-fn failure(error: ureq::Error) -> StoreError {
+fn exchange_error(error: ureq::Error) -> StoreError {
     match &error {
         ureq::Error::HostNotFound
         | ureq::Error::ConnectionFailed
@@ -245,12 +247,12 @@
         ureq::Error::Io(io) if io.kind() == std::io::ErrorKind::ConnectionRefused => {
             StoreError::NotSent(error.to_string())
         }
-        _ => silent(error),
+        _ => no_answer(error),
     }
 }
 
-fn silent(error: ureq::Error) -> StoreError {
-    StoreError::Silent(error.to_string())
+fn no_answer(error: ureq::Error) -> StoreError {
+    StoreError::NoAnswer(error.to_string())
 }
 
 fn ms(ms: u64) -> Duration {
--- a/crates/kingcuploft-platform/src/lib.rs
+++ b/crates/kingcuploft-platform/src/lib.rs
@@ -5,8 +5,8 @@
 //! store's revision at its last write.
 
 pub mod backoff;
-pub mod budget;
-pub mod circuit;
+pub mod call_budget;
+pub mod circuit_breaker;
 pub mod claim_lookup;
 pub mod client;
 pub mod manifest_root;
@@ -29,7 +29,7 @@
 
 /// What must hold for a write to take effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Expect {
+pub enum WriteCondition {
     /// There is no object with this key.
     Absent,
     /// The object has this version.
@@ -90,7 +90,7 @@
     },
     /// No answer, or not a whole one: a write may have taken effect.
     #[error("no whole answer came: {0}")]
-    Silent(String),
+    NoAnswer(String),
     /// No connection was made: nothing was written.
     #[error("the store can not be reached: {0}")]
     NotSent(String),
@@ -111,19 +111,19 @@
     },
     /// The revision asked for is too old to watch from; list again.
     #[error("the watch lapsed")]
-    Lapsed,
+    WatchExpired,
 }
 
 impl StoreError {
     /// Tells whether a write that ended so may have taken effect, or may yet.
     pub fn may_have_taken_effect(&self) -> bool {
-        matches!(self, Self::Silent(_))
+        matches!(self, Self::NoAnswer(_))
     }
 
     /// Tells whether the store failed to serve the call.
     pub fn is_outage(&self) -> bool {
         match self {
-            Self::Silent(_) | Self::NotSent(_) => true,
+            Self::NoAnswer(_) | Self::NotSent(_) => true,
             Self::Refused(status) => *status == 429 || *status >= 500,
             _ => false,
         }
@@ -133,12 +133,12 @@
     pub fn label(&self) -> &'static str {
         match self {
             Self::Conflict { .. } => "conflict",
-            Self::Silent(_) => "silent",
+            Self::NoAnswer(_) => "silent",
             Self::NotSent(_) => "not_sent",
             Self::Refused(_) => "refused",
             Self::Down { .. } => "down",
             Self::OverBudget { .. } => "over_budget",
-            Self::Lapsed => "lapsed",
+            Self::WatchExpired => "lapsed",
         }
     }
 }
@@ -158,7 +158,7 @@
     ///
     /// [`StoreError::Conflict`] where nothing was written, [`StoreError::Silent`] where that is
     /// not known.
-    fn put(&self, key: &str, value: &str, expect: Expect) -> Result<Version, StoreError>;
+    fn put(&self, key: &str, value: &str, expect: WriteCondition) -> Result<Version, StoreError>;
 
     /// Deletes an object if it has this version.
     ///
--- a/crates/kingcuploft-platform/src/manifest_root.rs
+++ b/crates/kingcuploft-platform/src/manifest_root.rs
@@ -11,7 +11,7 @@
 use kingcuploft::utils::HashSet;
 use kingcuploft::world::ids::Generation;
 
-use crate::{Expect, Object, ObjectStore, StoreError, Version};
+use crate::{Object, ObjectStore, StoreError, Version, WriteCondition};
 
 /// The key of the root object.
 pub const ROOT_KEY: &str = "manifest/root";
@@ -23,20 +23,20 @@
 pub const HISTORY_PREFIX: &str = "manifest/history/";
 
 /// How many earlier roots are kept.
-pub const HISTORY_KEPT: u64 = 32;
+pub const MAX_HISTORY_ROOTS: u64 = 32;
 
 /// After how many generations old roots and unused service objects are deleted.
-const PRUNE_EVERY: u64 = 16;
+const PRUNE_INTERVAL_GENERATIONS: u64 = 16;
 
 /// The longest value of an object, in bytes.
-const VALUE_BYTES: usize = 1_000_000;
+const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// How often a write without an answer is sent again.
-const RETRIES: usize = 3;
+const MAX_RETRIES: usize = 3;
 
 /// What to apply, by whom.
 #[derive(Clone, Debug)]
-pub struct Apply {
+pub struct ApplyRequest {
     /// The manifest.
     pub manifest: Manifest,
     /// The id of this apply, unique.
@@ -46,16 +46,16 @@
     /// When, in ms since 1970.
     pub applied_ms: u64,
     /// The generation that must be the accepted one; any where absent.
-    pub base: Option<Generation>,
+    pub base_generation: Option<Generation>,
     /// The generation that the new one must be above, after the store was reset.
-    pub above: Generation,
+    pub above_generation: Generation,
     /// Whether unchanged service objects are read and mended too.
     pub verify: bool,
 }
 
 /// How an apply ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// Accepted under this generation.
     Accepted(Generation),
     /// Accepted under this generation, and another apply came after it.
@@ -66,7 +66,7 @@
         by: Generation,
     },
     /// Another operator's apply came first; nothing of this one is in force.
-    Lost {
+    Conflicting {
         /// The generation that stands.
         generation: Generation,
         /// Who applied it.
@@ -85,7 +85,7 @@
     #[error("nothing was put in force: {0}")]
     Store(#[from] StoreError),
     /// An object would be longer than the store holds.
-    #[error("{what} takes {bytes} bytes, expected at most {VALUE_BYTES}")]
+    #[error("{what} takes {bytes} bytes, expected at most {MAX_VALUE_BYTES}")]
     TooLarge {
         /// The service, or the root.
         what: String,
@@ -106,14 +106,14 @@
     store: &dyn ObjectStore,
     manifest: Manifest,
     apply_id: &str,
-) -> Result<Applied, ApplyError> {
-    let apply = Apply {
+) -> Result<ApplyOutcome, ApplyError> {
+    let apply = ApplyRequest {
         manifest,
         apply_id: apply_id.into(),
         author: String::new(),
         applied_ms: 0,
-        base: None,
-        above: 0,
+        base_generation: None,
+        above_generation: 0,
         verify: false,
     };
     apply.run(store)
@@ -180,26 +180,29 @@
     serde_json::from_str(&object.value).map_err(|e| ApplyError::CorruptRoot(e.to_string()))
 }
 
-impl Apply {
+impl ApplyRequest {
     /// Writes the service objects, then swaps the root.
     ///
     /// # Errors
     ///
     /// [`ApplyError`] where it is certain that nothing was put in force.
-    pub fn run(&self, store: &dyn ObjectStore) -> Result<Applied, ApplyError> {
+    pub fn run(&self, store: &dyn ObjectStore) -> Result<ApplyOutcome, ApplyError> {
         let found = read_root(store)?;
         let (expect, before) = match found {
-            None => (Expect::Absent, Root::default()),
-            Some((version, root)) => (Expect::Version(version), root),
+            None => (WriteCondition::Absent, Root::default()),
+            Some((version, root)) => (WriteCondition::Version(version), root),
         };
-        if self.base.is_some_and(|base| base != before.generation) {
-            return Ok(lost(&before, &[]));
+        if self
+            .base_generation
+            .is_some_and(|base| base != before.generation)
+        {
+            return Ok(conflicting(&before, &[]));
         }
         let objects = objects(&self.manifest);
         let root = self.root(&before, &objects);
         let text = root.text();
-        for (what, bytes) in sizes(&objects, &text) {
-            if bytes > VALUE_BYTES {
+        for (what, bytes) in object_sizes(&objects, &text) {
+            if bytes > MAX_VALUE_BYTES {
                 return Err(ApplyError::TooLarge { what, bytes });
             }
         }
@@ -213,7 +216,7 @@
             }
         }
         let applied = self.swap(store, &text, expect, &before)?;
-        if let (Applied::Accepted(generation), true) = (&applied, self.prunes(&root)) {
+        if let (ApplyOutcome::Accepted(generation), true) = (&applied, self.should_prune(&root)) {
             // Pruning is only thrift: a failure leaves objects that the next one deletes.
             drop(prune(store, *generation));
         }
@@ -237,7 +240,7 @@
             hash: object.hash.clone(),
         });
         Root {
-            generation: before.generation.max(self.above) + 1,
+            generation: before.generation.max(self.above_generation) + 1,
             apply_id: self.apply_id.clone(),
             author: self.author.clone(),
             applied_ms: self.applied_ms,
@@ -252,35 +255,39 @@
         &self,
         store: &dyn ObjectStore,
         text: &str,
-        expect: Expect,
+        expect: WriteCondition,
         before: &Root,
-    ) -> Result<Applied, ApplyError> {
-        let mut silent = None;
-        for _ in 0..=RETRIES {
+    ) -> Result<ApplyOutcome, ApplyError> {
+        let mut no_answer = None;
+        for _ in 0..=MAX_RETRIES {
             match store.put(ROOT_KEY, text, expect) {
-                Ok(_) => return Ok(Applied::Accepted(before.generation.max(self.above) + 1)),
-                Err(StoreError::Conflict { .. }) => return Ok(self.settle(store, before)),
-                Err(StoreError::Silent(why)) => silent = Some(why),
+                Ok(_) => {
+                    return Ok(ApplyOutcome::Accepted(
+                        before.generation.max(self.above_generation) + 1,
+                    ));
+                }
+                Err(StoreError::Conflict { .. }) => return Ok(self.read_back(store, before)),
+                Err(StoreError::NoAnswer(why)) => no_answer = Some(why),
                 // The store refused this try; an earlier one may still arrive.
-                Err(error) => match silent {
+                Err(error) => match no_answer {
                     None => return Err(error.into()),
-                    Some(why) => return Ok(Applied::Unknown(why)),
+                    Some(why) => return Ok(ApplyOutcome::Unknown(why)),
                 },
             }
         }
-        Ok(self.settle(store, before))
+        Ok(self.read_back(store, before))
     }
 
     /// Reads back whether this apply took effect; a stale read tells nothing and is done again.
-    fn settle(&self, store: &dyn ObjectStore, before: &Root) -> Applied {
-        let mut last = Applied::Unknown("the write may still arrive".into());
-        for _ in 0..=RETRIES {
+    fn read_back(&self, store: &dyn ObjectStore, before: &Root) -> ApplyOutcome {
+        let mut last = ApplyOutcome::Unknown("the write may still arrive".into());
+        for _ in 0..=MAX_RETRIES {
             last = match read_root(store) {
-                Ok(Some((_, root))) => self.told_by(&root, before),
-                Ok(None) => Applied::Unknown("the write may still arrive".into()),
-                Err(error) => Applied::Unknown(error.to_string()),
+                Ok(Some((_, root))) => self.outcome_from(&root, before),
+                Ok(None) => ApplyOutcome::Unknown("the write may still arrive".into()),
+                Err(error) => ApplyOutcome::Unknown(error.to_string()),
             };
-            if !matches!(last, Applied::Unknown(_)) {
+            if !matches!(last, ApplyOutcome::Unknown(_)) {
                 break;
             }
         }
@@ -288,37 +295,37 @@
     }
 
     /// Returns what a root read back tells of this apply.
-    pub fn told_by(&self, root: &Root, before: &Root) -> Applied {
+    pub fn outcome_from(&self, root: &Root, before: &Root) -> ApplyOutcome {
         if root.apply_id == self.apply_id {
-            return Applied::Accepted(root.generation);
+            return ApplyOutcome::Accepted(root.generation);
         }
         let past = root.past.iter().find(|past| past.apply_id == self.apply_id);
         if let Some(past) = past {
-            return Applied::Superseded {
+            return ApplyOutcome::Superseded {
                 generation: past.generation,
                 by: root.generation,
             };
         }
         match root.generation > before.generation {
-            true => lost(root, &before.services),
-            false => Applied::Unknown("the write may still arrive".into()),
+            true => conflicting(root, &before.services),
+            false => ApplyOutcome::Unknown("the write may still arrive".into()),
         }
     }
 
-    fn prunes(&self, root: &Root) -> bool {
-        root.generation.is_multiple_of(PRUNE_EVERY)
+    fn should_prune(&self, root: &Root) -> bool {
+        root.generation.is_multiple_of(PRUNE_INTERVAL_GENERATIONS)
     }
 }
 
-fn lost(root: &Root, before: &[ServiceRef]) -> Applied {
-    Applied::Lost {
+fn conflicting(root: &Root, before: &[ServiceRef]) -> ApplyOutcome {
+    ApplyOutcome::Conflicting {
         generation: root.generation,
         author: root.author.clone(),
         changes: root.changes_since(before),
     }
 }
 
-fn sizes(objects: &[ServiceObject], root: &str) -> Vec<(String, usize)> {
+fn object_sizes(objects: &[ServiceObject], root: &str) -> Vec<(String, usize)> {
     let objects = objects.iter();
     let objects = objects.map(|object| (format!("service {}", object.name), object.text.len()));
     let root = ("the root".into(), root.len());
@@ -328,21 +335,21 @@
 /// Writes a value whose content follows from its key, so that any number of tries is one.
 fn write_absent(store: &dyn ObjectStore, key: &str, value: &str) -> Result<(), StoreError> {
     let mut last = Ok(());
-    for _ in 0..=RETRIES {
-        match store.put(key, value, Expect::Absent) {
+    for _ in 0..=MAX_RETRIES {
+        match store.put(key, value, WriteCondition::Absent) {
             Ok(_) | Err(StoreError::Conflict { .. }) => return Ok(()),
-            Err(StoreError::Silent(why)) => last = Err(StoreError::Silent(why)),
+            Err(StoreError::NoAnswer(why)) => last = Err(StoreError::NoAnswer(why)),
             Err(error) => return Err(error),
         }
     }
-    stands(store, key, value).or(last)
+    confirm_written(store, key, value).or(last)
 }
 
 /// Tells whether an object stands as it was to be written, though no answer said so.
-fn stands(store: &dyn ObjectStore, key: &str, value: &str) -> Result<(), StoreError> {
+fn confirm_written(store: &dyn ObjectStore, key: &str, value: &str) -> Result<(), StoreError> {
     match store.get(key)? {
         Some(object) if object.value == value => Ok(()),
-        _ => Err(StoreError::Silent("the write may still arrive".into())),
+        _ => Err(StoreError::NoAnswer("the write may still arrive".into())),
     }
 }
 
@@ -350,18 +357,20 @@
 /// prune that runs beside this apply from deleting it, and a corrupt one is mended.
 fn write_object(store: &dyn ObjectStore, object: &ServiceObject) -> Result<(), StoreError> {
     let key = service_key(&object.hash);
-    let mut expect = Expect::Absent;
+    let mut expect = WriteCondition::Absent;
     let mut last = Ok(());
-    for _ in 0..=RETRIES {
+    for _ in 0..=MAX_RETRIES {
         match store.put(&key, &object.text, expect) {
             Ok(_) => return Ok(()),
-            Err(StoreError::Conflict { found: Some(found) }) => expect = Expect::Version(found),
-            Err(StoreError::Conflict { found: None }) => expect = Expect::Absent,
-            Err(StoreError::Silent(why)) => last = Err(StoreError::Silent(why)),
+            Err(StoreError::Conflict { found: Some(found) }) => {
+                expect = WriteCondition::Version(found)
+            }
+            Err(StoreError::Conflict { found: None }) => expect = WriteCondition::Absent,
+            Err(StoreError::NoAnswer(why)) => last = Err(StoreError::NoAnswer(why)),
             Err(error) => return Err(error),
         }
     }
-    stands(store, &key, &object.text).or(last)
+    confirm_written(store, &key, &object.text).or(last)
 }
 
 /// Deletes earlier roots beyond those kept, and service objects that no kept root names.
@@ -375,7 +384,7 @@
     if root.generation != generation {
         return Ok(());
     }
-    let oldest = history_key(generation.saturating_sub(HISTORY_KEPT));
+    let oldest = history_key(generation.saturating_sub(MAX_HISTORY_ROOTS));
     let history = store.list(HISTORY_PREFIX)?.changes;
     let (dropped, kept): (Vec<_>, Vec<_>) = history.into_iter().partition(|c| c.key < oldest);
     for change in dropped {
--- a/crates/kingcuploft-standins/src/experiments/claims/per_action.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/per_action.rs
@@ -5,7 +5,7 @@
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use kingcuploft_platform::client::{Client, ClientSettings};
-use kingcuploft_platform::{Expect, ObjectStore};
+use kingcuploft_platform::{ObjectStore, WriteCondition};
 
 use super::{Claimed, RUN};
 use crate::platform::Platform;
@@ -66,11 +66,11 @@
     let (claim, record) = ("x".repeat(CLAIM_BYTES), "x".repeat(RECORD_BYTES));
     for (action, began) in ring {
         let key = format!("claims/{action}");
-        let put = store.put(&key, &claim, Expect::Absent);
+        let put = store.put(&key, &claim, WriteCondition::Absent);
         claimed.add(began, put.is_ok());
         if let Ok(version) = put {
             std::thread::sleep(RUN);
-            drop(store.put(&key, &record, Expect::Version(version)));
+            drop(store.put(&key, &record, WriteCondition::Version(version)));
         }
     }
     claimed
--- a/crates/kingcuploft-standins/src/experiments/promises/run.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/run.rs
@@ -10,7 +10,7 @@
 use hyper::Method;
 use kingcuploft::manifest::reader;
 use kingcuploft_platform::client::Client;
-use kingcuploft_platform::manifest_root::{self, Applied};
+use kingcuploft_platform::manifest_root::{self, ApplyOutcome};
 
 use super::chaos::{self, Step};
 use super::entry::{self, Entries};
@@ -145,7 +145,7 @@
     let manifest = reader::read("promises", manifest).ok()?;
     let client = Client::new(&platform.address().to_string());
     match manifest_root::apply(&client, manifest, id) {
-        Ok(Applied::Accepted(generation)) => Some(generation),
+        Ok(ApplyOutcome::Accepted(generation)) => Some(generation),
         _ => None,
     }
 }
--- a/crates/kingcuploft-standins/src/experiments/slopes/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/slopes/mod.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use hyper::Method;
 use kingcuploft_platform::client::{Client, ClientSettings};
-use kingcuploft_platform::manifest_root::{self, Applied};
+use kingcuploft_platform::manifest_root::{self, ApplyOutcome};
 use serde::Serialize;
 use tokio::runtime::Runtime;
 
@@ -282,7 +282,7 @@
     };
     let client = Client::with_settings(&platform.address().to_string(), settings, 1);
     match manifest_root::apply(&client, manifest, id) {
-        Ok(Applied::Accepted(generation)) => Ok(generation),
+        Ok(ApplyOutcome::Accepted(generation)) => Ok(generation),
         other => Err(FleetError::NotInForce(format!("{other:?}"))),
     }
 }
--- a/crates/kingcuploft-standins/src/fleet.rs
+++ b/crates/kingcuploft-standins/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use kingcuploft::manifest::reader;
 use kingcuploft_platform::client::Client;
-use kingcuploft_platform::manifest_root::{self, Applied};
+use kingcuploft_platform::manifest_root::{self, ApplyOutcome};
 use kingcuploftd::daemon::Daemon;
 use kingcuploftd::settings::Settings;
 use tokio::runtime::Runtime;
@@ -208,7 +208,7 @@
             reader::read("plan", text).map_err(|faults| FleetError::Plan(format!("{faults:?}")))?;
         let client = Client::new(&self.platform.address().to_string());
         match manifest_root::apply(&client, manifest, apply_id) {
-            Ok(Applied::Accepted(generation)) => Ok(generation),
+            Ok(ApplyOutcome::Accepted(generation)) => Ok(generation),
             other => Err(FleetError::NotInForce(format!("{other:?}"))),
         }
     }
--- a/crates/kingcuploft-standins/tests/claims/main.rs
+++ b/crates/kingcuploft-standins/tests/claims/main.rs
@@ -163,12 +163,12 @@
     });
     assert_eq!(fleet.runs("long"), 1);
     let store = Client::new(&fleet.platform.address().to_string());
-    let found = claim_lookup::find(&store, &"trip".into(), "squad-7").unwrap();
+    let found = claim_lookup::look_up(&store, &"trip".into(), "squad-7").unwrap();
     let entry = found.entry.unwrap();
     assert!(matches!(entry.state, EntryState::Answered(_)), "{entry:?}");
     assert_eq!(&*entry.claimant.vm, "entry-0");
     assert_eq!(found.object.as_deref(), Some(HEAD));
-    let found = claim_lookup::find(&store, &"trip".into(), "nobody's").unwrap();
+    let found = claim_lookup::look_up(&store, &"trip".into(), "nobody's").unwrap();
     assert_eq!((found.entry, found.object), (None, None));
     fleet.stop();
 }
--- a/crates/kingcuploft-standins/tests/fleet/harness.rs
+++ b/crates/kingcuploft-standins/tests/fleet/harness.rs
@@ -5,7 +5,7 @@
 
 use kingcuploft::manifest::reader;
 use kingcuploft_platform::client::{Client, ClientSettings};
-use kingcuploft_platform::manifest_root::{self, Applied};
+use kingcuploft_platform::manifest_root::{self, ApplyOutcome};
 use kingcuploft_standins::platform::Platform;
 use kingcuploftd::daemon::Daemon;
 use kingcuploftd::settings::Settings;
@@ -75,7 +75,7 @@
         let manifest = reader::read("test", &text(services)).unwrap();
         let id = format!("{services:?}");
         match manifest_root::apply(&self.client(), manifest, &id).unwrap() {
-            Applied::Accepted(generation) => generation,
+            ApplyOutcome::Accepted(generation) => generation,
             other => panic!("{other:?}"),
         }
     }
--- a/crates/kingcuploft-standins/tests/fleet/manifest.rs
+++ b/crates/kingcuploft-standins/tests/fleet/manifest.rs
@@ -4,8 +4,10 @@
 
 use kingcuploft::manifest::reader;
 use kingcuploft::manifest::root::{Root, ServiceRef, objects};
-use kingcuploft_platform::manifest_root::{Applied, ROOT_KEY, SERVICES_PREFIX, apply, service_key};
-use kingcuploft_platform::{Expect, ObjectStore};
+use kingcuploft_platform::manifest_root::{
+    ApplyOutcome, ROOT_KEY, SERVICES_PREFIX, apply, service_key,
+};
+use kingcuploft_platform::{ObjectStore, WriteCondition};
 use kingcuploft_standins::platform::Outage;
 
 use crate::harness::{Bench, IN_FORCE, generation, text, until};
@@ -165,7 +167,10 @@
     };
     until(IN_FORCE, told, || format!("{:?}", bench.generations()));
     assert_eq!(bench.generations(), [old, old]);
-    bench.client().put(&key, &good, Expect::Absent).unwrap();
+    bench
+        .client()
+        .put(&key, &good, WriteCondition::Absent)
+        .unwrap();
     bench.in_force(old + 1);
     bench.stop();
 }
@@ -206,7 +211,7 @@
                     let applied = apply(&bench.client(), manifest, &id).unwrap();
                     usize::from(matches!(
                         applied,
-                        Applied::Accepted(_) | Applied::Superseded { .. }
+                        ApplyOutcome::Accepted(_) | ApplyOutcome::Superseded { .. }
                     ))
                 });
                 tries.sum::<usize>()
--- a/crates/kingcuploft-standins/tests/fleet/members.rs
+++ b/crates/kingcuploft-standins/tests/fleet/members.rs
@@ -125,7 +125,7 @@
     put.put(
         "drains/trip/trip-9",
         &value,
-        kingcuploft_platform::Expect::Absent,
+        kingcuploft_platform::WriteCondition::Absent,
     )
     .unwrap();
     let known = || {
--- a/crates/kingcuploft-standins/tests/manifest_store.rs
+++ b/crates/kingcuploft-standins/tests/manifest_store.rs
@@ -7,10 +7,12 @@
 use kingcuploft::manifest::{Manifest, reader};
 use kingcuploft_platform::client::{Client, ClientSettings};
 use kingcuploft_platform::manifest_root::{
-    Applied, Apply, HISTORY_KEPT, HISTORY_PREFIX, ROOT_KEY, SERVICES_PREFIX, apply, read_history,
-    read_manifest, read_root,
+    ApplyOutcome, ApplyRequest, HISTORY_PREFIX, MAX_HISTORY_ROOTS, ROOT_KEY, SERVICES_PREFIX,
+    apply, read_history, read_manifest, read_root,
+};
+use kingcuploft_platform::{
+    Changes, ListedVm, Object, ObjectStore, StoreError, Version, WriteCondition,
 };
-use kingcuploft_platform::{Changes, Expect, ListedVm, Object, ObjectStore, StoreError, Version};
 use kingcuploft_standins::platform::{Outage, Platform, WriteFault};
 use tokio::runtime::Runtime;
 
@@ -48,14 +50,14 @@
     reader::read("test", &text).unwrap()
 }
 
-fn request(manifest: Manifest, apply_id: &str) -> Apply {
-    Apply {
+fn request(manifest: Manifest, apply_id: &str) -> ApplyRequest {
+    ApplyRequest {
         manifest,
         apply_id: apply_id.into(),
         author: "operator".into(),
         applied_ms: 7,
-        base: None,
-        above: 0,
+        base_generation: None,
+        above_generation: 0,
         verify: false,
     }
 }
@@ -66,11 +68,11 @@
     let all: Vec<String> = (0..40).map(|i| format!("service-{i}")).collect();
     let mut services: Vec<(&str, u64)> = all.iter().map(|name| (name.as_str(), 1)).collect();
     let first = apply(&bench.store, manifest(&services), "first").unwrap();
-    assert_eq!(first, Applied::Accepted(1));
+    assert_eq!(first, ApplyOutcome::Accepted(1));
     let before = bench.platform.calls();
     services[7].1 = 2;
     let second = apply(&bench.store, manifest(&services), "second").unwrap();
-    assert_eq!(second, Applied::Accepted(2));
+    assert_eq!(second, ApplyOutcome::Accepted(2));
     let after = bench.platform.calls();
     // The earlier root's history, one service object and the root.
     assert_eq!(after.puts - before.puts, 3);
@@ -94,13 +96,13 @@
         .platform
         .change_faults(|faults| faults.next_writes.push_back(lost));
     let applied = apply(&bench.store, manifest(&[("trip", 1)]), "a").unwrap();
-    assert_eq!(applied, Applied::Accepted(1));
+    assert_eq!(applied, ApplyOutcome::Accepted(1));
     let lost = (ROOT_KEY.to_owned(), WriteFault::LostRequest);
     bench
         .platform
         .change_faults(|faults| faults.next_writes.push_back(lost));
     let applied = apply(&bench.store, manifest(&[("trip", 2)]), "b").unwrap();
-    assert_eq!(applied, Applied::Accepted(2));
+    assert_eq!(applied, ApplyOutcome::Accepted(2));
 }
 
 #[test]
@@ -114,10 +116,10 @@
         .platform
         .change_faults(|faults| faults.next_writes.push_back(late));
     let applied = apply(&bench.store, manifest(&[("trip", 1)]), "a").unwrap();
-    assert_eq!(applied, Applied::Accepted(1));
+    assert_eq!(applied, ApplyOutcome::Accepted(1));
     assert_eq!(
         apply(&bench.store, manifest(&[("trip", 2)]), "b").unwrap(),
-        Applied::Accepted(2)
+        ApplyOutcome::Accepted(2)
     );
     std::thread::sleep(Duration::from_millis(150));
     let (_, root) = read_root(&bench.store).unwrap().unwrap();
@@ -135,12 +137,12 @@
         platform: &bench.platform,
     };
     let applied = apply(&silent, manifest(&[("trip", 2)]), "b").unwrap();
-    assert!(matches!(applied, Applied::Unknown(_)), "{applied:?}");
+    assert!(matches!(applied, ApplyOutcome::Unknown(_)), "{applied:?}");
     bench.platform.change_faults(|faults| faults.outage = None);
     let (_, root) = read_root(&bench.store).unwrap().unwrap();
     let before = read_history(&bench.store).unwrap().remove(0);
-    let settled = request(manifest(&[("trip", 2)]), "b").told_by(&root, &before);
-    assert_eq!(settled, Applied::Accepted(2));
+    let settled = request(manifest(&[("trip", 2)]), "b").outcome_from(&root, &before);
+    assert_eq!(settled, ApplyOutcome::Accepted(2));
 }
 
 /// A store that goes down just after the root was written.
@@ -154,14 +156,14 @@
         self.inner.get(key)
     }
 
-    fn put(&self, key: &str, value: &str, expect: Expect) -> Result<Version, StoreError> {
+    fn put(&self, key: &str, value: &str, expect: WriteCondition) -> Result<Version, StoreError> {
         let written = self.inner.put(key, value, expect)?;
         if key != ROOT_KEY {
             return Ok(written);
         }
         let outage = Some(Outage::Closed);
         self.platform.change_faults(|faults| faults.outage = outage);
-        Err(StoreError::Silent("the answer was lost".into()))
+        Err(StoreError::NoAnswer("the answer was lost".into()))
     }
 
     fn delete(&self, key: &str, version: Version) -> Result<(), StoreError> {
@@ -192,7 +194,7 @@
         raced: AtomicBool::new(false),
     };
     let lost = request(manifest(&[("trip", 2), ("venue", 1)]), "loser").run(&racing);
-    let expected = Applied::Lost {
+    let expected = ApplyOutcome::Conflicting {
         generation: 2,
         author: "operator".into(),
         changes: vec![
@@ -200,14 +202,14 @@
             ServiceChange::Changed("venue".into()),
         ],
     };
-    let sorted = |applied: Applied| match applied {
-        Applied::Lost {
+    let sorted = |applied: ApplyOutcome| match applied {
+        ApplyOutcome::Conflicting {
             generation,
             author,
             mut changes,
         } => {
             changes.sort_by_key(ToString::to_string);
-            Applied::Lost {
+            ApplyOutcome::Conflicting {
                 generation,
                 author,
                 changes,
@@ -231,12 +233,12 @@
         self.inner.get(key)
     }
 
-    fn put(&self, key: &str, value: &str, expect: Expect) -> Result<Version, StoreError> {
+    fn put(&self, key: &str, value: &str, expect: WriteCondition) -> Result<Version, StoreError> {
         let first = key == ROOT_KEY && !self.raced.swap(true, Ordering::Relaxed);
         if first {
             let other = manifest(&[("trip", 1), ("venue", 9), ("archive", 1)]);
             let won = request(other, "winner").run(self.inner).unwrap();
-            assert_eq!(won, Applied::Accepted(2));
+            assert_eq!(won, ApplyOutcome::Accepted(2));
         }
         self.inner.put(key, value, expect)
     }
@@ -267,8 +269,8 @@
         .run(&bench.store)
         .unwrap();
     let (_, root) = read_root(&bench.store).unwrap().unwrap();
-    let told = first.told_by(&root, &kingcuploft::manifest::root::Root::default());
-    let expected = Applied::Superseded {
+    let told = first.outcome_from(&root, &kingcuploft::manifest::root::Root::default());
+    let expected = ApplyOutcome::Superseded {
         generation: 1,
         by: 2,
     };
@@ -282,11 +284,17 @@
         .run(&bench.store)
         .unwrap();
     let mut insists = request(manifest(&[("trip", 2)]), "b");
-    insists.base = Some(0);
+    insists.base_generation = Some(0);
     let applied = insists.run(&bench.store).unwrap();
-    assert!(matches!(applied, Applied::Lost { generation: 1, .. }));
-    insists.base = Some(1);
-    assert_eq!(insists.run(&bench.store).unwrap(), Applied::Accepted(2));
+    assert!(matches!(
+        applied,
+        ApplyOutcome::Conflicting { generation: 1, .. }
+    ));
+    insists.base_generation = Some(1);
+    assert_eq!(
+        insists.run(&bench.store).unwrap(),
+        ApplyOutcome::Accepted(2)
+    );
 }
 
 #[test]
@@ -300,11 +308,11 @@
             manifest(&[("trip", deadline_ms)]),
             &format!("{i}"),
         );
-        assert_eq!(applied.unwrap(), Applied::Accepted(i));
+        assert_eq!(applied.unwrap(), ApplyOutcome::Accepted(i));
     }
     let history = read_history(&bench.store).unwrap();
     assert!(
-        history.len() as u64 <= HISTORY_KEPT + 16,
+        history.len() as u64 <= MAX_HISTORY_ROOTS + 16,
         "{}",
         history.len()
     );
@@ -328,6 +336,6 @@
     assert!(read_manifest(&bench.store, &root).is_err());
     let mut mends = request(manifest(&[("trip", 1), ("venue", 1)]), "b");
     mends.verify = true;
-    assert_eq!(mends.run(&bench.store).unwrap(), Applied::Accepted(2));
+    assert_eq!(mends.run(&bench.store).unwrap(), ApplyOutcome::Accepted(2));
     assert_eq!(bench.platform.object(&key).unwrap().value, good);
 }
--- a/crates/kingcuploft-standins/tests/platform.rs
+++ b/crates/kingcuploft-standins/tests/platform.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcuploft_platform::client::Client;
-use kingcuploft_platform::{Expect, ListedVm, ObjectStore, StoreError, VmState};
+use kingcuploft_platform::{ListedVm, ObjectStore, StoreError, VmState, WriteCondition};
 use kingcuploft_standins::platform::{Faults, Outage, Platform, VALUE_BYTES, WriteFault};
 use tokio::runtime::Runtime;
 
@@ -24,8 +24,8 @@
     next_write(&platform, WriteFault::LostAnswer);
     next_write(&platform, WriteFault::LostRequest);
     for key in ["took-effect", "did-not"] {
-        let put = client.put(key, "1", Expect::Absent);
-        assert!(matches!(put, Err(StoreError::Silent(_))), "{put:?}");
+        let put = client.put(key, "1", WriteCondition::Absent);
+        assert!(matches!(put, Err(StoreError::NoAnswer(_))), "{put:?}");
     }
     assert!(platform.object("took-effect").is_some());
     assert!(platform.object("did-not").is_none());
@@ -36,14 +36,20 @@
     let (_runtime, platform, client) = start();
     let late = WriteFault::Delayed(Duration::from_millis(60));
     next_write(&platform, late);
-    assert!(client.put("a", "late", Expect::Absent).is_err());
+    assert!(client.put("a", "late", WriteCondition::Absent).is_err());
     assert_eq!(client.get("a").unwrap(), None);
     std::thread::sleep(Duration::from_millis(150));
     assert_eq!(client.get("a").unwrap().unwrap().value, "late");
     let version = client.get("a").unwrap().unwrap().version;
     next_write(&platform, late);
-    assert!(client.put("a", "later", Expect::Version(version)).is_err());
-    client.put("a", "newer", Expect::Version(version)).unwrap();
+    assert!(
+        client
+            .put("a", "later", WriteCondition::Version(version))
+            .is_err()
+    );
+    client
+        .put("a", "newer", WriteCondition::Version(version))
+        .unwrap();
     std::thread::sleep(Duration::from_millis(150));
     assert_eq!(client.get("a").unwrap().unwrap().value, "newer");
     assert_eq!(platform.calls().conflicts, 1);
@@ -52,8 +58,10 @@
 #[test]
 fn stale_reads_lapsed_watches_lagging_vms_and_big_values_are_told_apart() {
     let (_runtime, platform, client) = start();
-    let first = client.put("a", "1", Expect::Absent).unwrap();
-    client.put("a", "2", Expect::Version(first)).unwrap();
+    let first = client.put("a", "1", WriteCondition::Absent).unwrap();
+    client
+        .put("a", "2", WriteCondition::Version(first))
+        .unwrap();
     platform.change_faults(|faults| faults.stale_read_share = 1.0);
     assert_eq!(client.get("a").unwrap().unwrap().value, "1");
     platform.set_faults(Faults {
@@ -62,7 +70,7 @@
         ..Faults::default()
     });
     let wait = Duration::from_millis(1);
-    assert_eq!(client.watch("a", 0, wait), Err(StoreError::Lapsed));
+    assert_eq!(client.watch("a", 0, wait), Err(StoreError::WatchExpired));
     platform.set_vms(vec![ListedVm {
         name: "entry-1".into(),
         address: "127.0.0.1:1".into(),
@@ -73,9 +81,9 @@
     platform.set_faults(Faults::default());
     assert_eq!(client.vms().unwrap().len(), 1);
     let big = "x".repeat(VALUE_BYTES + 1);
-    let put = client.put("b", &big, Expect::Absent);
+    let put = client.put("b", &big, WriteCondition::Absent);
     assert_eq!(put, Err(StoreError::Refused(413)));
     platform.change_faults(|faults| faults.outage = Some(Outage::Closed));
-    assert!(matches!(client.get("a"), Err(StoreError::Silent(_))));
+    assert!(matches!(client.get("a"), Err(StoreError::NoAnswer(_))));
     assert_eq!(platform.calls().refused, 1);
 }
--- a/crates/kingcuploft-standins/tests/platform_client.rs
+++ b/crates/kingcuploft-standins/tests/platform_client.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft_platform::backoff::Backoff;
-use kingcuploft_platform::budget::CallBudget;
-use kingcuploft_platform::circuit::{Circuit, Passage};
+use kingcuploft_platform::call_budget::CallBudget;
+use kingcuploft_platform::circuit_breaker::{CallPermission, CircuitBreaker};
 use kingcuploft_platform::client::{Client, ClientSettings};
-use kingcuploft_platform::{Expect, ObjectStore, StoreError};
+use kingcuploft_platform::{ObjectStore, StoreError, WriteCondition};
 use kingcuploft_standins::platform::{Faults, Outage, Platform, WriteFault};
 use tokio::runtime::Runtime;
 
@@ -24,7 +24,7 @@
         ..ClientSettings::default()
     };
     let store = client(&platform, settings.clone());
-    let put = |key| store.put(key, "1", Expect::Absent).unwrap_err();
+    let put = |key| store.put(key, "1", WriteCondition::Absent).unwrap_err();
     let slow = WriteFault::Slow(Duration::from_millis(150));
     platform.change_faults(|faults| faults.next_writes.push_back((String::new(), slow)));
     assert!(put("slow").may_have_taken_effect());
@@ -36,7 +36,9 @@
     let address = nobody.local_addr().unwrap().to_string();
     drop(nobody);
     let unreachable = Client::with_settings(&address, settings, 7);
-    let put = unreachable.put("a", "1", Expect::Absent).unwrap_err();
+    let put = unreachable
+        .put("a", "1", WriteCondition::Absent)
+        .unwrap_err();
     assert!(matches!(put, StoreError::NotSent(_)), "{put:?}");
     assert!(!put.may_have_taken_effect());
 }
@@ -55,20 +57,20 @@
     let store = client(&platform, settings);
     platform.change_faults(|faults| faults.outage = Some(Outage::Silence));
     for _ in 0..2 {
-        assert!(matches!(store.get("a"), Err(StoreError::Silent(_))));
+        assert!(matches!(store.get("a"), Err(StoreError::NoAnswer(_))));
     }
     for _ in 0..200 {
         assert!(matches!(store.get("a"), Err(StoreError::Down { .. })));
     }
     assert_eq!(platform.calls().refused, 2);
-    assert!(store.down_for(Instant::now()).is_some());
+    assert!(store.retry_after(Instant::now()).is_some());
     platform.set_faults(Faults::default());
     let until = Instant::now() + Duration::from_secs(5);
     while store.get("a").is_err() {
         assert!(Instant::now() < until, "the store's return is not noticed");
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(store.down_for(Instant::now()).is_none());
+    assert!(store.retry_after(Instant::now()).is_none());
 }
 
 #[test]
@@ -78,18 +80,21 @@
     let mut probes = Vec::new();
     for seed in 0..14 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut circuit = Circuit::new(2, interval);
-        circuit.failed(start, &mut rng);
-        assert_eq!(circuit.pass(start, &mut rng), Passage::Pass);
-        circuit.failed(start, &mut rng);
-        let Passage::Blocked(wait) = circuit.pass(start, &mut rng) else {
+        let mut circuit = CircuitBreaker::new(2, interval);
+        circuit.record_failure(start, &mut rng);
+        assert_eq!(circuit.permit(start, &mut rng), CallPermission::Allowed);
+        circuit.record_failure(start, &mut rng);
+        let CallPermission::Blocked(wait) = circuit.permit(start, &mut rng) else {
             panic!("the circuit is closed");
         };
         let due = start + wait;
-        assert_eq!(circuit.pass(due, &mut rng), Passage::Probe);
-        assert!(matches!(circuit.pass(due, &mut rng), Passage::Blocked(_)));
-        circuit.answered();
-        assert_eq!(circuit.pass(due, &mut rng), Passage::Pass);
+        assert_eq!(circuit.permit(due, &mut rng), CallPermission::Probe);
+        assert!(matches!(
+            circuit.permit(due, &mut rng),
+            CallPermission::Blocked(_)
+        ));
+        circuit.record_success();
+        assert_eq!(circuit.permit(due, &mut rng), CallPermission::Allowed);
         probes.push(wait);
     }
     probes.sort();
@@ -101,12 +106,12 @@
 fn the_budget_allows_its_burst_and_then_its_rate() {
     let start = Instant::now();
     let mut budget = CallBudget::new(10.0, 5.0);
-    let mut taken = |ms| budget.take(start + Duration::from_millis(ms)).is_ok();
+    let mut taken = |ms| budget.try_take(start + Duration::from_millis(ms)).is_ok();
     assert_eq!((0..20).filter(|_| taken(0)).count(), 5);
     let in_a_second = (1..=1000).filter(|&ms| taken(ms)).count();
     assert!((9..=10).contains(&in_a_second), "{in_a_second}");
     let mut nothing = CallBudget::new(0.0, 0.0);
-    assert_eq!(nothing.take(start), Err(Duration::from_secs(60)));
+    assert_eq!(nothing.try_take(start), Err(Duration::from_secs(60)));
     let runtime = Runtime::new().unwrap();
     let platform = Platform::start(&runtime).unwrap();
     let settings = ClientSettings {
@@ -126,9 +131,9 @@
     let longest = Duration::from_millis(50);
     let mut backoff = Backoff::new(Duration::from_millis(2), longest);
     for (i, bound_ms) in [2, 4, 8, 16, 32, 50, 50].into_iter().enumerate() {
-        let pause = backoff.pause(&mut rng);
+        let pause = backoff.next_delay(&mut rng);
         assert!(pause <= Duration::from_millis(bound_ms), "{i}: {pause:?}");
     }
     backoff.reset();
-    assert!(backoff.pause(&mut rng) <= Duration::from_millis(2));
+    assert!(backoff.next_delay(&mut rng) <= Duration::from_millis(2));
 }
--- a/crates/kingcuploft-standins/tests/start_at_size.rs
+++ b/crates/kingcuploft-standins/tests/start_at_size.rs
@@ -2,7 +2,7 @@
 
 use kingcuploft::manifest::reader;
 use kingcuploft_platform::client::{Client, ClientSettings};
-use kingcuploft_platform::manifest_root::{self, Applied};
+use kingcuploft_platform::manifest_root::{self, ApplyOutcome};
 use kingcuploft_standins::platform::Platform;
 use kingcuploftd::daemon::Daemon;
 
@@ -27,7 +27,7 @@
     };
     let client = Client::with_settings(&platform.address().to_string(), settings, 1);
     let applied = manifest_root::apply(&client, manifest, "start").unwrap();
-    assert_eq!(applied, Applied::Accepted(1));
+    assert_eq!(applied, ApplyOutcome::Accepted(1));
 
     let before = platform.calls();
     let text = format!(
--- a/crates/kingcuploftctl/src/apply.rs
+++ b/crates/kingcuploftctl/src/apply.rs
@@ -5,7 +5,7 @@
 use kingcuploft::manifest::Manifest;
 use kingcuploft::manifest::root::objects;
 use kingcuploft_platform::ObjectStore;
-use kingcuploft_platform::manifest_root::{self, Applied, Apply, ApplyError};
+use kingcuploft_platform::manifest_root::{self, ApplyError, ApplyOutcome, ApplyRequest};
 
 use crate::args::ApplyArgs;
 use crate::context::Context;
@@ -23,13 +23,13 @@
 pub fn apply(context: &Context<'_>, args: &ApplyArgs) -> Result<Ending, Ending> {
     let checked = manifest::read(context, &args.file)?;
     let store = context.store()?;
-    let apply = Apply {
+    let apply = ApplyRequest {
         manifest: checked.manifest,
         apply_id: apply_id(),
         author: args.author.clone().unwrap_or_else(author),
         applied_ms: now_ms(),
-        base: args.base,
-        above: args.above,
+        base_generation: args.base,
+        above_generation: args.above,
         verify: args.verify,
     };
     let applied = apply.run(&store).map_err(|error| match error {
@@ -37,7 +37,7 @@
         other => manifest::failed(other),
     })?;
     let mut ending = told(context, &apply.apply_id, &applied);
-    if let Applied::Accepted(_) = applied {
+    if let ApplyOutcome::Accepted(_) = applied {
         ending.err += &hand_on(context, &store, &apply.manifest);
     }
     for warning in checked.warnings {
@@ -47,21 +47,21 @@
 }
 
 /// Says how an apply ended.
-pub fn told(context: &Context<'_>, apply_id: &str, applied: &Applied) -> Ending {
+pub fn told(context: &Context<'_>, apply_id: &str, applied: &ApplyOutcome) -> Ending {
     let (code, text, json) = match applied {
-        Applied::Accepted(generation) => (
+        ApplyOutcome::Accepted(generation) => (
             Code::Done,
             format!("accepted as generation {generation}"),
             serde_json::json!({ "outcome": "accepted", "generation": generation }),
         ),
-        Applied::Superseded { generation, by } => (
+        ApplyOutcome::Superseded { generation, by } => (
             Code::Done,
             format!("accepted as generation {generation}, then replaced by generation {by}"),
             serde_json::json!({
                 "outcome": "accepted", "generation": generation, "replaced_by": by,
             }),
         ),
-        Applied::Lost {
+        ApplyOutcome::Conflicting {
             generation,
             author,
             changes,
@@ -83,7 +83,7 @@
                 }),
             )
         }
-        Applied::Unknown(why) => (
+        ApplyOutcome::Unknown(why) => (
             Code::Unknown,
             format!(
                 "not known whether it was accepted: {why}\nlook for apply {apply_id} in \
--- a/crates/kingcuploftctl/src/claim.rs
+++ b/crates/kingcuploftctl/src/claim.rs
@@ -13,7 +13,7 @@
 /// An ending with code 1 where the store does not answer or knows no such key.
 pub fn show(context: &Context<'_>, service: &str, key: &str) -> Result<Ending, Ending> {
     let store = context.store()?;
-    let found = claim_lookup::find(&store, &service.into(), key)
+    let found = claim_lookup::look_up(&store, &service.into(), key)
         .map_err(|error| Ending::because(Code::Failed, error.to_string()))?;
     let partition = found.partition;
     let Some(entry) = found.entry else {
--- a/crates/kingcuploftctl/src/drain.rs
+++ b/crates/kingcuploftctl/src/drain.rs
@@ -1,6 +1,6 @@
 //! `drain`: a backend server gets no new work, also while the store is down.
 
-use kingcuploft_platform::{Expect, ObjectStore, StoreError, manifest_root};
+use kingcuploft_platform::{ObjectStore, StoreError, WriteCondition, manifest_root};
 use serde_json::Value;
 
 use crate::admin_client::AdminClient;
@@ -99,16 +99,16 @@
 
 /// Writes an object whatever is there: of two drains of one backend server either may stand.
 fn put(store: &dyn ObjectStore, key: &str, value: &str) -> Result<(), StoreError> {
-    let mut expect = Expect::Absent;
+    let mut expect = WriteCondition::Absent;
     let mut tries = 0;
     loop {
         tries += 1;
         match store.put(key, value, expect) {
             Ok(_) => return Ok(()),
             Err(StoreError::Conflict { found: Some(found) }) if tries <= RETRIES => {
-                expect = Expect::Version(found);
+                expect = WriteCondition::Version(found);
             }
-            Err(StoreError::Silent(_)) if tries <= RETRIES => {}
+            Err(StoreError::NoAnswer(_)) if tries <= RETRIES => {}
             Err(error) => return Err(error),
         }
     }
--- a/crates/kingcuploftd/src/claims/calls.rs
+++ b/crates/kingcuploftd/src/claims/calls.rs
@@ -7,7 +7,7 @@
 use kingcuploft::decisions::claim::message::{
     Operation, Precondition, StoreAnswer, StoreFailure, StoredKind, StoredObject,
 };
-use kingcuploft_platform::{Expect, ObjectStore, StoreError};
+use kingcuploft_platform::{ObjectStore, StoreError, WriteCondition};
 
 use super::metrics::{CallKind, ClaimMetrics};
 
@@ -92,8 +92,8 @@
         return Ok(StoreAnswer::Failed(StoreFailure::NotApplied));
     };
     let expect = match when {
-        Precondition::Absent => Expect::Absent,
-        Precondition::Version(version) => Expect::Version(version),
+        Precondition::Absent => WriteCondition::Absent,
+        Precondition::Version(version) => WriteCondition::Version(version),
     };
     store.put(name, &text, expect).map(StoreAnswer::Written)
 }
@@ -102,14 +102,14 @@
 fn failed(error: &StoreError) -> StoreAnswer {
     StoreAnswer::Failed(match error {
         StoreError::Conflict { found } => return StoreAnswer::Conflict { found: *found },
-        StoreError::Silent(_) => StoreFailure::NoAnswer,
+        StoreError::NoAnswer(_) => StoreFailure::NoAnswer,
         StoreError::Down { retry_after } => StoreFailure::Down {
             retry_after: *retry_after,
         },
         StoreError::OverBudget { retry_after } => StoreFailure::OverBudget {
             retry_after: *retry_after,
         },
-        StoreError::NotSent(_) | StoreError::Refused(_) | StoreError::Lapsed => {
+        StoreError::NotSent(_) | StoreError::Refused(_) | StoreError::WatchExpired => {
             StoreFailure::NotApplied
         }
     })
--- a/crates/kingcuploftd/src/claims/layout.rs
+++ b/crates/kingcuploftd/src/claims/layout.rs
@@ -8,7 +8,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use kingcuploft::decisions::claim::ledger::{LAYOUT_KEY, Layout};
 use kingcuploft::decisions::claim::message::Verdict;
-use kingcuploft_platform::{Expect, ObjectStore, StoreError};
+use kingcuploft_platform::{ObjectStore, StoreError, WriteCondition};
 
 /// The pause between tries to read the layout.
 const PAUSE: Duration = Duration::from_millis(300);
@@ -43,13 +43,13 @@
 fn find(store: &dyn ObjectStore, wanted: u16) -> Result<u16, StoreError> {
     if let Some(object) = store.get(LAYOUT_KEY)? {
         let layout = serde_json::from_str::<Layout>(&object.value);
-        let layout = layout.map_err(|error| StoreError::Silent(error.to_string()))?;
+        let layout = layout.map_err(|error| StoreError::NoAnswer(error.to_string()))?;
         return Ok(layout.partitions.max(1));
     }
     let layout = Layout { partitions: wanted };
     let value = serde_json::to_string(&layout);
-    let value = value.map_err(|error| StoreError::Silent(error.to_string()))?;
-    match store.put(LAYOUT_KEY, &value, Expect::Absent) {
+    let value = value.map_err(|error| StoreError::NoAnswer(error.to_string()))?;
+    match store.put(LAYOUT_KEY, &value, WriteCondition::Absent) {
         Ok(_) => Ok(wanted),
         // Another VM came first, or an earlier write without an answer: what stands there counts.
         Err(StoreError::Conflict { found: Some(_) }) => find(store, wanted),
--- a/crates/kingcuploftd/src/manifest_watch.rs
+++ b/crates/kingcuploftd/src/manifest_watch.rs
@@ -93,7 +93,7 @@
                 values.iter().for_each(|text| self.learn_root(text));
                 self.gathered("the store");
             }
-            Err(StoreError::Lapsed) => self.after = 0,
+            Err(StoreError::WatchExpired) => self.after = 0,
             Err(error) => {
                 // A watch that stalls shows as silence: the next read is a listing, which does not
                 // depend on the watch.
--- a/crates/kingcuploftd/src/membership_duty.rs
+++ b/crates/kingcuploftd/src/membership_duty.rs
@@ -52,7 +52,7 @@
     let drains = match *after {
         0 => store.list(DRAINS_PREFIX)?,
         _ if shared.watches_store() => match store.watch(DRAINS_PREFIX, *after, WATCH_WAIT) {
-            Err(StoreError::Lapsed) => store.list(DRAINS_PREFIX)?,
+            Err(StoreError::WatchExpired) => store.list(DRAINS_PREFIX)?,
             watched => watched?,
         },
         _ => store.list(DRAINS_PREFIX)?,
--- a/crates/kingcuploftd/src/peer_link/node.rs
+++ b/crates/kingcuploftd/src/peer_link/node.rs
@@ -308,7 +308,7 @@
             if end.was_linked() {
                 dial.backoff.reset();
             }
-            dial.not_before = now + dial.backoff.pause(&mut fastrand::Rng::new());
+            dial.not_before = now + dial.backoff.next_delay(&mut fastrand::Rng::new());
         }
         // Addresses of long ago would pile up with each replaced VM.
         dials.retain(|_, dial| dial.running || now < dial.not_before + Duration::from_secs(60));
