--- a/crates/kingcuploft-standins/tests/claims/main.rs
+++ b/crates/kingcuploft-standins/tests/claims/main.rs
@@ -7,7 +7,7 @@
 
 use entry::{HandHeld, Told, at_once, fleet, hold, look, post, until};
 use kingcuploft::decisions::claim::ledger::EntryState;
-use kingcuploft::dispatcher::ClaimEnd;
+use kingcuploft::dispatcher::ClaimResult;
 use kingcuploft_platform::claim_lookup;
 use kingcuploft_platform::client::Client;
 use kingcuploft_standins::fleet::Fleet;
@@ -90,7 +90,7 @@
 fn a_paused_claimants_hold_is_not_taken_over_and_its_answer_is_replayed() {
     let fleet = fleet(1);
     let paused = HandHeld::start(&fleet);
-    assert_eq!(paused.claim("squad-7", "beds"), ClaimEnd::Held);
+    assert_eq!(paused.claim("squad-7", "beds"), ClaimResult::Held);
     for _ in 0..3 {
         let told = hold(&fleet, 0, "squad-7", "beds");
         let got = (told.status, told.reason.as_str(), told.outcome.as_str());
@@ -163,12 +163,12 @@
     });
     assert_eq!(fleet.runs("long"), 1);
     let store = Client::new(&fleet.platform.address().to_string());
-    let found = claim_lookup::find(&store, &"trip".into(), "squad-7").unwrap();
+    let found = claim_lookup::look_up(&store, &"trip".into(), "squad-7").unwrap();
     let entry = found.entry.unwrap();
     assert!(matches!(entry.state, EntryState::Answered(_)), "{entry:?}");
     assert_eq!(&*entry.claimant.vm, "entry-0");
     assert_eq!(found.object.as_deref(), Some(HEAD));
-    let found = claim_lookup::find(&store, &"trip".into(), "nobody's").unwrap();
+    let found = claim_lookup::look_up(&store, &"trip".into(), "nobody's").unwrap();
     assert_eq!((found.entry, found.object), (None, None));
     fleet.stop();
 }
