--- a/crates/kingcuploftctl/src/apply.rs
+++ b/crates/kingcuploftctl/src/apply.rs
@@ -5,11 +5,11 @@
 use kingcuploft::manifest::Manifest;
 use kingcuploft::manifest::root::service_objects;
 use kingcuploft_platform::ObjectStore;
-use kingcuploft_platform::manifest_root::{self, Applied, Apply, ApplyError};
+use kingcuploft_platform::manifest_root::{self, ApplyError, ApplyOutcome, ApplyRequest};
 
 use crate::args::ApplyArgs;
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 use crate::manifest;
 
 /// How many VMs are handed an accepted manifest; they pass it on.
@@ -20,24 +20,24 @@
 /// # Errors
 ///
 /// An ending that tells why it is not in force.
-pub fn apply(context: &Context<'_>, args: &ApplyArgs) -> Result<Ending, Ending> {
+pub fn apply(context: &Context<'_>, args: &ApplyArgs) -> Result<Outcome, Outcome> {
     let checked = manifest::read(context, &args.file)?;
     let store = context.store()?;
-    let apply = Apply {
+    let apply = ApplyRequest {
         manifest: checked.manifest,
         apply_id: apply_id(),
         author: args.author.clone().unwrap_or_else(author),
         applied_ms: now_ms(),
-        base: args.base,
-        above: args.above,
+        base_generation: args.base,
+        above_generation: args.above,
         verify: args.verify,
     };
     let applied = apply.run(&store).map_err(|error| match error {
-        ApplyError::TooLarge { .. } => Ending::because(Code::Wrong, error.to_string()),
+        ApplyError::TooLarge { .. } => Outcome::failure(Code::InvalidInput, error.to_string()),
         other => manifest::failed(other),
     })?;
-    let mut ending = told(context, &apply.apply_id, &applied);
-    if let Applied::Accepted(_) = applied {
+    let mut ending = outcome(context, &apply.apply_id, &applied);
+    if let ApplyOutcome::Accepted(_) = applied {
         ending.err += &hand_on(context, &store, &apply.manifest);
     }
     for warning in checked.warnings {
@@ -47,21 +47,21 @@
 }
 
 /// Says how an apply ended.
-pub fn told(context: &Context<'_>, apply_id: &str, applied: &Applied) -> Ending {
+pub fn outcome(context: &Context<'_>, apply_id: &str, applied: &ApplyOutcome) -> Outcome {
     let (code, text, json) = match applied {
-        Applied::Accepted(generation) => (
-            Code::Done,
+        ApplyOutcome::Accepted(generation) => (
+            Code::Success,
             format!("accepted as generation {generation}"),
             serde_json::json!({ "outcome": "accepted", "generation": generation }),
         ),
-        Applied::Superseded { generation, by } => (
-            Code::Done,
+        ApplyOutcome::Superseded { generation, by } => (
+            Code::Success,
             format!("accepted as generation {generation}, then replaced by generation {by}"),
             serde_json::json!({
                 "outcome": "accepted", "generation": generation, "replaced_by": by,
             }),
         ),
-        Applied::Lost {
+        ApplyOutcome::Conflicting {
             generation,
             author,
             changes,
@@ -72,7 +72,7 @@
                 false => format!(" by {author}"),
             };
             (
-                Code::Lost,
+                Code::Conflict,
                 format!(
                     "not accepted: generation {generation}{by} came first; it changed:{}",
                     lines.concat()
@@ -83,7 +83,7 @@
                 }),
             )
         }
-        Applied::Unknown(why) => (
+        ApplyOutcome::Unknown(why) => (
             Code::Unknown,
             format!(
                 "not known whether it was accepted: {why}\nlook for apply {apply_id} in \
@@ -93,12 +93,12 @@
             serde_json::json!({ "outcome": "unknown", "why": why }),
         ),
     };
-    let mut ending = Ending::with(code, format!("{text}\n"));
+    let mut ending = Outcome::with_code(code, format!("{text}\n"));
     if context.json() {
         let mut json = json;
         json["apply_id"] = apply_id.into();
         ending.out = format!("{json}\n");
-    } else if code != Code::Done {
+    } else if code != Code::Success {
         ending.err = std::mem::take(&mut ending.out);
     }
     ending
--- a/crates/kingcuploftd/src/claims/layout.rs
+++ b/crates/kingcuploftd/src/claims/layout.rs
@@ -3,12 +3,12 @@
 use std::time::{Duration, Instant};
 
 use super::records;
-use crate::message::{ClaimOrder, Message};
+use crate::message::{ClaimTask, Message};
 use crate::shared::Shared;
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use kingcuploft::decisions::claim::ledger::{LAYOUT_KEY, Layout};
 use kingcuploft::decisions::claim::message::Verdict;
-use kingcuploft_platform::{Expect, ObjectStore, StoreError};
+use kingcuploft_platform::{ObjectStore, StoreError, WriteCondition};
 
 /// The pause between tries to read the layout.
 const PAUSE: Duration = Duration::from_millis(300);
@@ -20,7 +20,7 @@
 /// are refused until it is read.
 pub(super) fn partitions(
     shared: &Shared,
-    ring: &Receiver<ClaimOrder>,
+    ring: &Receiver<ClaimTask>,
     store: &dyn ObjectStore,
 ) -> Option<u16> {
     let wanted = shared.settings.claims.partitions.max(1);
@@ -43,13 +43,13 @@
 fn find(store: &dyn ObjectStore, wanted: u16) -> Result<u16, StoreError> {
     if let Some(object) = store.get(LAYOUT_KEY)? {
         let layout = serde_json::from_str::<Layout>(&object.value);
-        let layout = layout.map_err(|error| StoreError::Silent(error.to_string()))?;
+        let layout = layout.map_err(|error| StoreError::NoAnswer(error.to_string()))?;
         return Ok(layout.partitions.max(1));
     }
     let layout = Layout { partitions: wanted };
     let value = serde_json::to_string(&layout);
-    let value = value.map_err(|error| StoreError::Silent(error.to_string()))?;
-    match store.put(LAYOUT_KEY, &value, Expect::Absent) {
+    let value = value.map_err(|error| StoreError::NoAnswer(error.to_string()))?;
+    match store.put(LAYOUT_KEY, &value, WriteCondition::Absent) {
         Ok(_) => Ok(wanted),
         // Another VM came first, or an earlier write without an answer: what stands there counts.
         Err(StoreError::Conflict { found: Some(_) }) => find(store, wanted),
@@ -58,13 +58,13 @@
 }
 
 /// Refuses claims for a while; tells whether the daemon goes on.
-fn refuse_for(shared: &Shared, ring: &Receiver<ClaimOrder>, time: Duration) -> bool {
+fn refuse_for(shared: &Shared, ring: &Receiver<ClaimTask>, time: Duration) -> bool {
     let until = Instant::now() + time;
     loop {
         match ring.recv_deadline(until) {
-            Ok(ClaimOrder::Claim { request, .. }) => {
+            Ok(ClaimTask::Claim { request, .. }) => {
                 let verdict = Verdict::Unavailable { retry_after: PAUSE };
-                shared.metrics.claims.decided(&verdict);
+                shared.metrics.claims.count_verdict(&verdict);
                 let (end, _) = records::claim_end(&verdict);
                 drop(shared.dispatch.send(Message::Claimed {
                     request,
