--- a/crates/kingcuploft/src/dispatcher/adoption.rs
+++ b/crates/kingcuploft/src/dispatcher/adoption.rs
@@ -1,4 +1,4 @@
-//! A newer manifest comes into force while requests wait and calls are in flight.
+//! Replaces the manifest in force while requests wait and calls are in flight.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,11 +9,11 @@
 use crate::world::refusal::{Refusal, RefusalReason};
 
 impl Dispatcher {
-    /// Brings a manifest into force.
+    /// Puts a manifest in force.
     ///
-    /// What waits stays in its queue, and what is in flight stays counted at its backend server,
-    /// wherever that now stands in the manifest. Requests of a service that is gone are told so;
-    /// its calls in flight still get their answers.
+    /// Waiting requests stay in their queues, and calls in flight stay counted at their backend servers, whatever the
+    /// servers' new indices are. The waiting requests of a removed service are refused; its calls in flight are still
+    /// answered.
     pub(super) fn adopt(
         &mut self,
         now: Instant,
@@ -26,8 +26,8 @@
             let state = self.build_state(now, service, old.remove(&service.name));
             self.services.insert(service.name.clone(), state);
         }
-        for gone in old.into_values() {
-            for id in gone.into_waiting() {
+        for removed in old.into_values() {
+            for id in removed.into_waiting() {
                 let refusal = Refusal::not_run(RefusalReason::NoSuchService);
                 self.refuse(id, refusal, actions);
             }
--- a/crates/kingcuploft/src/dispatcher/attempt_end.rs
+++ b/crates/kingcuploft/src/dispatcher/attempt_end.rs
@@ -1,4 +1,4 @@
-//! What a service learns of an attempt that ended, and what follows it.
+//! Updates a service's statistics when an attempt ends, and decides on a retry.
 
 use std::time::Instant;
 
@@ -11,7 +11,7 @@
 use crate::world::ids::BackendServerName;
 
 impl ServiceState {
-    /// Notes the end of an attempt; tells whether it brought news of a drain.
+    /// Records the end of an attempt; returns whether it revealed that its backend server drains.
     pub(super) fn record_attempt_end(
         &mut self,
         now: Instant,
@@ -35,8 +35,8 @@
             return false;
         };
         self.selection.record_end(now, server, report);
-        let working = self.drain.available_servers();
-        self.outlier.record_end(now, server, report.end, working);
+        let available = self.drain.available_servers();
+        self.outlier.record_end(now, server, report.end, available);
         if let Some(load) = report.load {
             self.measuring.record_reply(now, server);
             self.notes.record_report(now, server, load.in_flight);
@@ -44,7 +44,7 @@
         report.draining && self.drain.report_draining(server)
     }
 
-    /// Decides what follows an attempt that ended.
+    /// Decides whether to answer, retry or refuse after an attempt has ended.
     pub(super) fn decide_retry(
         &mut self,
         now: Instant,
@@ -61,7 +61,7 @@
         self.retry.decide(now, rng, &ended)
     }
 
-    /// Lets a request wait for its next attempt.
+    /// Queues a request for its next attempt.
     pub(super) fn queue_retry(
         &mut self,
         not_before: Instant,
--- a/crates/kingcuploft/src/dispatcher/attempts.rs
+++ b/crates/kingcuploft/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: begun, ended, cancelled, given up.
+//! Starts attempts and handles their ends: answers, retries, cancelled hedges and missing reports.
 
 use std::time::{Duration, Instant};
 
@@ -10,14 +10,14 @@
 use crate::world::backend_server::{CallEnd, CallReport};
 use crate::world::ids::{AttemptId, RequestId};
 
-/// How long after the deadline an attempt may still report before its slot is counted as free.
+/// The time after the deadline at which the slot of an attempt without a report is counted as free.
 ///
-/// A worker that hangs never reports; without the grace its slot would be lost until a restart.
-/// It is well above the time in which a worker's own timeout, set to the deadline, reports.
+/// Failure: a worker that hangs never reports, and without this limit its slot is lost until a restart. The time is well
+/// above that in which a worker's own timeout, set to the deadline, is reported.
 const ATTEMPT_GRACE: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
-    /// Begins an attempt at a backend server of the service in force.
+    /// Starts an attempt at the backend server with this index in the service in force.
     pub(super) fn start_attempt(
         &mut self,
         now: Instant,
@@ -85,7 +85,7 @@
         self.requests.insert(id, request);
     }
 
-    /// Takes the end of an attempt in; an attempt that was given up is not known any more.
+    /// Handles the end of an attempt; the late report of an expired attempt is ignored.
     pub(super) fn on_attempt_end(
         &mut self,
         now: Instant,
@@ -108,7 +108,7 @@
         self.send_waiting(now, &attempt.service, actions);
     }
 
-    /// Counts attempts as ended that never reported.
+    /// Counts attempts whose report is overdue as ended.
     pub(super) fn expire_attempts(&mut self, now: Instant, actions: &mut Vec<Action>) {
         while let Some(id) = self.attempt_timers.pop_due(now) {
             let report = CallReport {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Decides what the end of an attempt means for its request.
+    /// Answers, retries or refuses the request whose attempt has ended.
     fn follow_up(
         &mut self,
         now: Instant,
@@ -137,16 +137,15 @@
         if request.is_caller_done {
             return self.record_late_end(attempt.request, id, report.end, actions);
         }
-        // Another attempt at the request is still in flight and may bring a better answer; the
-        // retry budget is not touched for it.
+        // Another attempt at the request is still in flight and may bring a better answer, so no retry is spent.
         if !request.in_flight.is_empty() && !report.end.succeeded() {
             return;
         }
-        let verdict = match self.services.get_mut(&attempt.service) {
+        let decision = match self.services.get_mut(&attempt.service) {
             Some(state) => state.decide_retry(now, &mut self.rng, request, report),
             None => RetryDecision::without_retry(report.end),
         };
-        match verdict {
+        match decision {
             RetryDecision::Answer => self.answer(attempt.request, id, attempt, actions),
             RetryDecision::Retry { reason, after } => {
                 actions.push(Action::CountRetry(attempt.service.clone(), reason));
@@ -161,12 +160,12 @@
         }
     }
 
-    /// Passes an answer on; the other attempts at the request have lost.
+    /// Forwards the answer of an attempt and cancels the request's other attempts.
     fn answer(
         &mut self,
         id: RequestId,
         winner: AttemptId,
-        won: &Attempt,
+        won_attempt: &Attempt,
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.remove_request(id) else {
@@ -176,20 +175,21 @@
         if request.claim == ClaimState::Held {
             actions.push(Action::Acknowledge(id, Some(winner)));
         }
-        let service = &won.service;
-        if won.is_hedge {
+        let service = &won_attempt.service;
+        if won_attempt.is_hedge {
             actions.push(Action::CountHedge(service.clone(), HedgeStep::Won));
         }
         let lost = request
             .in_flight
             .iter()
             .filter_map(|id| self.attempts.get(id));
-        let lost = lost.filter(|attempt| attempt.is_hedge);
-        actions.extend(lost.map(|_| Action::CountHedge(service.clone(), HedgeStep::Cancelled)));
+        let lost_hedges = lost.filter(|attempt| attempt.is_hedge);
+        actions
+            .extend(lost_hedges.map(|_| Action::CountHedge(service.clone(), HedgeStep::Cancelled)));
         actions.extend(request.in_flight.into_iter().map(Action::Cancel));
     }
 
-    /// Records how a protected request ended whose caller left or was told at its deadline.
+    /// Records the end of a protected request whose caller has disconnected or was refused at the deadline.
     fn record_late_end(
         &mut self,
         id: RequestId,
--- a/crates/kingcuploft/src/dispatcher/explain.rs
+++ b/crates/kingcuploft/src/dispatcher/explain.rs
@@ -1,4 +1,4 @@
-//! The last decisions and what they were made from, for operators who ask why.
+//! A bounded log of the latest decisions and their inputs, for operators who ask why a request was sent or refused.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -9,24 +9,24 @@
 use crate::world::ids::{AttemptId, BackendServerName, Caller, RequestId, RuleName, ServiceName};
 use crate::world::refusal::{Outcome, Refusal, RefusalReason};
 
-/// How many decisions are kept; the oldest goes first.
+/// The most decisions that are kept; the oldest is dropped first.
 const MAX_EXPLANATIONS: usize = 4096;
 
-/// Which decisions are asked for; those that fit every part that is given.
+/// A filter for decisions: a decision matches if it matches every field that is set.
 #[derive(Clone, Debug, Default)]
 pub struct Query {
-    /// Of this request.
+    /// Only decisions on this request.
     pub request: Option<RequestId>,
-    /// Of this caller's requests.
+    /// Only decisions on this caller's requests.
     pub caller: Option<Caller>,
-    /// Of this service.
+    /// Only decisions of this service.
     pub service: Option<ServiceName>,
 }
 
-/// One decision. It holds no header, body or idempotency key.
+/// One decision and its inputs. It holds no header, body or idempotency key.
 #[derive(Clone, Debug, Serialize)]
 pub struct Explanation {
-    /// How long ago it was made, in ms.
+    /// The age of the decision, in ms.
     pub ago_ms: u64,
     /// The request's number on this VM.
     pub request: RequestId,
@@ -34,36 +34,36 @@
     pub service: ServiceName,
     /// The rule.
     pub rule: RuleName,
-    /// Who asked.
+    /// The caller that sent the request.
     pub caller: Caller,
     /// How long the request had waited, in ms.
     pub waited_ms: u64,
-    /// The load at that moment, as this VM saw it.
+    /// The service's load on this VM at that time.
     pub load: LoadSnapshot,
-    /// What was decided, and why.
+    /// The decision and its reason.
     pub decided: Decision,
 }
 
-/// What was decided, and why.
+/// A decision on a request and its reason.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Decision {
     /// The request was refused.
     Refused {
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// What had become of the request.
+        /// Whether the request ran.
         outcome: Outcome,
-        /// When the caller was asked to come back, in ms.
+        /// The retry-after time that the caller was given, in ms.
         retry_after_ms: Option<u64>,
     },
     /// The request was sent.
     Sent {
-        /// The attempt.
+        /// The attempt's number.
         attempt: AttemptId,
-        /// Where to.
+        /// The backend server it was sent to.
         backend_server: BackendServerName,
-        /// Why.
+        /// The reason.
         why: SendReason,
     },
 }
@@ -72,17 +72,17 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SendReason {
-    /// Its turn had come.
+    /// It was the next request in the queue.
     Turn,
-    /// No byte of an earlier attempt was handed over.
+    /// No byte of an earlier attempt was sent.
     RetryNeverSent,
     /// A backend server refused it.
     RetryRefused,
-    /// An earlier attempt broke.
+    /// The connection of an earlier attempt broke.
     RetryBroken,
-    /// A backend server answered that it could not serve it just then.
+    /// A backend server answered that it was temporarily unavailable.
     RetryUnavailable,
-    /// An earlier attempt takes long.
+    /// An earlier attempt is slow.
     Hedge,
 }
 
@@ -97,24 +97,24 @@
     }
 }
 
-/// The load of a service as one VM sees it.
+/// The load of a service on one VM.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LoadSnapshot {
-    /// How many requests wait.
+    /// The number of waiting requests.
     pub waiting: usize,
-    /// How long a new request of this caller and rule would wait, in ms.
+    /// The expected wait of a new request of this caller and rule, in ms.
     pub expected_wait_ms: u64,
-    /// The time that nine of ten requests of the rule take, in ms.
+    /// The 90th percentile of the rule's service time, in ms.
     pub service_time_ms: u64,
-    /// How many calls are in flight.
+    /// The number of calls in flight.
     pub in_flight: usize,
-    /// How many may be.
+    /// The concurrency limit: the most calls that may be in flight.
     pub limit: usize,
-    /// How many retries are allowed.
+    /// The retries left in the budget.
     pub retry_budget: u64,
 }
 
-/// The last decisions.
+/// The latest decisions, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct ExplanationLog {
     entries: VecDeque<(Instant, Explanation)>,
@@ -128,7 +128,7 @@
         self.entries.push_back((now, explanation));
     }
 
-    /// Returns the decisions that fit, newest first.
+    /// Returns the decisions that match a query, newest first.
     pub(super) fn find(&self, now: Instant, query: &Query) -> Vec<Explanation> {
         let fits = |explanation: &Explanation| {
             let Query {
--- a/crates/kingcuploft/src/dispatcher/hedging.rs
+++ b/crates/kingcuploft/src/dispatcher/hedging.rs
@@ -1,4 +1,4 @@
-//! Second attempts at lookups whose first one is slow.
+//! Hedged requests: second attempts at lookups whose first attempt is slow.
 
 use std::time::Instant;
 
@@ -7,18 +7,18 @@
 use crate::world::contract::Contract;
 use crate::world::ids::AttemptId;
 
-/// What to do with an attempt that was looked at.
+/// The decision on an attempt that was checked for a hedge.
 pub(super) enum HedgePick {
-    /// Send the request to the backend server with this index too.
+    /// Send the request also to the backend server with this index.
     Send(usize, HedgeStep),
-    /// Look again then.
+    /// Check the attempt again at this time.
     CheckAgain(Instant),
-    /// Leave it alone.
+    /// Send no hedge.
     DoNotHedge,
 }
 
 impl Dispatcher {
-    /// Plans the look at the first attempt of a lookup.
+    /// Schedules the hedge check of a lookup's first attempt.
     pub(super) fn schedule_hedge_check(&mut self, now: Instant, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -37,14 +37,14 @@
         }
     }
 
-    /// Forgets the look at an attempt that has ended.
+    /// Cancels the hedge check of an attempt that has ended.
     pub(super) fn cancel_hedge_check(&mut self, id: AttemptId, hedge_check_at: Option<Instant>) {
         if let Some(at) = hedge_check_at {
             self.hedge_timers.remove(at, id);
         }
     }
 
-    /// Looks at the attempts that are due for it.
+    /// Checks the attempts whose hedge check is due.
     pub(super) fn check_due_hedges(&mut self, now: Instant, actions: &mut Vec<Action>) {
         while let Some(id) = self.hedge_timers.pop_due(now) {
             self.check_hedge(now, id, actions);
--- a/crates/kingcuploft/src/dispatcher/load_updates.rs
+++ b/crates/kingcuploft/src/dispatcher/load_updates.rs
@@ -1,4 +1,4 @@
-//! What a service hears of its backend servers beside calls: probes, and notes of peers.
+//! Load reports about a service's backend servers from other sources than calls: probes and notes of peers.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 use crate::world::ids::VmName;
 
 impl ServiceState {
-    /// Takes the live VMs in, `own` among them.
+    /// Updates which backend servers this VM probes; `live` holds all live VMs, `own` included.
     pub(super) fn update_members(&mut self, now: Instant, own: &VmName, live: &[VmName]) {
         self.measuring.update_members(now, own, live);
     }
@@ -28,7 +28,7 @@
         })
     }
 
-    /// Takes what a probe brought in; tells whether it brought news of a drain.
+    /// Records the result of a probe; returns whether it revealed that the backend server drains.
     pub(super) fn record_probe(&mut self, now: Instant, probed: &ProbeResult) -> bool {
         let Some(&server) = self.by_name.get(&probed.backend_server) else {
             return false;
@@ -42,17 +42,17 @@
             true => CallEnd::Answered { status: 200 },
             false => CallEnd::Answered { status: 503 },
         };
-        let working = self.drain.available_servers();
-        self.outlier.record_end(now, server, end, working);
+        let available = self.drain.available_servers();
+        self.outlier.record_end(now, server, end, available);
         probed.draining && self.drain.report_draining(server)
     }
 
-    /// Takes the notes that are due.
+    /// Takes the load notes that are due for sending.
     pub(super) fn take_due_notes(&mut self, now: Instant, peers: usize) -> Option<Vec<LoadNote>> {
         self.notes.take_due(now, peers)
     }
 
-    /// Takes a peer's note in.
+    /// Records a peer's load note.
     pub(super) fn record_peer_note(&mut self, now: Instant, note: LoadNote) {
         self.notes.record_peer_note(note);
         let (server, in_flight) = (usize::from(note.server), u32::from(note.in_flight));
--- a/crates/kingcuploft/src/dispatcher/mod.rs
+++ b/crates/kingcuploft/src/dispatcher/mod.rs
@@ -1,7 +1,8 @@
-//! The dispatcher of one entry VM: a state machine that joins the decisions.
+//! The request dispatcher of one entry VM: a state machine that takes events and returns actions.
 //!
-//! Events come in with the time they happened, actions come out. The daemon's dispatch thread and
-//! the scenario tests run the very same code.
+//! It combines admission, selection, concurrency limits, retries, hedges, drains and outlier detection for each service.
+//! Each event carries the time at which it happened. The daemon's dispatch thread and the scenario tests run the same
+//! code.
 
 mod adoption;
 mod attempt_end;
@@ -40,88 +41,88 @@
 use service_state::{Pick, ServiceState};
 use timers::Timers;
 
-/// A request as the caller edge hands it in, its route found and its body read.
+/// A request from the caller edge, with its route found and its body read.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The request.
+    /// The request's number on this VM.
     pub request: RequestId,
-    /// The service and rule.
+    /// The service and rule that serve it.
     pub route: Route,
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: Caller,
-    /// Its idempotency key, if it has one.
+    /// The idempotency key, if the request has one.
     pub key: Option<IdempotencyKey>,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// When its answer is due.
+    /// When the answer is due.
     pub deadline: Instant,
 }
 
-/// What the claim of a protected request came to.
+/// The result of claiming the idempotency key of a protected request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimResult {
     /// The claim is held: the request may be sent once.
     Held,
-    /// The request must not be sent; the claims' duty answers the caller with this or with a
-    /// recorded answer.
+    /// The request must not be sent: its caller gets this refusal.
     Refused(Refusal),
-    /// An earlier answer is replayed by the claims' duty.
+    /// The claims duty answers the caller with the recorded answer of an earlier request.
     Replayed,
 }
 
-/// What happened.
+/// An input to the dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A request arrived.
     Arrived(Arrival),
-    /// The claim of a request was settled.
+    /// The claim of a request succeeded or failed.
     Claimed(RequestId, ClaimResult),
     /// An attempt ended.
     AttemptEnded(AttemptId, CallReport),
-    /// The caller of a request went away.
+    /// The caller of a request disconnected.
     CallerDisconnected(RequestId),
-    /// A manifest is in force from now on.
+    /// A newly accepted manifest replaces the one in force.
     ManifestAdopted(AcceptedManifest),
-    /// A backend server drains, by the word of a peer, the VM list or an operator.
+    /// A backend server drains, as reported by a peer, the VM list or an operator.
     ServerDraining(ServiceName, BackendServerName),
-    /// These VMs are live, this one among them; it decides only costs.
+    /// The live VMs, this one included. They decide who probes which servers and how often notes go out, never which
+    /// request is served.
     MembershipChanged(Vec<VmName>),
-    /// A peer told its notes.
+    /// A peer sent its load notes.
     NotesReceived(PeerNotes),
-    /// A probe came back, or failed.
+    /// A probe was answered or failed.
     Probed(ProbeResult),
-    /// So many entry VMs are live, this one included.
+    /// The number of live entry VMs, this one included.
     LiveVmCount(u32),
-    /// Time passed.
+    /// Runs the timers that are due.
     Tick,
 }
 
-/// What to do next.
+/// An output of the dispatcher, for the caller of [`Dispatcher::on_event`] to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Claim the request's idempotency key before anything is sent.
     Claim(RequestId),
-    /// Give the claim back: nothing was sent.
+    /// Release the claim: nothing was sent.
     Release(RequestId),
-    /// Record how the protected request ended; `None` where that is not known.
+    /// Record the answer of a protected request's attempt; `None` where it is not known how the request ended.
     Acknowledge(RequestId, Option<AttemptId>),
     /// Call a backend server.
     Call(Call),
-    /// Cancel a call whose answer is not wanted any more.
+    /// Cancel a call whose answer is no longer needed.
     Cancel(AttemptId),
-    /// Pass the answer of an attempt on to the caller.
+    /// Forward the answer of an attempt to the caller.
     Answer(RequestId, AttemptId),
     /// Refuse the request.
     Refuse(RequestId, Refusal),
-    /// Tell the peers that a backend server drains.
+    /// Send the peers the news that a backend server drains.
     ShareDraining(ServiceName, BackendServerName),
-    /// Tell every live peer these notes.
+    /// Send these load notes to every live peer.
     ShareNotes(PeerNotes),
     /// Probe a backend server.
     Probe(Probe),
-    /// Count a retry.
+    /// Count a retry in the metrics.
     CountRetry(ServiceName, RetryReason),
-    /// Count what became of a hedge.
+    /// Count a step of a hedge (sent, won or cancelled) in the metrics.
     CountHedge(ServiceName, HedgeStep),
 }
 
@@ -130,39 +131,39 @@
 pub struct Call {
     /// The request.
     pub request: RequestId,
-    /// This attempt at it.
+    /// The number of this attempt.
     pub attempt: AttemptId,
-    /// The service, as it stood when the request arrived.
+    /// The service and rule, as they were when the request arrived.
     pub route: Route,
     /// The backend server's name.
     pub backend_server: BackendServerName,
-    /// Where it listens.
+    /// The backend server's address.
     pub address: std::net::SocketAddr,
     /// When the answer is due.
     pub deadline: Instant,
-    /// Time from the request's arrival until this attempt.
+    /// Time between the request's arrival and this attempt.
     pub waited: std::time::Duration,
 }
 
-/// The state of one entry VM.
+/// The requests, attempts and services of one entry VM.
 #[derive(Debug)]
 pub struct Dispatcher {
     vm: Vm,
     /// The generation of the manifest in force.
     generation: Generation,
-    /// The live VMs, as far as is known.
+    /// The live VMs, as far as they are known.
     live_vm_names: Vec<VmName>,
     rng: fastrand::Rng,
     services: HashMap<ServiceName, ServiceState>,
     requests: HashMap<RequestId, Request>,
     attempts: HashMap<AttemptId, Attempt>,
-    /// When each request that is not answered is due.
+    /// The deadline of each unanswered request.
     deadline_timers: Timers,
-    /// When each attempt that does not report is given up.
+    /// When each attempt in flight is counted as ended if it has not reported.
     attempt_timers: Timers,
-    /// When each lookup in flight is looked at, whether to hedge it.
+    /// When each lookup in flight is next checked for a hedge.
     hedge_timers: Timers,
-    /// How many entry VMs are live, once that is known.
+    /// The number of live entry VMs, once it is known.
     live_vm_count: Option<u32>,
     /// The time of the last event.
     last_event_at: Option<Instant>,
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Takes one event in and appends what to do next.
+    /// Handles one event and appends the actions that follow from it.
     pub fn on_event(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         self.last_event_at = Some(now);
         match event {
@@ -233,34 +234,34 @@
         timers.into_iter().flatten().chain(retries).min()
     }
 
-    /// Returns how many requests wait, are in flight, or run on to be recorded.
+    /// Returns how many requests claim, wait or are in flight, or run on past their refusal so that their end is recorded.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Returns how many calls have not ended.
+    /// Returns the number of calls in flight.
     pub fn calls_in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Returns how many calls to a backend server of a service are counted as in flight.
+    /// Returns the number of calls in flight to a backend server of a service.
     pub fn calls_in_flight_to(&self, service: &ServiceName, server: &BackendServerName) -> u32 {
         let state = self.services.get(service);
         state.map_or(0, |state| state.calls_in_flight_to(server))
     }
 
-    /// Returns the last decisions that fit, newest first.
+    /// Returns the recorded decisions that match a query, newest first.
     pub fn find_explanations(&self, now: Instant, query: &Query) -> Vec<Explanation> {
         self.explanations.find(now, query)
     }
 
-    /// Returns the load of each service.
+    /// Returns the current load of each service.
     pub fn loads(&self) -> impl Iterator<Item = (&ServiceName, LoadSnapshot)> {
         let services = self.services.iter();
         services.map(|(name, state)| (name, state.load()))
     }
 
-    /// Keeps a decision for who asks why.
+    /// Records a decision and its inputs for operators.
     fn explain(&mut self, now: Instant, id: RequestId, request: &Request, decided: Decision) {
         let state = self.services.get(request.service());
         let load = state.map(|state| state.load_for(now, &request.queue_entry(id)));
@@ -285,23 +286,23 @@
             let refusal = Refusal::not_run(RefusalReason::NoSuchService);
             return actions.push(Action::Refuse(id, refusal));
         };
-        let claims = request.claim == ClaimState::Requested;
-        if claims && let Some(refusal) = state.check_before_claim(now, &waiting) {
+        let needs_claim = request.claim == ClaimState::Requested;
+        if needs_claim && let Some(refusal) = state.check_before_claim(now, &waiting) {
             self.explain(now, id, &request, refusal.into());
             return actions.push(Action::Refuse(id, refusal));
         }
         let service = request.service().clone();
         self.deadline_timers.insert(request.deadline, id);
         self.requests.insert(id, request);
-        if claims {
+        if needs_claim {
             return actions.push(Action::Claim(id));
         }
         self.enqueue(now, waiting, actions);
         self.send_waiting(now, &service, actions);
     }
 
-    /// Takes the end of a claim in. One that comes after its request has ended (its caller left,
-    /// or its deadline passed) is given back, as nothing was sent.
+    /// Handles the result of a claim. A claim that succeeds after its request has ended (the caller disconnected, or the
+    /// deadline passed) is released, because nothing was sent.
     fn on_claim_result(
         &mut self,
         now: Instant,
@@ -309,8 +310,8 @@
         end: ClaimResult,
         actions: &mut Vec<Action>,
     ) {
-        let asked = self.requests.get_mut(&id);
-        let Some(request) = asked.filter(|request| request.claim == ClaimState::Requested) else {
+        let request = self.requests.get_mut(&id);
+        let Some(request) = request.filter(|request| request.claim == ClaimState::Requested) else {
             if end == ClaimResult::Held {
                 actions.push(Action::Release(id));
             }
@@ -332,15 +333,15 @@
         self.send_waiting(now, &service, actions);
     }
 
-    /// Queues a request whose claim, if it needs one, is held.
+    /// Queues a request whose claim is held or not needed.
     fn enqueue(&mut self, now: Instant, waiting: QueuedRequest, actions: &mut Vec<Action>) {
         let id = waiting.request;
         let service = self.requests[&id].service();
-        let offer = match self.services.get_mut(service) {
+        let decision = match self.services.get_mut(service) {
             Some(state) => state.offer(now, waiting),
             None => AdmissionDecision::Refused(Refusal::not_run(RefusalReason::NoSuchService)),
         };
-        match offer {
+        match decision {
             AdmissionDecision::Queued => {}
             AdmissionDecision::QueuedReplacing(other, refusal) => {
                 self.refuse(other, refusal, actions)
@@ -349,7 +350,7 @@
         }
     }
 
-    /// Sends waiting requests while there is room.
+    /// Sends the waiting requests of a service until it has no free capacity.
     fn send_waiting(&mut self, now: Instant, service: &ServiceName, actions: &mut Vec<Action>) {
         while let Some(state) = self.services.get_mut(service) {
             match state.pick(now, &mut self.rng) {
--- a/crates/kingcuploft/src/dispatcher/peer_notes.rs
+++ b/crates/kingcuploft/src/dispatcher/peer_notes.rs
@@ -1,4 +1,4 @@
-//! What this VM tells its peers, and hears from them.
+//! Exchange of load notes between the VMs, and changes in the set of live VMs.
 
 use std::time::Instant;
 
@@ -6,19 +6,19 @@
 use crate::decisions::notes::LoadNote;
 use crate::world::ids::{Generation, ServiceName, VmName};
 
-/// Notes of one service, for every live peer.
+/// Load notes about the backend servers of one service, sent to every live peer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerNotes {
     /// The service.
     pub service: ServiceName,
-    /// The manifest whose backend servers the notes number.
+    /// The generation of the manifest to whose backend servers the notes' indices refer.
     pub generation: Generation,
-    /// The notes.
+    /// The load notes.
     pub notes: Vec<LoadNote>,
 }
 
 impl Dispatcher {
-    /// Sends the notes that are due.
+    /// Sends the load notes that are due.
     pub(super) fn share_due_notes(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let peers = self
             .live_vm_names
@@ -36,20 +36,20 @@
         }
     }
 
-    /// Takes a peer's notes in; numbers of another manifest mean other backend servers.
-    pub(super) fn on_peer_notes(&mut self, now: Instant, heard: &PeerNotes) {
-        if heard.generation != self.generation {
+    /// Records a peer's notes. Those of another manifest are ignored, because their indices mean other backend servers.
+    pub(super) fn on_peer_notes(&mut self, now: Instant, received: &PeerNotes) {
+        if received.generation != self.generation {
             return;
         }
-        if let Some(state) = self.services.get_mut(&heard.service) {
-            heard
+        if let Some(state) = self.services.get_mut(&received.service) {
+            received
                 .notes
                 .iter()
                 .for_each(|&note| state.record_peer_note(now, note));
         }
     }
 
-    /// Takes the live VMs in.
+    /// Replaces the set of live VMs.
     pub(super) fn on_membership_change(&mut self, now: Instant, live: Vec<VmName>) {
         self.live_vm_names = live;
         for state in self.services.values_mut() {
--- a/crates/kingcuploft/src/dispatcher/probing.rs
+++ b/crates/kingcuploft/src/dispatcher/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: asked for, and come back.
+//! Starts probes of backend servers and records their results.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,38 +8,38 @@
 use crate::world::backend_server::LoadReport;
 use crate::world::ids::{BackendServerName, ServiceName};
 
-/// A probe of a backend server, for the measuring duty.
+/// A probe of a backend server, carried out by the measuring duty.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Probe {
     /// The service.
     pub service: ServiceName,
     /// The backend server's name.
     pub backend_server: BackendServerName,
-    /// Where it listens.
+    /// The backend server's address.
     pub address: SocketAddr,
-    /// The endpoints.
+    /// The health and load endpoints.
     pub signals: Signals,
-    /// How long to wait for each answer.
+    /// The timeout of each answer.
     pub timeout: Duration,
 }
 
-/// What a probe brought.
+/// The result of a probe.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ProbeResult {
     /// The service.
     pub service: ServiceName,
     /// The backend server's name.
     pub backend_server: BackendServerName,
-    /// Whether its health endpoint says that it takes work.
+    /// Whether the health endpoint reports that the backend server takes work.
     pub healthy: bool,
-    /// Whether it says that it drains.
+    /// Whether the backend server reports that it drains.
     pub draining: bool,
-    /// The load, where it told one.
+    /// The load, if the backend server reported one.
     pub load: Option<LoadReport>,
 }
 
 impl Dispatcher {
-    /// Asks for the probes that are due.
+    /// Starts the probes that are due.
     pub(super) fn start_due_probes(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let states = self.services.values_mut();
         actions.extend(
@@ -49,7 +49,7 @@
         );
     }
 
-    /// Takes what a probe brought in.
+    /// Handles the result of a probe.
     pub(super) fn on_probe_result(
         &mut self,
         now: Instant,
--- a/crates/kingcuploft/src/dispatcher/request.rs
+++ b/crates/kingcuploft/src/dispatcher/request.rs
@@ -1,4 +1,4 @@
-//! A request and an attempt at it, from arrival to answer.
+//! The state of a request and of its attempts, from arrival to answer.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -14,51 +14,51 @@
 };
 use crate::world::refusal::{Outcome, Refusal};
 
-/// A request that claims, waits or is in flight.
+/// A request that claims its key, waits or is in flight.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) route: Route,
     pub(super) deadline: Instant,
-    /// How many attempts were begun.
+    /// The number of attempts started.
     pub(super) attempts: u32,
     /// The attempts that have not ended.
     pub(super) in_flight: Vec<AttemptId>,
-    /// The backend servers that were tried.
+    /// The backend servers to which attempts were sent.
     pub(super) tried: Vec<BackendServerName>,
     pub(super) claim: ClaimState,
-    /// Whether the caller has its final answer or has left.
+    /// Whether the caller was refused or has disconnected while an attempt runs on.
     pub(super) is_caller_done: bool,
-    /// Whether an attempt that ended may have run the request.
+    /// Whether the request may have run in an attempt that has ended.
     may_have_run: bool,
-    /// Why the next attempt is made, where it is a retry.
+    /// Why the next attempt is made, if it is a retry.
     pub(super) retry: Option<RetryReason>,
     pub(super) arrived: Instant,
     pub(super) caller: Caller,
     pub(super) key: Option<IdempotencyKey>,
 }
 
-/// Where the claim of a request stands.
+/// The state of a request's claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum ClaimState {
-    /// None is needed.
+    /// The request needs no claim.
     NotNeeded,
-    /// It is asked for.
+    /// The claim was requested and has no result yet.
     Requested,
-    /// It is held.
+    /// The claim is held.
     Held,
 }
 
 impl Request {
     pub(super) fn new(arrival: Arrival) -> Self {
         let protected = arrival.route.rule().contract == Contract::AtMostOnce;
-        let claims = protected && arrival.key.is_some();
+        let needs_claim = protected && arrival.key.is_some();
         Self {
             route: arrival.route,
             deadline: arrival.deadline,
             attempts: 0,
             in_flight: Vec::new(),
             tried: Vec::new(),
-            claim: if claims {
+            claim: if needs_claim {
                 ClaimState::Requested
             } else {
                 ClaimState::NotNeeded
@@ -80,7 +80,7 @@
         &self.route.service.name
     }
 
-    /// Returns what the queue needs to know of the request.
+    /// Returns the request's entry for the admission queue.
     pub(super) fn queue_entry(&self, id: RequestId) -> QueuedRequest {
         let rule = self.route.rule();
         QueuedRequest {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Notes the end of an attempt.
+    /// Records the end of an attempt.
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, end: CallEnd) {
         self.in_flight.retain(|&live| live != attempt);
         self.may_have_run |= end.may_have_run();
@@ -104,13 +104,13 @@
 
     /// Tells whether a backend server may have run the request, or may be running it.
     ///
-    /// This guards against the lie that a request was not run: a lookup whose first attempt was
-    /// cut may wait for its second when it is refused. Every refusal's outcome passes here.
+    /// Failure: a lookup whose first attempt was cut off is refused while it waits for its second, and the caller is told
+    /// that it did not run although it may have. The outcome of every refusal is corrected by this.
     pub(super) fn may_have_run(&self) -> bool {
         self.may_have_run || !self.in_flight.is_empty()
     }
 
-    /// Returns the refusal with an outcome that is true for this request.
+    /// Returns the refusal with outcome "unknown" in place of "not run" where the request may have run.
     pub(super) fn correct_outcome(&self, refusal: Refusal) -> Refusal {
         match refusal.outcome {
             Outcome::NotRun if self.may_have_run() => Refusal {
@@ -130,11 +130,11 @@
     pub(super) rule: RuleName,
     pub(super) backend_server: BackendServerName,
     pub(super) address: SocketAddr,
-    /// When the dispatcher counts it as ended without a report.
+    /// When the attempt is counted as ended if no report has come.
     pub(super) expires_at: Instant,
     pub(super) sent_at: Instant,
-    /// When it is looked at, whether to hedge it.
+    /// When the attempt is next checked for a hedge.
     pub(super) hedge_check_at: Option<Instant>,
-    /// Whether it was sent while another attempt was in flight.
+    /// Whether the attempt was sent while another one was in flight.
     pub(super) is_hedge: bool,
 }
--- a/crates/kingcuploft/src/dispatcher/request_end.rs
+++ b/crates/kingcuploft/src/dispatcher/request_end.rs
@@ -1,4 +1,4 @@
-//! How requests end other than by an answer: refused, overdue, left by their callers.
+//! Ends requests without an answer: refusals, passed deadlines and disconnected callers.
 
 use std::time::Instant;
 
@@ -9,11 +9,10 @@
 use crate::world::refusal::{Refusal, RefusalReason};
 
 impl Dispatcher {
-    /// Ends a request with a refusal, at once.
+    /// Refuses a request at once.
     ///
-    /// A claim is given back only where nothing can have been sent. A protected request that is
-    /// in flight is kept until its attempt ends, so that its end can be recorded for the caller's
-    /// next try.
+    /// Its claim is released only where nothing can have been sent. A protected request in flight is kept until its
+    /// attempt ends, so that the caller's next retry gets the recorded end.
     pub(super) fn refuse(&mut self, id: RequestId, refusal: Refusal, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -30,10 +29,9 @@
         self.abandon(id, actions);
     }
 
-    /// Forgets a request that its caller does not wait for any more.
+    /// Drops a request whose caller no longer waits.
     ///
-    /// A lookup's attempts are cancelled. A protected action runs on, so that its end can be
-    /// recorded.
+    /// The attempts of a lookup are cancelled. A protected action in flight runs on, so that its end can be recorded.
     pub(super) fn abandon(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -57,7 +55,7 @@
         actions.extend(request.in_flight.into_iter().map(Action::Cancel));
     }
 
-    /// Takes a request out of every table of the dispatcher but the queue.
+    /// Removes a request from all tables of the dispatcher except the queue.
     pub(super) fn remove_request(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.deadline_timers.remove(request.deadline, id);
--- a/crates/kingcuploft/src/dispatcher/retry_queue.rs
+++ b/crates/kingcuploft/src/dispatcher/retry_queue.rs
@@ -1,11 +1,11 @@
-//! Requests that wait for another attempt.
+//! The queue of requests that wait for a retry, ordered by the earliest time of the next attempt.
 
 use std::time::Instant;
 
 use crate::world::backend_server::CallEnd;
 use crate::world::ids::{BackendServerName, RequestId};
 
-/// A request that retry for another attempt.
+/// A request that waits for another attempt.
 #[derive(Debug)]
 pub(super) struct PendingRetry {
     pub(super) not_before: Instant,
@@ -14,9 +14,9 @@
     pub(super) last_end: CallEnd,
 }
 
-/// The requests of one service that wait for another attempt, by when that may begin.
+/// The requests of one service that wait for another attempt, ordered by the earliest time at which it may start.
 ///
-/// The retry budget keeps this list short, so that a sorted vector does.
+/// A sorted vector is fast enough, because the retry budget keeps the list short.
 #[derive(Debug, Default)]
 pub(super) struct RetryQueue {
     retries: Vec<PendingRetry>,
@@ -30,7 +30,7 @@
         self.retries.insert(at, retry);
     }
 
-    /// Returns how many may begin now; they come first.
+    /// Returns how many retries may start now; they come first in the queue.
     pub(super) fn due(&self, now: Instant) -> usize {
         self.retries.partition_point(|r| r.not_before <= now)
     }
--- a/crates/kingcuploft/src/dispatcher/service_state.rs
+++ b/crates/kingcuploft/src/dispatcher/service_state.rs
@@ -1,4 +1,4 @@
-//! The decisions of one service on one VM, joined.
+//! The state of one service on one VM: its queue, retries, limits, drains and choice of backend servers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,10 +23,10 @@
 use crate::world::refusal::{Refusal, RefusalReason};
 use crate::world::vm::Vm;
 
-/// How many retries that are due are looked at for one free slot.
+/// The most due retries that are examined for one free slot.
 const MAX_RETRIES_EXAMINED: usize = 8;
 
-/// What to do next for the requests that wait.
+/// The next step for the waiting requests of a service.
 pub(super) enum Pick {
     /// Nothing can be sent now.
     Idle,
@@ -51,16 +51,16 @@
     pub(super) measuring: ProbeScheduler,
     pub(super) retry: Retry,
     pub(super) hedge: Hedge,
-    /// When a request last waited because all was full.
+    /// When a request last waited because all backend servers were full.
     last_full_at: Option<Instant>,
 }
 
 impl ServiceState {
-    /// Builds the state under a new manifest, taking over what still holds of the old one.
+    /// Builds the state under a new manifest and carries over what is still valid of the old state.
     ///
-    /// A backend server is the same one where its name and address are. `attempts` are the calls
-    /// of the service in flight: those at a backend server that the old manifest did not have
-    /// (it was taken out and put back) are counted again, so that their ends find their count.
+    /// A backend server is the same if its name and address are. `attempts` are the service's calls in flight: those to
+    /// a backend server that the old manifest lacked (it was removed and then restored) are counted again, so that their
+    /// ends do not reduce a count that does not include them.
     pub(super) fn new<'a>(
         service: Arc<Service>,
         vm: &Vm,
@@ -136,11 +136,11 @@
         state
     }
 
-    /// Returns the index of the backend server that an attempt went to, if it is still there.
+    /// Returns the index of an attempt's backend server, if the manifest still has it.
     pub(super) fn server_of(&self, attempt: &Attempt) -> Option<usize> {
         let &server = self.by_name.get(&attempt.backend_server)?;
-        let same = self.service.backend_servers[server].address == attempt.address;
-        same.then_some(server)
+        let same_address = self.service.backend_servers[server].address == attempt.address;
+        same_address.then_some(server)
     }
 
     pub(super) fn calls_in_flight_to(&self, server: &BackendServerName) -> u32 {
@@ -148,7 +148,7 @@
         server.map_or(0, |&server| self.selection.in_flight(server))
     }
 
-    /// Returns the load as this VM sees it.
+    /// Returns the load of the service on this VM.
     pub(super) fn load(&self) -> LoadSnapshot {
         LoadSnapshot {
             waiting: self.admission.len(),
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns the load as one request finds it.
+    /// Returns the load with the expected wait and service time of one request.
     pub(super) fn load_for(&self, now: Instant, waiting: &QueuedRequest) -> LoadSnapshot {
         let estimate = self.admission.estimate_wait(now, waiting);
         LoadSnapshot {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Judges a protected request at the door, before its claim is asked for.
+    /// Refuses a protected request that could not be queued, before its key is claimed; counts the claim otherwise.
     pub(super) fn check_before_claim(
         &mut self,
         now: Instant,
@@ -201,8 +201,7 @@
         self.admission.offer(now, waiting)
     }
 
-    /// Takes the next request and the backend server it goes to; retries go first, as they have
-    /// waited longest.
+    /// Takes the next request and chooses its backend server. Retries go first, because they have waited longest.
     pub(super) fn pick(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Pick {
         if let Some(pick) = self.pick_retry(now, rng) {
             return pick;
@@ -230,28 +229,28 @@
         }
     }
 
-    /// Looks for a retry that is due and whose next backend server has room.
+    /// Returns the first due retry that a backend server has capacity for, or that must be refused.
     fn pick_retry(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Option<Pick> {
         for at in 0..self.retries.due(now).min(MAX_RETRIES_EXAMINED) {
-            let waits = self.retries.get(at);
-            let (tried, last_end) = (self.indices(&waits.tried), waits.last_end);
+            let retry = self.retries.get(at);
+            let (tried, last_end) = (self.indices(&retry.tried), retry.last_end);
             match (self.choose(now, rng, &tried), last_end) {
                 (Choice::Full, _) => {}
                 (Choice::Send(server), _) => {
-                    let waits = self.retries.take(at);
-                    return Some(Pick::Send(waits.request, server));
+                    let retry = self.retries.take(at);
+                    return Some(Pick::Send(retry.request, server));
                 }
                 (Choice::NoneAvailable, CallEnd::Refused) => return Some(self.refused_by_all(at)),
                 (Choice::NoneAvailable, _) => match self.choose(now, rng, &[]) {
                     Choice::Full => {}
                     Choice::Send(server) => {
-                        let waits = self.retries.take(at);
-                        return Some(Pick::Send(waits.request, server));
+                        let retry = self.retries.take(at);
+                        return Some(Pick::Send(retry.request, server));
                     }
                     Choice::NoneAvailable => {
-                        let waits = self.retries.take(at);
+                        let retry = self.retries.take(at);
                         let refusal = Refusal::not_run(RefusalReason::NoBackendServer);
-                        return Some(Pick::Refuse(waits.request, refusal));
+                        return Some(Pick::Refuse(retry.request, refusal));
                     }
                 },
             }
@@ -264,7 +263,7 @@
         indices.copied().collect()
     }
 
-    /// Chooses a backend server that was not tried, while this VM may have more calls in flight.
+    /// Chooses a backend server that was not tried, within this VM's concurrency limit.
     fn choose(&mut self, now: Instant, rng: &mut fastrand::Rng, tried: &[usize]) -> Choice {
         let (drain, outlier) = (&self.drain, &self.outlier);
         let takes_work =
@@ -275,12 +274,12 @@
         }
     }
 
-    /// Notes that a lookup was sent, and returns after which time to look at it.
+    /// Records that a lookup was sent and returns the time after which it is checked for a hedge.
     pub(super) fn lookup_sent(&mut self, rule: &RuleName) -> Option<Duration> {
         self.hedge.lookup_sent(&self.admission.service_time(rule))
     }
 
-    /// Judges a lookup's first attempt that takes long.
+    /// Decides whether to hedge a lookup whose first attempt is slow, and chooses the second backend server.
     pub(super) fn pick_hedge(
         &mut self,
         now: Instant,
@@ -314,12 +313,12 @@
         self.hedge.in_slow_spell(&server.name)
     }
 
-    /// Ends a request that every backend server which takes work has refused.
+    /// Refuses a request that every available backend server has refused.
     fn refused_by_all(&mut self, at: usize) -> Pick {
-        let waits = self.retries.take(at);
+        let retry = self.retries.take(at);
         let refusal = Refusal::not_run(RefusalReason::BackendServerRefused);
         Pick::Refuse(
-            waits.request,
+            retry.request,
             refusal.retry_after(self.retry.retry_after_all_refused()),
         )
     }
@@ -335,15 +334,14 @@
         server.is_some_and(|&server| self.drain.report_draining(server))
     }
 
-    /// Takes a request that no longer waits off the queues.
+    /// Removes a request that no longer waits from the queues.
     pub(super) fn remove(&mut self, request: RequestId) {
         if !self.admission.remove(request) {
             self.retries.remove(request);
         }
     }
 
-    /// Returns when something is next due: a retry, giving a request up, notes, or another look
-    /// for room.
+    /// Returns when the next retry, shed request, note, probe or recheck of full backend servers is due.
     pub(super) fn next_due(&self, now: Instant) -> Option<Instant> {
         let waits = !self.admission.is_empty() || self.retries.due(now) > 0;
         let recheck_at = self.selection.recheck_at().filter(|_| waits);
@@ -357,7 +355,7 @@
         due.into_iter().flatten().min()
     }
 
-    /// Returns every request that waits.
+    /// Returns all waiting requests.
     pub(super) fn into_waiting(self) -> Vec<RequestId> {
         let mut waiting = self.admission.into_requests();
         waiting.extend(self.retries.into_requests());
@@ -370,8 +368,8 @@
     let old_index = |server: &BackendServer| {
         let old = old?;
         let &index = old.by_name.get(&server.name)?;
-        let same = old.service.backend_servers[index].address == server.address;
-        same.then_some(index)
+        let same_address = old.service.backend_servers[index].address == server.address;
+        same_address.then_some(index)
     };
     service.backend_servers.iter().map(old_index).collect()
 }
--- a/crates/kingcuploft/src/dispatcher/timers.rs
+++ b/crates/kingcuploft/src/dispatcher/timers.rs
@@ -1,9 +1,9 @@
-//! Numbers ordered by when something is due for them.
+//! A timer queue: ids of requests or attempts, ordered by due time.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Numbers (of requests or attempts), each with the time at which it is due.
+/// Ids of requests or attempts, each with its due time.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     due: BTreeSet<(Instant, u64)>,
@@ -18,7 +18,7 @@
         self.due.remove(&(at, number));
     }
 
-    /// Takes a number that is due off.
+    /// Removes and returns the id that is due first, if it is due by now.
     pub(super) fn pop_due(&mut self, now: Instant) -> Option<u64> {
         let &(at, number) = self.due.first()?;
         if at > now {
--- a/crates/kingcuploft/src/lib.rs
+++ b/crates/kingcuploft/src/lib.rs
@@ -1,8 +1,7 @@
 //! The decisions of a load balancer for small edge sites, without I/O.
 //!
-//! Nothing in this crate opens a socket, starts a thread, reads a clock or draws from a random
-//! source of its own: time, seeds and events are passed in, and an enum of what to do next comes
-//! out. The daemon and the scenario tests run the very same code.
+//! Nothing in this crate opens a socket, starts a thread, reads a clock or seeds its own random generator: time, seeds
+//! and events are passed in, and actions are returned as enums. The daemon and the scenario tests run the same code.
 
 pub mod decisions;
 pub mod dispatcher;
