--- a/crates/kingcuploft/src/planted.rs
+++ b/crates/kingcuploft/src/planted.rs
@@ -1,36 +1,37 @@
-//! Faults that a test rig plants on purpose. Without the feature `planted` there are none.
+//! Fault injection: faults that the simulation plants to check that its bounds detect them. They exist only with the
+//! feature `planted`.
 
-/// A fault that can be planted.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum PlantedFault {
-    /// A VM forgets at its start what it has used of the budget of repeats.
+    /// A VM forgets at its start what it has used of the repeat budget.
     ForgetsRepeats,
-    /// A VM counts a fifth of the VMs that there are.
+    /// A VM counts only a fifth of the VMs.
     CountsTooFew,
-    /// A VM that joins is not told which zones are evacuated.
+    /// A VM that joins does not receive the list of evacuated zones.
     JoinersLackEvacuations,
-    /// A leaving server is chosen like any other.
+    /// A draining server is chosen like any other.
     ChoosesLeavingServers,
     /// A protected request is sent again after its answer was lost.
     RepeatsProtected,
-    /// A request that may have run is refused as one that has not.
+    /// A request that may have run is refused as one that did not run.
     RefusesUntruthfully,
-    /// A cold server is sent what comes.
+    /// A cold server gets its full share of requests at once.
     ForgetsColdServers,
-    /// Servers are probed without a bound.
+    /// The number of probes is not limited.
     ProbesUnbounded,
-    /// A planned stop ends at once.
+    /// A planned stop does not wait for requests in flight.
     StopsAtOnce,
-    /// Limits that servers name are not read.
+    /// Rate limits that servers announce are ignored.
     IgnoresLimits,
-    /// A request under which servers ended is sent on.
+    /// A request that has crashed servers is still sent to others.
     SendsSuspects,
-    /// A VM that starts goes by the oldest configuration that it is told.
+    /// A VM keeps the first configuration that it receives and ignores newer ones.
     KeepsOldConfiguration,
 }
 
 impl PlantedFault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Self; 12] = [
         Self::ForgetsRepeats,
         Self::CountsTooFew,
@@ -57,12 +58,12 @@
         static FAULT: Cell<Option<PlantedFault>> = const { Cell::new(None) };
     }
 
-    /// Plants a fault in what this thread does from now on, or none.
+    /// Sets the fault that is injected on this thread from now on; `None` injects none.
     pub fn set(fault: Option<PlantedFault>) {
         FAULT.set(fault);
     }
 
-    /// Returns whether a fault is planted.
+    /// Returns whether this fault is injected on this thread.
     pub fn is_on(fault: PlantedFault) -> bool {
         FAULT.get() == Some(fault)
     }
@@ -72,7 +73,7 @@
 mod on {
     use super::PlantedFault;
 
-    /// Returns whether a fault is planted: none is.
+    /// Returns `false`: without the feature no fault is injected.
     pub const fn is_on(_: PlantedFault) -> bool {
         false
     }
--- a/crates/kingcuploft/src/settings/admission.rs
+++ b/crates/kingcuploft/src/settings/admission.rs
@@ -3,29 +3,29 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Whom to serve, who waits, who is refused.
+/// Which requests are served first, which wait and which are refused.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdmissionSettings {
     /// How many callers' shares are remembered; the least recent one is forgotten first.
     pub callers_remembered: u32,
-    /// Whether waiting callers are served in turn, by the slot time they use.
+    /// Whether waiting callers get equal shares of the slot time.
     pub fair_share: bool,
     /// Whether requests that can not be answered in time are refused as soon as that is known.
     pub deadline_aware: bool,
-    /// Whether priorities are told apart.
+    /// Whether requests are served by priority; all are served alike otherwise.
     pub priorities: bool,
-    /// The share of service of waiting protected requests, against the other weights.
+    /// The weight of waiting protected requests, relative to the other two weights.
     pub protected_weight: u32,
-    /// The share of service of waiting interactive requests, against the other weights.
+    /// The weight of waiting interactive requests, relative to the other two weights.
     pub interactive_weight: u32,
-    /// The share of service of waiting background requests, against the other weights.
+    /// The weight of waiting background requests, relative to the other two weights.
     pub background_weight: u32,
-    /// How long a queue may stand before it is taken for overload rather than a burst, in ms.
+    /// How long a queue may stay non-empty before that counts as overload rather than a burst, in ms.
     pub standing_after_ms: u64,
-    /// The share of a request's deadline that it may wait while a queue stands.
+    /// The share of the time to its deadline that a request may wait during overload.
     pub standing_wait_share: f64,
-    /// How many requests with one idempotency key one VM takes in at a time.
+    /// How many requests with one idempotency key one VM admits at a time.
     pub key_limit: u32,
 }
 
--- a/crates/kingcuploft/src/settings/claim.rs
+++ b/crates/kingcuploft/src/settings/claim.rs
@@ -4,35 +4,35 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How protected actions are claimed in the store.
+/// How the idempotency keys of protected actions are claimed in the store.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClaimSettings {
-    /// How many partitions the keys hash to. Only the first VM ever to start decides this; it is
-    /// kept in the store, because two VMs that disagree would look for one key in two places.
+    /// How many partitions the keys hash to. Only the first VM ever to start decides this; it is kept in the store,
+    /// because two VMs that disagree would look for one key in two partitions.
     pub partitions: u16,
-    /// How long a claim waits for others to share its write, in ms.
+    /// How long a claim waits for other claims to share its write, in ms.
     pub linger_ms: u64,
-    /// How long the end of an action waits to share a write, in ms.
+    /// How long the recorded end of an action waits to share a write, in ms.
     pub end_linger_ms: u64,
-    /// How many writes in a second all VMs together aim at for one partition; each VM sees the
-    /// writes of all and stretches the time between its own.
+    /// The target rate of writes to one partition by all VMs together, per second; each VM sees the writes of all VMs
+    /// and lengthens the time between its own.
     pub fleet_writes_per_s: u64,
     /// The least time between two writes of one VM to one partition, in ms.
     pub shortest_pace_ms: u64,
-    /// The longest time between two writes of one VM that wait for others, in ms.
+    /// The longest time between two writes of one VM to one partition while the others write too, in ms.
     pub longest_pace_ms: u64,
-    /// The longest time for a claim, in ms; the request's deadline may end it earlier.
+    /// The timeout of a claim, in ms; the request's deadline may end it earlier.
     pub timeout_ms: u64,
-    /// A call to the store that takes longer makes new claims be refused at once, in ms.
+    /// While a call to the store takes longer than this, in ms, new claims are refused at once.
     pub slow_store_ms: u64,
     /// How far the clocks of two VMs may differ: a key is kept for this much longer, in s.
     pub clock_slack_s: u64,
-    /// The size at which the settled entries of a partition's head are sealed, in bytes.
+    /// The size at which the settled entries of a partition's head are moved into a sealed segment, in bytes.
     pub seal_bytes: usize,
-    /// The number of sealed segments that are put under one index.
+    /// The number of sealed segments that one index lists.
     pub segments_per_index: usize,
-    /// The size that no object may pass, in bytes; the store takes 1 MB.
+    /// The largest size of an object, in bytes; the store's limit is 1 MB.
     pub object_bytes: usize,
     /// The pause after a conflict or a failed call, in ms; it doubles and is jittered.
     pub retry_pause_ms: u64,
@@ -62,17 +62,17 @@
 }
 
 impl ClaimSettings {
-    /// Returns how long a claim waits for others.
+    /// Returns how long a claim waits to share its write.
     pub fn linger(&self) -> Duration {
         Duration::from_millis(self.linger_ms)
     }
 
-    /// Returns how long an end waits for others.
+    /// Returns how long the end of an action waits to share its write.
     pub fn end_linger(&self) -> Duration {
         Duration::from_millis(self.end_linger_ms)
     }
 
-    /// Returns the longest time for a claim.
+    /// Returns the timeout of a claim.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
--- a/crates/kingcuploft/src/settings/concurrency.rs
+++ b/crates/kingcuploft/src/settings/concurrency.rs
@@ -7,13 +7,13 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ConcurrencySettings {
-    /// Whether the limit follows what replies tell; all slots are the limit where not.
+    /// Whether the limit adapts to the load reported on replies; otherwise it is the number of all slots.
     pub adaptive: bool,
-    /// How many times its slots a backend server reports in flight where too much waits there.
+    /// The reported requests in flight per slot above which too many requests wait at a backend server.
     pub full_at: f64,
     /// How far the limit rises for a reply from a backend server where nothing waits.
     pub rise: f64,
-    /// How far the limit falls for a reply from a backend server where requests wait.
+    /// How far the limit falls for a reply from a backend server where too many requests wait.
     pub fall: f64,
 }
 
--- a/crates/kingcuploft/src/settings/drain.rs
+++ b/crates/kingcuploft/src/settings/drain.rs
@@ -9,10 +9,9 @@
 pub struct DrainSettings {
     /// The smallest share of backend servers that ejection leaves in use.
     pub keep_share: f64,
-    /// Whether the word of replies, peers, operators and the VM list starts a drain; the manifest's
-    /// always does.
+    /// Whether reports from replies, peers, operators and the VM list start a drain; the manifest always does.
     pub heed_evidence: bool,
-    /// Whether peers are told of a drain that this VM learnt of.
+    /// Whether peers are notified of a drain that this VM has detected.
     pub tell_peers: bool,
 }
 
--- a/crates/kingcuploft/src/settings/hedge.rs
+++ b/crates/kingcuploft/src/settings/hedge.rs
@@ -9,15 +9,15 @@
 pub struct HedgeSettings {
     /// The most hedges, as a share of the lookups sent; none at 0.
     pub budget_share: f64,
-    /// The most hedges that can be saved up.
+    /// The largest number of unused hedges that can accumulate.
     pub budget_most: u32,
-    /// How many times longer than usual a backend server takes in what counts as a slow spell.
+    /// The ratio of a backend server's latency to the usual one from which it counts as slow.
     pub slow_factor: f64,
-    /// Whether an attempt that takes longer than 98 of 100 is reason enough.
+    /// Whether an attempt that exceeds the 98th percentile of the service time is hedged for that reason alone.
     pub late: bool,
-    /// How long nothing must have waited for a slot, in ms.
+    /// How long no request may have waited for a slot before a hedge is sent, in ms.
     pub calm_ms: u64,
-    /// The shortest time that an attempt is left alone, in ms.
+    /// The shortest time between an attempt and its hedge, in ms.
     pub after_ms: u64,
 }
 
--- a/crates/kingcuploft/src/settings/measuring.rs
+++ b/crates/kingcuploft/src/settings/measuring.rs
@@ -3,7 +3,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What measuring may cost.
+/// When backend servers are probed, and what that may cost.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MeasuringSettings {
@@ -12,12 +12,12 @@
     pub budget_share: f64,
     /// The slot time of one probe, in ms.
     pub probe_ms: f64,
-    /// A backend server that no reply told of for this long is probed, in ms.
+    /// How long a backend server may go without a load report on a reply before it is probed, in ms.
     pub idle_ms: u64,
-    /// How long a VM waits before it probes the servers that a new view of the fleet gives it, in
-    /// ms: their earlier prober may not have that view yet.
+    /// How long a VM waits after a change in the set of live VMs before it probes its newly assigned backend servers, in
+    /// ms: their earlier prober may not know of the change yet.
     pub settle_ms: u64,
-    /// A probe that is not answered within this time failed, in ms.
+    /// The timeout of a probe, in ms.
     pub timeout_ms: u64,
 }
 
--- a/crates/kingcuploft/src/settings/membership.rs
+++ b/crates/kingcuploft/src/settings/membership.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How the fleet is watched; part of the daemon's settings.
+/// How VMs detect failures of each other; part of the daemon's settings.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MembershipSettings {
@@ -10,11 +10,11 @@
     pub beat_ms: u64,
     /// Silence after which a neighbour is suspected, in ms; three heartbeats.
     pub suspect_ms: u64,
-    /// Silence after which a suspect counts as gone, in ms.
+    /// Silence after which a suspected VM counts as gone, in ms.
     pub gone_ms: u64,
-    /// Time after which one that is gone is forgotten and may be tried again, in ms.
+    /// Time after which a VM that is gone is forgotten and may be contacted again, in ms.
     pub forget_ms: u64,
-    /// How many VMs this one links with.
+    /// How many other VMs this one keeps links to.
     pub neighbours: usize,
     /// How many VMs of an availability zone watch the store.
     pub watchers_per_zone: usize,
--- a/crates/kingcuploft/src/settings/mod.rs
+++ b/crates/kingcuploft/src/settings/mod.rs
@@ -1,5 +1,4 @@
-//! How the decisions are tuned: one file for each decision, the twin of the file of that name in
-//! [`crate::decisions`].
+//! The settings of the decisions: one module for each module of the same name in [`crate::decisions`].
 
 pub mod admission;
 pub mod claim;
@@ -16,19 +15,19 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The tuning of one service, part of the manifest.
+/// The settings of one service's decisions, part of the manifest.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// Whom to serve, who waits, who is refused.
+    /// Which requests are served first, which wait and which are refused.
     pub admission: admission::AdmissionSettings,
     /// How many calls of one VM may be in flight.
     pub concurrency: concurrency::ConcurrencySettings,
-    /// Where work goes.
+    /// How a backend server is chosen.
     pub selection: selection::SelectionSettings,
-    /// What measuring may cost.
+    /// When backend servers are probed, and what that may cost.
     pub measuring: measuring::MeasuringSettings,
-    /// What VMs tell each other about full backend servers.
+    /// What VMs report to each other about full backend servers.
     pub notes: notes::NotesSettings,
     /// When a request is sent again.
     pub retry: retry::RetrySettings,
--- a/crates/kingcuploft/src/settings/notes.rs
+++ b/crates/kingcuploft/src/settings/notes.rs
@@ -3,17 +3,17 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What VMs tell each other about full backend servers.
+/// What VMs report to each other about full backend servers.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NotesSettings {
     /// Bytes a second that one VM may spend on notes of one service; 0 switches them off.
     pub bytes_per_second: f64,
-    /// A backend server is told full from this many calls for each slot.
+    /// The calls in flight per slot from which a backend server is reported full.
     pub full_calls_per_slot: f64,
-    /// A backend server that was told full is told free below this many calls for each slot.
+    /// The calls in flight per slot below which a backend server that was reported full is reported free.
     pub free_calls_per_slot: f64,
-    /// How long notes wait for others to share a message with, in ms.
+    /// How long notes wait for further notes to share a message, in ms.
     pub batch_ms: f64,
 }
 
--- a/crates/kingcuploft/src/settings/retry.rs
+++ b/crates/kingcuploft/src/settings/retry.rs
@@ -11,11 +11,11 @@
     pub budget_share: f64,
     /// Retries allowed before anything has succeeded.
     pub budget_at_start: u32,
-    /// The most retries that successes can save up.
+    /// The largest number of unused retries that can accumulate.
     pub budget_most: u32,
     /// The most attempts for one request, the first included.
     pub attempts: u32,
-    /// The pause before the third attempt, in ms; it doubles for each one after, give or take half.
+    /// The backoff before the third attempt, in ms; it doubles for each further one, with a jitter of half.
     pub backoff_ms: u64,
 }
 
--- a/crates/kingcuploft/src/settings/selection.rs
+++ b/crates/kingcuploft/src/settings/selection.rs
@@ -3,33 +3,33 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Where work goes.
+/// How a backend server is chosen.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SelectionSettings {
     /// The rule by which a backend server is chosen.
     pub policy: SelectionPolicy,
-    /// How many backend servers are looked at for one call; all of them where there are fewer.
+    /// How many backend servers are compared for one call; all of them where there are fewer.
     pub sample: u32,
-    /// A round trip between availability zones, in ms.
+    /// The round-trip time between availability zones, in ms.
     pub zone_distance_ms: f64,
-    /// A new connection, in ms.
+    /// The time to open a connection, in ms.
     pub connect_ms: f64,
     /// How long one call ahead in a backend server's queue delays another, in ms.
     pub wait_ms: f64,
-    /// How long a load report stays of use, in ms; 0 ignores load reports.
+    /// How long a load report is used, in ms; 0 ignores load reports.
     pub ageing_ms: f64,
     /// The age at which a call in flight is evidence that its backend server is slow, in ms.
     pub overdue_ms: f64,
-    /// Whether reports that own calls contradict are ignored.
+    /// Whether load reports that this VM's own calls contradict are ignored.
     pub doubt_reports: bool,
     /// Calls that one failure counts as; more failures count double each. 0 ignores failures.
     pub failure_calls: f64,
     /// How long a failure counts, in ms.
     pub failure_ms: f64,
-    /// How long a backend server that was away gets less work, in ms; 0 gives it all at once.
+    /// How long a backend server that returns gets less work (slow start), in ms; 0 gives it its full share at once.
     pub ramp_ms: f64,
-    /// Calls beyond its slots that a backend server gets before further ones wait at the entry.
+    /// Calls beyond its slots that a backend server gets before further ones wait on this VM.
     pub allowance: f64,
 }
 
@@ -56,18 +56,18 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SelectionPolicy {
-    /// Any one, at random.
+    /// A random one.
     Random,
     /// One after the other.
     RoundRobin,
     /// The one with the fewest calls of this VM in flight.
     LeastInFlight,
-    /// The one with the least estimated load; calls wait at the entry while all are full.
+    /// The one with the least estimated load; calls wait on this VM while all are full.
     Adaptive,
 }
 
 impl SelectionPolicy {
-    /// Every policy, for experiments.
+    /// All policies, for experiments.
     pub const ALL: &[Self] = &[
         Self::Random,
         Self::RoundRobin,
@@ -75,7 +75,7 @@
         Self::Adaptive,
     ];
 
-    /// Returns the word that stands in settings and tables.
+    /// Returns the name used in settings and tables.
     pub fn label(self) -> &'static str {
         match self {
             Self::Random => "random",
--- a/crates/kingcuploft/src/utils/rendezvous.rs
+++ b/crates/kingcuploft/src/utils/rendezvous.rs
@@ -1,6 +1,6 @@
-//! Rendezvous hashing: every VM that knows the same names chooses the same one.
+//! Rendezvous hashing (highest random weight): all VMs that know the same names choose the same one.
 
-/// Returns a number that depends on both texts, in this order, alike on every VM.
+/// Returns the weight of the pair (`a`, `b`), which is the same on every VM; the order of the two matters.
 pub fn rendezvous(a: &str, b: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher
--- a/crates/kingcuploft/src/world/backend_server.rs
+++ b/crates/kingcuploft/src/world/backend_server.rs
@@ -1,38 +1,38 @@
-//! What is learnt about a backend server from a call to it.
+//! The report of a call to a backend server: how it ended, its latency and the backend server's load.
 
 use std::time::Duration;
 
 /// The load a backend server reported on a reply or at its load endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Requests that occupy or wait for a slot, all VMs together.
+    /// Requests of all VMs together that occupy a slot or wait for one.
     pub in_flight: u32,
 }
 
 /// How a call to a backend server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallEnd {
-    /// A whole answer arrived and belongs to this request.
+    /// A complete answer to this request arrived.
     Answered {
         /// The HTTP status code.
         status: u16,
     },
-    /// The backend server refused in the way that the manifest says means "not run".
+    /// The backend server refused with the header that, by the manifest, proves that the request did not run.
     Refused,
-    /// No byte of the request was handed to a connection.
+    /// No byte of the request was written to a connection.
     NeverSent,
-    /// The request was sent, in part at least, and no whole answer came.
+    /// The request was sent, at least in part, and no complete answer came.
     Broken,
     /// The request was sent and the deadline passed.
     TimedOut,
-    /// The answer is longer than may be passed on.
+    /// The answer exceeds the size limit.
     TooLarge,
     /// The call was cancelled by this VM.
     Cancelled,
 }
 
 impl CallEnd {
-    /// Tells whether the backend server answered, and not with an error of its own.
+    /// Tells whether the backend server answered without a server error (5xx).
     pub fn succeeded(self) -> bool {
         matches!(self, Self::Answered { status } if status < 500)
     }
@@ -43,12 +43,12 @@
     }
 }
 
-/// What one call told about its backend server.
+/// What one call revealed about its backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallReport {
     /// How the call ended.
     pub end: CallEnd,
-    /// Time from the hand-over to the worker until the end.
+    /// Time from handing the call to a worker until its end.
     pub latency: Duration,
     /// The load on the reply, if it had one.
     pub load: Option<LoadReport>,
--- a/crates/kingcuploft/src/world/contract.rs
+++ b/crates/kingcuploft/src/world/contract.rs
@@ -1,9 +1,9 @@
-//! What a rule promises its callers about running a request more than once.
+//! The contract of a rule: whether a request may run more than once. Also the priorities of requests.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The contract of a rule.
+/// Whether a rule's requests may run more than once.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Contract {
@@ -14,7 +14,7 @@
     AtMostOnce,
 }
 
-/// The order in which waiting requests are served when there is not room for all.
+/// The order in which waiting requests are served when there are too few slots for all.
 #[derive(
     Clone, Copy, Debug, Deserialize, Eq, Hash, JsonSchema, Ord, PartialEq, PartialOrd, Serialize,
 )]
--- a/crates/kingcuploft/src/world/ids.rs
+++ b/crates/kingcuploft/src/world/ids.rs
@@ -1,4 +1,4 @@
-//! Type aliases for the identifiers of the world.
+//! Type aliases for names and numbers of VMs, services, callers and requests.
 
 use std::sync::Arc;
 
@@ -29,8 +29,8 @@
 /// Numbers the attempts (calls to a backend server) of one VM, from the start of its process.
 pub type AttemptId = u64;
 
-/// Numbers the accepted manifests; it only grows.
+/// Numbers the accepted manifests in increasing order.
 pub type Generation = u64;
 
-/// Tells two lives of the same name or address apart; a later life has a greater number.
+/// Distinguishes successive processes with the same name or address; a later one has a greater number.
 pub type Incarnation = u64;
--- a/crates/kingcuploft/src/world/mod.rs
+++ b/crates/kingcuploft/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The world the decisions are about: machines, zones, callers, contracts and refusals.
+//! The basic types of the decisions: ids, VMs, reports on backend servers, contracts and refusals.
 
 pub mod backend_server;
 pub mod contract;
--- a/crates/kingcuploft/src/world/refusal.rs
+++ b/crates/kingcuploft/src/world/refusal.rs
@@ -1,23 +1,23 @@
-//! The answers the system makes itself: why a request was refused and what became of it.
+//! Answers that the load balancer makes itself: why a request was refused and whether it ran.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What became of a request that did not get a backend server's answer.
+/// Whether a request without a backend server's answer ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The request ran; its answer can not be given again.
+    /// The request ran, but its answer was not kept.
     Ran,
-    /// It is proved that the request did not run.
+    /// The request provably did not run.
     NotRun,
     /// The request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Returns the word that stands in headers, bodies and metrics.
+    /// Returns the name used in headers, bodies and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Ran => "ran",
@@ -29,17 +29,17 @@
 
 macro_rules! refusal_reasons {
     ($($(#[$doc:meta])* $name:ident => $label:literal,)*) => {
-        /// Why the system answered a request itself; the same words label the metric.
+        /// Why the load balancer answered a request itself; the labels of the metric are the same names.
         #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
         pub enum RefusalReason {
             $($(#[$doc])* #[serde(rename = $label)] $name,)*
         }
 
         impl RefusalReason {
-            /// Every reason, for metrics that start at zero.
+            /// All reasons, for metrics that start at zero.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
 
-            /// Returns the word that stands in headers, bodies and metrics.
+            /// Returns the name used in headers, bodies and metrics.
             pub fn label(self) -> &'static str {
                 match self {
                     $(Self::$name => $label,)*
@@ -52,19 +52,19 @@
 refusal_reasons! {
     /// The request is not well-formed HTTP, or is ambiguous.
     BadRequest => "bad_request",
-    /// The headers are longer than this VM takes.
+    /// The headers exceed this VM's size limit.
     HeadersTooLarge => "headers_too_large",
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyTimeout => "body_timeout",
-    /// The body is longer than the rule's limit.
+    /// The body exceeds the rule's size limit.
     BodyTooLarge => "body_too_large",
     /// No service has this host.
     NoSuchService => "no_such_service",
     /// No rule of the service has this method and path.
     NoSuchRule => "no_such_rule",
-    /// This VM does not know the manifest yet.
+    /// This VM has not received the manifest yet.
     NotReady => "not_ready",
-    /// This VM is stopping.
+    /// This VM is shutting down.
     ShuttingDown => "shutting_down",
     /// The rule's queue is full.
     QueueFull => "queue_full",
@@ -72,46 +72,46 @@
     DeadlineUnreachable => "deadline_unreachable",
     /// The deadline passed before an answer came.
     DeadlinePassed => "deadline_passed",
-    /// The caller has more than its share waiting.
+    /// The caller's waiting requests exceed its share of the queue.
     CallerShare => "caller_share",
-    /// The idempotency key has more than its share waiting.
+    /// Too many requests with the same idempotency key are in progress.
     KeyShare => "key_share",
-    /// The service has no backend server that takes work.
+    /// The service has no available backend server.
     NoBackendServer => "no_backend_server",
-    /// The backend servers refused the request by the manifest's rule.
+    /// The backend servers refused the request with the header that the manifest names.
     BackendServerRefused => "backend_server_refused",
     /// No connection to a backend server could be made.
     BackendServerUnreachable => "backend_server_unreachable",
-    /// The backend server's answer was cut, crossed or never came.
+    /// The backend server's answer was cut off, belonged to another request or never came.
     AnswerBroken => "answer_broken",
-    /// The backend server's answer is longer than may be passed on.
+    /// The backend server's answer exceeds the size limit.
     AnswerTooLarge => "answer_too_large",
-    /// The rule demands an idempotency key.
+    /// The rule requires an idempotency key, and the request has none.
     KeyMissing => "key_missing",
     /// The idempotency key is malformed.
     KeyInvalid => "key_invalid",
     /// The key was used before with another request.
     KeyReused => "key_reused",
-    /// The key is older than the window in which it is remembered.
+    /// The key is older than the window for which keys are kept.
     KeyExpired => "key_expired",
-    /// An earlier request with this key is claimed and its end is not known.
+    /// An earlier request with this key was claimed, and its end is not known.
     KeyInProgress => "key_in_progress",
     /// An earlier request with this key ran, and its answer was not kept.
     KeyAlreadyRan => "key_already_ran",
-    /// The platform's store does not answer, so nothing can be claimed.
+    /// The platform's store does not answer, so no key can be claimed.
     StoreUnavailable => "store_unavailable",
-    /// The daemon itself has no room: a ring or a connection limit is full.
+    /// The daemon itself is overloaded: a ring or a connection limit is full.
     Overloaded => "overloaded",
 }
 
-/// An answer the system makes itself.
+/// An answer that the load balancer makes itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
     /// Why the request was refused.
     pub reason: RefusalReason,
-    /// What became of the request.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// When it makes sense to ask again; `None` where asking again does not help.
+    /// How long the caller should wait before it retries; `None` where a retry does not help.
     pub retry_after: Option<Duration>,
 }
 
@@ -134,13 +134,13 @@
         }
     }
 
-    /// Tells whether this says nothing of earlier requests with the same idempotency key.
+    /// Tells whether this refusal holds for its own request only and not for earlier ones with the same idempotency key.
     ///
-    /// A caller sends a hold, hears nothing, and sends it again through another VM while the store
-    /// is down. That VM proves that the second request did not run, but can not know whether the
-    /// first one did; without a word about it `not_run` would read as if the hold had not run.
+    /// Failure: a caller sends a hold, gets no answer, and sends it again through another VM while the store is down. That
+    /// VM knows that the second request did not run, but not whether the first one did. Unless the answer says so, its
+    /// `not_run` reads as if the hold had not run at all.
     pub fn earlier_requests_unknown(&self) -> bool {
-        let before_the_ledger = matches!(
+        let refused_before_lookup = matches!(
             self.reason,
             RefusalReason::StoreUnavailable
                 | RefusalReason::QueueFull
@@ -151,10 +151,10 @@
                 | RefusalReason::NotReady
                 | RefusalReason::ShuttingDown
         );
-        self.outcome == Outcome::NotRun && before_the_ledger
+        self.outcome == Outcome::NotRun && refused_before_lookup
     }
 
-    /// Adds when to ask again.
+    /// Adds the time after which the caller should retry.
     pub fn retry_after(self, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
--- a/crates/kingcuploft/src/world/vm.rs
+++ b/crates/kingcuploft/src/world/vm.rs
@@ -1,4 +1,4 @@
-//! An entry VM, as its settings name it.
+//! The identity of an entry VM, from its settings.
 
 use super::ids::{AvailabilityZone, Incarnation, VmName};
 
@@ -7,8 +7,8 @@
 pub struct Vm {
     /// The VM's name.
     pub name: VmName,
-    /// The availability zone it stands in.
+    /// The VM's availability zone.
     pub availability_zone: AvailabilityZone,
-    /// Tells this life of the VM from earlier ones.
+    /// Distinguishes this process of the VM from earlier ones.
     pub incarnation: Incarnation,
 }
