--- a/crates/kingcuploft/src/dispatcher/attempts.rs
+++ b/crates/kingcuploft/src/dispatcher/attempts.rs
@@ -12,8 +12,8 @@
 
 /// The time after the deadline at which the slot of an attempt without a report is counted as free.
 ///
-/// Failure: a worker that hangs never reports, and without this limit its slot is lost until a restart. The time is well
-/// above that in which a worker's own timeout, set to the deadline, is reported.
+/// Failure: a worker that hangs never reports, and without this limit its slot is lost until a restart. The time is
+/// well above that in which a worker's own timeout, set to the deadline, is reported.
 const ATTEMPT_GRACE: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
--- a/crates/kingcuploft/src/dispatcher/mod.rs
+++ b/crates/kingcuploft/src/dispatcher/mod.rs
@@ -1,8 +1,8 @@
 //! The request dispatcher of one entry VM: a state machine that takes events and returns actions.
 //!
-//! It combines admission, selection, concurrency limits, retries, hedges, drains and outlier detection for each service.
-//! Each event carries the time at which it happened. The daemon's dispatch thread and the scenario tests run the same
-//! code.
+//! It combines admission, selection, concurrency limits, retries, hedges, drains and outlier detection for each
+//! service. Each event carries the time at which it happened. The daemon's dispatch thread and the scenario tests run
+//! the same code.
 
 mod adoption;
 mod attempt_end;
@@ -234,7 +234,8 @@
         timers.into_iter().flatten().chain(retries).min()
     }
 
-    /// Returns how many requests claim, wait or are in flight, or run on past their refusal so that their end is recorded.
+    /// Returns how many requests claim, wait or are in flight, or run on past their refusal so that their end is
+    /// recorded.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
@@ -301,8 +302,8 @@
         self.send_waiting(now, &service, actions);
     }
 
-    /// Handles the result of a claim. A claim that succeeds after its request has ended (the caller disconnected, or the
-    /// deadline passed) is released, because nothing was sent.
+    /// Handles the result of a claim. A claim that succeeds after its request has ended (the caller disconnected, or
+    /// the deadline passed) is released, because nothing was sent.
     fn on_claim_result(
         &mut self,
         now: Instant,
--- a/crates/kingcuploft/src/dispatcher/request.rs
+++ b/crates/kingcuploft/src/dispatcher/request.rs
@@ -104,8 +104,8 @@
 
     /// Tells whether a backend server may have run the request, or may be running it.
     ///
-    /// Failure: a lookup whose first attempt was cut off is refused while it waits for its second, and the caller is told
-    /// that it did not run although it may have. The outcome of every refusal is corrected by this.
+    /// Failure: a lookup whose first attempt was cut off is refused while it waits for its second, and the caller is
+    /// told that it did not run although it may have. The outcome of every refusal is corrected by this.
     pub(super) fn may_have_run(&self) -> bool {
         self.may_have_run || !self.in_flight.is_empty()
     }
--- a/crates/kingcuploft/src/dispatcher/service_state.rs
+++ b/crates/kingcuploft/src/dispatcher/service_state.rs
@@ -59,8 +59,8 @@
     /// Builds the state under a new manifest and carries over what is still valid of the old state.
     ///
     /// A backend server is the same if its name and address are. `attempts` are the service's calls in flight: those to
-    /// a backend server that the old manifest lacked (it was removed and then restored) are counted again, so that their
-    /// ends do not reduce a count that does not include them.
+    /// a backend server that the old manifest lacked (it was removed and then restored) are counted again, so that
+    /// their ends do not reduce a count that does not include them.
     pub(super) fn new<'a>(
         service: Arc<Service>,
         vm: &Vm,
--- a/crates/kingcuploft/src/manifest/check.rs
+++ b/crates/kingcuploft/src/manifest/check.rs
@@ -1,4 +1,4 @@
-//! Finds figures and names in a manifest that can not be meant.
+//! Validates a manifest: finds invalid numbers, names, addresses and rules, and valid ones that look like mistakes.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -20,16 +20,16 @@
 /// The most rules of a service.
 pub const MAX_RULES: usize = 128;
 
-/// The longest name, in bytes; names stand in keys of the store, labels and log lines.
+/// The longest name, in bytes; names are used in keys of the store, labels and log lines.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The allowed deadlines, in ms: longer than ten minutes is not a request any more.
+/// The allowed deadlines, in ms: at most ten minutes, because a longer one does not bound a request in practice.
 pub const ALLOWED_DEADLINES_MS: RangeInclusive<u64> = 1..=600_000;
 
-/// The allowed slots of a backend server.
+/// The allowed numbers of slots of a backend server.
 pub const ALLOWED_SLOTS: RangeInclusive<u32> = 1..=10_000;
 
-/// The allowed connections of a backend server.
+/// The allowed numbers of connections of a backend server.
 pub const ALLOWED_CONNECTIONS: RangeInclusive<u32> = 1..=1_000_000;
 
 /// The allowed queue limits.
@@ -38,18 +38,18 @@
 /// The allowed body and whole-answer limits, in bytes: they are held in the memory of a small VM.
 pub const ALLOWED_LIMITS_BYTES: RangeInclusive<u64> = 0..=64 * 1024 * 1024;
 
-/// The allowed windows in which a key is remembered, in s: at most a week.
+/// The allowed times for which an idempotency key is kept, in s: at most a week.
 pub const ALLOWED_WINDOWS_S: RangeInclusive<u64> = 1..=604_800;
 
-/// The allowed sizes of a recorded answer, in bytes: a ledger object holds many in 1 MB.
+/// The allowed size limits of a recorded answer, in bytes: a ledger object of at most 1 MB holds many answers.
 pub const ALLOWED_RECORD_BYTES: RangeInclusive<u64> = 0..=256 * 1024;
 
-/// The methods a rule may name.
+/// The HTTP methods that a rule may name.
 pub const METHODS: [&str; 8] = [
     "GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "TRACE",
 ];
 
-/// One fault, before its line is known.
+/// A fault in a field, without its line in the text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
     /// The path of the field.
@@ -58,7 +58,7 @@
     pub expected: String,
 }
 
-/// Returns every fault of a manifest that parsed.
+/// Returns all faults of a parsed manifest.
 pub fn faults(manifest: &Manifest) -> Vec<Fault> {
     let mut check = Check::default();
     check.count("services", manifest.services.len(), MAX_SERVICES);
@@ -76,7 +76,7 @@
     check.faults
 }
 
-/// Returns what is allowed but seldom meant.
+/// Returns what is allowed but probably a mistake.
 pub fn warnings(manifest: &Manifest) -> Vec<Fault> {
     let mut check = Check::default();
     for (i, service) in manifest.services.iter().enumerate() {
@@ -136,11 +136,11 @@
         }
     }
 
-    fn count(&mut self, field: &str, found: usize, most: usize) {
-        if found > most {
+    fn count(&mut self, field: &str, found: usize, max: usize) {
+        if found > max {
             self.add(
                 field.into(),
-                format!("{found} found, expected at most {most}"),
+                format!("{found} found, expected at most {max}"),
             );
         }
     }
@@ -164,7 +164,7 @@
         }
     }
 
-    fn hosts(&mut self, path: &str, service: &Service, taken: &mut HashMap<String, String>) {
+    fn hosts(&mut self, path: &str, service: &Service, host_owners: &mut HashMap<String, String>) {
         if service.hosts.is_empty() {
             self.add(format!("{path}.hosts"), "none found, expected at least one");
         }
@@ -179,7 +179,7 @@
                     format!("`{}` found, {expected}", host.escape_debug()),
                 );
             } else if let Some(by) =
-                taken.insert(host.to_ascii_lowercase(), service.name.to_string())
+                host_owners.insert(host.to_ascii_lowercase(), service.name.to_string())
             {
                 self.add(
                     field,
@@ -239,7 +239,7 @@
             self.unique(&path, &rule.name, &mut names);
             self.rule(&path, rule);
             let earlier = &service.rules[..i];
-            if let Some(same) = earlier.iter().find(|earlier| overlap(earlier, rule)) {
+            if let Some(same) = earlier.iter().find(|earlier| is_ambiguous(earlier, rule)) {
                 let expected = format!("rule `{}` has the same path and a same method", same.name);
                 self.add(format!("{path}.path_prefix"), expected);
             }
@@ -321,8 +321,8 @@
     }
 }
 
-/// Tells whether neither of two rules goes before the other for some request.
-fn overlap(a: &Rule, b: &Rule) -> bool {
+/// Tells whether some request matches two rules of which neither takes precedence.
+fn is_ambiguous(a: &Rule, b: &Rule) -> bool {
     let same_path = a.path_prefix.trim_end_matches('/') == b.path_prefix.trim_end_matches('/');
     let same_method = match (a.methods.is_empty(), b.methods.is_empty()) {
         (true, true) => true,
--- a/crates/kingcuploft/src/manifest/located.rs
+++ b/crates/kingcuploft/src/manifest/located.rs
@@ -1,5 +1,4 @@
-//! A document as a tree in which every value knows its line, so that a fault of meaning can be
-//! reported with the line of its field.
+//! A parsed document as a tree that keeps the line of each value, so that an invalid field is reported with its line.
 
 use std::fmt;
 
@@ -7,31 +6,31 @@
 use serde_json::Value;
 use serde_saphyr::Spanned;
 
-/// The most levels of nesting that are followed; the manifest's own types need 6.
+/// The deepest nesting that is accepted; the manifest's own types need 6 levels.
 const MAX_DEPTH: usize = 32;
 
-/// A value and the line it begins on.
+/// A value and the line on which it begins.
 #[derive(Clone, Debug)]
 pub struct Located {
-    /// The line, from 1; 0 where the parser knows none.
+    /// The line, from 1; 0 if the parser does not know it.
     pub line: usize,
     /// The value.
     pub node: Node,
 }
 
-/// A value whose parts know their lines.
+/// A value whose parts carry their lines.
 #[derive(Clone, Debug)]
 pub enum Node {
-    /// A number, text, truth value or nothing.
+    /// A number, string, boolean or null.
     Scalar(Value),
     /// A list.
     List(Vec<Located>),
-    /// A mapping, in the order of the text.
+    /// A mapping, with its members in the order of the text.
     Map(Vec<(String, Located)>),
 }
 
 impl Located {
-    /// Returns the member of a mapping.
+    /// Returns the member of a mapping with this name.
     pub fn member(&self, name: &str) -> Option<&Self> {
         let Node::Map(members) = &self.node else {
             return None;
@@ -40,7 +39,7 @@
         found.map(|(_, value)| value)
     }
 
-    /// Returns the items of a list.
+    /// Returns the items of a list; none if the value is not a list.
     pub fn items(&self) -> &[Self] {
         match &self.node {
             Node::List(items) => items,
@@ -48,8 +47,8 @@
         }
     }
 
-    /// Returns the line of the field at a path such as `services[0].rules[1].deadline_ms`, or of
-    /// its nearest container that the text has.
+    /// Returns the line of the field at a path such as `services[0].rules[1].deadline_ms`; if the text lacks the field,
+    /// the line of its nearest container that exists.
     pub fn line_of(&self, path: &str) -> usize {
         let mut at = self;
         let steps = path.split(['.', '[', ']']).filter(|step| !step.is_empty());
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Tells whether the nesting stays within what is followed.
+    /// Tells whether the nesting is within the accepted depth.
     pub fn is_shallow(&self) -> bool {
         self.depth_within(MAX_DEPTH)
     }
--- a/crates/kingcuploft/src/manifest/mod.rs
+++ b/crates/kingcuploft/src/manifest/mod.rs
@@ -1,4 +1,4 @@
-//! The manifest: services, their backend servers and rules, as a build pipeline generates it.
+//! The manifest, as a build pipeline generates it: services, their backend servers and rules.
 
 pub mod check;
 pub mod located;
@@ -21,25 +21,25 @@
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
-    /// The services, each with a name of its own.
+    /// The services, each with a unique name.
     pub services: Vec<Arc<Service>>,
 }
 
-/// How large a manifest is.
+/// The size of a manifest.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct ManifestSize {
-    /// Its services.
+    /// The number of services.
     pub services: usize,
-    /// The backend servers of all services.
+    /// The number of backend servers of all services.
     pub backend_servers: usize,
-    /// The slots of all backend servers.
+    /// The number of slots of all backend servers.
     pub slots: u64,
-    /// The rules of all services.
+    /// The number of rules of all services.
     pub rules: usize,
 }
 
 impl ManifestSize {
-    /// Counts a manifest.
+    /// Counts the parts of a manifest.
     pub fn of(manifest: &Manifest) -> Self {
         let services = &manifest.services;
         let servers = || services.iter().flat_map(|service| &service.backend_servers);
@@ -55,21 +55,21 @@
 /// An accepted manifest and the generation under which it was accepted.
 #[derive(Clone, Debug, Default)]
 pub struct AcceptedManifest {
-    /// The generation; it only grows.
+    /// The generation, greater than that of every earlier accepted manifest.
     pub generation: Generation,
-    /// The manifest.
+    /// The accepted manifest.
     pub manifest: Arc<Manifest>,
 }
 
-/// One service: where its requests come in and which backend servers answer them.
+/// One service: the hosts and rules that select its requests, and the backend servers that answer them.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// The service's name.
     pub name: ServiceName,
-    /// The values of the `Host` header (without a port) that choose this service.
+    /// The values of the `Host` header (without a port) that select this service.
     pub hosts: Vec<String>,
-    /// The request header that names the caller; the peer address where absent.
+    /// The request header that names the caller; without it, the peer address identifies the caller.
     #[serde(default)]
     pub caller_header: Option<String>,
     /// How backend servers report load, drain and refusals.
@@ -79,18 +79,18 @@
     pub backend_servers: Vec<BackendServer>,
     /// The rules; the longest matching path prefix wins.
     pub rules: Vec<Rule>,
-    /// How the decisions of this service are tuned.
+    /// The settings of the decisions for this service.
     #[serde(default)]
     pub policy: Policy,
 }
 
-/// How the backend servers of a service tell their state.
+/// How the backend servers of a service report their state.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Signals {
     /// Reply header with the number of requests in flight at the backend server.
     pub load_header: String,
-    /// Reply header that is present while the backend server drains.
+    /// Reply header that is present while the backend server is draining.
     pub drain_header: String,
     /// Path of the endpoint that answers a probe with the load, in JSON.
     pub load_path: String,
@@ -98,7 +98,7 @@
     pub health_path: String,
     /// Reply header whose presence on a 503 proves that the request was not run.
     pub refused_header: String,
-    /// Header that carries the request id there and back.
+    /// Header that carries the request id on the request and on the reply.
     pub request_id_header: String,
 }
 
@@ -121,15 +121,15 @@
 pub struct BackendServer {
     /// The backend server's name, unique in the service.
     pub name: BackendServerName,
-    /// Where it listens.
+    /// The IP address and port on which it listens.
     pub address: SocketAddr,
-    /// The availability zone it stands in.
+    /// The availability zone that it is in.
     pub availability_zone: AvailabilityZone,
-    /// How many requests it works on at once.
+    /// How many requests it handles at the same time.
     pub slots: u32,
     /// How many connections it accepts, from all VMs together.
     pub connections: u32,
-    /// Whether it is leaving and takes no new work.
+    /// Whether it is draining and takes no new work.
     #[serde(default)]
     pub draining: bool,
 }
@@ -140,14 +140,14 @@
 pub struct Rule {
     /// The rule's name, unique in the service.
     pub name: RuleName,
-    /// The methods; all where empty.
+    /// The HTTP methods; all methods if empty.
     #[serde(default)]
     pub methods: Vec<String>,
-    /// The path prefix.
+    /// The path prefix, which matches whole path segments.
     pub path_prefix: String,
     /// Whether a request may run more than once.
     pub contract: Contract,
-    /// The order among waiting requests.
+    /// The priority among waiting requests.
     pub priority: Priority,
     /// The longest time from arrival to answer, in ms.
     pub deadline_ms: u64,
@@ -160,7 +160,7 @@
     /// The longest request body, in bytes.
     #[serde(default = "default_body_limit_bytes")]
     pub body_limit_bytes: u64,
-    /// The longest answer that is read whole before its first byte goes out, in bytes.
+    /// The longest answer that is buffered whole before its first byte is sent to the caller, in bytes.
     #[serde(default = "default_whole_answer_bytes")]
     pub whole_answer_bytes: u64,
     /// How the idempotency key of an at-most-once rule is read and remembered.
@@ -195,9 +195,9 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Idempotency {
-    /// The request header with the key.
+    /// The request header that carries the key.
     pub header: String,
-    /// Whether a request without a key is refused; a request without one has no duplicate.
+    /// Whether a request without a key is refused; without a key, duplicates of a request cannot be detected.
     pub required: bool,
     /// How long a key is remembered, in s.
     pub window_s: u64,
--- a/crates/kingcuploft/src/manifest/reader.rs
+++ b/crates/kingcuploft/src/manifest/reader.rs
@@ -1,8 +1,8 @@
-//! Reads a manifest from YAML or JSON, strictly.
+//! Reads a manifest from YAML or JSON; unknown fields are errors.
 //!
-//! A manifest that is wrong in five places is reported with five faults: the text is parsed into a
-//! tree that knows its lines, then each service, backend server and rule is read by itself, so
-//! that a fault in one does not hide those of the others.
+//! All faults of a manifest are reported together: the text is parsed into a tree that keeps line numbers, then each
+//! service, backend server and rule is deserialized on its own, so that a fault in one does not hide those of the
+//! others.
 
 use std::sync::Arc;
 
@@ -12,22 +12,22 @@
 use super::located::Located;
 use super::{BackendServer, Manifest, Rule, Service, check};
 
-/// The longest text that is read, in bytes; the manifest of 10,000 backend servers takes 2 MB.
+/// The longest accepted text, in bytes; a manifest of 10,000 backend servers takes 2 MB.
 pub const MAX_TEXT_BYTES: usize = 16 * 1024 * 1024;
 
-/// The most aliases of a YAML text; a "billion laughs" text needs them, a generated manifest none.
+/// The most aliases in a YAML text; a "billion laughs" attack needs many, a generated manifest none.
 const MAX_ALIASES: usize = 1000;
 
-/// The deepest nesting of a text.
+/// The deepest nesting that the YAML parser accepts.
 const MAX_NESTING_DEPTH: usize = 32;
 
-/// What is wrong with a manifest: where, which field, and what was expected.
+/// A fault in a manifest: its file, line and field, and what was expected.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{file}:{line}: {field}: {expected}")]
 pub struct ManifestError {
-    /// The file's name as the operator gave it.
+    /// The file name that the operator gave.
     pub file: String,
-    /// The line, from 1; 0 where it is not known.
+    /// The line, from 1; 0 if it is not known.
     pub line: usize,
     /// The path of the field, such as `services[0].rules[1].deadline_ms`.
     pub field: String,
@@ -35,12 +35,12 @@
     pub expected: String,
 }
 
-/// A manifest without faults, and what an operator should still look at.
+/// A manifest without faults, and its warnings.
 #[derive(Clone, Debug)]
 pub struct CheckedManifest {
-    /// The manifest.
+    /// The valid manifest.
     pub manifest: Manifest,
-    /// What is allowed but seldom meant.
+    /// What is allowed but probably a mistake.
     pub warnings: Vec<ManifestError>,
 }
 
@@ -53,7 +53,7 @@
     read_checked(file, text).map(|checked| checked.manifest)
 }
 
-/// Reads and checks a manifest and keeps the warnings.
+/// Reads and checks a manifest and returns its warnings too.
 ///
 /// # Errors
 ///
@@ -65,9 +65,9 @@
         tree: &tree,
         found: Vec::new(),
     };
-    let (manifest, places) = faults.manifest();
+    let (manifest, indices) = faults.read_manifest();
     for fault in check::faults(&manifest) {
-        faults.add(&in_text(&fault.field, &places), fault.expected);
+        faults.add(&path_in_text(&fault.field, &indices), fault.expected);
     }
     if !faults.found.is_empty() {
         faults.found.sort_by_key(|fault| fault.line);
@@ -82,11 +82,11 @@
     })
 }
 
-/// Parses the text alone, with bounds on size, nesting and aliases.
+/// Parses the text into a tree, with limits on size, nesting and aliases; the fields are not checked.
 ///
 /// # Errors
 ///
-/// The first place where the text is no YAML, or passes a bound.
+/// The first place where the text is not valid YAML or exceeds a limit.
 pub fn parse(file: &str, text: &str) -> Result<Located, ManifestError> {
     let fault = |line, expected| ManifestError {
         file: file.into(),
@@ -120,15 +120,15 @@
     }
 }
 
-/// Turns the path of a field among the services that were read into its path in the text.
-fn in_text(field: &str, places: &[usize]) -> String {
+/// Converts a field's path whose service index counts only the services that were read into its path in the text.
+fn path_in_text(field: &str, indices: &[usize]) -> String {
     let split = field
         .strip_prefix("services[")
         .and_then(|rest| rest.split_once(']'));
-    let place = split.and_then(|(i, rest)| Some((places.get(i.parse::<usize>().ok()?)?, rest)));
-    place.map_or_else(
+    let index = split.and_then(|(i, rest)| Some((indices.get(i.parse::<usize>().ok()?)?, rest)));
+    index.map_or_else(
         || field.into(),
-        |(place, rest)| format!("services[{place}]{rest}"),
+        |(index, rest)| format!("services[{index}]{rest}"),
     )
 }
 
@@ -153,45 +153,45 @@
         });
     }
 
-    /// Reads the services that can be read, with the place of each in the text; one that can not
-    /// is left out and reported.
-    fn manifest(&mut self) -> (Manifest, Vec<usize>) {
+    /// Reads the manifest's valid services and returns the index of each in the text. Invalid services are left out and
+    /// reported.
+    fn read_manifest(&mut self) -> (Manifest, Vec<usize>) {
         let tree = self.tree;
         let services = tree.member("services").map_or(&[][..], Located::items);
-        let (mut read, mut places) = (Vec::new(), Vec::new());
+        let (mut read, mut indices) = (Vec::new(), Vec::new());
         for (i, service) in services.iter().enumerate() {
-            if let Some(service) = self.service(&format!("services[{i}]"), service) {
+            if let Some(service) = self.read_service(&format!("services[{i}]"), service) {
                 read.push(Arc::new(service));
-                places.push(i);
+                indices.push(i);
             }
         }
-        let outer = without(tree, &["services"]);
-        drop(self.part::<Manifest>("", outer));
-        (Manifest { services: read }, places)
+        let outer = with_lists_emptied(tree, &["services"]);
+        drop(self.read_part::<Manifest>("", outer));
+        (Manifest { services: read }, indices)
     }
 
-    fn service(&mut self, path: &str, tree: &Located) -> Option<Service> {
+    fn read_service(&mut self, path: &str, tree: &Located) -> Option<Service> {
         let before = self.found.len();
-        let servers = self.list::<BackendServer>(path, tree, "backend_servers");
-        let rules = self.list::<Rule>(path, tree, "rules");
-        let outer = without(tree, &["backend_servers", "rules"]);
-        let mut service: Service = self.part(path, outer)?;
+        let servers = self.read_list::<BackendServer>(path, tree, "backend_servers");
+        let rules = self.read_list::<Rule>(path, tree, "rules");
+        let outer = with_lists_emptied(tree, &["backend_servers", "rules"]);
+        let mut service: Service = self.read_part(path, outer)?;
         service.backend_servers = servers;
         service.rules = rules;
-        // A service with a part left out would be reported again for the part's absence.
+        // A service with an invalid part is left out: the checks would report the missing part as a further fault.
         (self.found.len() == before).then_some(service)
     }
 
-    fn list<T: DeserializeOwned>(&mut self, path: &str, tree: &Located, name: &str) -> Vec<T> {
+    fn read_list<T: DeserializeOwned>(&mut self, path: &str, tree: &Located, name: &str) -> Vec<T> {
         let items = tree.member(name).map_or(&[][..], Located::items);
         let mut read = Vec::new();
         for (i, item) in items.iter().enumerate() {
-            read.extend(self.part(&format!("{path}.{name}[{i}]"), item.value()));
+            read.extend(self.read_part(&format!("{path}.{name}[{i}]"), item.value()));
         }
         read
     }
 
-    fn part<T: DeserializeOwned>(&mut self, path: &str, value: Value) -> Option<T> {
+    fn read_part<T: DeserializeOwned>(&mut self, path: &str, value: Value) -> Option<T> {
         match serde_path_to_error::deserialize(value) {
             Ok(part) => Some(part),
             Err(error) => {
@@ -208,8 +208,8 @@
     }
 }
 
-/// Returns a mapping's value in which these lists are present but empty.
-fn without(tree: &Located, lists: &[&str]) -> Value {
+/// Returns the value of a mapping with these lists emptied.
+fn with_lists_emptied(tree: &Located, lists: &[&str]) -> Value {
     let mut value = tree.value();
     for list in lists {
         if let Some(Value::Array(items)) = value.get_mut(list) {
--- a/crates/kingcuploft/src/manifest/root.rs
+++ b/crates/kingcuploft/src/manifest/root.rs
@@ -1,8 +1,8 @@
-//! The root of an accepted manifest: which service objects it consists of.
+//! The root object of an accepted manifest: a content-addressed list of its service objects.
 //!
-//! A service object is the JSON text of one service, addressed by the hash of that text. The root
-//! names them all, so a VM can tell a missing or corrupt part before anything is in force, and a
-//! change of one service moves one object and the root.
+//! A service object is the JSON text of one service, addressed by the hash of that text. The root lists the hashes of
+//! all of them, so a VM detects a missing or corrupt object before it puts the manifest in force, and a change of one
+//! service transfers only its object and the root.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
 use crate::utils::HashMap;
 use crate::world::ids::{Generation, ServiceName};
 
-/// How many earlier applies a root remembers, to settle an answer that was lost long ago.
+/// The most earlier applies that a root lists, so that an apply whose answer was lost can still be found.
 pub const MAX_PAST_APPLIES: usize = 32;
 
 /// The blake3 hash of a text, in hex.
@@ -28,61 +28,61 @@
         Self(blake3::hash(text.as_bytes()).to_hex().to_string())
     }
 
-    /// Returns the hash that this word spells, if it is one.
+    /// Parses a hash of 64 hex digits.
     pub fn parse(word: &str) -> Option<Self> {
         let hex = word.len() == 64 && word.bytes().all(|b| b.is_ascii_hexdigit());
         hex.then(|| Self(word.to_ascii_lowercase()))
     }
 
-    /// Returns the first eight bytes, to compare two hashes cheaply.
+    /// Returns the first eight bytes of the hash, for cheap comparisons.
     pub fn short(&self) -> u64 {
         let head = self.0.get(..16).unwrap_or_default();
         u64::from_str_radix(head, 16).unwrap_or_default()
     }
 }
 
-/// One service of a root.
+/// A reference from a root to a service object.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServiceRef {
     /// The service's name.
     pub name: ServiceName,
-    /// The hash of its object.
+    /// The hash of the service's object.
     pub hash: ContentHash,
 }
 
 /// An earlier accepted apply.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PastApply {
-    /// The generation it was accepted under.
+    /// The generation under which it was accepted.
     pub generation: Generation,
-    /// Its id.
+    /// The apply's id.
     pub apply_id: String,
 }
 
-/// The root object's value.
+/// The content of the root object.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Root {
-    /// The generation; it only grows.
+    /// The generation, greater than that of every earlier root.
     pub generation: Generation,
-    /// The id of the apply that wrote it, to settle a lost answer.
+    /// The id of the apply that wrote it, by which a client whose answer was lost finds out that it succeeded.
     pub apply_id: String,
     /// Who applied it.
     pub author: String,
-    /// When it was applied by the author's clock, in ms since 1970.
+    /// When it was applied, by the author's clock, in ms since 1970.
     pub applied_ms: u64,
     /// The services, in the manifest's order.
     pub services: Vec<ServiceRef>,
-    /// The applies before this one, newest first.
+    /// The latest applies before this one, newest first.
     pub past: Vec<PastApply>,
 }
 
 impl Root {
-    /// Returns the text that stands in the store and is hashed.
+    /// Returns the text that is stored and hashed.
     pub fn text(&self) -> String {
         serde_json::to_string(self).expect("a root has no map with keys other than texts")
     }
 
-    /// Returns what differs from an earlier root's services.
+    /// Returns the services that differ from those of an earlier root.
     pub fn changes_since(&self, earlier: &[ServiceRef]) -> Vec<ServiceChange> {
         let before: HashMap<_, _> = earlier.iter().map(|s| (&s.name, &s.hash)).collect();
         let after: HashMap<_, _> = self.services.iter().map(|s| (&s.name, &s.hash)).collect();
@@ -105,11 +105,11 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceChange {
-    /// The service is new.
+    /// The service was added.
     Added(ServiceName),
-    /// The service has another content.
+    /// The service's content changed.
     Changed(ServiceName),
-    /// The service is gone.
+    /// The service was removed.
     Removed(ServiceName),
 }
 
@@ -130,7 +130,7 @@
     pub name: ServiceName,
     /// The hash of the text.
     pub hash: ContentHash,
-    /// The text.
+    /// The service as JSON.
     pub text: String,
 }
 
@@ -146,7 +146,7 @@
     }
 }
 
-/// Returns the objects of a manifest, in its order.
+/// Returns the service objects of a manifest, in the manifest's order.
 pub fn service_objects(manifest: &Manifest) -> Vec<ServiceObject> {
     let services = manifest.services.iter();
     services
@@ -154,22 +154,22 @@
         .collect()
 }
 
-/// What a VM that knows a root tells one that knows an earlier generation: the root without the
-/// services that did not change.
+/// The difference between two roots, sent to a VM that has an earlier generation: the later root without the services
+/// that did not change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RootDelta {
-    /// The generation whose services the listed ones replace; 0 where all are listed.
+    /// The generation of the earlier root; 0 if all services are listed.
     pub since: Generation,
-    /// The root, with only the services that changed since then.
+    /// The later root, with only the services that changed since then.
     pub root: Root,
-    /// The names of all services in order, where the set or order of names changed.
+    /// The names of all services in order, if the set or the order of names changed.
     pub order: Option<Vec<ServiceName>>,
-    /// The hash of the whole root's text.
+    /// The hash of the complete later root's text.
     pub hash: ContentHash,
 }
 
 impl RootDelta {
-    /// Builds the difference; all services are listed where the earlier ones are not known.
+    /// Builds the difference between two roots; without an earlier root it lists all services.
     pub fn between(earlier: Option<&Root>, later: &Root) -> Self {
         let known = earlier.map_or(&[][..], |root| &root.services);
         let names = |services: &[ServiceRef]| -> Vec<ServiceName> {
@@ -188,7 +188,8 @@
         }
     }
 
-    /// Returns the whole root; `None` where it does not follow from `earlier` or is corrupt.
+    /// Returns the complete later root; `None` if `earlier` is not the root that the difference starts from, or if the
+    /// result does not have the expected hash.
     pub fn apply(&self, earlier: Option<&Root>) -> Option<Root> {
         let known = match self.since {
             0 => &[][..],
--- a/crates/kingcuploft/src/manifest/routing.rs
+++ b/crates/kingcuploft/src/manifest/routing.rs
@@ -1,10 +1,11 @@
-//! Chooses the service and the rule of a request.
+//! Routes a request: finds its service by host, and its rule by method and path.
 //!
-//! A path chooses the contract, so it must mean the same here and at the backend server. A path
-//! that a backend server might read as another one, and so run a protected action under a
-//! lookup's contract, is refused: dot segments (`/lookup/../holds`), empty segments (`//holds`),
-//! encoded separators (`%2f`), broken or doubled escapes and control characters. Escapes of plain characters
-//! (`/%68olds`) are read as the characters they stand for, as every backend server does.
+//! The path selects the contract, so it must mean the same here and at the backend server.
+//!
+//! Failure: a backend server reads a path differently and runs a protected action under a lookup's contract, which
+//! allows retries. Ambiguous paths are therefore refused: dot segments (`/lookup/../holds`), empty segments
+//! (`//holds`), encoded separators (`%2f`), broken or doubled escapes and control characters. Escapes of plain
+//! characters (`/%68olds`) are decoded, as every backend server does.
 
 use std::sync::Arc;
 
@@ -28,7 +29,7 @@
     }
 }
 
-/// The hosts of a manifest, indexed: a look-up costs the same with 1 and with 740 services.
+/// An index of a manifest's hosts, so that finding a service costs the same with 1 and with 740 services.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     by_host: HashMap<String, Arc<Service>>,
@@ -46,23 +47,22 @@
         Self { by_host }
     }
 
-    /// Finds the service of a host, with or without a port.
+    /// Finds the service of a host; a port is ignored.
     pub fn service(&self, host: &str) -> Option<&Arc<Service>> {
         let name = host.split(':').next().unwrap_or_default();
         let name = name.strip_suffix('.').unwrap_or(name);
         self.by_host.get(&name.to_ascii_lowercase())
     }
 
-    /// Finds the route of a request; among matching rules the longest path prefix wins, then one
-    /// that names the method.
+    /// Finds the route of a request; among matching rules the longest path prefix wins, then a rule that names the
+    /// method.
     ///
     /// # Errors
     ///
-    /// The reason to refuse with where no service has the host, no rule matches or the path is
-    /// ambiguous.
+    /// The refusal's reason if no service has the host, no rule matches or the path is ambiguous.
     pub fn route(&self, host: &str, method: &str, path: &str) -> Result<Route, RefusalReason> {
         let service = self.service(host).ok_or(RefusalReason::NoSuchService)?;
-        let path = plain_path(path).ok_or(RefusalReason::BadRequest)?;
+        let path = decode_path(path).ok_or(RefusalReason::BadRequest)?;
         let rule = (0..service.rules.len())
             .filter(|&i| matches(&service.rules[i], method, &path))
             .max_by_key(|&i| {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Finds the route of a single request without keeping the index.
+/// Finds the route of a single request without an index that is kept.
 ///
 /// # Errors
 ///
@@ -91,17 +91,17 @@
     Routes::new(manifest).route(host, method, path)
 }
 
-/// Tells whether a rule's method and path prefix fit. Methods are compared without case: a backend
-/// server that takes `post` for `POST` must not run a hold under a lookup's contract.
+/// Tells whether a rule's method and path prefix match. Methods are compared without regard to case: a backend server
+/// that treats `post` as `POST` must not run a hold under a lookup's contract.
 fn matches(rule: &Rule, method: &str, path: &str) -> bool {
     let mut methods = rule.methods.iter();
     let method_fits = rule.methods.is_empty() || methods.any(|m| m.eq_ignore_ascii_case(method));
-    method_fits && covers(&rule.path_prefix, path)
+    method_fits && matches_prefix(&rule.path_prefix, path)
 }
 
-/// Tells whether a path prefix ends at the end of one of the path's segments: `/holds` covers
-/// `/holds`, `/holds/7` and `/holds;v=1`, not `/holdsx`.
-fn covers(prefix: &str, path: &str) -> bool {
+/// Tells whether a prefix matches whole segments of a path: `/holds` matches `/holds`, `/holds/7` and `/holds;v=1`, but
+/// not `/holdsx`.
+fn matches_prefix(prefix: &str, path: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
@@ -109,9 +109,9 @@
     rest.is_empty() || rest.starts_with(['/', ';'])
 }
 
-/// Returns the path with the escapes of plain characters resolved; `None` where a backend server
-/// might read it as another path.
-fn plain_path(path: &str) -> Option<String> {
+/// Returns the path with the escapes of plain characters decoded; `None` if a backend server might read it as another
+/// path.
+fn decode_path(path: &str) -> Option<String> {
     let mut plain = String::with_capacity(path.len());
     let mut bytes = path.bytes();
     while let Some(byte) = bytes.next() {
@@ -120,7 +120,7 @@
             byte => (byte, false),
         };
         match byte {
-            // A cut-off name, a line break or a separator that only some backend servers see.
+            // Control characters and backslashes: some backend servers end the path there, or take them as separators.
             0..=0x1f | 0x7f | b'\\' => return None,
             b'/' if escaped => return None,
             0x80.. => plain.push('\u{fffd}'),
@@ -140,8 +140,7 @@
     (!ambiguous && !dots(last)).then_some(plain)
 }
 
-/// Tells whether an escape is left after one round: `%2568olds`, which a backend server that
-/// resolves twice reads as `holds`.
+/// Tells whether an escape is left after decoding once: a backend server that decodes `%2568olds` twice reads `holds`.
 fn has_escape(plain: &str) -> bool {
     let triples = plain.as_bytes().windows(3);
     let mut escapes = triples.filter(|t| t[0] == b'%' && unescape(t[1], t[2]).is_some());
--- a/crates/kingcuploft/src/settings/claim.rs
+++ b/crates/kingcuploft/src/settings/claim.rs
@@ -20,7 +20,7 @@
     pub fleet_writes_per_s: u64,
     /// The least time between two writes of one VM to one partition, in ms.
     pub shortest_pace_ms: u64,
-    /// The longest time between two writes of one VM to one partition while the others write too, in ms.
+    /// The longest time by which one VM spaces its writes to one partition, in ms.
     pub longest_pace_ms: u64,
     /// The timeout of a claim, in ms; the request's deadline may end it earlier.
     pub timeout_ms: u64,
--- a/crates/kingcuploft/src/settings/measuring.rs
+++ b/crates/kingcuploft/src/settings/measuring.rs
@@ -14,8 +14,8 @@
     pub probe_ms: f64,
     /// How long a backend server may go without a load report on a reply before it is probed, in ms.
     pub idle_ms: u64,
-    /// How long a VM waits after a change in the set of live VMs before it probes its newly assigned backend servers, in
-    /// ms: their earlier prober may not know of the change yet.
+    /// How long a VM waits after a change in the set of live VMs before it probes its newly assigned backend servers,
+    /// in ms: their earlier prober may not know of the change yet.
     pub settle_ms: u64,
     /// The timeout of a probe, in ms.
     pub timeout_ms: u64,
--- a/crates/kingcuploft/src/world/refusal.rs
+++ b/crates/kingcuploft/src/world/refusal.rs
@@ -134,11 +134,12 @@
         }
     }
 
-    /// Tells whether this refusal holds for its own request only and not for earlier ones with the same idempotency key.
+    /// Tells whether this refusal holds for its own request only and not for earlier ones with the same idempotency
+    /// key.
     ///
-    /// Failure: a caller sends a hold, gets no answer, and sends it again through another VM while the store is down. That
-    /// VM knows that the second request did not run, but not whether the first one did. Unless the answer says so, its
-    /// `not_run` reads as if the hold had not run at all.
+    /// Failure: a caller sends a hold, gets no answer, and sends it again through another VM while the store is down.
+    /// That VM knows that the second request did not run, but not whether the first one did. Unless the answer says so,
+    /// its `not_run` reads as if the hold had not run at all.
     pub fn earlier_requests_unknown(&self) -> bool {
         let refused_before_lookup = matches!(
             self.reason,
