--- a/crates/kingcuploft/src/manifest/check.rs
+++ b/crates/kingcuploft/src/manifest/check.rs
@@ -159,7 +159,7 @@
 
     fn unique<'a>(&mut self, path: &str, name: &'a str, names: &mut HashSet<&'a str>) {
         if !names.insert(name) {
-            let expected = format!("`{name}` found, expected a name that no earlier one has");
+            let expected = format!("`{name}` found, expected a unique name");
             self.add(format!("{path}.name"), expected);
         }
     }
@@ -217,7 +217,10 @@
             self.add(format!("{path}.address"), expected);
         }
         if server.availability_zone.is_empty() {
-            self.add(format!("{path}.availability_zone"), "it is empty");
+            self.add(
+                format!("{path}.availability_zone"),
+                "empty, expected the name of an availability zone",
+            );
         }
         self.range(format!("{path}.slots"), server.slots, &ALLOWED_SLOTS);
         self.range(
--- a/crates/kingcuploft/tests/dispatcher/explained.rs
+++ b/crates/kingcuploft/tests/dispatcher/explained.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of why.
+//! Tests of the decision log that explains to operators why requests were sent or refused.
 
 use std::time::Duration;
 
@@ -14,19 +14,19 @@
     }
 }
 
-/// A manager asks why an itinerary took long. The decisions of that request are found, newest
-/// first, with what they were made from, and no one else's.
+/// An operator asks why a caller's request took long. The query returns the decisions on that caller's requests, newest
+/// first, with their inputs, and no others.
 #[test]
 fn the_decisions_of_a_request_are_found_with_their_inputs() {
-    let mut world = TestDispatcher::new(service(&["one", "two"]));
-    let first = world.arrive_from("squad", LOOKUP, Duration::from_millis(1000));
-    world.arrive_from("school", LOOKUP, Duration::from_millis(1000));
+    let mut harness = TestDispatcher::new(service(&["one", "two"]));
+    let first = harness.arrive_from("squad", LOOKUP, Duration::from_millis(1000));
+    harness.arrive_from("school", LOOKUP, Duration::from_millis(1000));
     let call = calls(&first.actions)[0].clone();
-    world.pass(Duration::from_millis(30));
-    world.end(call.attempt, CallEnd::Broken);
-    let found = world
+    harness.advance(Duration::from_millis(30));
+    harness.end_attempt(call.attempt, CallEnd::Broken);
+    let found = harness
         .dispatcher
-        .find_explanations(world.now, &by_caller("squad"));
+        .find_explanations(harness.now, &by_caller("squad"));
     assert!(found.iter().all(|e| e.request == first.id));
     let sent = &found[found.len() - 1];
     assert_eq!((sent.ago_ms, sent.waited_ms), (30, 0));
@@ -42,39 +42,39 @@
     assert_eq!(*why, SendReason::Turn);
 }
 
-/// A request is refused. The record names the reason that its caller was given, and the load.
+/// The record of a refusal holds the reason given to the caller and the load at that time.
 #[test]
-fn a_refusal_is_explained_by_the_load_it_met() {
-    let mut world = TestDispatcher::new(service(&["one"]));
-    world.arrive(LOOKUP);
-    let late = world.arrive_from("squad", LOOKUP, Duration::from_millis(10));
-    let actions = world.pass(Duration::from_millis(10));
-    let told = refusal(&actions, late.id).expect("refused at its deadline");
-    let found = world.dispatcher.find_explanations(
-        world.now,
+fn a_refusal_is_explained_with_its_reason_and_the_load() {
+    let mut harness = TestDispatcher::new(service(&["one"]));
+    harness.arrive(LOOKUP);
+    let late = harness.arrive_from("squad", LOOKUP, Duration::from_millis(10));
+    let actions = harness.advance(Duration::from_millis(10));
+    let refused = refusal(&actions, late.id).expect("refused at its deadline");
+    let found = harness.dispatcher.find_explanations(
+        harness.now,
         &Query {
             request: Some(late.id),
             ..Query::default()
         },
     );
     let text = serde_json::to_value(&found[0]).unwrap();
-    assert_eq!(text["decided"]["refused"]["reason"], told.reason.label());
+    assert_eq!(text["decided"]["refused"]["reason"], refused.reason.label());
     assert_eq!(text["decided"]["refused"]["outcome"], "not_run");
     assert_eq!(text["load"]["in_flight"], 1);
     assert_eq!(text["waited_ms"], 10);
 }
 
-/// A VM is asked for millions of requests. The memory for explanations is bounded.
+/// Failure: the decision log grows with every request until the VM runs out of memory.
 #[test]
 fn only_the_last_decisions_are_kept() {
-    let mut world = TestDispatcher::new(service(&["one"]));
+    let mut harness = TestDispatcher::new(service(&["one"]));
     for _ in 0..5_000 {
-        let arrived = world.arrive(LOOKUP);
+        let arrived = harness.arrive(LOOKUP);
         let attempt = calls(&arrived.actions)[0].attempt;
-        world.end(attempt, CallEnd::Answered { status: 200 });
+        harness.end_attempt(attempt, CallEnd::Answered { status: 200 });
     }
-    let found = world
+    let found = harness
         .dispatcher
-        .find_explanations(world.now, &Query::default());
+        .find_explanations(harness.now, &Query::default());
     assert_eq!(found.len(), 4096);
 }
--- a/crates/kingcuploft/tests/dispatcher/harness.rs
+++ b/crates/kingcuploft/tests/dispatcher/harness.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with a manifest, a clock that only the test moves, and the actions so far.
+//! A test harness: a dispatcher with a manifest and a clock that only the test advances.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 pub(crate) const HOLD: &str = "hold";
 pub(crate) const SEARCH: &str = "search";
 
-/// Builds a service with `servers` backend servers of one slot each and three rules.
+/// Builds a service with three rules and one backend server of one slot for each name.
 pub(crate) fn service(servers: &[&str]) -> Service {
     let servers: Vec<_> = servers
         .iter()
@@ -45,7 +45,7 @@
     pub(crate) now: Instant,
     pub(crate) service: Option<Arc<Service>>,
     generation: u64,
-    last: RequestId,
+    last_request: RequestId,
 }
 
 impl TestDispatcher {
@@ -55,18 +55,18 @@
             availability_zone: "a".into(),
             incarnation: 1,
         };
-        let mut world = Self {
+        let mut harness = Self {
             dispatcher: Dispatcher::new(vm, 7),
             now: Instant::now(),
             service: None,
             generation: 0,
-            last: 0,
+            last_request: 0,
         };
-        world.adopt(Some(service));
-        world
+        harness.adopt(Some(service));
+        harness
     }
 
-    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn send(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.on_event(self.now, event, &mut actions);
         actions
@@ -80,52 +80,62 @@
             generation: self.generation,
             manifest: Arc::new(Manifest { services }),
         };
-        self.event(Event::ManifestAdopted(accepted))
+        self.send(Event::ManifestAdopted(accepted))
     }
 
-    /// Lets a request of caller `caller` arrive under the manifest in force.
-    pub(crate) fn arrive_from(&mut self, caller: &str, rule: &str, left: Duration) -> Arrived {
+    /// Sends a request of a caller under the manifest in force, with its deadline after `remaining`.
+    pub(crate) fn arrive_from(
+        &mut self,
+        caller: &str,
+        rule: &str,
+        remaining: Duration,
+    ) -> ArrivalResult {
         let service = self.service.clone().expect("a service in force");
         let rule = service.rules.iter().position(|r| &*r.name == rule).unwrap();
-        self.arrive_on(Route { service, rule }, caller, left)
+        self.arrive_on(Route { service, rule }, caller, remaining)
     }
 
-    pub(crate) fn arrive_on(&mut self, route: Route, caller: &str, left: Duration) -> Arrived {
-        self.last += 1;
+    pub(crate) fn arrive_on(
+        &mut self,
+        route: Route,
+        caller: &str,
+        remaining: Duration,
+    ) -> ArrivalResult {
+        self.last_request += 1;
         let protected = &*route.rule().name == HOLD;
         let arrival = Arrival {
-            request: self.last,
+            request: self.last_request,
             route,
             caller: caller.into(),
-            key: protected.then(|| format!("key-{}", self.last).into()),
+            key: protected.then(|| format!("key-{}", self.last_request).into()),
             arrived: self.now,
-            deadline: self.now + left,
+            deadline: self.now + remaining,
         };
-        Arrived {
-            id: self.last,
-            actions: self.event(Event::Arrived(arrival)),
+        ArrivalResult {
+            id: self.last_request,
+            actions: self.send(Event::Arrived(arrival)),
         }
     }
 
-    pub(crate) fn arrive(&mut self, rule: &str) -> Arrived {
+    pub(crate) fn arrive(&mut self, rule: &str) -> ArrivalResult {
         self.arrive_from("squad", rule, Duration::from_millis(1000))
     }
 
-    pub(crate) fn end(&mut self, attempt: AttemptId, end: CallEnd) -> Vec<Action> {
-        self.event(Event::AttemptEnded(attempt, report(end)))
+    pub(crate) fn end_attempt(&mut self, attempt: AttemptId, end: CallEnd) -> Vec<Action> {
+        self.send(Event::AttemptEnded(attempt, report(end)))
     }
 
-    pub(crate) fn claimed(&mut self, request: RequestId, end: ClaimResult) -> Vec<Action> {
-        self.event(Event::Claimed(request, end))
+    pub(crate) fn end_claim(&mut self, request: RequestId, end: ClaimResult) -> Vec<Action> {
+        self.send(Event::Claimed(request, end))
     }
 
-    pub(crate) fn pass(&mut self, time: Duration) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, time: Duration) -> Vec<Action> {
         self.now += time;
-        self.event(Event::Tick)
+        self.send(Event::Tick)
     }
 }
 
-pub(crate) struct Arrived {
+pub(crate) struct ArrivalResult {
     pub(crate) id: RequestId,
     pub(crate) actions: Vec<Action>,
 }
--- a/crates/kingcuploft/tests/dispatcher/main.rs
+++ b/crates/kingcuploft/tests/dispatcher/main.rs
@@ -1,4 +1,4 @@
-//! The dispatcher under faults: what every caller receives, and what is never sent twice.
+//! Tests of the dispatcher under faults: which answer every caller receives, and which requests are never sent twice.
 
 mod adoption;
 mod deadlines;
--- a/crates/kingcuploft/tests/manifest_options.rs
+++ b/crates/kingcuploft/tests/manifest_options.rs
@@ -1,4 +1,4 @@
-//! The option tables of docs/features/manifest.md are those of the code.
+//! Test that the option tables of docs/features/manifest.md match the code.
 
 use std::fmt::Write;
 
@@ -8,26 +8,26 @@
 const BEGIN: &str = "<!-- tables: begin -->\n";
 const END: &str = "<!-- tables: end -->";
 
-/// Returns a table for each part of the manifest, from the schema.
+/// Returns the option tables of all parts of the manifest, generated from its schema.
 fn tables() -> String {
     let schema = serde_json::to_value(schemars::schema_for!(Manifest)).unwrap();
     let mut text = table("Manifest", &schema);
     for (name, part) in schema["$defs"].as_object().unwrap() {
         match part.get("properties") {
             Some(_) => text += &table(name, part),
-            None => text += &words(name, part),
+            None => text += &enum_table(name, part),
         }
     }
     text
 }
 
-fn line(value: &Value) -> String {
+fn description(value: &Value) -> String {
     let text = value["description"].as_str().unwrap_or_default();
     text.replace('\n', " ")
 }
 
 fn table(name: &str, part: &Value) -> String {
-    let mut text = format!("\n### {name}\n\n{}\n\n", line(part));
+    let mut text = format!("\n### {name}\n\n{}\n\n", description(part));
     text += "| field | type | default | meaning |\n|---|---|---|---|\n";
     let required = part["required"].as_array();
     let required = |field: &str| required.is_some_and(|r| r.iter().any(|name| name == field));
@@ -38,20 +38,20 @@
             (false, Some(default)) => format!("`{default}`"),
             (false, None) => "none".into(),
         };
-        let (kind, meaning) = (kind(property), line(property));
+        let (kind, meaning) = (type_name(property), description(property));
         writeln!(text, "| `{field}` | {kind} | {default} | {meaning} |").unwrap();
     }
     text
 }
 
-/// Returns the table of a closed set of words.
-fn words(name: &str, part: &Value) -> String {
+/// Returns the table of an enum's values.
+fn enum_table(name: &str, part: &Value) -> String {
     let mut text = format!(
         "\n### {name}\n\n{}\n\n| word | meaning |\n|---|---|\n",
-        line(part)
+        description(part)
     );
     for word in part["oneOf"].as_array().into_iter().flatten() {
-        let (value, meaning) = (&word["const"], line(word));
+        let (value, meaning) = (&word["const"], description(word));
         writeln!(
             text,
             "| `{}` | {meaning} |",
@@ -62,7 +62,7 @@
     text
 }
 
-fn kind(property: &Value) -> String {
+fn type_name(property: &Value) -> String {
     let reference = property["$ref"].as_str();
     if let Some(name) = reference.and_then(|path| path.rsplit('/').next()) {
         return format!("[{name}](#{})", name.to_lowercase());
@@ -79,7 +79,7 @@
         _ => "any".into(),
     };
     match (words.as_str(), property.get("items")) {
-        ("array", Some(items)) => format!("list of {}", kind(items)),
+        ("array", Some(items)) => format!("list of {}", type_name(items)),
         _ => words,
     }
 }
--- a/crates/kingcuploft/tests/manifest_reader.rs
+++ b/crates/kingcuploft/tests/manifest_reader.rs
@@ -1,10 +1,11 @@
-//! The manifest reader: every fault with its line and field, and no text that harms it.
+//! Tests of the manifest reader: every fault is reported with its line and field, and no text makes the reader panic or
+//! expand without limit.
 
 use arbtest::arbtest;
 use kingcuploft::manifest::Manifest;
 use kingcuploft::manifest::reader::{read, read_checked};
 
-const GOOD: &str = "\
+const VALID: &str = "\
 services:
   - name: trip
     hosts: [trip.example]
@@ -25,15 +26,15 @@
 }
 
 fn only_fault(from: &str, to: &str) -> String {
-    assert!(GOOD.contains(from));
-    let found = faults(&GOOD.replace(from, to));
+    assert!(VALID.contains(from));
+    let found = faults(&VALID.replace(from, to));
     assert_eq!(found.len(), 1, "{found:?}");
     found[0].clone()
 }
 
 #[test]
 fn a_good_manifest_is_read_from_yaml_and_json_alike() {
-    let manifest = read("manifest.yaml", GOOD).unwrap();
+    let manifest = read("manifest.yaml", VALID).unwrap();
     let json = serde_json::to_string_pretty(&manifest).unwrap();
     assert_eq!(read("manifest.json", &json).unwrap(), manifest);
 }
@@ -88,13 +89,13 @@
     let method = only_fault("[GET]", "[FETCH]");
     let place = "manifest.yaml:8: services[0].rules[0].methods[0]: `FETCH` found";
     assert!(method.starts_with(place), "{method}");
-    let doubled = only_fault("  - name: trip", "  - name: trip\n    name: trip");
-    assert!(doubled.starts_with("manifest.yaml:3: "), "{doubled}");
+    let duplicated = only_fault("  - name: trip", "  - name: trip\n    name: trip");
+    assert!(duplicated.starts_with("manifest.yaml:3: "), "{duplicated}");
 }
 
 #[test]
 fn a_fault_does_not_hide_the_others() {
-    let text = GOOD
+    let text = VALID
         .replace("deadline_ms: 2000", "deadline_ms: soon")
         .replace("slots: 2", "slots: 0")
         .replace("availability_zone: a", "zone: a")
@@ -118,7 +119,7 @@
                   connections: 220}\n    rules:";
     let rule = "      - {name: other, methods: [GET, POST], path_prefix: /, contract: \
                 retry_freely, priority: interactive, deadline_ms: 5}\n";
-    let found = faults(&(GOOD.replace("    rules:", server) + rule));
+    let found = faults(&(VALID.replace("    rules:", server) + rule));
     assert!(
         found[0].contains("an earlier backend server has it"),
         "{found:?}"
@@ -131,7 +132,7 @@
 
 #[test]
 fn a_service_without_backend_servers_is_warned_of() {
-    let text = GOOD.replace("    backend_servers:\n", "    backend_servers: []\n");
+    let text = VALID.replace("    backend_servers:\n", "    backend_servers: []\n");
     let text: Vec<&str> = text.lines().filter(|l| !l.contains("trip-1")).collect();
     let checked = read_checked("manifest.yaml", &text.join("\n")).unwrap();
     assert_eq!(checked.warnings.len(), 1);
@@ -139,32 +140,32 @@
 }
 
 #[test]
-fn bombs_are_refused_and_not_unfolded() {
-    let mut laughs = String::from("services: []\na0: &a0 [x, x, x, x, x, x, x, x, x]\n");
+fn alias_bombs_and_deep_or_large_texts_are_refused() {
+    let mut alias_bomb = String::from("services: []\na0: &a0 [x, x, x, x, x, x, x, x, x]\n");
     for level in 1..12 {
         let part = format!("*a{}, ", level - 1).repeat(9);
-        laughs += &format!("a{level}: &a{level} [{part}]\n");
+        alias_bomb += &format!("a{level}: &a{level} [{part}]\n");
     }
     let deep = format!("services: {}{}", "[".repeat(50_000), "]".repeat(50_000));
     let block: String = (0..3000)
         .map(|i| format!("{}a:\n", " ".repeat(i)))
         .collect();
     let large = format!("services: [] #{}", " ".repeat(20 * 1024 * 1024));
-    for text in [laughs, deep, block, large] {
+    for text in [alias_bomb, deep, block, large] {
         assert_eq!(faults(&text).len(), 1);
     }
 }
 
 #[test]
 fn no_text_panics_the_reader() {
-    // Random texts seldom get past the first line, so half of the runs bend a good manifest.
+    // Random texts seldom get past the first line, so half of the runs mutate a valid manifest.
     arbtest(|u| {
-        let mut text = GOOD.as_bytes().to_vec();
+        let mut text = VALID.as_bytes().to_vec();
         for _ in 0..u.int_in_range(0..=6)? {
             let at = u.choose_index(text.len())?;
             let until = (at + u.int_in_range(0..=12)?).min(text.len());
-            let bent: Vec<u8> = u.arbitrary()?;
-            text.splice(at..until, bent.into_iter().take(12));
+            let replacement: Vec<u8> = u.arbitrary()?;
+            text.splice(at..until, replacement.into_iter().take(12));
             if text.is_empty() {
                 break;
             }
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn the_examples_have_the_sizes_of_the_brief() {
+fn the_examples_have_the_specified_sizes() {
     for (name, sizes) in [
         ("teamway", [("trip", 11, 2), ("venue", 16, 2)]),
         ("bern", [("notes", 11, 4), ("archive", 13, 4)]),
--- a/crates/kingcuploft/tests/manifest_routing.rs
+++ b/crates/kingcuploft/tests/manifest_routing.rs
@@ -1,4 +1,4 @@
-//! Routing: no spelling of a path reaches a weaker contract than its plain form.
+//! Tests of routing: no encoding of a path selects a weaker contract than the plain path does.
 
 use kingcuploft::manifest::Manifest;
 use kingcuploft::manifest::reader::read;
@@ -51,9 +51,8 @@
 
 #[test]
 fn a_protected_action_can_not_be_run_as_a_lookup() {
-    // A user would see a hold billed twice: the caller spells the hold's path so that this VM
-    // takes it for a lookup and retries it, while the backend server resolves the spelling and
-    // runs the hold each time.
+    // Failure: a caller encodes the path of a hold so that this VM routes it as a lookup and retries it, while the
+    // backend server decodes the path and runs the hold each time. The user is billed twice.
     for path in ["/%68olds", "/h%6Flds/7", "/%68%6f%6c%64%73"] {
         assert_eq!(rule("POST", path).as_deref(), Ok("hold"), "{path}");
     }
@@ -85,7 +84,7 @@
 }
 
 #[test]
-fn a_host_is_found_by_any_of_its_spellings() {
+fn a_host_is_found_whatever_its_case_port_or_final_dot() {
     let manifest = manifest();
     for host in [
         "trip.example",
