--- a/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
@@ -104,7 +104,11 @@
             }));
         }
         match verdicts.recv_timeout(Duration::from_millis(1)) {
-            Ok(Message::Claimed { request, end, .. }) => {
+            Ok(Message::Claimed {
+                request,
+                result: end,
+                ..
+            }) => {
                 last = Instant::now();
                 let mut began = began.lock().unwrap_or_else(PoisonError::into_inner);
                 if let Some(at) = began.remove(&request) {
--- a/crates/kingcuploft-standins/tests/claims/entry.rs
+++ b/crates/kingcuploft-standins/tests/claims/entry.rs
@@ -164,7 +164,7 @@
         };
         self.orders.send(claim).unwrap();
         match self.verdicts.recv_timeout(Duration::from_secs(5)).unwrap() {
-            Message::Claimed { end, .. } => end,
+            Message::Claimed { result: end, .. } => end,
             other => panic!("{other:?}"),
         }
     }
--- a/crates/kingcuploftctl/src/admin_client.rs
+++ b/crates/kingcuploftctl/src/admin_client.rs
@@ -6,10 +6,10 @@
 use ureq::Agent;
 
 /// How long a VM may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The longest answer, in bytes.
-const ANSWER_BYTES: u64 = 32 * 1024 * 1024;
+const MAX_ANSWER_BYTES: u64 = 32 * 1024 * 1024;
 
 /// Why a VM did not answer as asked.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
@@ -42,7 +42,7 @@
             .http_status_as_error(false)
             .max_redirects(0)
             .proxy(None)
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(ANSWER_TIMEOUT))
             .build();
         Self {
             address: address.into(),
@@ -91,7 +91,7 @@
     let unreachable = |error: ureq::Error| AdminError::Unreachable(error.to_string());
     let mut answer = answer.map_err(unreachable)?;
     let status = answer.status().as_u16();
-    let body = answer.body_mut().with_config().limit(ANSWER_BYTES);
+    let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
     let body = body.read_to_string().map_err(unreachable)?;
     if status != 200 {
         let why = body.trim().to_owned();
--- a/crates/kingcuploftctl/src/apply.rs
+++ b/crates/kingcuploftctl/src/apply.rs
@@ -13,7 +13,7 @@
 use crate::manifest;
 
 /// How many VMs are handed an accepted manifest; they pass it on.
-const HANDED_TO: usize = 3;
+const MAX_UPLOAD_VMS: usize = 3;
 
 /// Checks and applies a manifest file.
 ///
@@ -38,7 +38,7 @@
     })?;
     let mut ending = outcome(context, &apply.apply_id, &applied);
     if let ApplyOutcome::Accepted(_) = applied {
-        ending.err += &hand_on(context, &store, &apply.manifest);
+        ending.err += &upload_to_vms(context, &store, &apply.manifest);
     }
     for warning in checked.warnings {
         ending.err += &format!("warning: {warning}\n");
@@ -106,7 +106,7 @@
 
 /// Hands the accepted manifest to a few VMs, where VMs were named: should the store go down before
 /// any VM has read it, they pass it on. Returns what is worth saying.
-fn hand_on(context: &Context<'_>, store: &dyn ObjectStore, manifest: &Manifest) -> String {
+fn upload_to_vms(context: &Context<'_>, store: &dyn ObjectStore, manifest: &Manifest) -> String {
     if !context.has_vms() {
         return String::new();
     }
@@ -129,7 +129,7 @@
             vm.post::<serde_json::Value>("/fleet/manifest", &body)
                 .is_ok(),
         );
-        if handed == HANDED_TO {
+        if handed == MAX_UPLOAD_VMS {
             break;
         }
     }
--- a/crates/kingcuploftctl/src/args.rs
+++ b/crates/kingcuploftctl/src/args.rs
@@ -87,7 +87,7 @@
 
 /// The options that only some commands know.
 #[derive(Default)]
-struct Special {
+struct CommandOptions {
     apply: ApplyArgs,
     explain: ExplainArgs,
     generation: Option<Generation>,
@@ -103,7 +103,7 @@
 /// What is wrong with it.
 pub fn parse(words: impl IntoIterator<Item = OsString>) -> Result<Args, lexopt::Error> {
     let mut args = Args::default();
-    let mut special = Special::default();
+    let mut options = CommandOptions::default();
     let mut command = Vec::new();
     let mut parser = lexopt::Parser::from_args(words);
     while let Some(arg) = parser.next()? {
@@ -123,19 +123,23 @@
             }
             Long(name) => {
                 let name = name.to_owned();
-                special.take(&name, &mut parser)?;
+                options.parse_option(&name, &mut parser)?;
             }
             Value(word) => command.push(word.string()?),
             other @ Short(_) => return Err(other.unexpected()),
         }
     }
     let words: Vec<&str> = command.iter().map(String::as_str).collect();
-    args.command = special.command(&words)?;
+    args.command = options.command(&words)?;
     Ok(args)
 }
 
-impl Special {
-    fn take(&mut self, name: &str, parser: &mut lexopt::Parser) -> Result<(), lexopt::Error> {
+impl CommandOptions {
+    fn parse_option(
+        &mut self,
+        name: &str,
+        parser: &mut lexopt::Parser,
+    ) -> Result<(), lexopt::Error> {
         let given = match name {
             "base" => {
                 self.apply.base = Some(parser.value()?.parse()?);
--- a/crates/kingcuploftctl/src/drain.rs
+++ b/crates/kingcuploftctl/src/drain.rs
@@ -9,10 +9,10 @@
 use crate::manifest;
 
 /// How many VMs are told; they tell the others.
-const TOLD: usize = 2;
+const MAX_TOLD_VMS: usize = 2;
 
 /// How often a write without an answer is sent again.
-const RETRIES: usize = 2;
+const MAX_RETRIES: usize = 2;
 
 /// Drains a backend server: through the store, so that it lasts, and through VMs, so that it does
 /// not wait for the store. Either is enough.
@@ -22,18 +22,18 @@
 /// An ending with code 1 where neither took it.
 pub fn drain(context: &Context<'_>, service: &str, server: &str) -> Result<Outcome, Outcome> {
     let mut told = Vec::new();
-    let mut why = Vec::new();
+    let mut errors = Vec::new();
     if context.has_vms() {
         match context.vms() {
-            Ok(vms) => tell(&vms, service, server, &mut told, &mut why),
-            Err(ending) => why.push(ending.err),
+            Ok(vms) => drain_through_vms(&vms, service, server, &mut told, &mut errors),
+            Err(ending) => errors.push(ending.err),
         }
     }
     let stored = match context.store() {
         Ok(store) => match write(&store, service, server) {
             Ok(()) => true,
             Err(ending) => {
-                why.push(ending.err);
+                errors.push(ending.err);
                 false
             }
         },
@@ -41,7 +41,7 @@
         Err(_) => false,
     };
     if told.is_empty() && !stored {
-        return Err(Outcome::failure(Code::Failed, why.join("\n")));
+        return Err(Outcome::failure(Code::Failed, errors.join("\n")));
     }
     let mut ending = Outcome::success(match context.json() {
         true => format!(
@@ -57,20 +57,20 @@
     Ok(ending)
 }
 
-fn tell(
+fn drain_through_vms(
     vms: &[AdminClient],
     service: &str,
     server: &str,
     told: &mut Vec<String>,
-    why: &mut Vec<String>,
+    errors: &mut Vec<String>,
 ) {
     for vm in vms {
         let path = format!("/fleet/drain/{service}/{server}");
         match vm.post::<Value>(&path, "") {
             Ok(_) => told.push(vm.address().to_owned()),
-            Err(error) => why.push(format!("{}: {error}", vm.address())),
+            Err(error) => errors.push(format!("{}: {error}", vm.address())),
         }
-        if told.len() == TOLD {
+        if told.len() == MAX_TOLD_VMS {
             return;
         }
     }
@@ -83,8 +83,8 @@
     let found = accepted.services.iter().find(|s| &*s.name == service);
     let mut servers = found.iter().flat_map(|s| &s.backend_servers);
     let Some(found) = servers.find(|s| &*s.name == server) else {
-        let why = format!("the accepted manifest has no backend server {server} of {service}");
-        return Err(Outcome::failure(Code::Failed, why));
+        let error = format!("the accepted manifest has no backend server {server} of {service}");
+        return Err(Outcome::failure(Code::Failed, error));
     };
     let value = serde_json::json!({
         "service": service, "backend_server": server, "address": found.address,
@@ -105,10 +105,10 @@
         tries += 1;
         match store.put(key, value, expect) {
             Ok(_) => return Ok(()),
-            Err(StoreError::Conflict { found: Some(found) }) if tries <= RETRIES => {
+            Err(StoreError::Conflict { found: Some(found) }) if tries <= MAX_RETRIES => {
                 expect = WriteCondition::Version(found);
             }
-            Err(StoreError::NoAnswer(_)) if tries <= RETRIES => {}
+            Err(StoreError::NoAnswer(_)) if tries <= MAX_RETRIES => {}
             Err(error) => return Err(error),
         }
     }
--- a/crates/kingcuploftctl/src/trace.rs
+++ b/crates/kingcuploftctl/src/trace.rs
@@ -56,7 +56,7 @@
         }
     }
     lines.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
-    let mut out: String = lines.iter().map(sentence).collect();
+    let mut out: String = lines.iter().map(describe).collect();
     out.push_str(conclusion(&lines));
     if left_out > 0 {
         out.push_str("Some lines were left out of these logs: the writer was behind, or they told of attempts that went well.\n");
@@ -85,7 +85,7 @@
     fields.get(name).and_then(Value::as_str).unwrap_or_default()
 }
 
-fn shown(fields: &Value, name: &str) -> String {
+fn display_value(fields: &Value, name: &str) -> String {
     match fields.get(name) {
         None | Some(Value::Null) => "unknown".into(),
         Some(Value::String(text)) => text.clone(),
@@ -93,8 +93,8 @@
     }
 }
 
-fn sentence(line: &Line) -> String {
-    let show = |name| shown(&line.fields, name);
+fn describe(line: &Line) -> String {
+    let show = |name| display_value(&line.fields, name);
     let what = match field(&line.fields, "event") {
         "attempt" => format!(
             "sent to {} after {} ms, its reading {} ms old: running {}, waiting {}, slowness {}; {} after {} ms: {}",
--- a/crates/kingcuploftd/src/admin.rs
+++ b/crates/kingcuploftd/src/admin.rs
@@ -21,10 +21,10 @@
 use crate::{admin_fleet, explain, status};
 
 /// How often the accept loop looks whether to stop.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The most connections at once; a reader of pages needs one.
-const CONNECTIONS: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 
 /// Time for a head, and for which a connection may be idle.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
@@ -44,47 +44,47 @@
 
 async fn serve(shared: &Arc<Shared>, listener: TcpListener) {
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listening socket");
-    let room = Arc::new(Semaphore::new(CONNECTIONS));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let token = shared.settings.admin_token_file.clone();
     let token = token.map(AdminToken::new).map(Rc::new);
     while !shared.ended() {
-        let accepted = tokio::time::timeout(STOP_POLL, listener.accept()).await;
+        let accepted = tokio::time::timeout(STOP_CHECK_INTERVAL, listener.accept()).await;
         let stream = match accepted {
             Ok(Ok((stream, _))) => stream,
             Ok(Err(_)) => {
-                tokio::time::sleep(STOP_POLL).await;
+                tokio::time::sleep(STOP_CHECK_INTERVAL).await;
                 continue;
             }
             Err(_) => continue,
         };
-        let Ok(place) = Arc::clone(&room).try_acquire_owned() else {
+        let Ok(slot) = Arc::clone(&slots).try_acquire_owned() else {
             continue;
         };
         let (shared, token) = (Arc::clone(shared), token.clone());
         tokio::task::spawn_local(async move {
             let service = service_fn(|request| {
                 let (shared, token) = (Arc::clone(&shared), token.clone());
-                async move { Ok::<_, Infallible>(guarded(&shared, token.as_deref(), request).await) }
+                async move { Ok::<_, Infallible>(authorize(&shared, token.as_deref(), request).await) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEADER_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             drop(connection.await);
-            drop(place);
+            drop(slot);
         });
     }
 }
 
 /// Answers a request that may have its page. The two pages that the platform's balancer reads
 /// need no token: they tell one bit.
-async fn guarded(
+async fn authorize(
     shared: &Shared,
     token: Option<&AdminToken>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let open = matches!(request.uri().path(), "/live" | "/ready");
-    if open || token.is_none_or(|token| token.is_valid(request.headers())) {
+    let is_public = matches!(request.uri().path(), "/live" | "/ready");
+    if is_public || token.is_none_or(|token| token.is_valid(request.headers())) {
         return answer(shared, request).await;
     }
     let mut response = Response::new(Full::new(Bytes::from("a bearer token is needed\n")));
--- a/crates/kingcuploftd/src/admin_fleet.rs
+++ b/crates/kingcuploftd/src/admin_fleet.rs
@@ -18,7 +18,7 @@
 pub const PREFIX: &str = "/fleet/";
 
 /// The longest body, in bytes: an accepted manifest with every service object.
-const BODY_BYTES: usize = 32 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
 /// An accepted manifest, handed to a VM by who applied it: should the store go down before any VM
 /// has read it, the VMs pass it on all the same.
@@ -50,11 +50,11 @@
         (&Method::GET, ["decisions"]) => json(&shared.decisions.search(&query)),
         (&Method::POST, ["drain", service, server]) => drain(shared, service, server),
         (&Method::POST, ["manifest"]) => {
-            let body = Limited::new(request.into_body(), BODY_BYTES)
+            let body = Limited::new(request.into_body(), MAX_BODY_BYTES)
                 .collect()
                 .await;
             match body {
-                Ok(body) => handed(shared, &body.to_bytes()),
+                Ok(body) => upload_manifest(shared, &body.to_bytes()),
                 Err(_) => (
                     StatusCode::PAYLOAD_TOO_LARGE,
                     "the body is too long\n".into(),
@@ -80,24 +80,24 @@
 }
 
 /// Takes an accepted manifest as from any other source: by hash, and only forward.
-fn handed(shared: &Shared, body: &Bytes) -> Page {
-    let handed: ManifestUpload = match serde_json::from_slice(body) {
-        Ok(handed) => handed,
+fn upload_manifest(shared: &Shared, body: &Bytes) -> Page {
+    let upload: ManifestUpload = match serde_json::from_slice(body) {
+        Ok(upload) => upload,
         Err(error) => return (StatusCode::BAD_REQUEST, format!("{error}\n")),
     };
     let source = "an operator";
-    let learn = |teach: &mut dyn FnMut(&mut _) -> Result<AdoptionStep, AdoptionError>| {
+    let update = |change: &mut dyn FnMut(&mut _) -> Result<AdoptionStep, AdoptionError>| {
         shared
             .manifest
-            .update(shared, source, |adoption| teach(adoption))
+            .update(shared, source, |adoption| change(adoption))
     };
-    if !learn(&mut |adoption| adoption.root_text(&handed.root)) {
+    if !update(&mut |adoption| adoption.root_text(&upload.root)) {
         return (StatusCode::BAD_REQUEST, "the root was not taken\n".into());
     }
-    for text in &handed.services {
-        learn(&mut |adoption| adoption.service_text(&ContentHash::of(text), text));
+    for text in &upload.services {
+        update(&mut |adoption| adoption.service_text(&ContentHash::of(text), text));
     }
-    learn(&mut |adoption| Ok(adoption.sources_asked()));
+    update(&mut |adoption| Ok(adoption.sources_asked()));
     json(&shared.manifest.read(|a| a.status()))
 }
 
--- a/crates/kingcuploftd/src/admin_token.rs
+++ b/crates/kingcuploftd/src/admin_token.rs
@@ -11,13 +11,13 @@
 #[derive(Debug)]
 pub struct AdminToken {
     file: PathBuf,
-    read: Mutex<Read>,
+    cached: Mutex<CachedToken>,
 }
 
 /// The token as it was last read; only its hash is kept, so that no log line can show it.
 #[derive(Debug, Default)]
-struct Read {
-    stamp: Option<(SystemTime, u64)>,
+struct CachedToken {
+    file_version: Option<(SystemTime, u64)>,
     hash: Option<blake3::Hash>,
 }
 
@@ -26,7 +26,7 @@
     pub fn new(file: PathBuf) -> Self {
         Self {
             file,
-            read: Mutex::default(),
+            cached: Mutex::default(),
         }
     }
 
@@ -45,22 +45,22 @@
     }
 
     fn hash(&self) -> Option<blake3::Hash> {
-        let mut read = self.read.lock().unwrap_or_else(PoisonError::into_inner);
-        let stamp = std::fs::metadata(&self.file)
+        let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
+        let file_version = std::fs::metadata(&self.file)
             .and_then(|meta| Ok((meta.modified()?, meta.len())))
             .ok();
-        if stamp.is_some() && stamp != read.stamp {
+        if file_version.is_some() && file_version != cached.file_version {
             match std::fs::read_to_string(&self.file) {
                 Ok(token) => {
                     let token = token.trim();
                     let hash = blake3::hash(token.as_bytes());
-                    read.hash = (!token.is_empty()).then_some(hash);
-                    read.stamp = stamp;
+                    cached.hash = (!token.is_empty()).then_some(hash);
+                    cached.file_version = file_version;
                     tracing::info!("admin: the token was read.");
                 }
                 Err(error) => tracing::warn!("admin: the token can not be read: {error}."),
             }
         }
-        read.hash
+        cached.hash
     }
 }
--- a/crates/kingcuploftd/src/answer_stream.rs
+++ b/crates/kingcuploftd/src/answer_stream.rs
@@ -12,10 +12,10 @@
 use crate::backend_edge::BackendConnection;
 
 /// How many chunks wait in the ring.
-const CHUNKS: usize = 8;
+const MAX_CHUNKS: usize = 8;
 
 /// How long the worker pauses while the ring is full.
-const FULL_PAUSE: Duration = Duration::from_millis(1);
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(1);
 
 /// A piece of a body.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
     /// Nothing: it is whole.
     End,
     /// Nothing: it was cut.
-    Cut,
+    Truncated,
 }
 
 /// Why a body was not passed on to its end.
@@ -63,8 +63,8 @@
 }
 
 /// Opens a ring for a body that comes from a connection.
-pub fn rest(source: Option<Arc<BackendConnection>>) -> (BodySender, RemainingBody) {
-    let (sender, receiver) = channel(CHUNKS);
+pub fn body_channel(source: Option<Arc<BackendConnection>>) -> (BodySender, RemainingBody) {
+    let (sender, receiver) = channel(MAX_CHUNKS);
     let chunks = BodyChunks {
         receiver,
         source,
@@ -109,7 +109,7 @@
             if Instant::now() >= deadline {
                 return Err(BodySendError::DeadlinePassed);
             }
-            std::thread::sleep(FULL_PAUSE);
+            std::thread::sleep(FULL_RETRY_DELAY);
         }
     }
 }
@@ -130,7 +130,7 @@
                 self.ended = true;
                 NextChunk::End
             }
-            None => NextChunk::Cut,
+            None => NextChunk::Truncated,
         })
     }
 }
--- a/crates/kingcuploftd/src/backend_edge/exchange.rs
+++ b/crates/kingcuploftd/src/backend_edge/exchange.rs
@@ -11,7 +11,7 @@
 
 use super::framing::{Framing, framing};
 use super::registry::BackendConnection;
-use crate::answer_stream::{BodySendError, BodySender, RemainingBody, rest};
+use crate::answer_stream::{BodySendError, BodySender, RemainingBody, body_channel};
 use crate::message::{Answer, RequestParts};
 use crate::shared::Shared;
 
@@ -29,7 +29,7 @@
     Cancelled,
     /// The deadline passed before the call began.
     #[error("the deadline has passed")]
-    Overdue,
+    DeadlinePassed,
     /// The library's error.
     #[error(transparent)]
     Http(#[from] ureq::Error),
@@ -38,18 +38,18 @@
     Body(#[from] std::io::Error),
     /// The answer can not be proved whole.
     #[error("the answer does not tell where it ends")]
-    NotWhole,
+    Incomplete,
 }
 
 /// An answer, read whole up to the rule's bound.
-pub(super) struct Received {
+pub(super) struct ReceivedAnswer {
     pub(super) answer: Answer,
     /// What is left of a longer body.
-    pub(super) unread: Option<Unread>,
+    pub(super) unread: Option<UnreadBody>,
 }
 
 /// The part of a body above the rule's bound.
-pub(super) struct Unread {
+pub(super) struct UnreadBody {
     reader: BodyReader<'static>,
     framing: Framing,
     read_bytes: u64,
@@ -57,7 +57,7 @@
 
 /// Why a streamed answer did not reach its caller whole.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum CutError {
+pub(super) enum ForwardError {
     /// The backend server cut it.
     #[error("the backend server ended it: {0}")]
     Backend(#[from] ExchangeError),
@@ -67,7 +67,7 @@
 }
 
 /// With less time than this left to the deadline a call is not begun.
-const SHORTEST_CALL: Duration = Duration::from_millis(1);
+const MIN_CALL_TIME: Duration = Duration::from_millis(1);
 
 /// Sends the request and reads its answer.
 ///
@@ -80,12 +80,12 @@
     call: &Call,
     parts: RequestParts,
     now: Instant,
-) -> Result<Received, ExchangeError> {
+) -> Result<ReceivedAnswer, ExchangeError> {
     let left = call.deadline.saturating_duration_since(now);
     // A VM that was paused between the claim and this call would otherwise send a protected action
     // long after its caller was told that the end is not known, perhaps after its claim expired.
-    if left < SHORTEST_CALL {
-        return Err(ExchangeError::Overdue);
+    if left < MIN_CALL_TIME {
+        return Err(ExchangeError::DeadlinePassed);
     }
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let method = parts.method.clone();
@@ -111,24 +111,24 @@
     let framing = framing(&method, head.status, &head.headers);
     let limit = call.route.rule().whole_answer_bytes;
     let reader = body.into_reader();
-    let (body, unread) = read(reader, framing, limit)?;
+    let (body, unread) = read_body(reader, framing, limit)?;
     let answer = Answer {
         status: head.status,
         headers: head.headers,
         body,
         rest: None,
     };
-    Ok(Received { answer, unread })
+    Ok(ReceivedAnswer { answer, unread })
 }
 
 /// Reads a body up to the bound; what is above it stays unread.
-fn read(
+fn read_body(
     mut reader: BodyReader<'static>,
     framing: Framing,
     limit: u64,
-) -> Result<(Bytes, Option<Unread>), ExchangeError> {
+) -> Result<(Bytes, Option<UnreadBody>), ExchangeError> {
     let expected = match framing {
-        Framing::Unprovable => return Err(ExchangeError::NotWhole),
+        Framing::Undelimited => return Err(ExchangeError::Incomplete),
         Framing::Empty => return Ok((Bytes::new(), None)),
         Framing::Length(length) if length > limit => 0,
         Framing::Length(length) => length,
@@ -142,19 +142,19 @@
         _ => read_bytes > limit,
     };
     if above {
-        let unread = Unread {
+        let unread = UnreadBody {
             reader,
             framing,
             read_bytes,
         };
         return Ok((body.into(), Some(unread)));
     }
-    finish(&mut reader, framing, read_bytes)?;
+    read_to_end(&mut reader, framing, read_bytes)?;
     Ok((body.into(), None))
 }
 
 /// Reads to the body's end, which frees the connection, and checks that it is whole.
-fn finish(
+fn read_to_end(
     reader: &mut BodyReader<'static>,
     framing: Framing,
     read_bytes: u64,
@@ -162,29 +162,29 @@
     let mut byte = [0];
     let more = reader.read(&mut byte)? as u64;
     match framing {
-        Framing::Length(length) if length != read_bytes + more => Err(ExchangeError::NotWhole),
+        Framing::Length(length) if length != read_bytes + more => Err(ExchangeError::Incomplete),
         _ => Ok(()),
     }
 }
 
 /// A longer answer's unread part, with the ring to the caller edge.
-pub(super) struct Remainder {
-    unread: Unread,
+pub(super) struct BodyForwarder {
+    unread: UnreadBody,
     sender: BodySender,
 }
 
-impl Remainder {
+impl BodyForwarder {
     /// Opens the ring for an unread part. Its connection carries no further call, so that it may
     /// be shut down at any moment when the caller goes away.
-    pub(super) fn of(
-        unread: Option<Unread>,
+    pub(super) fn new(
+        unread: Option<UnreadBody>,
         connection: Option<Arc<BackendConnection>>,
     ) -> Option<(RemainingBody, Self)> {
         let unread = unread?;
         if let Some(connection) = &connection {
             connection.retire();
         }
-        let (sender, rest) = rest(connection);
+        let (sender, rest) = body_channel(connection);
         Some((rest, Self { unread, sender }))
     }
 
@@ -193,7 +193,7 @@
     /// # Errors
     ///
     /// [`CutError`]; the ring then closes without its end, which cuts the caller's connection.
-    pub(super) fn pass_on(self, deadline: Instant) -> Result<(), CutError> {
+    pub(super) fn forward(self, deadline: Instant) -> Result<(), ForwardError> {
         let Self { mut unread, sender } = self;
         let mut buffer = vec![0; CHUNK_BYTES];
         loop {
@@ -204,13 +204,13 @@
             }
             unread.read_bytes += read as u64;
             let data = Bytes::copy_from_slice(&buffer[..read]);
-            sender.send(data, deadline).map_err(CutError::Caller)?;
+            sender.send(data, deadline).map_err(ForwardError::Caller)?;
         }
         match unread.framing {
             Framing::Length(length) if length != unread.read_bytes => {
-                Err(ExchangeError::NotWhole.into())
+                Err(ExchangeError::Incomplete.into())
             }
-            _ => sender.end(deadline).map_err(CutError::Caller),
+            _ => sender.end(deadline).map_err(ForwardError::Caller),
         }
     }
 }
--- a/crates/kingcuploftd/src/backend_edge/framing.rs
+++ b/crates/kingcuploftd/src/backend_edge/framing.rs
@@ -14,7 +14,7 @@
     Chunked,
     /// Only the connection's end would tell, or the head contradicts itself: such a body can not
     /// be proved whole.
-    Unprovable,
+    Undelimited,
 }
 
 /// Returns how an answer's body ends.
@@ -27,15 +27,19 @@
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     match (codings.as_slice(), lengths.next()) {
         ([], Some(length)) if lengths.all(|other| other == length) => {
-            let length = length.to_str().ok().and_then(digits);
-            length.map_or(Framing::Unprovable, Framing::Length)
+            let length = length.to_str().ok().and_then(parse_digits);
+            length.map_or(Framing::Undelimited, Framing::Length)
         }
         ([coding], None) if coding.as_bytes().eq_ignore_ascii_case(b"chunked") => Framing::Chunked,
-        _ => Framing::Unprovable,
+        _ => Framing::Undelimited,
     }
 }
 
-fn digits(length: &str) -> Option<u64> {
-    let digits = !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit());
-    if digits { length.parse().ok() } else { None }
+fn parse_digits(length: &str) -> Option<u64> {
+    let all_digits = !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit());
+    if all_digits {
+        length.parse().ok()
+    } else {
+        None
+    }
 }
--- a/crates/kingcuploftd/src/backend_edge/mod.rs
+++ b/crates/kingcuploftd/src/backend_edge/mod.rs
@@ -19,26 +19,26 @@
 
 use crate::message::{Answer, CallTask, Message};
 use crate::shared::Shared;
-use exchange::{ExchangeError, Received, Remainder};
+use exchange::{BodyForwarder, ExchangeError, ReceivedAnswer};
 
 pub use registry::{BackendConnection, CallRegistry};
 
 /// The most idle connections that are kept to all backend servers.
-const IDLE_CONNECTIONS: usize = 4096;
+const MAX_IDLE_CONNECTIONS: usize = 4096;
 
 /// The most idle connections that are kept to one backend server.
-const IDLE_CONNECTIONS_EACH: usize = 64;
+const MAX_IDLE_CONNECTIONS_PER_SERVER: usize = 64;
 
 /// Runs one worker until the dispatch duty ends.
-pub fn run(shared: &Arc<Shared>, ring: &Receiver<CallTask>, agent: &Agent) {
-    for order in ring {
-        let deadline = order.call.deadline;
-        let (message, remainder) = call(shared, agent, order);
+pub fn run(shared: &Arc<Shared>, tasks: &Receiver<CallTask>, agent: &Agent) {
+    for task in tasks {
+        let deadline = task.call.deadline;
+        let (message, forwarder) = call(shared, agent, task);
         if shared.dispatch.send(message).is_err() {
             return;
         }
-        if let Some(remainder) = remainder
-            && let Err(error) = remainder.pass_on(deadline)
+        if let Some(forwarder) = forwarder
+            && let Err(error) = forwarder.forward(deadline)
         {
             shared.metrics.streams_cut.inc();
             tracing::debug!("backend: a streamed answer was cut: {error}.");
@@ -56,8 +56,8 @@
         .user_agent("")
         .accept("")
         .accept_encoding("")
-        .max_idle_connections(IDLE_CONNECTIONS)
-        .max_idle_connections_per_host(IDLE_CONNECTIONS_EACH)
+        .max_idle_connections(MAX_IDLE_CONNECTIONS)
+        .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS_PER_SERVER)
         .build();
     Agent::with_parts(
         config,
@@ -67,14 +67,14 @@
 }
 
 /// Calls a backend server; returns what the dispatch duty is told, and what is left to read.
-fn call(shared: &Arc<Shared>, agent: &Agent, order: CallTask) -> (Message, Option<Remainder>) {
+fn call(shared: &Arc<Shared>, agent: &Agent, task: CallTask) -> (Message, Option<BodyForwarder>) {
     let began = Instant::now();
-    let call = order.call;
+    let call = task.call;
     let attempt = call.attempt;
     transport::begin_call(shared, attempt, shared.connection_share(&call));
     let result = match shared.calls.is_cancelled(attempt) {
         true => Err(ExchangeError::Cancelled),
-        false => exchange::exchange(shared, agent, &call, order.parts, began),
+        false => exchange::exchange(shared, agent, &call, task.parts, began),
     };
     let cancelled = shared.calls.is_cancelled(attempt);
     let connection = shared.calls.remove(attempt);
@@ -82,36 +82,39 @@
     let (end, received) = match result {
         Ok(received) => {
             let own_id = shared.request_name(call.request);
-            (end_of(&received.answer, signals, &own_id), Some(received))
+            (
+                classify_answer(&received.answer, signals, &own_id),
+                Some(received),
+            )
         }
         Err(_) if cancelled => (CallEnd::Cancelled, None),
-        Err(error) => (end_of_error(&error), None),
+        Err(error) => (classify_error(&error), None),
     };
     let headers = received.as_ref().map(|received| &received.answer.headers);
     let report = CallReport {
         end,
         latency: began.elapsed(),
-        load: headers.and_then(|headers| load(signals, headers)),
+        load: headers.and_then(|headers| parse_load(signals, headers)),
         draining: headers.is_some_and(|headers| headers.contains_key(&signals.drain_header)),
     };
     // Only an answer that is this request's own is handed on, and only then its rest.
     let received = received.filter(|_| matches!(end, CallEnd::Answered { .. }));
-    let (answer, remainder) = received.map_or((None, None), |received| {
-        let Received { answer, unread } = received;
-        let (rest, remainder) = Remainder::of(unread, connection).unzip();
+    let (answer, forwarder) = received.map_or((None, None), |received| {
+        let ReceivedAnswer { answer, unread } = received;
+        let (rest, forwarder) = BodyForwarder::new(unread, connection).unzip();
         let answer = Answer { rest, ..answer };
-        (Some(Box::new(answer)), remainder)
+        (Some(Box::new(answer)), forwarder)
     });
     let ended = Message::AttemptEnded {
         attempt,
         report,
         answer,
     };
-    (ended, remainder)
+    (ended, forwarder)
 }
 
 /// Tells what an answer means; a crossed one is not this request's.
-fn end_of(answer: &Answer, signals: &Signals, own_id: &str) -> CallEnd {
+fn classify_answer(answer: &Answer, signals: &Signals, own_id: &str) -> CallEnd {
     let echoed = answer.headers.get(&signals.request_id_header);
     if echoed.is_some_and(|echoed| echoed.as_bytes() != own_id.as_bytes()) {
         return CallEnd::Broken;
@@ -126,21 +129,21 @@
 }
 
 /// Tells what an error means: the transport's witness knows whether a byte was handed over.
-fn end_of_error(error: &ExchangeError) -> CallEnd {
+fn classify_error(error: &ExchangeError) -> CallEnd {
     if !transport::was_sent() {
         return CallEnd::NeverSent;
     }
     match error {
         ExchangeError::Http(ureq::Error::Timeout(_)) => CallEnd::TimedOut,
         ExchangeError::Cancelled => CallEnd::Cancelled,
-        ExchangeError::Overdue
+        ExchangeError::DeadlinePassed
         | ExchangeError::Http(_)
         | ExchangeError::Body(_)
-        | ExchangeError::NotWhole => CallEnd::Broken,
+        | ExchangeError::Incomplete => CallEnd::Broken,
     }
 }
 
-fn load(signals: &Signals, headers: &HeaderMap) -> Option<LoadReport> {
+fn parse_load(signals: &Signals, headers: &HeaderMap) -> Option<LoadReport> {
     let value = headers.get(&signals.load_header)?.to_str().ok()?;
     let in_flight = value.trim().parse().ok()?;
     Some(LoadReport { in_flight })
--- a/crates/kingcuploftd/src/backend_edge/registry.rs
+++ b/crates/kingcuploftd/src/backend_edge/registry.rs
@@ -15,7 +15,7 @@
 pub struct BackendConnection {
     tcp: TcpStream,
     /// The call it carries or carried last.
-    carries: AtomicU64,
+    attempt: AtomicU64,
     /// Whether it may carry no further call.
     retired: AtomicBool,
 }
@@ -24,7 +24,7 @@
     pub(super) fn new(tcp: TcpStream) -> Self {
         Self {
             tcp,
-            carries: AtomicU64::new(0),
+            attempt: AtomicU64::new(0),
             retired: AtomicBool::new(false),
         }
     }
@@ -52,7 +52,7 @@
 
 /// What is known about a call between its order and its end.
 #[derive(Debug)]
-enum InFlight {
+enum CallState {
     /// It waits for a worker or a connection.
     Waiting,
     /// It is on this connection.
@@ -64,7 +64,7 @@
 /// The calls in flight and the connections to backend servers.
 #[derive(Debug, Default)]
 pub struct CallRegistry {
-    calls: Mutex<HashMap<AttemptId, InFlight>>,
+    calls: Mutex<HashMap<AttemptId, CallState>>,
     connections: Mutex<HashMap<SocketAddr, Arc<AtomicUsize>>>,
 }
 
@@ -79,13 +79,13 @@
 }
 
 impl CallRegistry {
-    fn calls(&self) -> MutexGuard<'_, HashMap<AttemptId, InFlight>> {
+    fn calls(&self) -> MutexGuard<'_, HashMap<AttemptId, CallState>> {
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that a call was ordered.
     pub fn add(&self, attempt: AttemptId) {
-        self.calls().insert(attempt, InFlight::Waiting);
+        self.calls().insert(attempt, CallState::Waiting);
     }
 
     /// Notes the connection a call is on; tells whether the call may go on.
@@ -100,25 +100,25 @@
         connection: &Arc<BackendConnection>,
     ) -> bool {
         let mut calls = self.calls();
-        let state = calls.entry(attempt).or_insert(InFlight::Waiting);
-        if matches!(state, InFlight::Cancelled) || connection.retired() {
+        let state = calls.entry(attempt).or_insert(CallState::Waiting);
+        if matches!(state, CallState::Cancelled) || connection.retired() {
             return false;
         }
-        connection.carries.store(attempt, Ordering::Release);
-        *state = InFlight::Running(Arc::clone(connection));
+        connection.attempt.store(attempt, Ordering::Release);
+        *state = CallState::Running(Arc::clone(connection));
         true
     }
 
     /// Tells whether a call was cancelled.
     pub(super) fn is_cancelled(&self, attempt: AttemptId) -> bool {
-        matches!(self.calls().get(&attempt), Some(InFlight::Cancelled))
+        matches!(self.calls().get(&attempt), Some(CallState::Cancelled))
     }
 
     /// Forgets a call that ended; returns the connection it was on.
     pub fn remove(&self, attempt: AttemptId) -> Option<Arc<BackendConnection>> {
         match self.calls().remove(&attempt)? {
-            InFlight::Running(connection) => Some(connection),
-            InFlight::Waiting | InFlight::Cancelled => None,
+            CallState::Running(connection) => Some(connection),
+            CallState::Waiting | CallState::Cancelled => None,
         }
     }
 
@@ -139,7 +139,7 @@
 
     /// Returns how many connections to a backend server are open, in use or idle.
     pub fn connections(&self, address: SocketAddr) -> usize {
-        self.count_of(address).load(Ordering::Relaxed)
+        self.connection_count(address).load(Ordering::Relaxed)
     }
 
     /// Returns how many connections to backend servers are open.
@@ -152,25 +152,25 @@
 
     /// Counts a connection that is about to open, unless the limit is reached.
     pub(super) fn open(&self, address: SocketAddr, limit: usize) -> Option<CountedConnection> {
-        let count = self.count_of(address);
+        let count = self.connection_count(address);
         let counted = count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |open| {
             (open < limit).then_some(open + 1)
         });
         counted.is_ok().then(|| CountedConnection(count))
     }
 
-    fn count_of(&self, address: SocketAddr) -> Arc<AtomicUsize> {
+    fn connection_count(&self, address: SocketAddr) -> Arc<AtomicUsize> {
         let connections = self.connections.lock();
         let mut connections = connections.unwrap_or_else(PoisonError::into_inner);
         Arc::clone(connections.entry(address).or_default())
     }
 }
 
-fn cancel(attempt: AttemptId, state: &mut InFlight) {
-    if let InFlight::Running(connection) = state
-        && connection.carries.load(Ordering::Acquire) == attempt
+fn cancel(attempt: AttemptId, state: &mut CallState) {
+    if let CallState::Running(connection) = state
+        && connection.attempt.load(Ordering::Acquire) == attempt
     {
         connection.shut_down();
     }
-    *state = InFlight::Cancelled;
+    *state = CallState::Cancelled;
 }
--- a/crates/kingcuploftd/src/backend_edge/transport.rs
+++ b/crates/kingcuploftd/src/backend_edge/transport.rs
@@ -22,34 +22,34 @@
 use crate::shared::Shared;
 
 /// The shortest timeout that is set on a socket; none of zero can be.
-const SHORTEST_TIMEOUT: Duration = Duration::from_millis(1);
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// The call that runs on this thread.
-struct Current {
+struct CurrentCall {
     shared: Arc<Shared>,
     attempt: AttemptId,
-    connections: usize,
+    connection_limit: usize,
     sent: bool,
 }
 
 thread_local! {
-    static CURRENT: RefCell<Option<Current>> = const { RefCell::new(None) };
+    static CURRENT_CALL: RefCell<Option<CurrentCall>> = const { RefCell::new(None) };
 }
 
 /// Begins a call on this thread; `connections` bounds those to its backend server.
-pub(super) fn begin_call(shared: &Arc<Shared>, attempt: AttemptId, connections: usize) {
-    let current = Current {
+pub(super) fn begin_call(shared: &Arc<Shared>, attempt: AttemptId, connection_limit: usize) {
+    let current = CurrentCall {
         shared: Arc::clone(shared),
         attempt,
-        connections,
+        connection_limit,
         sent: false,
     };
-    CURRENT.set(Some(current));
+    CURRENT_CALL.set(Some(current));
 }
 
 /// Tells whether a byte of this thread's call was handed to a connection.
 pub(super) fn was_sent() -> bool {
-    CURRENT.with_borrow(|current| current.as_ref().is_some_and(|current| current.sent))
+    CURRENT_CALL.with_borrow(|current| current.as_ref().is_some_and(|current| current.sent))
 }
 
 /// Connects over TCP.
@@ -67,10 +67,10 @@
         let Some(address) = details.addrs.first() else {
             return Err(Error::HostNotFound);
         };
-        let counted = CURRENT.with_borrow(|current| {
+        let counted = CURRENT_CALL.with_borrow(|current| {
             let current = current.as_ref()?;
             let shared = &current.shared;
-            let counted = shared.calls.open(*address, current.connections);
+            let counted = shared.calls.open(*address, current.connection_limit);
             if counted.is_none() {
                 shared.metrics.backend_connection_limit.inc();
             } else {
@@ -82,7 +82,7 @@
             return Err(Error::Io(ErrorKind::QuotaExceeded.into()));
         };
         let stream = match details.timeout.not_zero() {
-            Some(left) => TcpStream::connect_timeout(address, *left)?,
+            Some(remaining) => TcpStream::connect_timeout(address, *remaining)?,
             None => TcpStream::connect(address)?,
         };
         stream.set_nodelay(true)?;
@@ -91,8 +91,8 @@
         Ok(Some(TrackingTransport {
             connection: Arc::new(BackendConnection::new(stream)),
             buffers,
-            read_timeout: SetTimeout::default(),
-            write_timeout: SetTimeout::default(),
+            read_timeout: CachedTimeout::default(),
+            write_timeout: CachedTimeout::default(),
             _counted: counted,
         }))
     }
@@ -103,15 +103,15 @@
 pub(super) struct TrackingTransport {
     connection: Arc<BackendConnection>,
     buffers: LazyBuffers,
-    read_timeout: SetTimeout,
-    write_timeout: SetTimeout,
+    read_timeout: CachedTimeout,
+    write_timeout: CachedTimeout,
     _counted: CountedConnection,
 }
 
 impl TrackingTransport {
     /// Notes, before the first byte of a call goes out, that it is on this connection.
-    fn witness(&self) -> Result<(), Error> {
-        CURRENT.with_borrow_mut(|current| {
+    fn mark_sent(&self) -> Result<(), Error> {
+        CURRENT_CALL.with_borrow_mut(|current| {
             let Some(current) = current else {
                 return Ok(());
             };
@@ -134,47 +134,49 @@
     }
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
-        self.witness()?;
-        let left = timeout.not_zero().map(|left| *left);
-        let due = left.map(|left| Instant::now() + left);
+        self.mark_sent()?;
+        let remaining = timeout.not_zero().map(|remaining| *remaining);
+        let deadline = remaining.map(|remaining| Instant::now() + remaining);
         let mut stream = self.connection.tcp();
         let mut output = &self.buffers.output()[..amount];
         self.write_timeout
-            .at_most(left, |left| stream.set_write_timeout(left))?;
+            .set_at_most(remaining, |remaining| stream.set_write_timeout(remaining))?;
         while !output.is_empty() {
             match stream.write(output) {
                 Ok(0) => return Err(Error::Io(ErrorKind::WriteZero.into())),
                 Ok(written) => output = &output[written..],
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if is_early(&error, due) => {
-                    let left = due.map(|due| due.saturating_duration_since(Instant::now()));
+                Err(error) if is_early(&error, deadline) => {
+                    let remaining =
+                        deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
                     self.write_timeout
-                        .exactly(left, |left| stream.set_write_timeout(left))?;
+                        .set_exactly(remaining, |remaining| stream.set_write_timeout(remaining))?;
                 }
-                Err(error) => return Err(timed(error, timeout)),
+                Err(error) => return Err(map_timeout(error, timeout)),
             }
         }
         Ok(())
     }
 
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, Error> {
-        let left = timeout.not_zero().map(|left| *left);
-        let due = left.map(|left| Instant::now() + left);
+        let remaining = timeout.not_zero().map(|remaining| *remaining);
+        let deadline = remaining.map(|remaining| Instant::now() + remaining);
         let mut stream = self.connection.tcp();
         self.read_timeout
-            .at_most(left, |left| stream.set_read_timeout(left))?;
+            .set_at_most(remaining, |remaining| stream.set_read_timeout(remaining))?;
         loop {
             match stream.read(self.buffers.input_append_buf()) {
                 Ok(amount) => {
                     self.buffers.input_appended(amount);
                     return Ok(amount > 0);
                 }
-                Err(error) if is_early(&error, due) => {
-                    let left = due.map(|due| due.saturating_duration_since(Instant::now()));
+                Err(error) if is_early(&error, deadline) => {
+                    let remaining =
+                        deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
                     self.read_timeout
-                        .exactly(left, |left| stream.set_read_timeout(left))?;
+                        .set_exactly(remaining, |remaining| stream.set_read_timeout(remaining))?;
                 }
-                Err(error) => return Err(timed(error, timeout)),
+                Err(error) => return Err(map_timeout(error, timeout)),
             }
         }
     }
@@ -199,47 +201,47 @@
 /// The time left to a deadline differs with each call by less than matters. A timeout that is a
 /// little too short is kept; where it ends a wait early, the wait goes on for the exact rest.
 #[derive(Debug, Default)]
-struct SetTimeout(Option<Duration>);
+struct CachedTimeout(Option<Duration>);
 
-impl SetTimeout {
+impl CachedTimeout {
     /// Sees to a timeout that is no longer than the time left, and not much shorter.
-    fn at_most(
+    fn set_at_most(
         &mut self,
-        left: Option<Duration>,
+        remaining: Option<Duration>,
         set: impl FnOnce(Option<Duration>) -> std::io::Result<()>,
     ) -> std::io::Result<()> {
-        let fits = match (self.0, left) {
-            (Some(has), Some(left)) => has <= left && has * 2 >= left,
+        let fits = match (self.0, remaining) {
+            (Some(has), Some(remaining)) => has <= remaining && has * 2 >= remaining,
             (None, None) => true,
             _ => false,
         };
         if fits {
             return Ok(());
         }
-        let shorter = left.map(|left| left * 7 / 8);
-        self.exactly(shorter, set)
+        let shorter = remaining.map(|remaining| remaining * 7 / 8);
+        self.set_exactly(shorter, set)
     }
 
-    fn exactly(
+    fn set_exactly(
         &mut self,
-        left: Option<Duration>,
+        remaining: Option<Duration>,
         set: impl FnOnce(Option<Duration>) -> std::io::Result<()>,
     ) -> std::io::Result<()> {
-        let left = left.map(|left| left.max(SHORTEST_TIMEOUT));
-        set(left)?;
-        self.0 = left;
+        let remaining = remaining.map(|remaining| remaining.max(MIN_TIMEOUT));
+        set(remaining)?;
+        self.0 = remaining;
         Ok(())
     }
 }
 
 /// Tells whether a socket's timeout ended a wait before it was due.
-fn is_early(error: &std::io::Error, due: Option<Instant>) -> bool {
+fn is_early(error: &std::io::Error, deadline: Option<Instant>) -> bool {
     let timeout = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
-    timeout && due.is_none_or(|due| Instant::now() + SHORTEST_TIMEOUT < due)
+    timeout && deadline.is_none_or(|deadline| Instant::now() + MIN_TIMEOUT < deadline)
 }
 
 /// Turns the socket's timeout into the library's.
-fn timed(error: std::io::Error, timeout: NextTimeout) -> Error {
+fn map_timeout(error: std::io::Error, timeout: NextTimeout) -> Error {
     match error.kind() {
         ErrorKind::WouldBlock | ErrorKind::TimedOut => Error::Timeout(timeout.reason),
         _ => Error::Io(error),
--- a/crates/kingcuploftd/src/caller_edge/activity.rs
+++ b/crates/kingcuploftd/src/caller_edge/activity.rs
@@ -42,7 +42,7 @@
 
 impl Drop for Busy {
     fn drop(&mut self) {
-        self.0.turn(State::Waiting { first: false });
+        self.0.set_state(State::Waiting { first: false });
     }
 }
 
@@ -56,14 +56,14 @@
     }
 
     /// Notes that a request's head is whole; returns the verdict on it.
-    pub(super) fn begin(self: &Rc<Self>) -> (Busy, Verdict) {
-        self.turn(State::Busy);
+    pub(super) fn begin_request(self: &Rc<Self>) -> (Busy, Verdict) {
+        self.set_state(State::Busy);
         let verdict = self.inspector.borrow_mut().next_verdict();
         (Busy(Rc::clone(self)), verdict)
     }
 
     /// Waits until the connection has been slow or idle for too long; tells whether it was slow.
-    pub(super) async fn overdue(&self, limits: &Limits) -> bool {
+    pub(super) async fn wait_until_overdue(&self, limits: &Limits) -> bool {
         let step = Duration::from_millis(limits.header_timeout_ms);
         loop {
             let now = Instant::now();
@@ -89,7 +89,7 @@
         Some((self.since.get() + Duration::from_millis(ms), slow))
     }
 
-    fn turn(&self, state: State) {
+    fn set_state(&self, state: State) {
         self.state.set(state);
         self.since.set(Instant::now());
     }
@@ -100,7 +100,7 @@
         }
         self.inspector.borrow_mut().process(bytes);
         if matches!(self.state.get(), State::Waiting { .. }) {
-            self.turn(State::Head);
+            self.set_state(State::Head);
         }
     }
 
--- a/crates/kingcuploftd/src/caller_edge/headers.rs
+++ b/crates/kingcuploftd/src/caller_edge/headers.rs
@@ -9,10 +9,10 @@
 use kingcuploft::world::refusal::{Refusal, RefusalReason};
 
 /// The longest idempotency key, in bytes.
-const KEY_BYTES: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// The longest name of a caller, in bytes; one with a longer name is told by its address.
-const CALLER_BYTES: usize = 256;
+const MAX_CALLER_BYTES: usize = 256;
 
 /// Returns a request's idempotency key, if its rule asks for one.
 pub(super) fn key(
@@ -27,7 +27,7 @@
     match keys.next() {
         Some(_) if keys.next().is_some() => Err(Refusal::not_run(RefusalReason::KeyInvalid)),
         Some(value) => match value.to_str() {
-            Ok(key) if !key.is_empty() && key.len() <= KEY_BYTES => Ok(Some(key.into())),
+            Ok(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Ok(Some(key.into())),
             _ => Err(Refusal::not_run(RefusalReason::KeyInvalid)),
         },
         None if rule.idempotency.required => Err(Refusal::not_run(RefusalReason::KeyMissing)),
@@ -39,15 +39,15 @@
 pub(super) fn caller(route: &Route, headers: &http::HeaderMap, peer: SocketAddr) -> Caller {
     let named = route.service.caller_header.as_ref();
     let named = named.and_then(|name| headers.get(name)?.to_str().ok());
-    let named = named.filter(|name| !name.is_empty() && name.len() <= CALLER_BYTES);
+    let named = named.filter(|name| !name.is_empty() && name.len() <= MAX_CALLER_BYTES);
     named.map_or_else(|| peer.ip().to_string().into(), Into::into)
 }
 
 /// Returns the caller's deadline, capped by the rule's.
 pub(super) fn deadline(route: &Route, headers: &http::HeaderMap) -> Result<Duration, Refusal> {
     let rule = route.rule().deadline();
-    let mut asked = headers.get_all("x-deadline-ms").iter();
-    let (Some(ms), None) = (asked.next(), asked.next()) else {
+    let mut values = headers.get_all("x-deadline-ms").iter();
+    let (Some(ms), None) = (values.next(), values.next()) else {
         return match headers.contains_key("x-deadline-ms") {
             true => Err(Refusal::not_run(RefusalReason::BadRequest)),
             false => Ok(rule),
--- a/crates/kingcuploftd/src/caller_edge/inspector.rs
+++ b/crates/kingcuploftd/src/caller_edge/inspector.rs
@@ -39,8 +39,8 @@
     length: u64,
     codings: usize,
     chunked: bool,
-    bare_line_feed: bool,
-    version_1_0: bool,
+    has_bare_line_feed: bool,
+    is_http_1_0: bool,
 }
 
 /// Follows the bytes that a connection's caller sends.
@@ -77,7 +77,7 @@
                 Phase::Ended => return,
                 Phase::Body(left) => skip(left, bytes.len()),
                 Phase::Chunk(left) => skip(left, bytes.len()),
-                Phase::Head | Phase::ChunkSize | Phase::Trailers => self.take_line(bytes),
+                Phase::Head | Phase::ChunkSize | Phase::Trailers => self.read_line(bytes),
             };
             bytes = &bytes[used..];
             match self.phase {
@@ -89,7 +89,7 @@
     }
 
     /// Takes bytes up to a line's end; returns how many.
-    fn take_line(&mut self, bytes: &[u8]) -> usize {
+    fn read_line(&mut self, bytes: &[u8]) -> usize {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let used = end.map_or(bytes.len(), |end| end + 1);
         self.line.extend_from_slice(&bytes[..used]);
@@ -123,7 +123,7 @@
     fn on_head_line(&mut self, text: &[u8], bare: bool) {
         let head = &mut self.head;
         head.bytes += text.len();
-        head.bare_line_feed |= bare;
+        head.has_bare_line_feed |= bare;
         if head.bytes > self.limit_bytes {
             return self.end(Verdict::TooLarge);
         }
@@ -140,7 +140,7 @@
 
     fn on_head_end(&mut self) {
         let head = std::mem::take(&mut self.head);
-        if head.ambiguous() {
+        if head.is_ambiguous() {
             return self.end(Verdict::Ambiguous);
         }
         self.verdicts.push_back(Verdict::Valid);
@@ -160,7 +160,7 @@
 impl Head {
     fn on_line(&mut self, line: &[u8]) {
         if self.lines == 1 {
-            self.version_1_0 = line.ends_with(b"HTTP/1.0");
+            self.is_http_1_0 = line.ends_with(b"HTTP/1.0");
             return;
         }
         let Some(colon) = line.iter().position(|byte| *byte == b':') else {
@@ -179,11 +179,11 @@
         }
     }
 
-    fn ambiguous(&self) -> bool {
-        let hosts_wrong = self.hosts > 1 || (self.hosts == 0 && !self.version_1_0);
+    fn is_ambiguous(&self) -> bool {
+        let hosts_wrong = self.hosts > 1 || (self.hosts == 0 && !self.is_http_1_0);
         let coding_wrong = self.codings > 1 || (self.codings == 1 && !self.chunked);
         let both = self.codings > 0 && self.lengths > 0;
-        self.bare_line_feed || hosts_wrong || coding_wrong || both || self.lengths > 1
+        self.has_bare_line_feed || hosts_wrong || coding_wrong || both || self.lengths > 1
     }
 }
 
--- a/crates/kingcuploftd/src/caller_edge/mod.rs
+++ b/crates/kingcuploftd/src/caller_edge/mod.rs
@@ -37,19 +37,19 @@
 use reply_body::ReplyBody;
 
 /// The longest host that is kept for operators, in characters.
-const HOST_CHARS: usize = 64;
+const MAX_HOST_CHARS: usize = 64;
 
 /// The longest headers of one request, in bytes.
-const HEADERS_BYTES: usize = 32 * 1024;
+const MAX_HEADERS_BYTES: usize = 32 * 1024;
 
 /// The most headers of one request.
-const HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// The most bytes that the HTTP library holds of one connection.
-const BUFFER_BYTES: usize = 128 * 1024;
+const MAX_BUFFER_BYTES: usize = 128 * 1024;
 
 /// The pause after a connection could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// How long an idle connection stays open after the door closed.
 const CLOSE_GRACE: Duration = Duration::from_millis(50);
@@ -69,48 +69,48 @@
 
 async fn serve(shared: &Arc<Shared>, listener: TcpListener) {
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listening socket");
-    let mut door = Door::new(shared);
+    let mut acceptor = Acceptor::new(shared);
     let mut closing = shared.closing();
     let until = loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, peer)) => door.open(stream, peer),
-                Err(error) => pause(shared, &error).await,
+                Ok((stream, peer)) => acceptor.open(stream, peer),
+                Err(error) => pause_accepting(shared, &error).await,
             },
-            Some(_) = door.connections.join_next() => {}
-            until = closed(&mut closing) => break until,
+            Some(_) = acceptor.connections.join_next() => {}
+            until = wait_for_close(&mut closing) => break until,
         }
     };
-    take_backlog(listener, &mut door);
-    finish(shared, door.connections, until).await;
+    accept_backlog(listener, &mut acceptor);
+    finish(shared, acceptor.connections, until).await;
 }
 
 /// Takes the connections that the system took before the door closed, then closes it.
 ///
 /// Asked directly and not through the event queue: on a busy machine a connection can wait here
 /// of which no event was seen yet. Closing would reset it, and its request be lost.
-fn take_backlog(listener: tokio::net::TcpListener, door: &mut Door) {
+fn accept_backlog(listener: tokio::net::TcpListener, acceptor: &mut Acceptor) {
     let Ok(listener) = listener.into_std() else {
         return;
     };
     while let Ok((stream, peer)) = listener.accept() {
         let stream = stream.set_nonblocking(true).map(|()| stream);
         if let Ok(stream) = stream.and_then(TcpStream::from_std) {
-            door.open(stream, peer);
+            acceptor.open(stream, peer);
         }
     }
 }
 
 /// Pauses after a connection could not be taken: where the system has no file descriptors left,
 /// trying again at once would keep the thread from serving the connections it has.
-async fn pause(shared: &Shared, error: &std::io::Error) {
+async fn pause_accepting(shared: &Shared, error: &std::io::Error) {
     shared.metrics.accept_errors.inc();
     tracing::warn!("caller: no connection could be taken: {error}.");
-    tokio::time::sleep(ACCEPT_PAUSE).await;
+    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
 }
 
 /// Waits until the door closes; returns until when requests may go on.
-async fn closed(closing: &mut watch::Receiver<Option<Instant>>) -> Instant {
+async fn wait_for_close(closing: &mut watch::Receiver<Option<Instant>>) -> Instant {
     let until = closing.wait_for(Option::is_some).await;
     until
         .ok()
@@ -129,20 +129,20 @@
 }
 
 /// The open connections and the room for more.
-struct Door {
+struct Acceptor {
     shared: Arc<Shared>,
     connections: JoinSet<()>,
-    room: Arc<Semaphore>,
-    refusals: Arc<Semaphore>,
+    slots: Arc<Semaphore>,
+    refusal_slots: Arc<Semaphore>,
 }
 
-impl Door {
+impl Acceptor {
     fn new(shared: &Arc<Shared>) -> Self {
         Self {
             shared: Arc::clone(shared),
             connections: JoinSet::new(),
-            room: Arc::new(Semaphore::new(shared.settings.limits.connections)),
-            refusals: Arc::new(Semaphore::new(overload::REFUSALS_AT_ONCE)),
+            slots: Arc::new(Semaphore::new(shared.settings.limits.connections)),
+            refusal_slots: Arc::new(Semaphore::new(overload::MAX_CONCURRENT_REFUSALS)),
         }
     }
 
@@ -150,55 +150,55 @@
     fn open(&mut self, stream: TcpStream, peer: SocketAddr) {
         drop(stream.set_nodelay(true));
         let shared = Arc::clone(&self.shared);
-        if let Ok(room) = Arc::clone(&self.room).try_acquire_owned() {
+        if let Ok(slot) = Arc::clone(&self.slots).try_acquire_owned() {
             self.connections.spawn_local(async move {
-                connection(shared, stream, peer).await;
-                drop(room);
+                serve_connection(shared, stream, peer).await;
+                drop(slot);
             });
             return;
         }
         shared.metrics.count_refusal(RefusalReason::Overloaded);
         shared.metrics.connections_refused.inc();
-        if let Ok(refusal) = Arc::clone(&self.refusals).try_acquire_owned() {
+        if let Ok(slot) = Arc::clone(&self.refusal_slots).try_acquire_owned() {
             self.connections.spawn_local(async move {
                 overload::refuse(shared, stream).await;
-                drop(refusal);
+                drop(slot);
             });
         }
     }
 }
 
 /// Serves one connection until its caller, its slowness or the door's closing ends it.
-async fn connection(shared: Arc<Shared>, stream: TcpStream, peer: SocketAddr) {
+async fn serve_connection(shared: Arc<Shared>, stream: TcpStream, peer: SocketAddr) {
     let limits = &shared.settings.limits;
-    let activity = Activity::new(HEADERS_BYTES);
+    let activity = Activity::new(MAX_HEADERS_BYTES);
     let mut closing = shared.closing();
     let service = service_fn(|request| {
         let (shared, activity) = (Arc::clone(&shared), Rc::clone(&activity));
         async move { Ok::<_, Infallible>(answer(&shared, &activity, request, peer).await) }
     });
     let stream = WatchedStream::new(stream, Rc::clone(&activity));
-    let served = http1::Builder::new()
+    let serving = http1::Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(BUFFER_BYTES)
-        .max_headers(HEADERS)
+        .max_buf_size(MAX_BUFFER_BYTES)
+        .max_headers(MAX_HEADERS)
         .serve_connection(TokioIo::new(stream), service);
-    let mut served = std::pin::pin!(served);
+    let mut serving = std::pin::pin!(serving);
     let ended = tokio::select! {
-        ended = served.as_mut() => ended,
-        slow = activity.overdue(limits) => {
+        ended = serving.as_mut() => ended,
+        slow = activity.wait_until_overdue(limits) => {
             if slow {
                 shared.metrics.slow_callers.inc();
             }
             return;
         }
-        _ = closed(&mut closing) => {
+        _ = wait_for_close(&mut closing) => {
             // A request that was on its way when the door closed is still read and answered.
-            match tokio::time::timeout(CLOSE_GRACE, served.as_mut()).await {
+            match tokio::time::timeout(CLOSE_GRACE, serving.as_mut()).await {
                 Ok(ended) => ended,
                 Err(_) => {
-                    served.as_mut().graceful_shutdown();
-                    served.await
+                    serving.as_mut().graceful_shutdown();
+                    serving.await
                 }
             }
         }
@@ -218,25 +218,25 @@
     request: Request<Incoming>,
     peer: SocketAddr,
 ) -> Response<ReplyBody> {
-    let (busy, verdict) = activity.begin();
+    let (busy, verdict) = activity.begin_request();
     let id = shared.next_request();
     let head_only = request.method() == Method::HEAD;
-    let asked = Asked::of(&request);
-    let admitted = match inspected(verdict, request.uri()) {
+    let summary = RequestSummary::new(&request);
+    let admitted = match check_head(verdict, request.uri()) {
         Ok(()) => admit(shared, id, request, peer).await,
         Err(refusal) => Err(refusal),
     };
     let reply = admitted.unwrap_or_else(Reply::Refused);
     if let Reply::Refused(refusal) = &reply {
         shared.metrics.count_refusal(refusal.reason);
-        note(shared, id, &asked, refusal);
+        record_refusal(shared, id, &summary, refusal);
     }
     reply::response(shared, id, head_only, reply).map(|body| body.until_written(busy))
 }
 
 /// Refuses a request whose head has no single reading; a target with an authority is a second
 /// host beside the header.
-fn inspected(verdict: Verdict, uri: &Uri) -> Result<(), Refusal> {
+fn check_head(verdict: Verdict, uri: &Uri) -> Result<(), Refusal> {
     match verdict {
         Verdict::TooLarge => Err(Refusal::not_run(RefusalReason::HeadersTooLarge)),
         Verdict::Ambiguous => Err(Refusal::not_run(RefusalReason::BadRequest)),
@@ -249,34 +249,34 @@
 
 /// What a caller asked for, as far as an operator is told it later: no path, query or header, which
 /// may hold a caller's secrets.
-struct Asked {
+struct RequestSummary {
     method: String,
     host: String,
 }
 
-impl Asked {
-    fn of<T>(request: &Request<T>) -> Self {
+impl RequestSummary {
+    fn new<T>(request: &Request<T>) -> Self {
         let host = request.headers().get("host");
         let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
         Self {
             method: request.method().to_string(),
-            host: host.chars().take(HOST_CHARS).collect(),
+            host: host.chars().take(MAX_HOST_CHARS).collect(),
         }
     }
 }
 
 /// Keeps a refusal for operators who ask why.
-fn note(shared: &Shared, id: RequestId, asked: &Asked, refusal: &Refusal) {
+fn record_refusal(shared: &Shared, id: RequestId, summary: &RequestSummary, refusal: &Refusal) {
     let routes = shared.routes.load();
-    let service = routes.service(&asked.host);
+    let service = routes.service(&summary.host);
     let service = service.map_or("", |service| &service.name);
     let retry_after = refusal
         .retry_after
         .map_or("never".into(), |after| format!("{after:?}"));
     let inputs = format!(
         "{} {}, {}, ask again: {retry_after}",
-        asked.method,
-        asked.host,
+        summary.method,
+        summary.host,
         refusal.outcome.label()
     );
     let request = shared.request_name(id);
@@ -331,30 +331,30 @@
         parts: Box::new(parts),
         reply: sender,
     };
-    let mut left = CallerLeft {
+    let mut disconnect = DisconnectNotifier {
         shared: Some(Arc::clone(shared)),
         id,
     };
     match shared.dispatch.try_send(message) {
         Ok(()) => {}
         Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-            left.shared = None;
+            disconnect.shared = None;
             return Err(Refusal::not_run(RefusalReason::Overloaded));
         }
     }
     let reply = receiver.await;
-    left.shared = None;
+    disconnect.shared = None;
     reply.map_err(|_| Refusal::unknown(RefusalReason::ShuttingDown))
 }
 
 /// Tells the dispatch duty that a caller went away: the HTTP library drops the waiting future
 /// when the connection closes.
-struct CallerLeft {
+struct DisconnectNotifier {
     shared: Option<Arc<Shared>>,
     id: RequestId,
 }
 
-impl Drop for CallerLeft {
+impl Drop for DisconnectNotifier {
     fn drop(&mut self) {
         if let Some(shared) = self.shared.take() {
             drop(
--- a/crates/kingcuploftd/src/caller_edge/overload.rs
+++ b/crates/kingcuploftd/src/caller_edge/overload.rs
@@ -11,14 +11,15 @@
 use crate::shared::Shared;
 
 /// How many connections are refused with an answer at once; more are closed without one.
-pub(super) const REFUSALS_AT_ONCE: usize = 256;
+pub(super) const MAX_CONCURRENT_REFUSALS: usize = 256;
 
 /// How long a refused caller may take to send its request, and then to read its answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Answers the first request of a connection with 503 and closes it.
 pub(super) async fn refuse(shared: Arc<Shared>, mut stream: TcpStream) {
-    let refusal = Refusal::not_run(RefusalReason::Overloaded).retry_after(reply::OVERLOADED_PAUSE);
+    let refusal =
+        Refusal::not_run(RefusalReason::Overloaded).retry_after(reply::OVERLOAD_RETRY_AFTER);
     let id = shared.request_name(shared.next_request());
     let body = reply::refusal_body(&id, &refusal);
     let answer = format!(
@@ -26,7 +27,7 @@
         body.len(),
         refusal.reason.label(),
         refusal.outcome.label(),
-        reply::OVERLOADED_PAUSE.as_millis(),
+        reply::OVERLOAD_RETRY_AFTER.as_millis(),
     );
     let mut request = [0; 4096];
     let exchange = async {
@@ -39,5 +40,5 @@
         // Closing with unread bytes would reset the connection before the answer is read.
         while stream.read(&mut request).await.is_ok_and(|read| read > 0) {}
     };
-    drop(tokio::time::timeout(PATIENCE, exchange).await);
+    drop(tokio::time::timeout(REFUSAL_TIMEOUT, exchange).await);
 }
--- a/crates/kingcuploftd/src/caller_edge/reply.rs
+++ b/crates/kingcuploftd/src/caller_edge/reply.rs
@@ -17,7 +17,7 @@
 use crate::shared::Shared;
 
 /// After which pause a caller whom this VM has no room for may come back.
-pub(super) const OVERLOADED_PAUSE: Duration = Duration::from_secs(1);
+pub(super) const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 const REASON_HEADER: HeaderName = HeaderName::from_static("x-kingcuploft-reason");
 const OUTCOME_HEADER: HeaderName = HeaderName::from_static("x-kingcuploft-outcome");
@@ -36,8 +36,8 @@
 ) -> Response<ReplyBody> {
     let own_id = shared.request_name(id);
     let mut response = match reply {
-        Reply::Answer(answer) => answered(answer, head_only),
-        Reply::Refused(refusal) => refused(&own_id, refusal),
+        Reply::Answer(answer) => answer_response(answer, head_only),
+        Reply::Refused(refusal) => refusal_response(&own_id, refusal),
     };
     if let Ok(value) = HeaderValue::from_str(&own_id) {
         response.headers_mut().insert("x-request-id", value);
@@ -51,14 +51,14 @@
 
 /// Passes a backend server's answer on. The length is told where it is known although the body
 /// does not go out with it: for a streamed answer, and for the head of one.
-fn answered(answer: Answer, head_only: bool) -> Response<ReplyBody> {
+fn answer_response(answer: Answer, head_only: bool) -> Response<ReplyBody> {
     let length = answer.headers.get(CONTENT_LENGTH).cloned();
     let rest = answer.rest.as_ref().and_then(RemainingBody::take);
-    let tell_length = head_only || rest.is_some();
+    let send_length = head_only || rest.is_some();
     let mut response = Response::new(ReplyBody::new(answer.body, rest));
     *response.status_mut() = answer.status;
     *response.headers_mut() = end_to_end(answer.headers);
-    if let Some(length) = length.filter(|_| tell_length) {
+    if let Some(length) = length.filter(|_| send_length) {
         response.headers_mut().insert(CONTENT_LENGTH, length);
     }
     response
@@ -76,8 +76,8 @@
     body.to_string()
 }
 
-fn refused(own_id: &str, refusal: Refusal) -> Response<ReplyBody> {
-    let refusal = with_pause(refusal);
+fn refusal_response(own_id: &str, refusal: Refusal) -> Response<ReplyBody> {
+    let refusal = with_retry_after(refusal);
     let body = Bytes::from(refusal_body(own_id, &refusal));
     let mut response = Response::new(ReplyBody::new(body, None));
     *response.status_mut() = status(refusal.reason);
@@ -94,27 +94,27 @@
     if refusal.earlier_requests_unknown() {
         headers.insert(EARLIER_HEADER, label(NOT_CHECKED));
     }
-    if ends_connection(refusal.reason) {
+    if closes_connection(refusal.reason) {
         headers.insert(CONNECTION, label("close"));
     }
     response
 }
 
 /// Adds when to come back where only this VM lacks room: its caller should try another one.
-fn with_pause(refusal: Refusal) -> Refusal {
-    let no_room = matches!(
+fn with_retry_after(refusal: Refusal) -> Refusal {
+    let overloaded = matches!(
         refusal.reason,
         RefusalReason::Overloaded | RefusalReason::NotReady | RefusalReason::ShuttingDown
     );
     match refusal.retry_after {
-        None if no_room => refusal.retry_after(OVERLOADED_PAUSE),
+        None if overloaded => refusal.retry_after(OVERLOAD_RETRY_AFTER),
         _ => refusal,
     }
 }
 
 /// Tells whether nothing more can be read after a refusal: what follows a request that has no
 /// single reading, or whose body was left unread, is not known to be a request.
-fn ends_connection(reason: RefusalReason) -> bool {
+fn closes_connection(reason: RefusalReason) -> bool {
     matches!(
         reason,
         RefusalReason::BadRequest
--- a/crates/kingcuploftd/src/caller_edge/reply_body.rs
+++ b/crates/kingcuploftd/src/caller_edge/reply_body.rs
@@ -13,7 +13,7 @@
 /// can not take the part it has for the whole.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the backend server cut its answer")]
-pub(super) struct Cut;
+pub(super) struct TruncatedAnswer;
 
 /// A reply's body.
 #[derive(Debug)]
@@ -45,12 +45,12 @@
 
 impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         if let Some(beginning) = self.beginning.take() {
             return Poll::Ready(Some(Ok(Frame::data(beginning))));
         }
@@ -59,7 +59,7 @@
         };
         rest.poll_next(context).map(|next| match next {
             NextChunk::Data(data) => Some(Ok(Frame::data(data))),
-            NextChunk::Cut => Some(Err(Cut)),
+            NextChunk::Truncated => Some(Err(TruncatedAnswer)),
             NextChunk::End => {
                 self.rest = None;
                 None
--- a/crates/kingcuploftd/src/claims/calls.rs
+++ b/crates/kingcuploftd/src/claims/calls.rs
@@ -35,7 +35,7 @@
     for call in calls {
         let answer = CallAnswer {
             partition: call.partition,
-            answer: make(store, metrics, call.operation),
+            answer: perform(store, metrics, call.operation),
         };
         if answers.send(answer).is_err() {
             return;
@@ -43,7 +43,7 @@
     }
 }
 
-fn make(store: &dyn ObjectStore, metrics: &ClaimMetrics, operation: Operation) -> StoreAnswer {
+fn perform(store: &dyn ObjectStore, metrics: &ClaimMetrics, operation: Operation) -> StoreAnswer {
     let (kind, answer) = match operation {
         Operation::Get { name, kind } => (CallKind::Get, get(store, &name, kind)),
         Operation::Put { name, value, when } => (CallKind::Put, put(store, &name, &value, when)),
@@ -53,7 +53,7 @@
         }
     };
     metrics.count_call(kind, answer.as_ref().err());
-    answer.unwrap_or_else(|error| failed(&error))
+    answer.unwrap_or_else(|error| classify_error(&error))
 }
 
 fn get(store: &dyn ObjectStore, name: &str, kind: StoredKind) -> Result<StoreAnswer, StoreError> {
@@ -99,7 +99,7 @@
 }
 
 /// Turns the client's error into what it proves.
-fn failed(error: &StoreError) -> StoreAnswer {
+fn classify_error(error: &StoreError) -> StoreAnswer {
     StoreAnswer::Failed(match error {
         StoreError::Conflict { found } => return StoreAnswer::Conflict { found: *found },
         StoreError::NoAnswer(_) => StoreFailure::NoAnswer,
--- a/crates/kingcuploftd/src/claims/mod.rs
+++ b/crates/kingcuploftd/src/claims/mod.rs
@@ -28,17 +28,17 @@
 pub use kingcuploft::decisions::claim::key_hash;
 
 /// The longest sleep without an event.
-const LONGEST_SLEEP: Duration = Duration::from_millis(200);
+const MAX_SLEEP: Duration = Duration::from_millis(200);
 
 /// How long a stopping daemon tries to write the last ends.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The most threads that call the store.
-const THREADS: u16 = 8;
+const MAX_STORE_THREADS: u16 = 8;
 
 /// Where a request's claim is, and how long a recorded answer may be.
 #[derive(Clone, Copy, Debug)]
-struct Placed {
+struct PlacedClaim {
     partition: u16,
     record_bytes: u64,
 }
@@ -47,28 +47,28 @@
     shared: Arc<Shared>,
     partitions: Vec<Partition>,
     calls: Sender<Call>,
-    placed: HashMap<RequestId, Placed>,
+    claims: HashMap<RequestId, PlacedClaim>,
     rng: fastrand::Rng,
     out: Vec<Output>,
 }
 
 /// Runs the duty until the dispatch duty ends and the last ends are written.
-pub fn run<S: ObjectStore>(shared: Arc<Shared>, ring: &Receiver<ClaimTask>, store: S) {
-    let Some(count) = layout::partitions(&shared, ring, &store) else {
+pub fn run<S: ObjectStore>(shared: Arc<Shared>, tasks: &Receiver<ClaimTask>, store: S) {
+    let Some(count) = layout::partition_count(&shared, tasks, &store) else {
         return;
     };
     // One call per partition is open at most: neither ring is ever full.
-    let room = usize::from(count);
-    let (calls, call_orders) = bounded(room);
-    let (answers, call_answers) = bounded(room);
+    let capacity = usize::from(count);
+    let (calls, call_requests) = bounded(capacity);
+    let (answers, call_answers) = bounded(capacity);
     std::thread::scope(|scope| {
-        for _ in 0..count.min(THREADS) {
-            let (store, calls, answers) = (&store, call_orders.clone(), answers.clone());
+        for _ in 0..count.min(MAX_STORE_THREADS) {
+            let (store, calls, answers) = (&store, call_requests.clone(), answers.clone());
             let metrics = &shared.metrics.claims;
             scope.spawn(move || calls::run(store, metrics, &calls, &answers));
         }
         drop(answers);
-        Claims::new(Arc::clone(&shared), count, calls).run(ring, &call_answers);
+        Claims::new(Arc::clone(&shared), count, calls).run(tasks, &call_answers);
     });
 }
 
@@ -81,22 +81,22 @@
         Self {
             partitions: (0..count).map(partition).collect(),
             calls,
-            placed: HashMap::default(),
+            claims: HashMap::default(),
             rng: fastrand::Rng::with_seed(owner),
             out: Vec::new(),
             shared,
         }
     }
 
-    fn run(mut self, ring: &Receiver<ClaimTask>, answers: &Receiver<CallAnswer>) {
+    fn run(mut self, tasks: &Receiver<ClaimTask>, answers: &Receiver<CallAnswer>) {
         loop {
             select! {
-                recv(ring) -> order => match order {
-                    Ok(order) => self.order(order),
+                recv(tasks) -> task => match task {
+                    Ok(task) => self.handle_task(task),
                     Err(_) => break,
                 },
                 recv(answers) -> answer => if let Ok(answer) = answer {
-                    self.answered(answer);
+                    self.handle_answer(answer);
                 },
                 default(self.sleep()) => {}
             }
@@ -118,7 +118,7 @@
                 return;
             }
             if let Ok(answer) = answers.recv_timeout(self.sleep()) {
-                self.answered(answer);
+                self.handle_answer(answer);
             }
             self.tick();
         }
@@ -127,11 +127,11 @@
     fn sleep(&self) -> Duration {
         let due = self.partitions.iter().filter_map(Partition::next_due).min();
         let left = due.map(|due| due.saturating_duration_since(Instant::now()));
-        left.map_or(LONGEST_SLEEP, |left| left.min(LONGEST_SLEEP))
+        left.map_or(MAX_SLEEP, |left| left.min(MAX_SLEEP))
     }
 
-    fn order(&mut self, order: ClaimTask) {
-        match order {
+    fn handle_task(&mut self, task: ClaimTask) {
+        match task {
             ClaimTask::Claim {
                 request,
                 key,
@@ -140,30 +140,30 @@
                 window,
                 record_bytes,
             } => {
-                let placed = Placed {
+                let placed = PlacedClaim {
                     partition: partition_of(key, self.partitions.len() as u16),
                     record_bytes,
                 };
-                self.placed.insert(request, placed);
-                let give_up = Instant::now() + self.shared.settings.claims.timeout();
+                self.claims.insert(request, placed);
+                let claim_deadline = Instant::now() + self.shared.settings.claims.timeout();
                 let claim = Claim {
                     key,
                     fingerprint,
                     claimant: self.claimant(request),
                     window,
-                    deadline: give_up.min(deadline),
+                    deadline: claim_deadline.min(deadline),
                 };
-                self.pass(placed, ClaimCommand::Claim(request, claim));
+                self.send_command(placed, ClaimCommand::Claim(request, claim));
             }
             ClaimTask::Release { request } => {
-                if let Some(placed) = self.placed.remove(&request) {
-                    self.pass(placed, ClaimCommand::Release(request));
+                if let Some(placed) = self.claims.remove(&request) {
+                    self.send_command(placed, ClaimCommand::Release(request));
                 }
             }
             ClaimTask::Acknowledge { request, answer } => {
-                if let Some(placed) = self.placed.remove(&request) {
-                    let end = records::end(answer.as_deref(), placed.record_bytes);
-                    self.pass(placed, ClaimCommand::Acknowledge(request, end));
+                if let Some(placed) = self.claims.remove(&request) {
+                    let end = records::entry_state(answer.as_deref(), placed.record_bytes);
+                    self.send_command(placed, ClaimCommand::Acknowledge(request, end));
                 }
             }
         }
@@ -178,15 +178,15 @@
         }
     }
 
-    fn pass(&mut self, placed: Placed, order: ClaimCommand) {
-        self.feed(placed.partition, |partition, time, out| {
-            partition.handle_command(time, order, out);
+    fn send_command(&mut self, placed: PlacedClaim, command: ClaimCommand) {
+        self.run_partition(placed.partition, |partition, time, out| {
+            partition.handle_command(time, command, out);
         });
     }
 
-    fn answered(&mut self, answer: CallAnswer) {
+    fn handle_answer(&mut self, answer: CallAnswer) {
         let CallAnswer { partition, answer } = answer;
-        self.feed(partition, |partition, time, out| {
+        self.run_partition(partition, |partition, time, out| {
             partition.handle_answer(time, answer, out);
         });
     }
@@ -198,7 +198,7 @@
                 .next_due()
                 .is_some_and(|due| due <= now)
             {
-                self.feed(number as u16, |partition, time, out| {
+                self.run_partition(number as u16, |partition, time, out| {
                     partition.tick(time, out)
                 });
             }
@@ -207,7 +207,7 @@
         self.shared.metrics.claims.held.set(held as i64);
     }
 
-    fn feed(
+    fn run_partition(
         &mut self,
         number: u16,
         event: impl FnOnce(&mut Partition, &mut EventContext<'_>, &mut Vec<Output>),
@@ -225,12 +225,12 @@
             &mut out,
         );
         for output in out.drain(..) {
-            self.act(number, output);
+            self.perform(number, output);
         }
         self.out = out;
     }
 
-    fn act(&mut self, partition: u16, output: Output) {
+    fn perform(&mut self, partition: u16, output: Output) {
         match output {
             Output::Store(operation) => {
                 let call = Call {
@@ -241,20 +241,20 @@
                     tracing::error!("claims: partition {partition} has more than one call open.");
                 }
             }
-            Output::Verdict(request, verdict) => self.verdict(request, &verdict),
+            Output::Verdict(request, verdict) => self.report_verdict(request, &verdict),
             Output::Event(counted) => self.shared.metrics.claims.count_event(counted),
         }
     }
 
-    fn verdict(&mut self, request: RequestId, verdict: &Verdict) {
+    fn report_verdict(&mut self, request: RequestId, verdict: &Verdict) {
         self.shared.metrics.claims.count_verdict(verdict);
         if *verdict != Verdict::Held {
-            self.placed.remove(&request);
+            self.claims.remove(&request);
         }
-        let (end, recorded) = records::claim_end(verdict);
+        let (result, recorded) = records::claim_result(verdict);
         let message = Message::Claimed {
             request,
-            end,
+            result,
             recorded: recorded.map(Box::new),
         };
         // The dispatch duty never waits for this one, so this wait ends.
--- a/crates/kingcuploftd/src/claims/records.rs
+++ b/crates/kingcuploftd/src/claims/records.rs
@@ -52,7 +52,7 @@
 }
 
 /// Returns what is recorded of an action's end: its answer, where it is whole and short enough.
-pub(super) fn end(answer: Option<&Answer>, record_bytes: u64) -> EntryState {
+pub(super) fn entry_state(answer: Option<&Answer>, record_bytes: u64) -> EntryState {
     let Some(answer) = answer else {
         return EntryState::EndUnknown;
     };
@@ -71,15 +71,15 @@
 }
 
 /// Returns what a verdict means for the dispatcher, and the answer to replay.
-pub(super) fn claim_end(verdict: &Verdict) -> (ClaimResult, Option<Answer>) {
+pub(super) fn claim_result(verdict: &Verdict) -> (ClaimResult, Option<Answer>) {
     match (verdict, refusal(verdict)) {
-        (Verdict::Replay(record), _) => (ClaimResult::Replayed, Some(answer(record))),
+        (Verdict::Replay(record), _) => (ClaimResult::Replayed, Some(recorded_answer(record))),
         (_, Some(refusal)) => (ClaimResult::Refused(refusal), None),
         (_, None) => (ClaimResult::Held, None),
     }
 }
 
-fn answer(record: &Record) -> Answer {
+fn recorded_answer(record: &Record) -> Answer {
     let mut headers = HeaderMap::new();
     for (name, value) in &record.headers {
         let name = HeaderName::from_bytes(name.as_bytes());
--- a/crates/kingcuploftd/src/daemon.rs
+++ b/crates/kingcuploftd/src/daemon.rs
@@ -21,7 +21,7 @@
 };
 
 /// Probes that wait for the measuring duty; more would be old before they run.
-const PROBES_WAITING: usize = 16;
+const MAX_QUEUED_PROBES: usize = 16;
 
 /// A running daemon.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     peer_address: Option<SocketAddr>,
     caller_edge: JoinHandle<()>,
     dispatch: JoinHandle<()>,
-    others: Vec<JoinHandle<()>>,
+    threads: Vec<JoinHandle<()>>,
 }
 
 /// Why a daemon did not start.
@@ -63,7 +63,7 @@
     pub fn start(settings: Settings) -> Result<Self, StartError> {
         let callers = listen(settings.listen)?;
         let admins = listen(settings.admin_listen)?;
-        let peers = Peers::open(&settings.peer)?;
+        let peers = PeerListener::open(&settings.peer)?;
         let address = callers.local_addr().map_err(StartError::Thread)?;
         let admin_address = admins.local_addr().map_err(StartError::Thread)?;
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -76,56 +76,56 @@
         let limits = settings.limits.clone();
         let platform = settings.platform.clone();
         let store = Client::with_settings(&platform, settings.store.clone(), incarnation);
-        let (to_dispatch, from_all) = bounded(limits.ring);
-        let (calls, call_orders) = bounded(limits.ring);
-        let (claims, claim_orders) = bounded(limits.ring);
-        let (probes, probe_orders) = bounded(PROBES_WAITING);
+        let (to_dispatch, messages) = bounded(limits.ring);
+        let (calls, call_tasks) = bounded(limits.ring);
+        let (claims, claim_tasks) = bounded(limits.ring);
+        let (probes, probe_requests) = bounded(MAX_QUEUED_PROBES);
         let shared = Shared::new(settings, vm, to_dispatch);
-        let mut others = Vec::new();
+        let mut threads = Vec::new();
         let agent = backend_edge::agent();
         for i in 0..limits.workers {
-            let (shared, ring, agent) = (shared.clone(), call_orders.clone(), agent.clone());
-            let duty = move || backend_edge::run(&shared, &ring, &agent);
-            others.push(spawn(&format!("worker-{i}"), duty)?);
+            let (shared, tasks, agent) = (shared.clone(), call_tasks.clone(), agent.clone());
+            let thread_main = move || backend_edge::run(&shared, &tasks, &agent);
+            threads.push(spawn(&format!("worker-{i}"), thread_main)?);
         }
         let (context, own_store) = (shared.clone(), store.clone());
-        let duty = move || claims::run(context, &claim_orders, own_store);
-        others.push(spawn("claims", duty)?);
+        let thread_main = move || claims::run(context, &claim_tasks, own_store);
+        threads.push(spawn("claims", thread_main)?);
         // Manifests and membership have connections, a budget and a circuit of their own: a burst
         // of claims must not hold up a manifest.
         let fleet_settings = shared.settings.store.clone();
         let fleet_store = Client::with_settings(&platform, fleet_settings, incarnation ^ 1);
         let (context, own_store) = (shared.clone(), fleet_store.clone());
-        let duty = move || manifest_watch::run(&context, &own_store);
-        others.push(spawn("manifest", duty)?);
+        let thread_main = move || manifest_watch::run(&context, &own_store);
+        threads.push(spawn("manifest", thread_main)?);
         let context = shared.clone();
-        let duty = move || membership_sync::run(&context, &fleet_store);
-        others.push(spawn("membership", duty)?);
+        let thread_main = move || membership_sync::run(&context, &fleet_store);
+        threads.push(spawn("membership", thread_main)?);
         let peer_address = peers.as_ref().map(|peers| peers.address);
         if let Some(peers) = peers {
-            let shown = shared.settings.peer.address.unwrap_or(peers.address);
-            shared.fleet.membership().set_address(shown);
+            let advertised = shared.settings.peer.address.unwrap_or(peers.address);
+            shared.fleet.membership().set_address(advertised);
             let context = shared.clone();
-            let duty = move || peer_link::run(&context, peers.listener, peers.keys);
-            others.push(spawn("peers", duty)?);
+            let thread_main = move || peer_link::run(&context, peers.listener, peers.keys);
+            threads.push(spawn("peers", thread_main)?);
         }
         let context = shared.clone();
-        let duty = move || caller_edge::run(&context, callers);
-        let caller_edge = spawn("caller-edge", duty)?;
+        let thread_main = move || caller_edge::run(&context, callers);
+        let caller_edge = spawn("caller-edge", thread_main)?;
         let context = shared.clone();
-        let duty = move || admin::run(&context, admins);
-        others.push(spawn("admin", duty)?);
+        let thread_main = move || admin::run(&context, admins);
+        threads.push(spawn("admin", thread_main)?);
         let context = shared.clone();
-        let duty = move || prober::run(&context, &probe_orders);
-        others.push(spawn("measure", duty)?);
+        let thread_main = move || prober::run(&context, &probe_requests);
+        threads.push(spawn("measure", thread_main)?);
         let context = shared.clone();
-        let rings = TaskSenders {
+        let senders = TaskSenders {
             calls,
             probes,
             claims,
         };
-        let duty = move || dispatch::run(context, &from_all, rings, incarnation);
-        let dispatch = spawn("dispatch", duty)?;
+        let thread_main = move || dispatch::run(context, &messages, senders, incarnation);
+        let dispatch = spawn("dispatch", thread_main)?;
         tracing::info!("daemon: {} listens on {address}.", shared.vm.name);
         Ok(Self {
             shared,
@@ -134,7 +134,7 @@
             peer_address,
             caller_edge,
             dispatch,
-            others,
+            threads,
         })
     }
 
@@ -177,21 +177,21 @@
         // What is still at a backend server passed the bound of the stop.
         self.shared.calls.cancel_all();
         self.shared.end();
-        for duty in self.others {
-            drop(duty.join());
+        for thread in self.threads {
+            drop(thread.join());
         }
         tracing::info!("daemon: {} stopped.", self.shared.vm.name);
     }
 }
 
 /// What the peer duty starts with.
-struct Peers {
+struct PeerListener {
     listener: TcpListener,
     address: SocketAddr,
     keys: Keys,
 }
 
-impl Peers {
+impl PeerListener {
     fn open(settings: &PeerSettings) -> Result<Option<Self>, StartError> {
         let Some(address) = settings.listen else {
             return Ok(None);
@@ -213,7 +213,7 @@
 /// How many connections the system takes before the daemon does. The standard library's 128 are
 /// fewer than the callers that connect at once when an entry VM comes back behind the platform's
 /// balancer: the system drops the others' first packets, and they wait a second or three.
-const BACKLOG: i32 = 4096;
+const ACCEPT_BACKLOG: i32 = 4096;
 
 fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
     bind(address).map_err(|error| StartError::Listen { address, error })
@@ -224,11 +224,14 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     Ok(socket.into())
 }
 
-fn spawn(name: &str, duty: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>, StartError> {
+fn spawn(
+    name: &str,
+    thread_main: impl FnOnce() + Send + 'static,
+) -> Result<JoinHandle<()>, StartError> {
     let thread = std::thread::Builder::new().name(name.into());
-    thread.spawn(duty).map_err(StartError::Thread)
+    thread.spawn(thread_main).map_err(StartError::Thread)
 }
--- a/crates/kingcuploftd/src/decision_log.rs
+++ b/crates/kingcuploftd/src/decision_log.rs
@@ -10,10 +10,10 @@
 use serde::{Deserialize, Serialize};
 
 /// How many decisions are kept.
-const KEPT: usize = 2048;
+const MAX_DECISIONS: usize = 2048;
 
 /// The most decisions in one answer.
-const SHOWN: usize = 200;
+const MAX_RESULTS: usize = 200;
 
 /// What was decided.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -47,7 +47,7 @@
 /// The last decisions.
 #[derive(Debug, Default)]
 pub struct DecisionLog {
-    kept: Mutex<VecDeque<Decision>>,
+    decisions: Mutex<VecDeque<Decision>>,
 }
 
 impl DecisionLog {
@@ -69,11 +69,11 @@
             request: request.into(),
             inputs,
         };
-        let mut kept = self.lock();
-        if kept.len() >= KEPT {
-            kept.pop_front();
+        let mut decisions = self.lock();
+        if decisions.len() >= MAX_DECISIONS {
+            decisions.pop_front();
         }
-        kept.push_back(decision);
+        decisions.push_back(decision);
     }
 
     /// Returns the decisions that a query such as `service=trip&reason=queue_full` asks for, newest
@@ -81,7 +81,7 @@
     pub fn search(&self, query: &str) -> Vec<Decision> {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         let wanted: Vec<(&str, &str)> = pairs.collect();
-        let fits = |decision: &&Decision| {
+        let matches = |decision: &&Decision| {
             wanted.iter().all(|(name, value)| match *name {
                 "service" => decision.service == *value,
                 "reason" => decision.reason == *value,
@@ -89,16 +89,19 @@
                 _ => true,
             })
         };
-        let kept = self.lock();
-        kept.iter()
+        let decisions = self.lock();
+        decisions
+            .iter()
             .rev()
-            .filter(fits)
-            .take(SHOWN)
+            .filter(matches)
+            .take(MAX_RESULTS)
             .cloned()
             .collect()
     }
 
     fn lock(&self) -> MutexGuard<'_, VecDeque<Decision>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+        self.decisions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/kingcuploftd/src/dispatch.rs
+++ b/crates/kingcuploftd/src/dispatch.rs
@@ -21,7 +21,7 @@
 use crate::shared::Shared;
 
 /// The longest sleep without an event.
-const LONGEST_SLEEP: Duration = Duration::from_millis(100);
+const MAX_SLEEP: Duration = Duration::from_millis(100);
 
 /// The rings out of the dispatch duty.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
 }
 
 /// A request whose caller waits.
-struct Pending {
+struct PendingRequest {
     service: ServiceName,
     arrived: Instant,
     /// How its key is claimed, where it has one.
@@ -46,61 +46,61 @@
 
 struct Dispatch {
     shared: Arc<Shared>,
-    rings: TaskSenders,
+    senders: TaskSenders,
     dispatcher: Dispatcher,
-    pending: HashMap<RequestId, Pending>,
+    pending: HashMap<RequestId, PendingRequest>,
     /// Answers of attempts, between their end and what the dispatcher makes of them.
     answers: HashMap<AttemptId, Answer>,
     actions: Vec<Action>,
     /// Attempts that could not be handed to the backend edge.
-    not_handed_over: Vec<AttemptId>,
+    unsent_calls: Vec<AttemptId>,
     /// The manifest that the dispatcher goes by, which may be older than the one in force.
     manifest: Arc<Manifest>,
     /// How many VMs share the backend servers, as was last seen.
-    sharing: usize,
+    sharing_vm_count: usize,
     /// The live VMs, as were last seen.
-    live: Vec<VmName>,
+    live_vms: Vec<VmName>,
     /// When to look at these again.
-    next_look: Instant,
+    next_membership_check: Instant,
     /// Claims that could not be handed to the claims duty.
-    not_claimed: Vec<RequestId>,
+    unsent_claims: Vec<RequestId>,
     /// Releases and acknowledgements that its ring had no room for, oldest first.
-    late_claim_ends: VecDeque<ClaimTask>,
+    queued_claim_ends: VecDeque<ClaimTask>,
 }
 
 /// Runs the duty until a stop has been asked for and nothing is in flight.
-pub fn run(shared: Arc<Shared>, ring: &Receiver<Message>, rings: TaskSenders, seed: u64) {
+pub fn run(shared: Arc<Shared>, messages: &Receiver<Message>, senders: TaskSenders, seed: u64) {
     let dispatcher = Dispatcher::new(shared.vm.clone(), seed);
     let mut dispatch = Dispatch {
         shared,
-        rings,
+        senders,
         dispatcher,
         pending: HashMap::default(),
         answers: HashMap::default(),
         actions: Vec::new(),
-        not_handed_over: Vec::new(),
+        unsent_calls: Vec::new(),
         manifest: Arc::default(),
-        sharing: 0,
-        live: Vec::new(),
-        next_look: Instant::now(),
-        not_claimed: Vec::new(),
-        late_claim_ends: VecDeque::new(),
+        sharing_vm_count: 0,
+        live_vms: Vec::new(),
+        next_membership_check: Instant::now(),
+        unsent_claims: Vec::new(),
+        queued_claim_ends: VecDeque::new(),
     };
     let mut stop: Option<Instant> = None;
     // A stop that has a bound ends at it even where a request is still in flight.
     while stop.is_none_or(|until| dispatch.dispatcher.in_flight() > 0 && Instant::now() < until) {
-        match ring.recv_timeout(dispatch.sleep()) {
+        match messages.recv_timeout(dispatch.sleep()) {
             Ok(Message::Stop(until)) => stop = Some(until),
             Ok(message) => dispatch.on_message(message),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => break,
         }
-        dispatch.pass_time();
-        dispatch.hand_over_late_claim_ends();
+        dispatch.tick();
+        dispatch.flush_claim_ends();
     }
     // The claims duty ends only after this one: it takes all that is left.
-    for order in dispatch.late_claim_ends {
-        drop(dispatch.rings.claims.send(order));
+    for task in dispatch.queued_claim_ends {
+        drop(dispatch.senders.claims.send(task));
     }
 }
 
@@ -108,24 +108,24 @@
     fn sleep(&self) -> Duration {
         let due = self.dispatcher.next_tick();
         let left = due.map(|due| due.saturating_duration_since(Instant::now()));
-        left.map_or(LONGEST_SLEEP, |left| left.min(LONGEST_SLEEP))
+        left.map_or(MAX_SLEEP, |left| left.min(MAX_SLEEP))
     }
 
     /// Tells the dispatcher of the time where something is due.
     ///
     /// This is done after each message too: under load the ring is never empty, and deadlines
     /// would pass unseen if only an empty ring let time pass.
-    fn pass_time(&mut self) {
+    fn tick(&mut self) {
         let now = Instant::now();
-        if now >= self.next_look {
-            self.next_look = now + LONGEST_SLEEP;
-            self.look_at_membership();
+        if now >= self.next_membership_check {
+            self.next_membership_check = now + MAX_SLEEP;
+            self.check_membership();
             let metrics = &self.shared.metrics.service;
             let loads = self.dispatcher.loads();
             loads.for_each(|(service, load)| metrics.set_load(service, &load));
             let sharing = self.shared.fleet.sharing_vm_count(&self.shared);
-            if sharing != self.sharing {
-                self.sharing = sharing;
+            if sharing != self.sharing_vm_count {
+                self.sharing_vm_count = sharing;
                 self.on_event(Event::LiveVmCount(
                     u32::try_from(sharing).unwrap_or(u32::MAX),
                 ));
@@ -137,12 +137,12 @@
     }
 
     /// Tells the dispatcher which VMs are live, where that changed.
-    fn look_at_membership(&mut self) {
+    fn check_membership(&mut self) {
         let members = self.shared.fleet.members();
         let live = members.into_iter().filter(|m| m.state == MemberState::Live);
         let live: Vec<VmName> = live.map(|member| member.name).collect();
-        if live != self.live {
-            self.live.clone_from(&live);
+        if live != self.live_vms {
+            self.live_vms.clone_from(&live);
             self.on_event(Event::MembershipChanged(live));
         }
     }
@@ -155,8 +155,8 @@
                 reply,
             } => {
                 let id = arrival.request;
-                let claim = claim_order(&arrival, &parts);
-                let pending = Pending {
+                let claim = claim_task(&arrival, &parts);
+                let pending = PendingRequest {
                     service: arrival.route.service.name.clone(),
                     arrived: arrival.arrived,
                     claim,
@@ -181,13 +181,13 @@
             }
             Message::Claimed {
                 request,
-                end,
+                result,
                 recorded,
             } => {
                 if let Some(answer) = recorded {
                     self.reply(request, Reply::Answer(*answer));
                 }
-                self.on_event(Event::Claimed(request, end));
+                self.on_event(Event::Claimed(request, result));
             }
             Message::ManifestAdopted(accepted) => {
                 self.shared
@@ -212,15 +212,15 @@
     }
 
     fn on_event(&mut self, event: Event) {
-        self.take_event(event);
-        while let Some(event) = self.failed_hand_over() {
-            self.take_event(event);
+        self.handle_event(event);
+        while let Some(event) = self.next_failed_send() {
+            self.handle_event(event);
         }
     }
 
     /// Returns what the dispatcher is told of an order that found a full ring.
-    fn failed_hand_over(&mut self) -> Option<Event> {
-        if let Some(attempt) = self.not_handed_over.pop() {
+    fn next_failed_send(&mut self) -> Option<Event> {
+        if let Some(attempt) = self.unsent_calls.pop() {
             let report = CallReport {
                 end: CallEnd::NeverSent,
                 latency: Duration::ZERO,
@@ -229,22 +229,22 @@
             };
             return Some(Event::AttemptEnded(attempt, report));
         }
-        let request = self.not_claimed.pop()?;
+        let request = self.unsent_claims.pop()?;
         let refusal = Refusal::not_run(RefusalReason::Overloaded);
         Some(Event::Claimed(request, ClaimResult::Refused(refusal)))
     }
 
-    fn take_event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.dispatcher
             .on_event(Instant::now(), event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.perform(action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Claim(request) => self.claim(request),
             Action::Release(request) => self.end_claim(ClaimTask::Release { request }),
@@ -303,25 +303,25 @@
     /// this duty never waits for the claims duty, which waits for this one to take its verdicts.
     fn claim(&mut self, request: RequestId) {
         let pending = self.pending.get_mut(&request);
-        let Some(order) = pending.and_then(|pending| pending.claim.take()) else {
-            return self.not_claimed.push(request);
+        let Some(task) = pending.and_then(|pending| pending.claim.take()) else {
+            return self.unsent_claims.push(request);
         };
-        if self.rings.claims.try_send(order).is_err() {
-            self.not_claimed.push(request);
+        if self.senders.claims.try_send(task).is_err() {
+            self.unsent_claims.push(request);
         }
     }
 
     /// Hands the end of a claim to the claims duty. A lost one would leave its key blocked, so it
     /// is kept until there is room; there are never more than requests in flight.
-    fn end_claim(&mut self, order: ClaimTask) {
-        self.late_claim_ends.push_back(order);
-        self.hand_over_late_claim_ends();
+    fn end_claim(&mut self, task: ClaimTask) {
+        self.queued_claim_ends.push_back(task);
+        self.flush_claim_ends();
     }
 
-    fn hand_over_late_claim_ends(&mut self) {
-        while let Some(order) = self.late_claim_ends.pop_front() {
-            if let Err(TrySendError::Full(order)) = self.rings.claims.try_send(order) {
-                return self.late_claim_ends.push_front(order);
+    fn flush_claim_ends(&mut self) {
+        while let Some(task) = self.queued_claim_ends.pop_front() {
+            if let Err(TrySendError::Full(task)) = self.senders.claims.try_send(task) {
+                return self.queued_claim_ends.push_front(task);
             }
         }
     }
@@ -333,22 +333,22 @@
         let metrics = &self.shared.metrics.service;
         metrics.record_wait(&call.route.service.name, call.waited);
         let Some(pending) = self.pending.get(&call.request) else {
-            return self.not_handed_over.push(attempt);
+            return self.unsent_calls.push(attempt);
         };
-        let order = CallTask {
+        let task = CallTask {
             call,
             parts: (*pending.parts).clone(),
         };
         self.shared.calls.add(attempt);
-        if self.rings.calls.try_send(order).is_err() {
+        if self.senders.calls.try_send(task).is_err() {
             drop(self.shared.calls.remove(attempt));
-            self.not_handed_over.push(attempt);
+            self.unsent_calls.push(attempt);
         }
     }
 
     /// Hands a probe over; where the ring is full the probe is lost, and its budget with it.
     fn probe(&mut self, probe: Probe) {
-        if let Err(error) = self.rings.probes.try_send(probe) {
+        if let Err(error) = self.senders.probes.try_send(probe) {
             tracing::debug!("measure: a probe is dropped: {error}.");
             self.shared.metrics.probes_dropped.inc();
         }
@@ -373,7 +373,7 @@
 }
 
 /// Returns the order that claims a request's key, where it has one.
-fn claim_order(arrival: &Arrival, parts: &RequestParts) -> Option<ClaimTask> {
+fn claim_task(arrival: &Arrival, parts: &RequestParts) -> Option<ClaimTask> {
     let key = arrival.key.as_ref()?;
     let idempotency = &arrival.route.rule().idempotency;
     Some(ClaimTask::Claim {
--- a/crates/kingcuploftd/src/explain.rs
+++ b/crates/kingcuploftd/src/explain.rs
@@ -16,7 +16,7 @@
 /// Answers a query such as `request=ID`, `caller=NAME` or `service=NAME`, or several of them
 /// joined by `&`, with the decisions that fit, newest first.
 pub async fn answer(shared: &Shared, query: &str) -> (StatusCode, String) {
-    let query = match read(shared, query) {
+    let query = match parse_query(shared, query) {
         Ok(query) => query,
         Err(why) => return (StatusCode::BAD_REQUEST, why),
     };
@@ -38,11 +38,11 @@
     }
 }
 
-fn read(shared: &Shared, text: &str) -> Result<Query, String> {
+fn parse_query(shared: &Shared, text: &str) -> Result<Query, String> {
     let mut query = Query::default();
     for pair in text.split('&').filter(|pair| !pair.is_empty()) {
         match pair.split_once('=') {
-            Some(("request", id)) => query.request = Some(request(shared, id)?),
+            Some(("request", id)) => query.request = Some(parse_request_id(shared, id)?),
             Some(("caller", caller)) => query.caller = Some(caller.into()),
             Some(("service", service)) => query.service = Some(service.into()),
             _ => return Err(format!("`{pair}` is none of request=, caller=, service=\n")),
@@ -52,7 +52,7 @@
 }
 
 /// Returns the number of a request by the id that its caller got from this life of this VM.
-fn request(shared: &Shared, id: &str) -> Result<RequestId, String> {
+fn parse_request_id(shared: &Shared, id: &str) -> Result<RequestId, String> {
     let number = id.rsplit('-').next().and_then(|number| number.parse().ok());
     let known = number.filter(|&number| shared.request_name(number) == id);
     known.ok_or_else(|| format!("`{id}` is no request of this VM\n"))
--- a/crates/kingcuploftd/src/fleet_state.rs
+++ b/crates/kingcuploftd/src/fleet_state.rs
@@ -15,13 +15,13 @@
 use crate::shared::Shared;
 
 /// How many messages may wait for the peer duty.
-const OUTBOX: usize = 1024;
+const MAX_QUEUED_UPDATES: usize = 1024;
 
 /// How many drains are kept; a fleet of 10,000 backend servers replaces fewer at a time.
-const DRAINS: usize = 4096;
+const MAX_DRAINS: usize = 4096;
 
 /// How long a drain is kept that the manifest in force does not know: a newer one may.
-const UNKNOWN_DRAIN: Duration = Duration::from_secs(60);
+const UNKNOWN_DRAIN_LIFETIME: Duration = Duration::from_secs(60);
 
 /// A backend server that drains, at the place it drains.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, serde::Deserialize, serde::Serialize)]
@@ -55,7 +55,7 @@
 impl FleetState {
     /// Builds the view of a VM that knows only itself.
     pub fn new(membership: Membership) -> Self {
-        let (outbox, inbox) = mpsc::channel(OUTBOX);
+        let (outbox, inbox) = mpsc::channel(MAX_QUEUED_UPDATES);
         Self {
             membership: Mutex::new(membership),
             drains: Mutex::default(),
@@ -77,8 +77,8 @@
     }
 
     /// Hands news to the peer duty; where its ring is full they are counted and left out.
-    pub fn send_to_peers(&self, shared: &Shared, news: PeerUpdate) {
-        if self.outbox.try_send(news).is_err() {
+    pub fn send_to_peers(&self, shared: &Shared, update: PeerUpdate) {
+        if self.outbox.try_send(update).is_err() {
             shared.metrics.fleet.peer_over_budget.inc();
         }
     }
@@ -99,7 +99,7 @@
         if drains.contains_key(&notice) {
             return false;
         }
-        if drains.len() >= DRAINS {
+        if drains.len() >= MAX_DRAINS {
             shared.metrics.fleet.peer_over_budget.inc();
             return false;
         }
@@ -129,7 +129,7 @@
     pub fn match_drains(&self, shared: &Shared, manifest: &Manifest) {
         let mut drains = self.drains.lock().unwrap_or_else(PoisonError::into_inner);
         drains.retain(|notice, since| {
-            notify_dispatch(shared, manifest, notice) || since.elapsed() < UNKNOWN_DRAIN
+            notify_dispatch(shared, manifest, notice) || since.elapsed() < UNKNOWN_DRAIN_LIFETIME
         });
     }
 
--- a/crates/kingcuploftd/src/manifest_watch.rs
+++ b/crates/kingcuploftd/src/manifest_watch.rs
@@ -19,24 +19,24 @@
 const WATCHES_PER_LIST: u32 = 4;
 
 /// The pause after the store did not answer or an object was missing.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The longest pause while the same thing goes on failing.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// How often a VM that leaves the watch to others reads the root, before jitter.
-const POLL: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How long a VM without a manifest waits for the store before it takes a peer's word that a
 /// generation is the newest; peers answer within this time too.
-const GATHER: Duration = Duration::from_secs(1);
+const FIRST_MANIFEST_WAIT: Duration = Duration::from_secs(1);
 
 /// Above this many missing service objects one listing of all costs less than reading each: a new
 /// VM at 740 services read them one by one under its budget of 100 calls/s and took 11.8 s.
-const LIST_ABOVE: usize = 16;
+const LIST_THRESHOLD: usize = 16;
 
 /// How often a wait looks whether it is still right to wait.
-const LOOK: Duration = Duration::from_millis(20);
+const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs the duty until the daemon ends.
 pub fn run(shared: &Arc<Shared>, store: &dyn ObjectStore) {
@@ -46,25 +46,25 @@
         store,
         after: 0,
         watches: 0,
-        pause: PAUSE,
+        pause: RETRY_DELAY,
     };
     while !shared.ended() {
-        if started.elapsed() > GATHER {
-            duty.gathered("the peers");
+        if started.elapsed() > FIRST_MANIFEST_WAIT {
+            duty.end_source_wait("the peers");
         }
-        match duty.turn() {
-            Ok(()) => duty.pause = PAUSE,
+        match duty.step() {
+            Ok(()) => duty.pause = RETRY_DELAY,
             Err(why) => {
                 tracing::warn!("manifest: {why}.");
                 duty.wait_at_most(duty.pause);
-                duty.pause = (duty.pause * 2).min(LONGEST_PAUSE);
+                duty.pause = (duty.pause * 2).min(MAX_RETRY_DELAY);
             }
         }
     }
 }
 
 /// Why a service object was not fetched.
-enum Unfetched {
+enum FetchError {
     /// It is missing or corrupt.
     Object(String),
     /// The store does not answer.
@@ -81,8 +81,8 @@
 
 impl ManifestWatch<'_> {
     /// Reads the root by watch, listing or poll, then fetches what is missing.
-    fn turn(&mut self) -> Result<(), String> {
-        let incomplete = self.need() != MissingParts::Nothing;
+    fn step(&mut self) -> Result<(), String> {
+        let incomplete = self.missing_parts() != MissingParts::Nothing;
         let none = self.shared.accepted.load().generation == 0;
         let root = match self.shared.watches_store() || incomplete || none {
             true => self.watch(incomplete),
@@ -91,7 +91,7 @@
         match root {
             Ok(values) => {
                 values.iter().for_each(|text| self.learn_root(text));
-                self.gathered("the store");
+                self.end_source_wait("the store");
             }
             Err(StoreError::WatchExpired) => self.after = 0,
             Err(error) => {
@@ -110,7 +110,7 @@
         if incomplete && self.watches > 1 {
             // A listing does not wait: without a pause this would be a busy loop while a part is
             // missing.
-            self.wait_at_most(PAUSE);
+            self.wait_at_most(RETRY_DELAY);
         }
         let seen = match lists || incomplete {
             true => self.store.list(ROOT_KEY)?,
@@ -123,45 +123,45 @@
     /// Reads the root after a while, unless a peer tells of a newer one first.
     fn poll(&mut self) -> Result<Vec<String>, StoreError> {
         self.after = 0;
-        self.wait_at_most(POLL.mul_f64(0.5 + fastrand::f64()));
+        self.wait_at_most(POLL_INTERVAL.mul_f64(0.5 + fastrand::f64()));
         let found = self.store.get(ROOT_KEY)?;
         Ok(found.into_iter().map(|object| object.value).collect())
     }
 
     /// Waits until the time has passed, the daemon ends or a part is missing that was not before.
     fn wait_at_most(&self, time: Duration) {
-        let before = self.need();
+        let before = self.missing_parts();
         let mut left = time;
-        while left > Duration::ZERO && !self.shared.ended() && self.need() == before {
-            std::thread::sleep(left.min(LOOK));
-            left = left.saturating_sub(LOOK);
+        while left > Duration::ZERO && !self.shared.ended() && self.missing_parts() == before {
+            std::thread::sleep(left.min(WAIT_CHECK_INTERVAL));
+            left = left.saturating_sub(WAIT_CHECK_INTERVAL);
         }
     }
 
     /// Notes that enough sources were asked for a first manifest.
-    fn gathered(&self, source: &str) {
-        let keeper = &self.shared.manifest;
-        if keeper.read(|adoption| adoption.awaits_sources()) {
-            keeper.update(self.shared, source, |adoption| Ok(adoption.sources_asked()));
+    fn end_source_wait(&self, source: &str) {
+        let manifest = &self.shared.manifest;
+        if manifest.read(|adoption| adoption.awaits_sources()) {
+            manifest.update(self.shared, source, |adoption| Ok(adoption.sources_asked()));
         }
     }
 
     fn learn_root(&self, text: &str) {
-        let keeper = &self.shared.manifest;
-        keeper.update(self.shared, "the store", |adoption| {
+        let manifest = &self.shared.manifest;
+        manifest.update(self.shared, "the store", |adoption| {
             adoption.root_text(text)
         });
     }
 
     /// Fetches the missing service objects from the store.
     fn fetch(&self) -> Result<(), String> {
-        let MissingParts::Services(mut missing) = self.need() else {
+        let MissingParts::Services(mut missing) = self.missing_parts() else {
             return Ok(());
         };
-        if missing.len() > LIST_ABOVE {
-            self.fetch_all(&missing)
+        if missing.len() > LIST_THRESHOLD {
+            self.fetch_from_list(&missing)
                 .map_err(|error| format!("the store does not answer: {error}"))?;
-            let MissingParts::Services(left) = self.need() else {
+            let MissingParts::Services(left) = self.missing_parts() else {
                 return Ok(());
             };
             missing = left;
@@ -171,8 +171,8 @@
             match self.fetch_service(hash) {
                 Ok(()) => {}
                 // One object that is missing or corrupt says nothing of the others.
-                Err(Unfetched::Object(why)) => last = Err(why),
-                Err(Unfetched::Store(error)) => {
+                Err(FetchError::Object(why)) => last = Err(why),
+                Err(FetchError::Store(error)) => {
                     return Err(format!("the store does not answer: {error}"));
                 }
             }
@@ -181,7 +181,7 @@
     }
 
     /// Takes the missing service objects from one listing of all; a corrupt one stays missing.
-    fn fetch_all(&self, missing: &[ContentHash]) -> Result<(), StoreError> {
+    fn fetch_from_list(&self, missing: &[ContentHash]) -> Result<(), StoreError> {
         let listed = self.store.list(SERVICES_PREFIX)?;
         let values = listed.changes.into_iter();
         let values: HashMap<String, String> = values
@@ -189,8 +189,8 @@
             .collect();
         for hash in missing {
             if let Some(text) = values.get(&service_key(hash)) {
-                let keeper = &self.shared.manifest;
-                keeper.update(self.shared, "the store", |adoption| {
+                let manifest = &self.shared.manifest;
+                manifest.update(self.shared, "the store", |adoption| {
                     adoption.service_text(hash, text)
                 });
             }
@@ -198,30 +198,30 @@
         Ok(())
     }
 
-    fn fetch_service(&self, hash: &ContentHash) -> Result<(), Unfetched> {
-        let keeper = &self.shared.manifest;
+    fn fetch_service(&self, hash: &ContentHash) -> Result<(), FetchError> {
+        let manifest = &self.shared.manifest;
         match self.store.get(&service_key(hash)) {
             Ok(Some(object)) => {
-                let taken = keeper.update(self.shared, "the store", |adoption| {
+                let taken = manifest.update(self.shared, "the store", |adoption| {
                     adoption.service_text(hash, &object.value)
                 });
                 let corrupt = || format!("service object {hash} is corrupt in the store");
                 taken
                     .then_some(())
-                    .ok_or_else(|| Unfetched::Object(corrupt()))
+                    .ok_or_else(|| FetchError::Object(corrupt()))
             }
             Ok(None) => {
-                keeper.update(self.shared, "the store", |adoption| {
+                manifest.update(self.shared, "the store", |adoption| {
                     adoption.service_missing(hash)
                 });
                 let why = format!("service object {hash} is missing in the store");
-                Err(Unfetched::Object(why))
+                Err(FetchError::Object(why))
             }
-            Err(error) => Err(Unfetched::Store(error)),
+            Err(error) => Err(FetchError::Store(error)),
         }
     }
 
-    fn need(&self) -> MissingParts {
+    fn missing_parts(&self) -> MissingParts {
         self.shared
             .manifest
             .read(|adoption| adoption.missing_parts())
--- a/crates/kingcuploftd/src/membership_sync.rs
+++ b/crates/kingcuploftd/src/membership_sync.rs
@@ -18,13 +18,13 @@
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
 /// How often a VM that leaves the watch to others reads the VM list and drains, before jitter.
-const POLL: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
 /// How often a pause looks whether it is still right to wait.
-const TICK: Duration = Duration::from_millis(200);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The pause after the store did not answer.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Reads the VM list and the drains until the daemon ends.
 pub fn run(shared: &Arc<Shared>, store: &dyn ObjectStore) {
@@ -33,22 +33,22 @@
         let read = read(shared, store, &mut after);
         let pause = match (read, shared.watches_store()) {
             (Ok(()), true) => continue,
-            (Ok(()), false) => POLL.mul_f64(0.5 + fastrand::f64()),
+            (Ok(()), false) => POLL_INTERVAL.mul_f64(0.5 + fastrand::f64()),
             (Err(error), _) => {
                 after = 0;
                 tracing::debug!("membership: the store does not answer: {error}.");
-                PAUSE
+                RETRY_DELAY
             }
         };
         let end = Instant::now() + pause;
         while Instant::now() < end && !shared.ended() {
-            std::thread::sleep(TICK.min(pause));
+            std::thread::sleep(STOP_CHECK_INTERVAL.min(pause));
         }
     }
 }
 
 fn read(shared: &Shared, store: &dyn ObjectStore, after: &mut Version) -> Result<(), StoreError> {
-    take_vms(shared, &store.vms()?);
+    apply_vm_list(shared, &store.vms()?);
     let drains = match *after {
         0 => store.list(DRAINS_PREFIX)?,
         _ if shared.watches_store() => match store.watch(DRAINS_PREFIX, *after, WATCH_WAIT) {
@@ -59,7 +59,7 @@
     };
     *after = drains.version;
     for change in drains.changes {
-        match drain_of(&change) {
+        match parse_drain(&change) {
             Some(notice) => shared.fleet.record_drain(shared, notice),
             None => tracing::debug!("membership: {} tells no drain.", change.key),
         }
@@ -68,12 +68,12 @@
 }
 
 /// Returns the drain that an object tells; `None` where it was deleted or is corrupt.
-fn drain_of(change: &Change) -> Option<DrainNotice> {
+fn parse_drain(change: &Change) -> Option<DrainNotice> {
     serde_json::from_str(change.value.as_ref()?).ok()
 }
 
 /// Takes the VM list: entry VMs to link with, and backend servers that leave.
-fn take_vms(shared: &Shared, vms: &[ListedVm]) {
+fn apply_vm_list(shared: &Shared, vms: &[ListedVm]) {
     let accepted = shared.accepted.load_full();
     let mut entries = Vec::new();
     for vm in vms {
@@ -90,9 +90,9 @@
             entries.push(address);
         }
         if vm.state == VmState::Leaving {
-            found
-                .into_iter()
-                .for_each(|(service, server)| leaving(shared, &accepted.manifest, service, server));
+            found.into_iter().for_each(|(service, server)| {
+                record_leaving(shared, &accepted.manifest, service, server)
+            });
         }
     }
     // Before a manifest is known a backend server can not be told from an entry VM.
@@ -104,7 +104,7 @@
     }
 }
 
-fn leaving(
+fn record_leaving(
     shared: &Shared,
     manifest: &Manifest,
     service: &ServiceName,
--- a/crates/kingcuploftd/src/message.rs
+++ b/crates/kingcuploftd/src/message.rs
@@ -78,7 +78,7 @@
         /// The request.
         request: RequestId,
         /// How.
-        end: ClaimResult,
+        result: ClaimResult,
         /// The recorded answer, where the claim's end is a replay.
         recorded: Option<Box<Answer>>,
     },
--- a/crates/kingcuploftd/src/metrics_service.rs
+++ b/crates/kingcuploftd/src/metrics_service.rs
@@ -14,7 +14,7 @@
 use prometheus_client::registry::Registry;
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct OfService {
+struct ServiceLabel {
     service: String,
 }
 
@@ -38,11 +38,11 @@
 pub struct ServiceMetrics {
     refusals: Family<RefusalLabel, Counter>,
     hedges: Family<HedgeLabel, Counter>,
-    wait: Family<OfService, Histogram>,
-    queue_length: Family<OfService, Gauge>,
-    in_flight: Family<OfService, Gauge>,
-    limit: Family<OfService, Gauge>,
-    retry_budget: Family<OfService, Gauge>,
+    wait: Family<ServiceLabel, Histogram>,
+    queue_length: Family<ServiceLabel, Gauge>,
+    in_flight: Family<ServiceLabel, Gauge>,
+    limit: Family<ServiceLabel, Gauge>,
+    retry_budget: Family<ServiceLabel, Gauge>,
 }
 
 impl ServiceMetrics {
@@ -89,20 +89,20 @@
 
     /// Records the time from a request's arrival until a call.
     pub fn record_wait(&self, service: &ServiceName, wait: Duration) {
-        let histogram = self.wait.get_or_create(&of(service));
+        let histogram = self.wait.get_or_create(&service_label(service));
         histogram.observe(wait.as_secs_f64());
     }
 
     /// Returns a service's queue length, calls in flight and limit, as they were last shown.
     pub fn load(&self, service: &ServiceName) -> [i64; 3] {
         let gauges = [&self.queue_length, &self.in_flight, &self.limit];
-        gauges.map(|gauges| gauges.get_or_create(&of(service)).get())
+        gauges.map(|gauges| gauges.get_or_create(&service_label(service)).get())
     }
 
     /// Shows the load of a service.
     pub fn set_load(&self, service: &ServiceName, load: &LoadSnapshot) {
-        let label = of(service);
-        let show = |gauges: &Family<OfService, Gauge>, value: u64| {
+        let label = service_label(service);
+        let show = |gauges: &Family<ServiceLabel, Gauge>, value: u64| {
             gauges.get_or_create(&label).set(value as i64);
         };
         show(&self.queue_length, load.waiting as u64);
@@ -112,8 +112,8 @@
     }
 }
 
-fn of(service: &ServiceName) -> OfService {
-    OfService {
+fn service_label(service: &ServiceName) -> ServiceLabel {
+    ServiceLabel {
         service: service.to_string(),
     }
 }
--- a/crates/kingcuploftd/src/peer_link/broadcast.rs
+++ b/crates/kingcuploftd/src/peer_link/broadcast.rs
@@ -57,8 +57,8 @@
         let mut drains = HashSet::default();
         let mut notes = Vec::new();
         let mut next = Some(first);
-        while let Some(news) = next {
-            match news {
+        while let Some(update) = next {
+            match update {
                 PeerUpdate::Draining(notice) => drop(drains.insert(notice)),
                 PeerUpdate::Notes(batch) => notes.push(batch),
             }
--- a/crates/kingcuploftd/src/peer_link/node.rs
+++ b/crates/kingcuploftd/src/peer_link/node.rs
@@ -85,14 +85,14 @@
             let hash = adoption.root_hash().map_or(0, ContentHash::short);
             (adoption.generation(), hash)
         });
-        let room = self.has_budget();
+        let has_budget = self.has_budget();
         let mut membership = self.shared.fleet.membership();
         Heartbeat {
             generation,
             root_hash,
             beat: membership.next_heartbeat(),
             digest: membership.digest(),
-            gossip: membership.next_gossip(if room { MAX_GOSSIP_ENTRIES } else { 0 }),
+            gossip: membership.next_gossip(if has_budget { MAX_GOSSIP_ENTRIES } else { 0 }),
         }
     }
 
@@ -118,8 +118,8 @@
 
     /// Pulls a newer manifest, and notices the same generation with another content.
     fn compare_manifests(self: &Rc<Self>, link: &Rc<Link>, beat: &Heartbeat) {
-        let keeper = &self.shared.manifest;
-        let own = keeper.read(|adoption| {
+        let manifest = &self.shared.manifest;
+        let own = manifest.read(|adoption| {
             let hash = adoption.root_hash().map_or(0, ContentHash::short);
             (adoption.generation(), hash)
         });
@@ -129,7 +129,7 @@
             tracing::error!("manifest: {name} has another content of generation {generation}.");
         }
         if beat.generation > own.0 {
-            keeper.update(&self.shared, "a peer", |adoption| {
+            manifest.update(&self.shared, "a peer", |adoption| {
                 adoption.note_generation(beat.generation);
                 Ok(kingcuploft::decisions::adoption::AdoptionStep::Unchanged)
             });
@@ -176,11 +176,11 @@
         let delta = serde_json::from_str(text);
         let delta = delta.map_err(|e| capnp::Error::failed(format!("no difference: {e}")))?;
         let source = &link.name;
-        let taken = self
+        let accepted = self
             .shared
             .manifest
             .update(&self.shared, source, |adoption| adoption.root_delta(&delta));
-        taken
+        accepted
             .then_some(())
             .ok_or_else(|| failed("its root was not taken"))
     }
@@ -194,22 +194,20 @@
         }
         let answer = in_time(request.send().promise).await?;
         let texts = answer.get()?.get_texts()?;
-        let mut taken = 0;
+        let mut accepted = 0;
         for (hash, text) in wanted.iter().zip(texts.iter()) {
             let text = text?.to_str()?;
             if text.is_empty() {
                 continue;
             }
             let source = &link.name;
-            taken += usize::from(
-                self.shared
-                    .manifest
-                    .update(&self.shared, source, |adoption| {
-                        adoption.service_text(hash, text)
-                    }),
-            );
+            accepted += usize::from(self.shared.manifest.update(
+                &self.shared,
+                source,
+                |adoption| adoption.service_text(hash, text),
+            ));
         }
-        match taken {
+        match accepted {
             0 => Err(failed("it has none of the missing service objects")),
             _ => Ok(()),
         }
--- a/crates/kingcuploftd/src/peer_link/server.rs
+++ b/crates/kingcuploftd/src/peer_link/server.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    fn greeted(&self) -> Result<Rc<Link>, capnp::Error> {
+    fn require_greeting(&self) -> Result<Rc<Link>, capnp::Error> {
         self.link().ok_or_else(|| refused("a greeting comes first"))
     }
 }
@@ -96,7 +96,7 @@
         params: peer::BeatParams,
         mut results: peer::BeatResults,
     ) -> Result<(), capnp::Error> {
-        let link = self.greeted()?;
+        let link = self.require_greeting()?;
         let beat = Heartbeat::read(params.get()?.get_beat()?)?;
         self.node.beat().write(results.get().init_beat());
         self.node.handle_heartbeat(&link, &beat);
@@ -108,10 +108,10 @@
         params: peer::RootParams,
         mut results: peer::RootResults,
     ) -> Result<(), capnp::Error> {
-        self.greeted()?;
+        self.require_greeting()?;
         let since = params.get()?.get_since();
-        let keeper = &self.node.shared.manifest;
-        let delta = keeper.read(|adoption| adoption.delta_since(since));
+        let manifest = &self.node.shared.manifest;
+        let delta = manifest.read(|adoption| adoption.delta_since(since));
         let text = delta.map(|delta| serde_json::to_string(&delta));
         let text = text.transpose().map_err(|_| refused("no text"))?;
         results.get().set_delta(text.unwrap_or_default());
@@ -123,7 +123,7 @@
         params: peer::ServicesParams,
         mut results: peer::ServicesResults,
     ) -> Result<(), capnp::Error> {
-        self.greeted()?;
+        self.require_greeting()?;
         let hashes = params.get()?.get_hashes()?;
         let mut texts = results.get().init_texts(hashes.len());
         let mut bytes = 0;
@@ -131,8 +131,8 @@
             let Some(hash) = ContentHash::parse(hash?.to_str()?) else {
                 return Err(refused("a hash is malformed"));
             };
-            let keeper = &self.node.shared.manifest;
-            let Some(text) = keeper.read(|adoption| adoption.service(&hash).cloned()) else {
+            let manifest = &self.node.shared.manifest;
+            let Some(text) = manifest.read(|adoption| adoption.service(&hash).cloned()) else {
                 continue;
             };
             if bytes > 0 && bytes + text.len() > MAX_SERVICES_BYTES {
@@ -149,7 +149,7 @@
         params: peer::DrainsParams,
         _: peer::DrainsResults,
     ) -> Result<(), capnp::Error> {
-        self.greeted()?;
+        self.require_greeting()?;
         let shared = &self.node.shared;
         for drain in params.get()?.get_drains()? {
             shared.fleet.record_drain(shared, read_drain(drain)?);
@@ -162,7 +162,7 @@
         params: peer::NotesParams,
         _: peer::NotesResults,
     ) -> Result<(), capnp::Error> {
-        self.greeted()?;
+        self.require_greeting()?;
         let notes = read_notes(params.get()?)?;
         self.node.forward_notes(notes);
         Ok(())
@@ -173,7 +173,7 @@
         params: peer::MembersParams,
         mut results: peer::MembersResults,
     ) -> Result<(), capnp::Error> {
-        self.greeted()?;
+        self.require_greeting()?;
         let from = params.get()?.get_from();
         let members = self.node.shared.fleet.members();
         let page = members.iter().skip(from as usize).take(MEMBERS_PER_PAGE);
--- a/crates/kingcuploftd/src/peer_link/tls.rs
+++ b/crates/kingcuploftd/src/peer_link/tls.rs
@@ -26,14 +26,14 @@
 #[derive(Debug)]
 pub(super) struct Tls {
     files: TlsFiles,
-    loaded: Mutex<Loaded>,
+    loaded: Mutex<LoadedKeys>,
 }
 
 #[derive(Clone, Debug)]
-struct Loaded {
+struct LoadedKeys {
     client: Arc<ClientConfig>,
     server: Arc<ServerConfig>,
-    changed: [Option<SystemTime>; 3],
+    modified_at: [Option<SystemTime>; 3],
     checked_at: Instant,
 }
 
@@ -70,13 +70,13 @@
     }
 
     /// Returns the keys, read again if the files changed.
-    fn current(&self) -> Loaded {
+    fn current(&self) -> LoadedKeys {
         let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
         if loaded.checked_at.elapsed() < FILE_CHECK_INTERVAL {
             return loaded.clone();
         }
         loaded.checked_at = Instant::now();
-        if loaded.changed != changed(&self.files) {
+        if loaded.modified_at != modified_at(&self.files) {
             match load(&self.files) {
                 Ok(fresh) => {
                     tracing::info!("peer: the TLS files were read again.");
@@ -89,15 +89,15 @@
     }
 }
 
-fn changed(files: &TlsFiles) -> [Option<SystemTime>; 3] {
+fn modified_at(files: &TlsFiles) -> [Option<SystemTime>; 3] {
     [&files.certificate, &files.key, &files.ca].map(|path| {
         let data = std::fs::metadata(path).ok()?;
         data.modified().ok()
     })
 }
 
-fn load(files: &TlsFiles) -> Result<Loaded, String> {
-    let changed = changed(files);
+fn load(files: &TlsFiles) -> Result<LoadedKeys, String> {
+    let modified_at = modified_at(files);
     let mut roots = RootCertStore::empty();
     for certificate in certificates(&files.ca)? {
         let added = roots.add(certificate);
@@ -122,18 +122,18 @@
             let builder = builder.with_root_certificates(roots);
             builder.with_client_auth_cert(chain, key)
         });
-    Ok(Loaded {
+    Ok(LoadedKeys {
         client: Arc::new(client.map_err(|error| error.to_string())?),
         server: Arc::new(server.map_err(|error| error.to_string())?),
-        changed,
+        modified_at,
         checked_at: Instant::now(),
     })
 }
 
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, String> {
-    let told = |error| format!("{}: {error}", path.display());
-    let read = CertificateDer::pem_file_iter(path).map_err(told)?;
-    let read: Vec<_> = read.collect::<Result<_, _>>().map_err(told)?;
+    let in_file = |error| format!("{}: {error}", path.display());
+    let read = CertificateDer::pem_file_iter(path).map_err(in_file)?;
+    let read: Vec<_> = read.collect::<Result<_, _>>().map_err(in_file)?;
     match read.is_empty() {
         true => Err(format!("{}: no certificate found", path.display())),
         false => Ok(read),
--- a/crates/kingcuploftd/src/prober.rs
+++ b/crates/kingcuploftd/src/prober.rs
@@ -13,7 +13,7 @@
 use crate::shared::Shared;
 
 /// The longest answer of a load endpoint that is read, in bytes.
-const LOAD_BYTES: u64 = 4096;
+const MAX_LOAD_BYTES: u64 = 4096;
 
 /// The answer of a load endpoint; what else it holds is ignored.
 #[derive(Debug, Deserialize)]
@@ -29,15 +29,15 @@
 }
 
 /// Runs the duty until the dispatch duty ends.
-pub fn run(shared: &Arc<Shared>, ring: &Receiver<Probe>) {
+pub fn run(shared: &Arc<Shared>, probes: &Receiver<Probe>) {
     let agent = agent();
-    for probe in ring {
+    for probe in probes {
         shared.metrics.probes.inc();
-        let probed = measure(&agent, &probe);
-        if !probed.healthy {
+        let result = run_probe(&agent, &probe);
+        if !result.healthy {
             tracing::debug!("measure: {} is not healthy.", probe.backend_server);
         }
-        if shared.dispatch.send(Message::Probed(probed)).is_err() {
+        if shared.dispatch.send(Message::Probed(result)).is_err() {
             return;
         }
     }
@@ -54,7 +54,7 @@
 }
 
 /// Asks for health first, as a server that takes no work is not to be asked for its load.
-fn measure(agent: &Agent, probe: &Probe) -> ProbeResult {
+fn run_probe(agent: &Agent, probe: &Probe) -> ProbeResult {
     let health = health(agent, probe).unwrap_or_default();
     let load = match health.healthy {
         true => load(agent, probe).ok(),
@@ -71,7 +71,7 @@
 
 fn health(agent: &Agent, probe: &Probe) -> Result<Health, ureq::Error> {
     let url = format!("http://{}{}", probe.address, probe.signals.health_path);
-    let response = within(agent.get(url), probe.timeout).call()?;
+    let response = with_timeout(agent.get(url), probe.timeout).call()?;
     let draining = response.headers();
     let draining = draining.contains_key(&probe.signals.drain_header);
     Ok(Health {
@@ -82,15 +82,15 @@
 
 fn load(agent: &Agent, probe: &Probe) -> Result<LoadReport, ureq::Error> {
     let url = format!("http://{}{}", probe.address, probe.signals.load_path);
-    let mut response = within(agent.get(url), probe.timeout).call()?;
-    let body = response.body_mut().with_config().limit(LOAD_BYTES);
+    let mut response = with_timeout(agent.get(url), probe.timeout).call()?;
+    let body = response.body_mut().with_config().limit(MAX_LOAD_BYTES);
     let load: Load = body.read_json()?;
     Ok(LoadReport {
         in_flight: load.in_flight,
     })
 }
 
-fn within(
+fn with_timeout(
     request: ureq::RequestBuilder<ureq::typestate::WithoutBody>,
     timeout: Duration,
 ) -> ureq::RequestBuilder<ureq::typestate::WithoutBody> {
--- a/crates/kingcuploftd/src/settings/reader.rs
+++ b/crates/kingcuploftd/src/settings/reader.rs
@@ -14,10 +14,10 @@
 use super::{Settings, check};
 
 /// The longest settings file, in bytes.
-const TEXT_BYTES: usize = 1024 * 1024;
+const MAX_TEXT_BYTES: usize = 1024 * 1024;
 
 /// The most faults that are reported at once.
-const MOST_FAULTS: usize = 50;
+const MAX_FAULTS: usize = 50;
 
 /// One fault of a settings file.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
@@ -94,8 +94,11 @@
 ///
 /// Every fault found, in the order of the text.
 pub fn parse(file: &str, text: &str) -> Result<Settings, Vec<Fault>> {
-    if text.len() > TEXT_BYTES {
-        let expected = format!("{} bytes found, expected at most {TEXT_BYTES}", text.len());
+    if text.len() > MAX_TEXT_BYTES {
+        let expected = format!(
+            "{} bytes found, expected at most {MAX_TEXT_BYTES}",
+            text.len()
+        );
         return Err(vec![fault(file, 0, "(text)", expected)]);
     }
     let tree = yaml::parse(file, text)
@@ -132,7 +135,7 @@
 }
 
 /// Values that stand in for required fields that are missing or wrong, to read on.
-fn stand_ins() -> Value {
+fn placeholders() -> Value {
     json!({
         "vm": "vm",
         "availability_zone": "zone",
@@ -161,7 +164,7 @@
             self.add("(text)", "expected a mapping of settings".into());
             return None;
         }
-        while self.found.len() < MOST_FAULTS {
+        while self.found.len() < MAX_FAULTS {
             let error = match serde_path_to_error::deserialize::<_, Settings>(&value) {
                 Ok(settings) => return Some(settings),
                 Err(error) => error,
@@ -170,7 +173,7 @@
             let message = error.into_inner().to_string();
             let field = field(&path, &message);
             self.add(&field, message);
-            if !put_right(&mut value, &field) {
+            if !replace_or_remove(&mut value, &field) {
                 return None;
             }
         }
@@ -195,30 +198,30 @@
 }
 
 /// Puts a stand-in in the place of a field, or takes it out; tells whether anything changed.
-fn put_right(value: &mut Value, field: &str) -> bool {
+fn replace_or_remove(value: &mut Value, field: &str) -> bool {
     let (parents, name) = field.rsplit_once('.').unwrap_or(("", field));
     let mut at = value;
     for step in parents.split('.').filter(|step| !step.is_empty()) {
         if at.get(step).is_none() {
-            return take_out(at, step);
+            return remove_parent(at, step);
         }
         at = &mut at[step];
     }
     let Some(object) = at.as_object_mut() else {
         return false;
     };
-    let stand_in = stand_ins()
+    let placeholder = placeholders()
         .get(name)
         .cloned()
         .filter(|_| parents.is_empty());
-    match stand_in {
-        Some(stand_in) => object.insert(name.into(), stand_in.clone()) != Some(stand_in),
+    match placeholder {
+        Some(placeholder) => object.insert(name.into(), placeholder.clone()) != Some(placeholder),
         None => remove(object, name),
     }
 }
 
 /// Takes out the list or member that a path such as `peer.peers[1]` leads through.
-fn take_out(at: &mut Value, step: &str) -> bool {
+fn remove_parent(at: &mut Value, step: &str) -> bool {
     let name = step.split('[').next().unwrap_or(step);
     at.as_object_mut()
         .is_some_and(|object| remove(object, name))
