--- a/crates/kingcuploftd/src/answer_stream.rs
+++ b/crates/kingcuploftd/src/answer_stream.rs
@@ -1,5 +1,7 @@
-//! The rest of an answer that is too long to be read whole: a bounded ring of chunks from a
-//! backend worker to the caller edge.
+//! Streams the rest of a long answer: a bounded channel of chunks from a backend worker to the caller edge.
+//!
+//! Load pattern: answers longer than `whole_answer_bytes`. Reading them completely would hold their whole size in
+//! memory; the bounded channel slows the backend server down to the caller's pace instead.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll};
@@ -11,58 +13,58 @@
 
 use crate::backend_edge::BackendConnection;
 
-/// How many chunks wait in the ring.
+/// How many chunks the channel holds.
 const MAX_CHUNKS: usize = 8;
 
-/// How long the worker pauses while the ring is full.
+/// The delay between the worker's attempts to send while the channel is full.
 const FULL_RETRY_DELAY: Duration = Duration::from_millis(1);
 
 /// A piece of a body.
 #[derive(Debug)]
 enum Chunk {
     Data(Bytes),
-    /// The body is whole; a ring that closes without it was cut.
+    /// The body is complete; a channel that closes without this chunk was truncated.
     End,
 }
 
-/// The worker's end of the ring.
+/// The worker's end of the channel.
 #[derive(Debug)]
 pub struct BodySender(Sender<Chunk>);
 
-/// The rest of an answer; clones share it, and the first to take it has it.
+/// The rest of an answer's body; clones share it, and only the first to take it receives it.
 #[derive(Clone, Debug)]
 pub struct RemainingBody(Arc<Mutex<Option<BodyChunks>>>);
 
-/// The caller edge's end of the ring.
+/// The caller edge's end of the channel.
 #[derive(Debug)]
 pub struct BodyChunks {
     receiver: Receiver<Chunk>,
-    /// The connection the body comes from.
+    /// The connection that the body is read from.
     source: Option<Arc<BackendConnection>>,
     ended: bool,
 }
 
-/// What comes next of a body.
+/// The next part of a body.
 #[derive(Debug)]
 pub enum NextChunk {
-    /// More of it.
+    /// More bytes.
     Data(Bytes),
-    /// Nothing: it is whole.
+    /// The end of a complete body.
     End,
-    /// Nothing: it was cut.
+    /// The body ended early.
     Truncated,
 }
 
-/// Why a body was not passed on to its end.
+/// Why a body was not sent completely.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BodySendError {
-    /// The caller went away.
+    /// The caller disconnected.
     CallerLeft,
-    /// The caller did not take it before the deadline.
+    /// The caller did not read it before the deadline.
     DeadlinePassed,
 }
 
-/// Opens a ring for a body that comes from a connection.
+/// Opens a channel for a body that is read from `source`.
 pub fn body_channel(source: Option<Arc<BackendConnection>>) -> (BodySender, RemainingBody) {
     let (sender, receiver) = channel(MAX_CHUNKS);
     let chunks = BodyChunks {
@@ -77,21 +79,21 @@
 }
 
 impl BodySender {
-    /// Passes a piece on, waiting for room until the deadline.
+    /// Sends a chunk, waiting until the deadline while the channel is full.
     ///
     /// # Errors
     ///
-    /// [`BodySendError`] where nobody takes it.
+    /// Returns [`BodySendError`] if the caller disconnected or did not read in time.
     pub fn send(&self, data: Bytes, deadline: Instant) -> Result<(), BodySendError> {
         self.send_chunk(Chunk::Data(data), deadline)
     }
 
-    /// Says that the body is whole. A ring that is closed by now is no fault: the HTTP library
-    /// drops a body of known length with its last byte.
+    /// Marks the body as complete. A channel that is already closed is no error: the HTTP library drops a body of known
+    /// length after its last byte.
     ///
     /// # Errors
     ///
-    /// [`BodySendError::DeadlinePassed`] where the caller does not take what it was given.
+    /// Returns [`BodySendError::DeadlinePassed`] if the caller does not read the chunks in the channel in time.
     pub fn end(self, deadline: Instant) -> Result<(), BodySendError> {
         match self.send_chunk(Chunk::End, deadline) {
             Err(BodySendError::DeadlinePassed) => Err(BodySendError::DeadlinePassed),
@@ -115,14 +117,14 @@
 }
 
 impl RemainingBody {
-    /// Takes the ring's end; `None` where it was taken before.
+    /// Takes the receiving end; `None` if it was taken before.
     pub fn take(&self) -> Option<BodyChunks> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 }
 
 impl BodyChunks {
-    /// Returns what comes next, once it is there.
+    /// Polls for the next part of the body.
     pub fn poll_next(&mut self, context: &mut Context<'_>) -> Poll<NextChunk> {
         self.receiver.poll_recv(context).map(|chunk| match chunk {
             Some(Chunk::Data(data)) => NextChunk::Data(data),
@@ -136,7 +138,7 @@
 }
 
 impl Drop for BodyChunks {
-    /// Ends the call whose body nobody wants any more: its worker may be blocked in a read.
+    /// Shuts down the connection of a body that is no longer wanted: its worker may be blocked in a read.
     fn drop(&mut self) {
         if let Some(source) = self.source.take().filter(|_| !self.ended) {
             source.shut_down();
--- a/crates/kingcuploftd/src/backend_edge/exchange.rs
+++ b/crates/kingcuploftd/src/backend_edge/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to a backend server and its answer.
+//! Sends one request to a backend server and reads its answer, completely or up to the rule's size limit.
 
 use std::io::Read;
 use std::sync::Arc;
@@ -15,13 +15,13 @@
 use crate::message::{Answer, RequestParts};
 use crate::shared::Shared;
 
-/// How much of a body is read at once.
+/// The most bytes of a body that are read at once.
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Carries the time left to the backend server, in ms.
+/// Carries the time until the deadline to the backend server, in ms.
 const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-deadline-ms");
 
-/// Why there is no whole answer.
+/// Why there is no complete answer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ExchangeError {
     /// The call was cancelled before it began.
@@ -30,50 +30,50 @@
     /// The deadline passed before the call began.
     #[error("the deadline has passed")]
     DeadlinePassed,
-    /// The library's error.
+    /// The HTTP library's error.
     #[error(transparent)]
     Http(#[from] ureq::Error),
     /// The body ended too early.
     #[error("the body was cut: {0}")]
     Body(#[from] std::io::Error),
-    /// The answer can not be proved whole.
+    /// The answer cannot be proved complete.
     #[error("the answer does not tell where it ends")]
     Incomplete,
 }
 
-/// An answer, read whole up to the rule's bound.
+/// An answer, read up to the rule's size limit.
 pub(super) struct ReceivedAnswer {
     pub(super) answer: Answer,
-    /// What is left of a longer body.
+    /// The unread rest of a longer body.
     pub(super) unread: Option<UnreadBody>,
 }
 
-/// The part of a body above the rule's bound.
+/// The unread part of a body above the rule's size limit.
 pub(super) struct UnreadBody {
     reader: BodyReader<'static>,
     framing: Framing,
     read_bytes: u64,
 }
 
-/// Why a streamed answer did not reach its caller whole.
+/// Why a streamed answer did not reach its caller completely.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ForwardError {
-    /// The backend server cut it.
+    /// The backend server ended it early.
     #[error("the backend server ended it: {0}")]
     Backend(#[from] ExchangeError),
-    /// The caller did not take it.
+    /// The caller did not read it.
     #[error("the caller did not take it: {0:?}")]
     Caller(BodySendError),
 }
 
-/// With less time than this left to the deadline a call is not begun.
+/// The least time until the deadline with which a call starts.
 const MIN_CALL_TIME: Duration = Duration::from_millis(1);
 
 /// Sends the request and reads its answer.
 ///
 /// # Errors
 ///
-/// [`ExchangeError`] where no whole answer came.
+/// Returns [`ExchangeError`] if there is no complete answer.
 pub(super) fn exchange(
     shared: &Shared,
     agent: &Agent,
@@ -82,8 +82,9 @@
     now: Instant,
 ) -> Result<ReceivedAnswer, ExchangeError> {
     let left = call.deadline.saturating_duration_since(now);
-    // A VM that was paused between the claim and this call would otherwise send a protected action
-    // long after its caller was told that the end is not known, perhaps after its claim expired.
+    // A VM that was paused between the claim and this call would otherwise send a protected action long after its
+    // caller was answered that the outcome is unknown, possibly after the claim expired, and the action could run
+    // twice.
     if left < MIN_CALL_TIME {
         return Err(ExchangeError::DeadlinePassed);
     }
@@ -121,7 +122,7 @@
     Ok(ReceivedAnswer { answer, unread })
 }
 
-/// Reads a body up to the bound; what is above it stays unread.
+/// Reads a body up to the size limit; the part above it stays unread.
 fn read_body(
     mut reader: BodyReader<'static>,
     framing: Framing,
@@ -153,7 +154,7 @@
     Ok((body.into(), None))
 }
 
-/// Reads to the body's end, which frees the connection, and checks that it is whole.
+/// Reads to the end of the body, which returns the connection to the pool, and checks that the body is complete.
 fn read_to_end(
     reader: &mut BodyReader<'static>,
     framing: Framing,
@@ -167,15 +168,15 @@
     }
 }
 
-/// A longer answer's unread part, with the ring to the caller edge.
+/// Forwards the unread part of a long answer to the caller edge.
 pub(super) struct BodyForwarder {
     unread: UnreadBody,
     sender: BodySender,
 }
 
 impl BodyForwarder {
-    /// Opens the ring for an unread part. Its connection carries no further call, so that it may
-    /// be shut down at any moment when the caller goes away.
+    /// Opens the channel for an unread part. Its connection is retired from further calls, so that it can be shut down
+    /// at any moment when the caller disconnects.
     pub(super) fn new(
         unread: Option<UnreadBody>,
         connection: Option<Arc<BackendConnection>>,
@@ -188,11 +189,11 @@
         Some((rest, Self { unread, sender }))
     }
 
-    /// Passes the unread part on to the caller edge.
+    /// Forwards the unread part to the caller edge.
     ///
     /// # Errors
     ///
-    /// [`CutError`]; the ring then closes without its end, which cuts the caller's connection.
+    /// Returns [`ForwardError`]; the channel then closes without its end mark, which closes the caller's connection.
     pub(super) fn forward(self, deadline: Instant) -> Result<(), ForwardError> {
         let Self { mut unread, sender } = self;
         let mut buffer = vec![0; CHUNK_BYTES];
--- a/crates/kingcuploftd/src/backend_edge/framing.rs
+++ b/crates/kingcuploftd/src/backend_edge/framing.rs
@@ -1,4 +1,4 @@
-//! Tells how an answer's body ends, so that a cut one is never taken for whole.
+//! Determines how an answer's body ends, so that a truncated body is never passed on as complete.
 
 use ureq::http::header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
 use ureq::http::{Method, StatusCode};
@@ -8,12 +8,12 @@
 pub(super) enum Framing {
     /// There is no body.
     Empty,
-    /// After so many bytes.
+    /// After this many bytes.
     Length(u64),
     /// With the last chunk.
     Chunked,
-    /// Only the connection's end would tell, or the head contradicts itself: such a body can not
-    /// be proved whole.
+    /// Only the end of the connection marks the end, or the head contradicts itself: such a body cannot be proved
+    /// complete.
     Undelimited,
 }
 
--- a/crates/kingcuploftd/src/backend_edge/mod.rs
+++ b/crates/kingcuploftd/src/backend_edge/mod.rs
@@ -1,7 +1,7 @@
-//! The backend edge: worker threads that call backend servers.
+//! The backend edge: worker threads that call backend servers and report how each call ended.
 //!
-//! A worker sends a request once and never again by itself: whether it may be sent again is the
-//! dispatcher's decision, on the report of how the call ended.
+//! A worker sends a request once and never retries by itself. The dispatcher decides on a retry from the report,
+//! because only it knows whether the action is idempotent and what the retry budget allows.
 
 mod exchange;
 mod framing;
@@ -23,13 +23,13 @@
 
 pub use registry::{BackendConnection, CallRegistry};
 
-/// The most idle connections that are kept to all backend servers.
+/// The most idle connections in the pool, to all backend servers.
 const MAX_IDLE_CONNECTIONS: usize = 4096;
 
-/// The most idle connections that are kept to one backend server.
+/// The most idle connections in the pool to one backend server.
 const MAX_IDLE_CONNECTIONS_PER_SERVER: usize = 64;
 
-/// Runs one worker until the dispatch duty ends.
+/// Runs one worker until the dispatch thread ends.
 pub fn run(shared: &Arc<Shared>, tasks: &Receiver<CallTask>, agent: &Agent) {
     for task in tasks {
         let deadline = task.call.deadline;
@@ -41,12 +41,12 @@
             && let Err(error) = forwarder.forward(deadline)
         {
             shared.metrics.streams_cut.inc();
-            tracing::debug!("backend: a streamed answer was cut: {error}.");
+            tracing::debug!("backend: a streamed answer ended early: {error}.");
         }
     }
 }
 
-/// Builds the agent that all workers share.
+/// Builds the HTTP client that all workers share.
 pub fn agent() -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
@@ -66,7 +66,8 @@
     )
 }
 
-/// Calls a backend server; returns what the dispatch duty is told, and what is left to read.
+/// Calls a backend server; returns the message for the dispatch thread, and the forwarder of a body that is not read to
+/// its end.
 fn call(shared: &Arc<Shared>, agent: &Agent, task: CallTask) -> (Message, Option<BodyForwarder>) {
     let began = Instant::now();
     let call = task.call;
@@ -97,7 +98,7 @@
         load: headers.and_then(|headers| parse_load(signals, headers)),
         draining: headers.is_some_and(|headers| headers.contains_key(&signals.drain_header)),
     };
-    // Only an answer that is this request's own is handed on, and only then its rest.
+    // Only an answer that belongs to this request is passed on, and only then the rest of its body.
     let received = received.filter(|_| matches!(end, CallEnd::Answered { .. }));
     let (answer, forwarder) = received.map_or((None, None), |received| {
         let ReceivedAnswer { answer, unread } = received;
@@ -113,7 +114,7 @@
     (ended, forwarder)
 }
 
-/// Tells what an answer means; a crossed one is not this request's.
+/// Classifies an answer; one that carries another request's id counts as broken.
 fn classify_answer(answer: &Answer, signals: &Signals, own_id: &str) -> CallEnd {
     let echoed = answer.headers.get(&signals.request_id_header);
     if echoed.is_some_and(|echoed| echoed.as_bytes() != own_id.as_bytes()) {
@@ -128,7 +129,7 @@
     }
 }
 
-/// Tells what an error means: the transport's witness knows whether a byte was handed over.
+/// Classifies an error; the transport knows whether any byte of the request was written to a connection.
 fn classify_error(error: &ExchangeError) -> CallEnd {
     if !transport::was_sent() {
         return CallEnd::NeverSent;
--- a/crates/kingcuploftd/src/backend_edge/registry.rs
+++ b/crates/kingcuploftd/src/backend_edge/registry.rs
@@ -1,7 +1,7 @@
-//! The calls in flight, so that another thread can cancel one.
+//! Tracks the calls in flight and the connections to backend servers, so that the dispatch thread can cancel a call.
 //!
-//! A worker's thread blocks in its socket. Cancelling shuts that socket down: the blocked read
-//! ends, and the backend server sees its connection close, which cancels the work there.
+//! A worker's thread blocks in its socket. Cancelling shuts that socket down: the blocked read ends, and the backend
+//! server sees its connection close and can cancel the work.
 
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -14,9 +14,9 @@
 #[derive(Debug)]
 pub struct BackendConnection {
     tcp: TcpStream,
-    /// The call it carries or carried last.
+    /// The attempt that it carries or carried last.
     attempt: AtomicU64,
-    /// Whether it may carry no further call.
+    /// Whether further calls on it are forbidden.
     retired: AtomicBool,
 }
 
@@ -33,7 +33,7 @@
         &self.tcp
     }
 
-    /// Lets no further call onto it.
+    /// Excludes it from further calls.
     pub(super) fn retire(&self) {
         self.retired.store(true, Ordering::Release);
     }
@@ -42,20 +42,20 @@
         self.retired.load(Ordering::Acquire)
     }
 
-    /// Ends it, whatever it carries.
+    /// Shuts it down, whatever call it carries.
     pub fn shut_down(&self) {
         self.retire();
-        // A connection that ended by itself can not be shut down, and need not be.
+        // Shutting down fails on a connection that has already ended, which is fine.
         drop(self.tcp.shutdown(Shutdown::Both));
     }
 }
 
-/// What is known about a call between its order and its end.
+/// The state of a call between its submission and its end.
 #[derive(Debug)]
 enum CallState {
     /// It waits for a worker or a connection.
     Waiting,
-    /// It is on this connection.
+    /// It runs on this connection.
     Running(Arc<BackendConnection>),
     /// It was cancelled.
     Cancelled,
@@ -83,17 +83,17 @@
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a call was ordered.
+    /// Adds a call that was submitted to the workers.
     pub fn add(&self, attempt: AttemptId) {
         self.calls().insert(attempt, CallState::Waiting);
     }
 
-    /// Notes the connection a call is on; tells whether the call may go on.
+    /// Assigns a connection to a call; returns whether the call may proceed.
     ///
-    /// A call that ended may be cancelled a moment later, when its connection already carries
-    /// another one. That one would be cut, and a protected action's outcome unknown. So cancelling
-    /// and taking a connection over both happen under the lock, and cancelling ends a connection
-    /// only while it still carries the cancelled call.
+    /// Failure: a call that has ended is cancelled a moment later, when its connection already carries another call.
+    /// Shutting the connection down would end that other call and leave the outcome of a protected action unknown. So
+    /// cancelling and assigning a connection both hold the lock, and cancelling shuts a connection down only while it
+    /// still carries the cancelled call.
     pub(super) fn assign_connection(
         &self,
         attempt: AttemptId,
@@ -109,12 +109,12 @@
         true
     }
 
-    /// Tells whether a call was cancelled.
+    /// Returns whether a call was cancelled.
     pub(super) fn is_cancelled(&self, attempt: AttemptId) -> bool {
         matches!(self.calls().get(&attempt), Some(CallState::Cancelled))
     }
 
-    /// Forgets a call that ended; returns the connection it was on.
+    /// Removes a call that ended; returns the connection it ran on.
     pub fn remove(&self, attempt: AttemptId) -> Option<Arc<BackendConnection>> {
         match self.calls().remove(&attempt)? {
             CallState::Running(connection) => Some(connection),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Cancels a call; one that has ended is left alone.
+    /// Cancels a call; has no effect on a call that has ended.
     pub fn cancel(&self, attempt: AttemptId) {
         if let Some(state) = self.calls().get_mut(&attempt) {
             cancel(attempt, state);
@@ -137,12 +137,12 @@
             .for_each(|(attempt, state)| cancel(*attempt, state));
     }
 
-    /// Returns how many connections to a backend server are open, in use or idle.
+    /// Returns the number of open connections to a backend server, in use or idle.
     pub fn connections(&self, address: SocketAddr) -> usize {
         self.connection_count(address).load(Ordering::Relaxed)
     }
 
-    /// Returns how many connections to backend servers are open.
+    /// Returns the number of open connections to all backend servers.
     pub fn all_connections(&self) -> usize {
         let connections = self.connections.lock();
         let connections = connections.unwrap_or_else(PoisonError::into_inner);
@@ -150,7 +150,7 @@
         counts.map(|count| count.load(Ordering::Relaxed)).sum()
     }
 
-    /// Counts a connection that is about to open, unless the limit is reached.
+    /// Reserves a connection that is about to open; `None` if the limit is reached.
     pub(super) fn open(&self, address: SocketAddr, limit: usize) -> Option<CountedConnection> {
         let count = self.connection_count(address);
         let counted = count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |open| {
--- a/crates/kingcuploftd/src/backend_edge/transport.rs
+++ b/crates/kingcuploftd/src/backend_edge/transport.rs
@@ -1,8 +1,9 @@
-//! A TCP transport that knows whether any byte of a request was handed to a connection.
+//! A TCP transport that records whether any byte of a request was written to a connection.
 //!
-//! A protected request is called "not run" only where that is proved. `ureq` reports errors
-//! without saying whether it had begun to write, so its transport is wrapped: the first write of
-//! a call sets a flag of the worker's thread, on which the whole call runs.
+//! Failure: a protected action that is reported as not run although the backend server received it would run twice
+//! after a retry. A request is reported as not run only if that is proved. `ureq` reports errors without saying whether
+//! it had begun to write, so its transport is wrapped: the first write of a call sets a thread-local flag. The whole
+//! call runs on its worker's thread, so the flag always belongs to that call.
 
 use std::cell::RefCell;
 use std::io::{ErrorKind, Read, Write};
@@ -21,7 +22,7 @@
 use super::registry::{BackendConnection, CountedConnection};
 use crate::shared::Shared;
 
-/// The shortest timeout that is set on a socket; none of zero can be.
+/// The shortest timeout that is set on a socket; the system rejects a timeout of zero.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// The call that runs on this thread.
@@ -36,7 +37,7 @@
     static CURRENT_CALL: RefCell<Option<CurrentCall>> = const { RefCell::new(None) };
 }
 
-/// Begins a call on this thread; `connections` bounds those to its backend server.
+/// Begins a call on this thread; `connection_limit` bounds the open connections to its backend server.
 pub(super) fn begin_call(shared: &Arc<Shared>, attempt: AttemptId, connection_limit: usize) {
     let current = CurrentCall {
         shared: Arc::clone(shared),
@@ -47,12 +48,12 @@
     CURRENT_CALL.set(Some(current));
 }
 
-/// Tells whether a byte of this thread's call was handed to a connection.
+/// Returns whether any byte of this thread's call was written to a connection.
 pub(super) fn was_sent() -> bool {
     CURRENT_CALL.with_borrow(|current| current.as_ref().is_some_and(|current| current.sent))
 }
 
-/// Connects over TCP.
+/// Opens counted TCP connections.
 #[derive(Debug)]
 pub(super) struct TrackingConnector;
 
@@ -98,7 +99,7 @@
     }
 }
 
-/// A TCP connection with the witness.
+/// A TCP connection that records the first write of each call.
 #[derive(Debug)]
 pub(super) struct TrackingTransport {
     connection: Arc<BackendConnection>,
@@ -109,7 +110,7 @@
 }
 
 impl TrackingTransport {
-    /// Notes, before the first byte of a call goes out, that it is on this connection.
+    /// Records, before the first byte of a call is written, that the call runs on this connection.
     fn mark_sent(&self) -> Result<(), Error> {
         CURRENT_CALL.with_borrow_mut(|current| {
             let Some(current) = current else {
@@ -181,9 +182,9 @@
         }
     }
 
-    /// Tells whether a kept connection may carry the next request: one that the backend server
-    /// closed, or on which an answer arrived too late or twice, may not. Its next caller would be
-    /// given another's answer; the bytes that wait in the socket or were read ahead betray it.
+    /// Returns whether a pooled connection may carry the next request. One that the backend server closed, or on which
+    /// an answer arrived late or twice, may not: the next request on it would receive another request's answer. Such an
+    /// answer shows as bytes that wait in the socket or were read ahead.
     fn is_open(&mut self) -> bool {
         if self.connection.retired() || !self.buffers.input().is_empty() {
             return false;
@@ -196,15 +197,15 @@
     }
 }
 
-/// The timeout that a socket has, so that it is set anew only where it has to be.
+/// The timeout that is set on a socket, to save system calls that would change it only slightly.
 ///
-/// The time left to a deadline differs with each call by less than matters. A timeout that is a
-/// little too short is kept; where it ends a wait early, the wait goes on for the exact rest.
+/// The time until the deadline differs little from call to call. A timeout that is somewhat too short is kept; if it
+/// ends a wait early, the wait continues for exactly the remaining time.
 #[derive(Debug, Default)]
 struct CachedTimeout(Option<Duration>);
 
 impl CachedTimeout {
-    /// Sees to a timeout that is no longer than the time left, and not much shorter.
+    /// Ensures a timeout of at most the remaining time, and of at least half of it.
     fn set_at_most(
         &mut self,
         remaining: Option<Duration>,
@@ -234,13 +235,13 @@
     }
 }
 
-/// Tells whether a socket's timeout ended a wait before it was due.
+/// Returns whether the socket's timeout ended a wait before the deadline.
 fn is_early(error: &std::io::Error, deadline: Option<Instant>) -> bool {
     let timeout = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
     timeout && deadline.is_none_or(|deadline| Instant::now() + MIN_TIMEOUT < deadline)
 }
 
-/// Turns the socket's timeout into the library's.
+/// Converts a socket timeout into the HTTP library's timeout error.
 fn map_timeout(error: std::io::Error, timeout: NextTimeout) -> Error {
     match error.kind() {
         ErrorKind::WouldBlock | ErrorKind::TimedOut => Error::Timeout(timeout.reason),
--- a/crates/kingcuploftd/src/caller_edge/activity.rs
+++ b/crates/kingcuploftd/src/caller_edge/activity.rs
@@ -1,8 +1,9 @@
-//! What a connection is doing, and since when: the grounds for closing a slow or idle one.
+//! Tracks what a caller's connection is doing and since when, so that the caller edge closes slow and idle connections.
 //!
-//! The HTTP library has one timeout for the time until a head is whole, which also ends kept-alive
-//! connections that are merely idle. A balancer keeps its connections for longer, and a request
-//! it sends in the moment of closing is lost. So a slow head and an idle connection are told apart.
+//! Failure: slow request heads that hold connections open. The HTTP library has one timeout for the time until a head
+//! is complete, which also ends keepalive connections that are merely idle. A balancer in front keeps its connections
+//! longer, and a request that it sends while the connection closes is lost. So a slow head has the header timeout and
+//! an idle keepalive connection the longer idle timeout.
 
 use std::cell::{Cell, RefCell};
 use std::io::IoSlice;
@@ -20,15 +21,15 @@
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// No byte of a request has come; `first` before the first request of the connection.
+    /// No byte of the next request has arrived; `first` before the first request of the connection.
     Waiting { first: bool },
-    /// A head is coming in.
+    /// Part of a request head has arrived.
     Head,
-    /// A request is read, worked on or answered.
+    /// A request is being read, processed or answered.
     Busy,
 }
 
-/// What one connection is doing.
+/// The state of one connection and the time of its last change.
 #[derive(Debug)]
 pub(super) struct Activity {
     state: Cell<State>,
@@ -36,7 +37,7 @@
     inspector: RefCell<Inspector>,
 }
 
-/// A request is worked on or answered until this is dropped.
+/// Marks its connection as busy until dropped.
 #[derive(Debug)]
 pub(super) struct Busy(Rc<Activity>);
 
@@ -55,14 +56,14 @@
         })
     }
 
-    /// Notes that a request's head is whole; returns the verdict on it.
+    /// Marks the connection as busy after a complete request head; returns the inspector's verdict on the head.
     pub(super) fn begin_request(self: &Rc<Self>) -> (Busy, Verdict) {
         self.set_state(State::Busy);
         let verdict = self.inspector.borrow_mut().next_verdict();
         (Busy(Rc::clone(self)), verdict)
     }
 
-    /// Waits until the connection has been slow or idle for too long; tells whether it was slow.
+    /// Waits until the connection has been slow or idle for too long; returns whether it was slow.
     pub(super) async fn wait_until_overdue(&self, limits: &Limits) -> bool {
         let step = Duration::from_millis(limits.header_timeout_ms);
         loop {
@@ -73,7 +74,7 @@
             {
                 return slow;
             }
-            // A head may begin while an idle connection's later end is waited for.
+            // A head may begin during the longer wait of an idle connection, and has the shorter timeout.
             let due = due.map_or(now + step, |(due, _)| due.min(now + step));
             tokio::time::sleep_until(due).await;
         }
@@ -105,14 +106,14 @@
     }
 
     fn on_write(&self) {
-        // An answer that its caller still takes is not idle.
+        // A caller that still reads its answer is not idle.
         if matches!(self.state.get(), State::Waiting { .. }) {
             self.since.set(Instant::now());
         }
     }
 }
 
-/// A caller's connection whose activity is noted.
+/// A caller's connection that reports its reads and writes to its [`Activity`].
 #[derive(Debug)]
 pub(super) struct WatchedStream {
     stream: TcpStream,
--- a/crates/kingcuploftd/src/caller_edge/body.rs
+++ b/crates/kingcuploftd/src/caller_edge/body.rs
@@ -1,4 +1,4 @@
-//! Reads a request's body whole, within its limits.
+//! Reads a whole request body within the rule's size limit and the body timeout.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 ///
 /// # Errors
 ///
-/// The refusal where the body is too long, too slow or cut.
+/// Returns the refusal if the body is too long, too slow or incomplete.
 pub(super) async fn read(
     shared: &Arc<Shared>,
     route: &Route,
     body: Incoming,
 ) -> Result<Bytes, Refusal> {
     let limit = usize::try_from(route.rule().body_limit_bytes).unwrap_or(usize::MAX);
-    // A body that says itself that it is too long is not read, nor asked for by 100 Continue.
+    // A body whose declared length is over the limit is not read, and no `100 Continue` asks the caller to send it.
     if body.size_hint().lower() > limit as u64 {
         return Err(Refusal::not_run(RefusalReason::BodyTooLarge));
     }
--- a/crates/kingcuploftd/src/caller_edge/headers.rs
+++ b/crates/kingcuploftd/src/caller_edge/headers.rs
@@ -1,4 +1,4 @@
-//! What a request's headers say: its key, its caller, its deadline.
+//! Reads a request's idempotency key, caller and deadline from its headers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 /// The longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// The longest name of a caller, in bytes; one with a longer name is told by its address.
+/// The longest caller name, in bytes; a caller with a longer name is identified by its address.
 const MAX_CALLER_BYTES: usize = 256;
 
-/// Returns a request's idempotency key, if its rule asks for one.
+/// Returns a request's idempotency key if its rule uses one.
 pub(super) fn key(
     route: &Route,
     headers: &http::HeaderMap,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Returns who sent a request: by the service's header, else by the peer's address.
+/// Returns the caller of a request: the value of the service's caller header, else the peer's address.
 pub(super) fn caller(route: &Route, headers: &http::HeaderMap, peer: SocketAddr) -> Caller {
     let named = route.service.caller_header.as_ref();
     let named = named.and_then(|name| headers.get(name)?.to_str().ok());
@@ -43,7 +43,7 @@
     named.map_or_else(|| peer.ip().to_string().into(), Into::into)
 }
 
-/// Returns the caller's deadline, capped by the rule's.
+/// Returns the time until the caller's deadline, capped by the rule's.
 pub(super) fn deadline(route: &Route, headers: &http::HeaderMap) -> Result<Duration, Refusal> {
     let rule = route.rule().deadline();
     let mut values = headers.get_all("x-deadline-ms").iter();
--- a/crates/kingcuploftd/src/caller_edge/inspector.rs
+++ b/crates/kingcuploftd/src/caller_edge/inspector.rs
@@ -1,19 +1,19 @@
-//! Looks at the raw heads of a connection's requests for what the HTTP library resolves silently.
+//! Detects ambiguous request heads in a connection's raw bytes, as a guard against request smuggling.
 //!
-//! The library takes the first of two equal lengths, lets a transfer coding win over a length and
-//! accepts lines that end without a carriage return. Each is a valid reading, but another server
-//! on the way may read otherwise, and the bytes after one message then become a request that
-//! nobody sent (request smuggling). Such a request is refused and its connection closed. The
-//! inspector follows the same framing as the library and gives one verdict for each head.
+//! Failure: request smuggling. The HTTP library takes the first of two equal lengths, prefers a transfer coding over a
+//! length and accepts lines that end without a carriage return. Each is a valid reading, but another server on the path
+//! may read the message differently, and the bytes after it then become a request that nobody sent. So such a request
+//! is refused and its connection closed. The inspector follows the same framing as the library, so it finds every head,
+//! and gives one verdict per head.
 
 use std::collections::VecDeque;
 
-/// What is wrong with a head, if anything.
+/// Whether a request head is accepted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It has one reading.
+    /// It has exactly one reading.
     Valid,
-    /// It could be read in two ways, or names no host or two.
+    /// It has more than one reading, no host or several hosts.
     Ambiguous,
     /// It is too long.
     TooLarge,
@@ -26,7 +26,7 @@
     ChunkSize,
     Chunk(u64),
     Trailers,
-    /// The connection ends after the verdict that stands.
+    /// The connection ends after the last verdict.
     Ended,
 }
 
@@ -43,7 +43,7 @@
     is_http_1_0: bool,
 }
 
-/// Follows the bytes that a connection's caller sends.
+/// Parses the framing of the bytes that a caller sends on one connection.
 #[derive(Debug)]
 pub struct Inspector {
     limit_bytes: usize,
@@ -54,7 +54,7 @@
 }
 
 impl Inspector {
-    /// Builds an inspector of heads up to a length.
+    /// Builds an inspector for heads of at most `limit_bytes` bytes.
     pub fn new(limit_bytes: usize) -> Self {
         Self {
             limit_bytes,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Takes the verdict on the next request; requests come in the order of their heads.
+    /// Removes and returns the verdict on the next request, in the order of the heads.
     pub fn next_verdict(&mut self) -> Verdict {
         self.verdicts.pop_front().unwrap_or(Verdict::Ambiguous)
     }
 
-    /// Takes in what was read.
+    /// Processes the bytes of one read.
     pub fn process(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let used = match &mut self.phase {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Takes bytes up to a line's end; returns how many.
+    /// Reads bytes up to the end of a line; returns how many were used.
     fn read_line(&mut self, bytes: &[u8]) -> usize {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let used = end.map_or(bytes.len(), |end| end + 1);
@@ -128,7 +128,7 @@
             return self.end(Verdict::TooLarge);
         }
         match text {
-            // Empty lines before a request line mean nothing.
+            // Empty lines before a request line are ignored.
             [] if head.lines == 0 => self.head = Head::default(),
             [] => self.on_head_end(),
             _ => {
--- a/crates/kingcuploftd/src/caller_edge/mod.rs
+++ b/crates/kingcuploftd/src/caller_edge/mod.rs
@@ -1,4 +1,8 @@
-//! The caller edge: one thread that accepts connections and passes whole requests on.
+//! The caller edge: one thread that accepts callers' connections, reads whole requests, checks and routes them, and
+//! passes them to the dispatch thread.
+//!
+//! Failure: slow callers, floods of connections and malformed requests. Timeouts close slow connections, a limit bounds
+//! the open ones, and a request with more than one reading is refused before it reaches a backend server.
 
 mod activity;
 mod body;
@@ -36,7 +40,7 @@
 use inspector::Verdict;
 use reply_body::ReplyBody;
 
-/// The longest host that is kept for operators, in characters.
+/// The longest host that the decision log keeps, in characters.
 const MAX_HOST_CHARS: usize = 64;
 
 /// The longest headers of one request, in bytes.
@@ -45,16 +49,17 @@
 /// The most headers of one request.
 const MAX_HEADERS: usize = 64;
 
-/// The most bytes that the HTTP library holds of one connection.
+/// The most bytes that the HTTP library buffers for one connection.
 const MAX_BUFFER_BYTES: usize = 128 * 1024;
 
-/// The pause after a connection could not be taken.
+/// The delay before accepting again after the system refused a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How long an idle connection stays open after the door closed.
+/// How long an idle connection stays open after the daemon stops accepting: a request that is already on its way still
+/// arrives.
 const CLOSE_GRACE: Duration = Duration::from_millis(50);
 
-/// Runs the duty until the daemon ends.
+/// Runs the caller edge until the daemon ends.
 ///
 /// # Panics
 ///
@@ -85,10 +90,10 @@
     finish(shared, acceptor.connections, until).await;
 }
 
-/// Takes the connections that the system took before the door closed, then closes it.
+/// Accepts the connections that wait in the socket's backlog, then closes the socket.
 ///
-/// Asked directly and not through the event queue: on a busy machine a connection can wait here
-/// of which no event was seen yet. Closing would reset it, and its request be lost.
+/// The socket is read directly and not through the event queue: on a busy machine a connection can wait in the backlog
+/// before its event is seen. Closing the socket would reset that connection and lose its request.
 fn accept_backlog(listener: tokio::net::TcpListener, acceptor: &mut Acceptor) {
     let Ok(listener) = listener.into_std() else {
         return;
@@ -101,15 +106,15 @@
     }
 }
 
-/// Pauses after a connection could not be taken: where the system has no file descriptors left,
-/// trying again at once would keep the thread from serving the connections it has.
+/// Pauses after a connection could not be accepted. When the system has no file descriptors left, accepting again at
+/// once would keep the thread from serving the connections that are open.
 async fn pause_accepting(shared: &Shared, error: &std::io::Error) {
     shared.metrics.accept_errors.inc();
-    tracing::warn!("caller: no connection could be taken: {error}.");
+    tracing::warn!("caller: cannot accept a connection: {error}.");
     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
 }
 
-/// Waits until the door closes; returns until when requests may go on.
+/// Waits until the daemon stops accepting; returns until when requests in flight may continue.
 async fn wait_for_close(closing: &mut watch::Receiver<Option<Instant>>) -> Instant {
     let until = closing.wait_for(Option::is_some).await;
     until
@@ -118,17 +123,17 @@
         .unwrap_or_else(Instant::now)
 }
 
-/// Waits for the open connections to end; cuts what is left at the bound.
+/// Waits for the open connections to end; closes those that are left at the stop timeout.
 async fn finish(shared: &Shared, mut connections: JoinSet<()>, until: Instant) {
     let all = async { while connections.join_next().await.is_some() {} };
     if tokio::time::timeout_at(until.into(), all).await.is_err() {
         let left = connections.len();
         shared.metrics.cut_by_stop.inc_by(left as u64);
-        tracing::warn!("caller: {left} connections were cut at the bound of the stop.");
+        tracing::warn!("caller: {left} connections were closed at the stop timeout.");
     }
 }
 
-/// The open connections and the room for more.
+/// The open connections and the free slots for more.
 struct Acceptor {
     shared: Arc<Shared>,
     connections: JoinSet<()>,
@@ -146,7 +151,7 @@
         }
     }
 
-    /// Serves a new connection, or refuses it where there is no room.
+    /// Serves a new connection, or answers 503 when every slot is in use.
     fn open(&mut self, stream: TcpStream, peer: SocketAddr) {
         drop(stream.set_nodelay(true));
         let shared = Arc::clone(&self.shared);
@@ -168,7 +173,7 @@
     }
 }
 
-/// Serves one connection until its caller, its slowness or the door's closing ends it.
+/// Serves one connection until the caller closes it, a timeout ends it or the daemon stops accepting.
 async fn serve_connection(shared: Arc<Shared>, stream: TcpStream, peer: SocketAddr) {
     let limits = &shared.settings.limits;
     let activity = Activity::new(MAX_HEADERS_BYTES);
@@ -193,7 +198,7 @@
             return;
         }
         _ = wait_for_close(&mut closing) => {
-            // A request that was on its way when the door closed is still read and answered.
+            // A request that was on its way when the daemon stopped accepting is still read and answered.
             match tokio::time::timeout(CLOSE_GRACE, serving.as_mut()).await {
                 Ok(ended) => ended,
                 Err(_) => {
@@ -234,8 +239,8 @@
     reply::response(shared, id, head_only, reply).map(|body| body.until_written(busy))
 }
 
-/// Refuses a request whose head has no single reading; a target with an authority is a second
-/// host beside the header.
+/// Refuses a request whose head is ambiguous or too long. A request target with an authority names a second host
+/// besides the header and is ambiguous as well.
 fn check_head(verdict: Verdict, uri: &Uri) -> Result<(), Refusal> {
     match verdict {
         Verdict::TooLarge => Err(Refusal::not_run(RefusalReason::HeadersTooLarge)),
@@ -247,8 +252,7 @@
     }
 }
 
-/// What a caller asked for, as far as an operator is told it later: no path, query or header, which
-/// may hold a caller's secrets.
+/// What the decision log keeps of a request: no path, query or header, which may hold a caller's secrets.
 struct RequestSummary {
     method: String,
     host: String,
@@ -265,7 +269,7 @@
     }
 }
 
-/// Keeps a refusal for operators who ask why.
+/// Writes a refusal to the decision log.
 fn record_refusal(shared: &Shared, id: RequestId, summary: &RequestSummary, refusal: &Refusal) {
     let routes = shared.routes.load();
     let service = routes.service(&summary.host);
@@ -285,7 +289,7 @@
     decisions.record(DecisionKind::Refused, reason, service, &request, inputs);
 }
 
-/// Reads a request whole, passes it on and waits for its reply.
+/// Reads a whole request, passes it to the dispatch thread and waits for its reply.
 async fn admit(
     shared: &Arc<Shared>,
     id: RequestId,
@@ -347,8 +351,8 @@
     reply.map_err(|_| Refusal::unknown(RefusalReason::ShuttingDown))
 }
 
-/// Tells the dispatch duty that a caller went away: the HTTP library drops the waiting future
-/// when the connection closes.
+/// Reports a caller's disconnect to the dispatch thread when dropped: the HTTP library drops the waiting future when
+/// the connection closes.
 struct DisconnectNotifier {
     shared: Option<Arc<Shared>>,
     id: RequestId,
--- a/crates/kingcuploftd/src/caller_edge/overload.rs
+++ b/crates/kingcuploftd/src/caller_edge/overload.rs
@@ -1,4 +1,7 @@
-//! Refuses a connection above the limit with an answer, not with silence.
+//! Answers 503 on connections above the connection limit.
+//!
+//! Load pattern: more callers connect than the daemon serves. A connection that is closed without an answer looks like
+//! a crash to its caller; an answer says that nothing ran and when to retry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +13,10 @@
 use super::reply;
 use crate::shared::Shared;
 
-/// How many connections are refused with an answer at once; more are closed without one.
+/// The most connections that are being answered with 503 at once; further ones are closed without an answer.
 pub(super) const MAX_CONCURRENT_REFUSALS: usize = 256;
 
-/// How long a refused caller may take to send its request, and then to read its answer.
+/// How long a refused caller may take to send its request and to read its answer.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Answers the first request of a connection with 503 and closes it.
@@ -31,13 +34,13 @@
     );
     let mut request = [0; 4096];
     let exchange = async {
-        // A client that has not sent its request yet may take an early answer for nonsense.
+        // A client that receives an answer before it has sent its request may treat it as a protocol error.
         let read = stream.read(&mut request).await;
         if !read.is_ok_and(|read| read > 0) || stream.write_all(answer.as_bytes()).await.is_err() {
             return;
         }
         drop(stream.shutdown().await);
-        // Closing with unread bytes would reset the connection before the answer is read.
+        // Closing with unread bytes would reset the connection before the caller has read the answer.
         while stream.read(&mut request).await.is_ok_and(|read| read > 0) {}
     };
     drop(tokio::time::timeout(REFUSAL_TIMEOUT, exchange).await);
--- a/crates/kingcuploftd/src/caller_edge/reply.rs
+++ b/crates/kingcuploftd/src/caller_edge/reply.rs
@@ -1,4 +1,4 @@
-//! Turns replies into HTTP.
+//! Builds the HTTP responses of replies: a backend server's answer, or the balancer's own refusal.
 
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
 use crate::message::{Answer, Reply};
 use crate::shared::Shared;
 
-/// After which pause a caller whom this VM has no room for may come back.
+/// The retry delay that is sent to a caller when this VM is overloaded.
 pub(super) const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 const REASON_HEADER: HeaderName = HeaderName::from_static("x-kingcuploft-reason");
 const OUTCOME_HEADER: HeaderName = HeaderName::from_static("x-kingcuploft-outcome");
-/// Tells what is known of earlier requests with the same idempotency key.
+/// Says what is known about earlier requests with the same idempotency key.
 const EARLIER_HEADER: HeaderName = HeaderName::from_static("x-kingcuploft-earlier");
-/// The value where the ledger was not read.
+/// The value when the ledger was not read.
 const NOT_CHECKED: &str = "not_checked";
 const RETRY_AFTER_MS_HEADER: HeaderName = HeaderName::from_static("x-kingcuploft-retry-after-ms");
 
@@ -49,8 +49,8 @@
     response
 }
 
-/// Passes a backend server's answer on. The length is told where it is known although the body
-/// does not go out with it: for a streamed answer, and for the head of one.
+/// Builds the response of a backend server's answer. For a streamed body and for an answer to HEAD, the HTTP library
+/// cannot derive the length from the body, so a known length is copied from the answer.
 fn answer_response(answer: Answer, head_only: bool) -> Response<ReplyBody> {
     let length = answer.headers.get(CONTENT_LENGTH).cloned();
     let rest = answer.rest.as_ref().and_then(RemainingBody::take);
@@ -64,7 +64,7 @@
     response
 }
 
-/// Returns the JSON body of the system's own answer.
+/// Returns the JSON body of a refusal.
 pub(super) fn refusal_body(own_id: &str, refusal: &Refusal) -> String {
     let body = serde_json::json!({
         "reason": refusal.reason.label(),
@@ -100,7 +100,7 @@
     response
 }
 
-/// Adds when to come back where only this VM lacks room: its caller should try another one.
+/// Adds a retry delay to refusals that concern only this VM, after which the caller should try another VM.
 fn with_retry_after(refusal: Refusal) -> Refusal {
     let overloaded = matches!(
         refusal.reason,
@@ -112,8 +112,8 @@
     }
 }
 
-/// Tells whether nothing more can be read after a refusal: what follows a request that has no
-/// single reading, or whose body was left unread, is not known to be a request.
+/// Returns whether the connection must close after a refusal: the bytes after an ambiguous request, or after an unread
+/// body, may not be a request.
 fn closes_connection(reason: RefusalReason) -> bool {
     matches!(
         reason,
--- a/crates/kingcuploftd/src/caller_edge/reply_body.rs
+++ b/crates/kingcuploftd/src/caller_edge/reply_body.rs
@@ -1,4 +1,4 @@
-//! The body of a reply: whole, or streamed from a backend worker.
+//! The HTTP body of a reply: complete in memory, or streamed from a backend worker.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,8 +9,8 @@
 use super::activity::Busy;
 use crate::answer_stream::{BodyChunks, NextChunk};
 
-/// A streamed answer was cut: the HTTP library closes the caller's connection, so that the caller
-/// can not take the part it has for the whole.
+/// The error of a streamed answer that ended early. The HTTP library then closes the caller's connection, so that the
+/// caller cannot mistake the part it has for the complete body.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the backend server cut its answer")]
 pub(super) struct TruncatedAnswer;
@@ -24,7 +24,7 @@
 }
 
 impl ReplyBody {
-    /// Builds a body; it is whole where there is no rest.
+    /// Builds a body; without `rest`, `beginning` is all of it.
     pub(super) fn new(beginning: Bytes, rest: Option<BodyChunks>) -> Self {
         let beginning = Some(beginning).filter(|bytes| !bytes.is_empty());
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Lets the connection be busy until the body has been handed over.
+    /// Keeps the connection marked as busy until the body has been written.
     pub(super) fn until_written(self, busy: Busy) -> Self {
         Self {
             _busy: Some(busy),
--- a/crates/kingcuploftd/src/dispatch.rs
+++ b/crates/kingcuploftd/src/dispatch.rs
@@ -1,4 +1,8 @@
-//! The dispatch duty: runs the library's dispatcher on events from the other duties.
+//! The dispatch thread: feeds the events of all other threads to the dispatcher and carries out its actions.
+//!
+//! The dispatcher is a pure state machine; this thread supplies its time and events and is the only one that calls it.
+//! It never blocks on another thread: a full channel is reported to the dispatcher as a call or claim that was never
+//! sent.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,25 +24,25 @@
 use crate::message::{Answer, CallTask, ClaimTask, Message, Reply, RequestParts};
 use crate::shared::Shared;
 
-/// The longest sleep without an event.
+/// The longest sleep without an event, and the interval of the membership check.
 const MAX_SLEEP: Duration = Duration::from_millis(100);
 
-/// The rings out of the dispatch duty.
+/// The channels from the dispatch thread to the threads that carry out its actions.
 #[derive(Debug)]
 pub struct TaskSenders {
     /// To the backend edge.
     pub calls: Sender<CallTask>,
-    /// To the measuring duty.
+    /// To the prober.
     pub probes: Sender<Probe>,
-    /// To the claims duty.
+    /// To the claims thread.
     pub claims: Sender<ClaimTask>,
 }
 
-/// A request whose caller waits.
+/// A request whose caller waits for the reply.
 struct PendingRequest {
     service: ServiceName,
     arrived: Instant,
-    /// How its key is claimed, where it has one.
+    /// The claim of its idempotency key, if it has one.
     claim: Option<ClaimTask>,
     parts: Box<RequestParts>,
     reply: oneshot::Sender<Reply>,
@@ -49,26 +53,26 @@
     senders: TaskSenders,
     dispatcher: Dispatcher,
     pending: HashMap<RequestId, PendingRequest>,
-    /// Answers of attempts, between their end and what the dispatcher makes of them.
+    /// Answers of attempts that have ended, until the dispatcher has handled their end.
     answers: HashMap<AttemptId, Answer>,
     actions: Vec<Action>,
-    /// Attempts that could not be handed to the backend edge.
+    /// Attempts that did not fit into the channel to the backend edge.
     unsent_calls: Vec<AttemptId>,
-    /// The manifest that the dispatcher goes by, which may be older than the one in force.
+    /// The manifest that the dispatcher uses, which may be older than the active one.
     manifest: Arc<Manifest>,
-    /// How many VMs share the backend servers, as was last seen.
+    /// How many VMs share the backend servers, as of the last membership check.
     sharing_vm_count: usize,
-    /// The live VMs, as were last seen.
+    /// The live VMs, as of the last membership check.
     live_vms: Vec<VmName>,
-    /// When to look at these again.
+    /// When the membership is checked next.
     next_membership_check: Instant,
-    /// Claims that could not be handed to the claims duty.
+    /// Claims that did not fit into the channel to the claims thread.
     unsent_claims: Vec<RequestId>,
-    /// Releases and acknowledgements that its ring had no room for, oldest first.
+    /// Releases and acknowledgements that did not fit into that channel, oldest first.
     queued_claim_ends: VecDeque<ClaimTask>,
 }
 
-/// Runs the duty until a stop has been asked for and nothing is in flight.
+/// Runs the dispatcher until a stop was requested and nothing is in flight.
 pub fn run(shared: Arc<Shared>, messages: &Receiver<Message>, senders: TaskSenders, seed: u64) {
     let dispatcher = Dispatcher::new(shared.vm.clone(), seed);
     let mut dispatch = Dispatch {
@@ -87,7 +91,7 @@
         queued_claim_ends: VecDeque::new(),
     };
     let mut stop: Option<Instant> = None;
-    // A stop that has a bound ends at it even where a request is still in flight.
+    // The stop timeout ends this loop even if a request is still in flight.
     while stop.is_none_or(|until| dispatch.dispatcher.in_flight() > 0 && Instant::now() < until) {
         match messages.recv_timeout(dispatch.sleep()) {
             Ok(Message::Stop(until)) => stop = Some(until),
@@ -98,7 +102,7 @@
         dispatch.tick();
         dispatch.flush_claim_ends();
     }
-    // The claims duty ends only after this one: it takes all that is left.
+    // The claims thread ends only after this one and still receives the queued claim ends.
     for task in dispatch.queued_claim_ends {
         drop(dispatch.senders.claims.send(task));
     }
@@ -111,10 +115,10 @@
         left.map_or(MAX_SLEEP, |left| left.min(MAX_SLEEP))
     }
 
-    /// Tells the dispatcher of the time where something is due.
+    /// Sends the dispatcher a tick if something is due.
     ///
-    /// This is done after each message too: under load the ring is never empty, and deadlines
-    /// would pass unseen if only an empty ring let time pass.
+    /// This runs after each message too. Under load the channel is never empty, and deadlines would pass unnoticed if
+    /// the dispatcher received ticks only while the channel is empty.
     fn tick(&mut self) {
         let now = Instant::now();
         if now >= self.next_membership_check {
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Tells the dispatcher which VMs are live, where that changed.
+    /// Sends the dispatcher the list of live VMs if it changed.
     fn check_membership(&mut self) {
         let members = self.shared.fleet.members();
         let live = members.into_iter().filter(|m| m.state == MemberState::Live);
@@ -204,7 +208,7 @@
             }
             Message::Explain(query, reply) => {
                 let found = self.dispatcher.find_explanations(Instant::now(), &query);
-                // Who asked may have gone.
+                // The operator may have disconnected.
                 drop(reply.send(found));
             }
             Message::Stop(_) => {}
@@ -218,7 +222,7 @@
         }
     }
 
-    /// Returns what the dispatcher is told of an order that found a full ring.
+    /// Returns the event of a call or claim that did not fit into its channel.
     fn next_failed_send(&mut self) -> Option<Event> {
         if let Some(attempt) = self.unsent_calls.pop() {
             let report = CallReport {
@@ -299,8 +303,8 @@
         }
     }
 
-    /// Hands a claim to the claims duty. Where its ring is full the dispatcher is told so at once:
-    /// this duty never waits for the claims duty, which waits for this one to take its verdicts.
+    /// Sends a claim to the claims thread. If the channel is full, the dispatcher is told at once: waiting for the
+    /// claims thread could deadlock, because that thread waits for this one to receive its verdicts.
     fn claim(&mut self, request: RequestId) {
         let pending = self.pending.get_mut(&request);
         let Some(task) = pending.and_then(|pending| pending.claim.take()) else {
@@ -311,8 +315,8 @@
         }
     }
 
-    /// Hands the end of a claim to the claims duty. A lost one would leave its key blocked, so it
-    /// is kept until there is room; there are never more than requests in flight.
+    /// Sends the end of a claim to the claims thread. A lost end would leave its key blocked, so it is queued until the
+    /// channel has space. The queue is never longer than the number of requests in flight.
     fn end_claim(&mut self, task: ClaimTask) {
         self.queued_claim_ends.push_back(task);
         self.flush_claim_ends();
@@ -326,8 +330,8 @@
         }
     }
 
-    /// Hands a call to the backend edge. Where the ring is full the call was never sent, and the
-    /// dispatcher is told so at once.
+    /// Sends a call to the backend edge. If the channel is full, the dispatcher is told at once that the call was never
+    /// sent.
     fn call(&mut self, call: Call) {
         let attempt = call.attempt;
         let metrics = &self.shared.metrics.service;
@@ -346,7 +350,7 @@
         }
     }
 
-    /// Hands a probe over; where the ring is full the probe is lost, and its budget with it.
+    /// Sends a probe to the prober; if the channel is full, the probe is dropped and its budget is spent.
     fn probe(&mut self, probe: Probe) {
         if let Err(error) = self.senders.probes.try_send(probe) {
             tracing::debug!("measure: a probe is dropped: {error}.");
@@ -366,13 +370,13 @@
         if let Some(pending) = self.pending.remove(&request) {
             let metrics = &self.shared.metrics;
             metrics.record_latency(&pending.service, pending.arrived.elapsed());
-            // A caller that left has dropped its end.
+            // The receiver of a caller that disconnected is gone.
             drop(pending.reply.send(reply));
         }
     }
 }
 
-/// Returns the order that claims a request's key, where it has one.
+/// Returns the task that claims a request's idempotency key, if it has one.
 fn claim_task(arrival: &Arrival, parts: &RequestParts) -> Option<ClaimTask> {
     let key = arrival.key.as_ref()?;
     let idempotency = &arrival.route.rule().idempotency;
