--- a/crates/kingcuploftd/src/claims/calls.rs
+++ b/crates/kingcuploftd/src/claims/calls.rs
@@ -1,4 +1,4 @@
-//! The ledger's calls to the store, made from threads of their own.
+//! The threads that make the ledger's calls to the store.
 
 use std::sync::Arc;
 
@@ -11,21 +11,21 @@
 
 use super::metrics::{CallKind, ClaimMetrics};
 
-/// A call of one partition.
+/// A store call of one partition.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) partition: u16,
     pub(super) operation: Operation,
 }
 
-/// How a call of one partition ended.
+/// The result of one partition's store call.
 #[derive(Debug)]
 pub(super) struct CallAnswer {
     pub(super) partition: u16,
     pub(super) answer: StoreAnswer,
 }
 
-/// Makes calls until the claims duty ends.
+/// Makes store calls until the claims thread ends.
 pub(super) fn run(
     store: &dyn ObjectStore,
     metrics: &ClaimMetrics,
@@ -63,7 +63,9 @@
     Ok(match parse(&object.value, kind) {
         Ok(stored) => StoreAnswer::Found(Some((object.version as Version, stored))),
         Err(error) => {
-            tracing::error!("claims: {name} can not be read, its keys are refused: {error}.");
+            tracing::error!(
+                "claims: cannot read {name}, requests with its keys are refused: {error}."
+            );
             StoreAnswer::Failed(StoreFailure::Corrupt)
         }
     })
@@ -98,7 +100,7 @@
     store.put(name, &text, expect).map(StoreAnswer::Written)
 }
 
-/// Turns the client's error into what it proves.
+/// Converts a store client's error into what it proves about the write: not applied, or unknown.
 fn classify_error(error: &StoreError) -> StoreAnswer {
     StoreAnswer::Failed(match error {
         StoreError::Conflict { found } => return StoreAnswer::Conflict { found: *found },
--- a/crates/kingcuploftd/src/claims/layout.rs
+++ b/crates/kingcuploftd/src/claims/layout.rs
@@ -1,4 +1,4 @@
-//! How many partitions the ledger has: kept in the store, decided once.
+//! Reads the ledger's number of partitions from the store, or writes it once if it is absent.
 
 use std::time::{Duration, Instant};
 
@@ -10,14 +10,14 @@
 use kingcuploft::decisions::claim::message::Verdict;
 use kingcuploft_platform::{ObjectStore, StoreError, WriteCondition};
 
-/// The pause between tries to read the layout.
+/// The delay between attempts to read the layout.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Returns the number of partitions, once it is known; `None` where the daemon ends before.
+/// Waits for and returns the number of partitions; `None` if the daemon ends first.
 ///
-/// Two VMs with different numbers would look for one key in two places and run it twice. So the
-/// settings only decide what the first VM ever writes; every VM goes by what is stored, and claims
-/// are refused until it is read.
+/// Failure: two VMs with different numbers would look up one idempotency key in two partitions and run its action
+/// twice. So the settings only decide what the very first VM writes. Every VM uses the stored number, and claims are
+/// refused until it is read.
 pub(super) fn partition_count(
     shared: &Shared,
     tasks: &Receiver<ClaimTask>,
@@ -28,11 +28,13 @@
         match read_or_create(store, wanted) {
             Ok(found) => {
                 if found != wanted {
-                    tracing::warn!("claims: the ledger has {found} partitions, not {wanted}.");
+                    tracing::warn!(
+                        "claims: the store has {found} partitions, the settings have {wanted}; the store's number is used."
+                    );
                 }
                 return Some(found);
             }
-            Err(error) => tracing::warn!("claims: the layout can not be read: {error}."),
+            Err(error) => tracing::warn!("claims: cannot read the layout: {error}."),
         }
         if !refuse_claims_for(shared, tasks, RETRY_DELAY) {
             return None;
@@ -51,13 +53,13 @@
     let value = value.map_err(|error| StoreError::NoAnswer(error.to_string()))?;
     match store.put(LAYOUT_KEY, &value, WriteCondition::Absent) {
         Ok(_) => Ok(wanted),
-        // Another VM came first, or an earlier write without an answer: what stands there counts.
+        // Another VM was first, or an earlier write without an answer was applied: the stored number applies.
         Err(StoreError::Conflict { found: Some(_) }) => read_or_create(store, wanted),
         Err(error) => Err(error),
     }
 }
 
-/// Refuses claims for a while; tells whether the daemon goes on.
+/// Refuses claims for `time`; returns whether the daemon still runs.
 fn refuse_claims_for(shared: &Shared, tasks: &Receiver<ClaimTask>, time: Duration) -> bool {
     let until = Instant::now() + time;
     loop {
--- a/crates/kingcuploftd/src/claims/metrics.rs
+++ b/crates/kingcuploftd/src/claims/metrics.rs
@@ -1,4 +1,4 @@
-//! What the claims duty counts.
+//! The metrics of claims: verdicts, events, store calls, the group size and the claims held.
 
 use kingcuploft::decisions::claim::message::{ClaimEvent, Verdict};
 use kingcuploft_platform::StoreError;
@@ -50,11 +50,11 @@
     events: Family<EventLabel, Counter>,
     calls: Family<CallLabel, Counter>,
     group_size: Histogram,
-    /// The claims held.
+    /// The number of claims held.
     pub held: Gauge,
 }
 
-/// Upper bounds of the claims and ends that share a write.
+/// Bucket bounds of the number of claims and outcomes that share one write.
 const GROUP_BOUNDS: [f64; 9] = [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0, 256.0];
 
 impl ClaimMetrics {
--- a/crates/kingcuploftd/src/claims/mod.rs
+++ b/crates/kingcuploftd/src/claims/mod.rs
@@ -1,8 +1,8 @@
-//! The claims duty: claims, releases and records protected actions in the store.
+//! The claims thread: claims idempotency keys of protected actions in the store, releases the claims and records the
+//! outcomes.
 //!
-//! The decisions stand in [`kingcuploft::decisions::claim`]; this duty gives them orders, time and
-//! the store's answers. The store is called from threads of their own, so that a slow call delays
-//! nothing but its own partition.
+//! The decisions are made in [`kingcuploft::decisions::claim`]; this thread supplies their commands, the time and the
+//! store's answers. Separate threads call the store, so that a slow call delays only its own partition.
 
 mod calls;
 mod layout;
@@ -30,13 +30,13 @@
 /// The longest sleep without an event.
 const MAX_SLEEP: Duration = Duration::from_millis(200);
 
-/// How long a stopping daemon tries to write the last ends.
+/// How long a stopping daemon tries to write the last outcomes.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The most threads that call the store.
 const MAX_STORE_THREADS: u16 = 8;
 
-/// Where a request's claim is, and how long a recorded answer may be.
+/// The partition of a request's claim, and the size limit of its recorded answer.
 #[derive(Clone, Copy, Debug)]
 struct PlacedClaim {
     partition: u16,
@@ -52,12 +52,12 @@
     out: Vec<Output>,
 }
 
-/// Runs the duty until the dispatch duty ends and the last ends are written.
+/// Runs the claims thread until the dispatch thread ends and the last outcomes are written.
 pub fn run<S: ObjectStore>(shared: Arc<Shared>, tasks: &Receiver<ClaimTask>, store: S) {
     let Some(count) = layout::partition_count(&shared, tasks, &store) else {
         return;
     };
-    // One call per partition is open at most: neither ring is ever full.
+    // Each partition has at most one open call, so neither channel is ever full.
     let capacity = usize::from(count);
     let (calls, call_requests) = bounded(capacity);
     let (answers, call_answers) = bounded(capacity);
@@ -105,7 +105,7 @@
         self.finish(answers);
     }
 
-    /// Writes what is left, so that a planned stop loses no recorded answer.
+    /// Writes the remaining outcomes, so that a planned stop loses no recorded answer.
     fn finish(mut self, answers: &Receiver<CallAnswer>) {
         let until = Instant::now() + STOP_TIMEOUT;
         self.partitions
@@ -114,7 +114,7 @@
         self.tick();
         while !self.partitions.iter().all(Partition::is_idle) {
             if Instant::now() > until {
-                tracing::warn!("claims: the last ends could not be written; they stay unknown.");
+                tracing::warn!("claims: the last outcomes could not be written and stay unknown.");
                 return;
             }
             if let Ok(answer) = answers.recv_timeout(self.sleep()) {
@@ -257,7 +257,7 @@
             result,
             recorded: recorded.map(Box::new),
         };
-        // The dispatch duty never waits for this one, so this wait ends.
+        // The dispatch thread never blocks on this thread, so this send cannot deadlock.
         drop(self.shared.dispatch.send(message));
     }
 }
--- a/crates/kingcuploftd/src/claims/records.rs
+++ b/crates/kingcuploftd/src/claims/records.rs
@@ -1,4 +1,4 @@
-//! Between HTTP and the ledger: keys, fingerprints and recorded answers.
+//! Converts between HTTP and the ledger: request fingerprints, recorded answers and the results of claims.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 
 use crate::message::{Answer, RequestParts};
 
-/// The headers that are replayed: those that say what the body is.
+/// The headers that are recorded and replayed: those that describe the body.
 const RECORDED_HEADERS: [HeaderName; 7] = [
     CONTENT_TYPE,
     CONTENT_ENCODING,
@@ -26,7 +26,7 @@
     LOCATION,
 ];
 
-/// Tells one request's content from another's under the same idempotency key.
+/// Returns a hash of a request's content, which detects an idempotency key that is reused for another request.
 pub fn fingerprint(parts: &RequestParts) -> Fingerprint {
     let mut hasher = blake3::Hasher::new();
     hasher.update(parts.method.as_str().as_bytes());
@@ -37,7 +37,7 @@
     first_half(&hasher)
 }
 
-/// Returns a number that no other life of a VM has.
+/// Returns an owner number that differs for every VM and every one of its incarnations.
 pub(super) fn owner(vm: &Vm) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(vm.name.as_bytes());
@@ -51,7 +51,7 @@
     u128::from_le_bytes(half)
 }
 
-/// Returns what is recorded of an action's end: its answer, where it is whole and short enough.
+/// Returns the ledger entry of an action's outcome; it contains the answer if that is complete and short enough.
 pub(super) fn entry_state(answer: Option<&Answer>, record_bytes: u64) -> EntryState {
     let Some(answer) = answer else {
         return EntryState::EndUnknown;
@@ -70,7 +70,7 @@
     }))
 }
 
-/// Returns what a verdict means for the dispatcher, and the answer to replay.
+/// Returns a verdict's result for the dispatcher, and the answer to replay if there is one.
 pub(super) fn claim_result(verdict: &Verdict) -> (ClaimResult, Option<Answer>) {
     match (verdict, refusal(verdict)) {
         (Verdict::Replay(record), _) => (ClaimResult::Replayed, Some(recorded_answer(record))),
--- a/crates/kingcuploftd/src/peer_link/broadcast.rs
+++ b/crates/kingcuploftd/src/peer_link/broadcast.rs
@@ -1,4 +1,4 @@
-//! What a node tells its peers: heartbeats, a manifest in force, drains and notes.
+//! Sends heartbeats, newly activated manifests, drains and load notes to the linked peers.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use super::wire::{Heartbeat, write_drain, write_notes};
 use crate::fleet_state::{DrainNotice, PeerUpdate};
 
-/// Sends a heartbeat to some links at once, and takes their answers.
+/// Sends a heartbeat to several links concurrently and handles the heartbeats that they answer with.
 pub(super) async fn send_heartbeats(node: &Rc<Node>, links: &[Rc<Link>]) {
     let pushes = links.iter().map(|link| async {
         let mut request = link.peer.beat_request();
@@ -29,8 +29,8 @@
     futures::future::join_all(pushes).await;
 }
 
-/// Tells a manifest that has come in force on: to the links that do not have it yet, and to the
-/// drains that wait for it.
+/// Announces each newly activated manifest to the links that do not have it yet, and matches the stored drains against
+/// it.
 pub(super) async fn announce_manifest(node: Rc<Node>) {
     let mut in_force = node.shared.manifest.subscribe();
     while in_force.changed().await.is_ok() {
@@ -47,8 +47,8 @@
     }
 }
 
-/// Tells the peers what other duties want told. Drains are always told; notes only within the byte
-/// budget, for they are worth little when late.
+/// Sends the updates of other threads to the peers. Drains are always sent, load notes only within the byte budget,
+/// because late notes are worth little.
 pub(super) async fn send_updates(node: Rc<Node>) {
     let Some(mut inbox) = node.shared.fleet.take_inbox() else {
         return;
@@ -83,8 +83,8 @@
     }
 }
 
-/// Sends drains on a link without waiting; where it fails the link ends, and the drains are read
-/// again with the members when the next one begins.
+/// Sends drains on a link without waiting. If the send fails, the link ends, and the next link reads the drains again
+/// together with the members.
 pub(super) fn send_drains(link: &Link, drains: &[DrainNotice]) {
     let mut request = link.peer.drains_request();
     let mut list = request.get().init_drains(drains.len() as u32);
--- a/crates/kingcuploftd/src/peer_link/budget.rs
+++ b/crates/kingcuploftd/src/peer_link/budget.rs
@@ -1,10 +1,10 @@
-//! How many bytes the peer links may carry.
+//! The byte budget of the peer links: a token bucket over the bytes of all links.
 
 use std::time::Instant;
 
 use crate::shared::Shared;
 
-/// The byte budget: it refills steadily and pays for every byte that the links carry.
+/// A token bucket that refills at a fixed rate and is charged for every byte that the links carry.
 pub(super) struct ByteBudget {
     bytes_per_s: f64,
     burst_bytes: f64,
@@ -34,8 +34,8 @@
             .saturating_duration_since(self.refilled_at)
             .as_secs_f64()
             * self.bytes_per_s;
-        // A manifest that was pulled may cost more than minutes of budget: news must not wait for
-        // it for longer than a second.
+        // A pulled manifest may cost more than minutes of budget. The debt is bounded at one second of refill, so that
+        // gossip is delayed by at most a second.
         self.remaining =
             (self.remaining - spent + refill).clamp(-self.bytes_per_s, self.burst_bytes);
         (self.counted_bytes, self.refilled_at) = (counted_bytes, now);
--- a/crates/kingcuploftd/src/peer_link/byte_counter.rs
+++ b/crates/kingcuploftd/src/peer_link/byte_counter.rs
@@ -1,4 +1,4 @@
-//! A stream that counts its bytes, so that the budget of the links can be held and shown.
+//! A stream wrapper that counts the bytes of the peer links, for their byte budget and metrics.
 
 use std::pin::Pin;
 use std::sync::Arc;
--- a/crates/kingcuploftd/src/peer_link/link.rs
+++ b/crates/kingcuploftd/src/peer_link/link.rs
@@ -1,4 +1,4 @@
-//! One link, from its first byte to its end.
+//! One peer link: connection, TLS handshake, greeting, heartbeats and end.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,8 +24,8 @@
 /// How long a connection, a TLS handshake or a greeting may take.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest message, in words of 8 bytes: 32 service objects of ordinary size, or a root of 740
-/// services, fit many times.
+/// The longest message, in words of 8 bytes. It fits 32 service objects of usual size, or a root of 740 services, many
+/// times over.
 const MAX_MESSAGE_WORDS: usize = 512 * 1024;
 
 /// The deepest nesting of a message; the schema needs 5.
@@ -37,31 +37,31 @@
 /// Why a link ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum LinkEnd {
-    /// No connection was made.
+    /// The connection attempt failed.
     #[error("no connection: {0}")]
     Unreachable(String),
-    /// The other end did not prove who it is, or this one could not.
+    /// The TLS handshake failed: one of the ends did not prove its identity.
     #[error("no TLS: {0}")]
     Tls(String),
-    /// The other end did not greet as an entry VM does.
+    /// The other end did not send a valid greeting.
     #[error("no greeting: {0}")]
     Greeting(String),
-    /// The other end is an earlier life of a VM, or this VM itself.
-    #[error("the other end was replaced")]
+    /// The other end is an earlier incarnation of a VM, or this VM itself.
+    #[error("a later incarnation of the other end is known")]
     Replaced,
-    /// The other end was silent for too long.
-    #[error("the other end is silent")]
+    /// The other end sent no heartbeat in time.
+    #[error("no heartbeat from the other end in time")]
     Silent,
     /// The connection was lost.
     #[error("the connection was lost")]
     Lost,
-    /// The other end is not a neighbour any more, or there is another link with it.
-    #[error("it is not needed")]
+    /// The other end is no longer a neighbour, or another link with it exists.
+    #[error("the link is not needed any more")]
     NotNeeded,
 }
 
 impl LinkEnd {
-    /// Returns the word that stands in metrics.
+    /// Returns the metric label.
     pub(super) fn label(&self) -> &'static str {
         match self {
             Self::Unreachable(_) => "unreachable",
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Tells whether the other end had greeted.
+    /// Returns whether the link ended after the greeting.
     pub(super) fn was_established(&self) -> bool {
         matches!(self, Self::Silent | Self::Lost | Self::NotNeeded)
     }
@@ -169,7 +169,10 @@
     connection.server.set_link(Rc::clone(&link));
     node.add_link(Rc::clone(&link));
     if let Err(error) = node.read_fleet(&link, false).await {
-        tracing::debug!("peer: {} does not tell its members: {error}.", link.name);
+        tracing::debug!(
+            "peer: cannot read the members that {} knows: {error}.",
+            link.name
+        );
     }
     let drains = node.shared.fleet.drains();
     if !drains.is_empty() {
@@ -178,7 +181,7 @@
     Ok(run_heartbeats(node, &link, &mut connection).await)
 }
 
-/// Says who this VM is and learns who the other end is.
+/// Exchanges greetings: sends this VM's identity and reads the other end's.
 async fn greet(node: &Rc<Node>, connection: &Connection) -> Result<Rc<Link>, LinkEnd> {
     let mut request = connection.peer.hello_request();
     let own = node.shared.fleet.membership().own().clone();
--- a/crates/kingcuploftd/src/peer_link/mod.rs
+++ b/crates/kingcuploftd/src/peer_link/mod.rs
@@ -1,9 +1,10 @@
-//! The peer duty: links with a few other entry VMs, on one thread.
+//! The peer thread: gossip links with a few other entry VMs.
 //!
-//! Over a link go heartbeats, news of members, the root and service objects of a manifest, drains
-//! and notes. Either side of a link offers the same interface, so whichever learns something first
-//! tells the other. Nothing that comes in here is taken on trust: sizes and nesting are bounded,
-//! service objects are checked against their hashes, generations only grow.
+//! A link carries heartbeats, membership gossip, the root and service objects of a manifest, drains and load notes.
+//! Both sides of a link offer the same interface, so whichever side has new information sends it to the other.
+//!
+//! Failure: corrupt or hostile messages. Sizes and nesting are bounded, service objects are checked against their
+//! hashes, and generations only grow, so a message can neither exhaust memory nor move a VM back to an older manifest.
 
 mod budget;
 mod byte_counter;
@@ -35,19 +36,19 @@
 pub use settings::PeerSettings;
 use tls::Tls;
 
-/// How often the loops look whether to stop.
+/// How often the loops check whether to stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often the neighbours are chosen anew.
+/// How often the neighbours are chosen.
 const NEIGHBOUR_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often silence is checked_at at.
+/// How often members are checked for missing heartbeats.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Links that others may open to this VM; at 200 VMs with 3 neighbours each, a handful do.
+/// The most links that other VMs may open to this VM; with 200 VMs and 3 neighbours each, only a handful do.
 const MAX_ACCEPTED_LINKS: usize = 128;
 
-/// The keys of the links, read at start.
+/// The TLS keys of the links, read at start.
 #[derive(Debug)]
 pub struct Keys(Option<Tls>);
 
@@ -56,13 +57,13 @@
     ///
     /// # Errors
     ///
-    /// Which file can not be used and why.
+    /// Returns which file cannot be used and why.
     pub fn read(settings: &PeerSettings) -> Result<Self, String> {
         Ok(Self(settings.tls.clone().map(Tls::new).transpose()?))
     }
 }
 
-/// Runs the duty until the daemon ends.
+/// Runs the peer thread until the daemon ends.
 ///
 /// # Panics
 ///
@@ -108,7 +109,7 @@
     node.announce_leave().await;
 }
 
-/// Looks for members that have fallen silent.
+/// Runs the failure detector: marks members without recent heartbeats as suspect, then as gone.
 async fn detect_silent_members(node: Rc<Node>) {
     let fleet = &node.shared.fleet;
     while !node.shared.ended() {
@@ -121,7 +122,7 @@
     }
 }
 
-/// Keeps a link to each neighbour that the membership names.
+/// Keeps a link to each neighbour that the membership selects.
 async fn choose_links(node: Rc<Node>) {
     while !node.shared.ended() {
         let neighbours = node.shared.fleet.membership().neighbours(Instant::now());
--- a/crates/kingcuploftd/src/peer_link/node.rs
+++ b/crates/kingcuploftd/src/peer_link/node.rs
@@ -1,4 +1,4 @@
-//! This VM among its links: who is linked, what each knows, what is to be told.
+//! This VM's gossip node: its links, the manifest generation that each peer has, and pulling newer manifests.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -23,44 +23,44 @@
 use crate::message::Message;
 use crate::shared::Shared;
 
-/// The most lines of news on one heartbeat.
+/// The most membership entries on one heartbeat.
 const MAX_GOSSIP_ENTRIES: usize = 4;
 
-/// The most pages of members that are read from one peer.
+/// The most pages of members that are read from one peer at a time.
 const MAX_MEMBER_PAGES: u32 = 64;
 
 /// The most service objects asked for in one call.
 const MAX_SERVICES_PER_CALL: usize = 32;
 
-/// How long a call to a peer may take; a link that is slower is cut.
+/// How long a call to a peer may take.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The pause before a failed pull is tried again, here or by another link's heartbeat.
+/// The delay before a failed pull is retried, on this link or on another link's heartbeat.
 const PULL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A link whose other end has said who it is.
+/// A link after the greeting.
 pub(super) struct Link {
     pub(super) name: VmName,
     pub(super) peer: peer::Client,
-    /// The newest generation the other end is known to have in force.
+    /// The newest generation that the other end is known to have activated.
     pub(super) known_generation: Cell<Generation>,
-    /// When the other end was last heard.
+    /// When the other end's last heartbeat arrived.
     pub(super) last_received_at: Cell<Instant>,
 }
 
-/// Tries to reach one address.
+/// The connection attempts to one address.
 struct Dial {
     running: bool,
     not_before: Instant,
     backoff: Backoff,
 }
 
-/// This VM among its links.
+/// This VM's gossip node.
 pub(super) struct Node {
     pub(super) shared: Arc<Shared>,
     links: RefCell<Vec<Rc<Link>>>,
     dials: RefCell<HashMap<SocketAddr, Dial>>,
-    /// The keys of the links; none for plain TCP.
+    /// The TLS keys of the links; `None` for plain TCP.
     pub(super) tls: Option<Tls>,
     pulling: Cell<bool>,
     budget: RefCell<ByteBudget>,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes a heartbeat from a link.
+    /// Handles a heartbeat from a link.
     pub(super) fn handle_heartbeat(self: &Rc<Self>, link: &Rc<Link>, beat: &Heartbeat) {
         let now = Instant::now();
         link.last_received_at.set(now);
@@ -116,7 +116,7 @@
         self.compare_manifests(link, beat);
     }
 
-    /// Pulls a newer manifest, and notices the same generation with another content.
+    /// Compares a peer's manifest with this VM's: pulls a newer one, and reports different contents of one generation.
     fn compare_manifests(self: &Rc<Self>, link: &Rc<Link>, beat: &Heartbeat) {
         let manifest = &self.shared.manifest;
         let own = manifest.read(|adoption| {
@@ -126,7 +126,7 @@
         if beat.generation == own.0 && beat.root_hash != own.1 {
             self.shared.metrics.fleet.manifest_faults.inc();
             let (name, generation) = (&link.name, own.0);
-            tracing::error!("manifest: {name} has another content of generation {generation}.");
+            tracing::error!("manifest: {name} has different contents for generation {generation}.");
         }
         if beat.generation > own.0 {
             manifest.update(&self.shared, "a peer", |adoption| {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Starts to pull what is missing from a link, unless a pull runs.
+    /// Starts to pull the missing manifest parts from a link, unless a pull is running.
     fn pull(self: &Rc<Self>, link: &Rc<Link>) {
         if self.pulling.replace(true) {
             return;
@@ -147,7 +147,7 @@
             if let Err(error) = node.pull_all(&link).await {
                 let name = &link.name;
                 tracing::warn!("manifest: a pull from {name} failed: {error}.");
-                // Another link's heartbeat, or this one's next, tries again.
+                // The next heartbeat, of this link or another, retries the pull.
                 tokio::time::sleep(PULL_RETRY_DELAY).await;
             }
             node.pulling.set(false);
@@ -174,7 +174,7 @@
         let answer = in_time(request.send().promise).await?;
         let text = answer.get()?.get_delta()?.to_str()?;
         let delta = serde_json::from_str(text);
-        let delta = delta.map_err(|e| capnp::Error::failed(format!("no difference: {e}")))?;
+        let delta = delta.map_err(|e| capnp::Error::failed(format!("not a root delta: {e}")))?;
         let source = &link.name;
         let accepted = self
             .shared
@@ -182,7 +182,7 @@
             .update(&self.shared, source, |adoption| adoption.root_delta(&delta));
         accepted
             .then_some(())
-            .ok_or_else(|| failed("its root was not taken"))
+            .ok_or_else(|| failed("its root was not accepted"))
     }
 
     async fn pull_services(&self, link: &Link, missing: &[ContentHash]) -> capnp::Result<()> {
@@ -213,8 +213,7 @@
         }
     }
 
-    /// Reads all members and drains that the other end knows, as a VM that just started or was cut off
-    /// needs them.
+    /// Reads all members and drains that the other end knows, for a VM that has just started or was partitioned.
     pub(super) async fn read_fleet(&self, link: &Link, reconcile: bool) -> capnp::Result<()> {
         let mut list = Vec::new();
         for page in 0..MAX_MEMBER_PAGES {
@@ -244,13 +243,13 @@
         Ok(())
     }
 
-    /// Adds a link that has said who it is.
+    /// Adds a link after its greeting.
     pub(super) fn add_link(&self, link: Rc<Link>) {
         self.links.borrow_mut().push(link);
         self.update_link_count();
     }
 
-    /// Takes a link out.
+    /// Removes a link.
     pub(super) fn remove_link(&self, link: &Rc<Link>) {
         let mut links = self.links.borrow_mut();
         links.retain(|other| !Rc::ptr_eq(other, link));
@@ -267,17 +266,17 @@
         self.shared.metrics.fleet.peer_links.set(links as i64);
     }
 
-    /// Returns the links as they stand.
+    /// Returns the current links.
     pub(super) fn links(&self) -> Vec<Rc<Link>> {
         self.links.borrow().clone()
     }
 
-    /// Tells whether there is a link with this VM.
+    /// Returns whether there is a link with the named VM.
     fn has_link(&self, name: &VmName) -> bool {
         self.links.borrow().iter().any(|link| link.name == *name)
     }
 
-    /// Tells whether to begin to dial a neighbour now, and notes that it is being done.
+    /// Returns whether to dial a neighbour now; if so, marks it as being dialled.
     pub(super) fn begin_dial(&self, neighbour: &Neighbour) -> bool {
         if neighbour
             .name
@@ -300,7 +299,7 @@
         true
     }
 
-    /// Notes how a dial ended.
+    /// Records how a dial ended.
     pub(super) fn end_dial(&self, neighbour: &Neighbour, end: LinkEnd) {
         let now = Instant::now();
         let mut dials = self.dials.borrow_mut();
@@ -311,7 +310,7 @@
             }
             dial.not_before = now + dial.backoff.next_delay(&mut fastrand::Rng::new());
         }
-        // Addresses of long ago would pile up with each replaced VM.
+        // Otherwise the address of every replaced VM would stay here for ever.
         dials.retain(|_, dial| dial.running || now < dial.not_before + Duration::from_secs(60));
         drop(dials);
         if !end.was_established() {
@@ -321,8 +320,8 @@
         self.record_link_end(end);
     }
 
-    /// Tells whether a link that this VM opened may end: the other end is no neighbour any more,
-    /// or both opened a link and this one is the one that both give up.
+    /// Returns whether a link that this VM opened may end: the other end is no longer a neighbour, or both ends opened
+    /// a link. Of two such links, both ends drop the one that the VM with the greater name opened.
     pub(super) fn is_redundant(&self, link: &Rc<Link>) -> bool {
         let twin = |other: &Rc<Link>| other.name == link.name && !Rc::ptr_eq(other, link);
         let gives_up = self.shared.vm.name > link.name;
@@ -335,7 +334,8 @@
             .any(|n| n.name.as_ref() == Some(&link.name))
     }
 
-    /// Hands a peer's notes to the dispatch duty; where its ring is full they are worth least.
+    /// Forwards a peer's load notes to the dispatch thread; they are dropped if its channel is full, as the least
+    /// important messages.
     pub(super) fn forward_notes(&self, notes: PeerNotes) {
         let metrics = &self.shared.metrics.fleet;
         metrics.count_notes("received", notes.notes.len());
@@ -356,19 +356,19 @@
         tracing::debug!("peer: a link ended: {end}.");
     }
 
-    /// Tells whether the byte budget allows what can be left out.
+    /// Returns whether the byte budget allows optional messages.
     pub(super) fn has_budget(&self) -> bool {
         self.budget.borrow_mut().has_bytes(&self.shared)
     }
 
-    /// Tells the neighbours that this VM stops.
+    /// Announces to the linked peers that this VM leaves the fleet.
     pub(super) async fn announce_leave(self: &Rc<Self>) {
         self.shared.fleet.membership().leave();
         send_heartbeats(self, &self.links()).await;
     }
 }
 
-/// Waits for a peer's answer, but not for long: a half-open link never answers.
+/// Waits for a peer's answer at most [`CALL_TIMEOUT`]: a half-open connection never answers.
 pub(super) async fn in_time<T>(
     promise: impl Future<Output = capnp::Result<T>>,
 ) -> capnp::Result<T> {
--- a/crates/kingcuploftd/src/peer_link/server.rs
+++ b/crates/kingcuploftd/src/peer_link/server.rs
@@ -1,4 +1,4 @@
-//! What this VM offers at either end of a link.
+//! The interface that this VM offers to the other end of a link, whichever end opened it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use super::peer_capnp::peer;
 use super::wire::{Heartbeat, read_drain, read_member, read_notes, write_drain, write_member};
 
-/// The most bytes of service objects in one answer; the rest is asked for again.
+/// The most bytes of service objects in one answer; the caller requests the rest again.
 const MAX_SERVICES_BYTES: usize = 1024 * 1024;
 
 /// This VM's end of one link.
@@ -35,7 +35,7 @@
         self.peer.replace(Some(peer));
     }
 
-    /// Sets the link, once the other end has said who it is.
+    /// Sets the link after the greeting.
     pub(super) fn set_link(&self, link: Rc<Link>) {
         self.link.replace(Some(link));
     }
@@ -45,7 +45,7 @@
         self.link.borrow().clone()
     }
 
-    /// Takes the link out and lets go of the other end, which holds this one.
+    /// Removes the link and drops the reference to the other end, which refers back to this one.
     pub(super) fn close(&self) {
         self.peer.replace(None);
         if let Some(link) = self.link.replace(None) {
--- a/crates/kingcuploftd/src/peer_link/settings.rs
+++ b/crates/kingcuploftd/src/peer_link/settings.rs
@@ -6,21 +6,21 @@
 use kingcuploft::settings::membership::MembershipSettings;
 use serde::Deserialize;
 
-/// How this VM links with others.
+/// The settings of this VM's links with other entry VMs.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Where other VMs connect; no links where absent.
+    /// Where other VMs connect; without it there are no links.
     pub listen: Option<SocketAddr>,
-    /// The address that others are told; `listen` where absent.
+    /// The address that is advertised to other VMs; `listen` if absent.
     pub address: Option<SocketAddr>,
-    /// The first addresses to try, while neither the platform nor a peer has told others.
+    /// The first addresses to dial, until the platform or a peer names others.
     pub peers: Vec<SocketAddr>,
     /// The files for mutual TLS.
     pub tls: Option<TlsFiles>,
-    /// Whether links without TLS are allowed off the loopback.
+    /// Whether links without TLS are allowed on other than loopback addresses.
     pub plain: bool,
-    /// How the fleet is watched.
+    /// The settings of the failure detector and the gossip.
     pub membership: MembershipSettings,
     /// The byte budget of the links.
     pub budget: PeerBudget,
@@ -32,7 +32,7 @@
 pub struct PeerBudget {
     /// Bytes sent in a second on average, heartbeats included.
     pub bytes_per_s: u64,
-    /// Bytes that may be sent at once after a quiet time, such as a changed manifest.
+    /// Bytes that may be sent at once after an idle period, such as a changed manifest.
     pub burst_bytes: u64,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl PeerSettings {
-    /// Tells why these settings can not be used, if so.
+    /// Returns why these settings cannot be used; `None` if they can.
     pub fn fault(&self) -> Option<&'static str> {
         let listen = self.listen?;
         let open = self.tls.is_none() && !self.plain && !listen.ip().is_loopback();
--- a/crates/kingcuploftd/src/peer_link/tls.rs
+++ b/crates/kingcuploftd/src/peer_link/tls.rs
@@ -1,8 +1,8 @@
-//! Mutual TLS of the peer links, with files that may change while the daemon runs.
+//! Mutual TLS of the peer links, with key files that may be rotated while the daemon runs.
 //!
-//! Each VM's certificate is signed by the fleet's authority and names the VM's IP address. The
-//! files are checked_at at when a link is opened, at most once a second; a set that can not be read is
-//! told in the log and the last good one stays in use.
+//! Each VM's certificate is signed by the fleet's certificate authority and names the VM's IP address. The files are
+//! checked when a link opens, at most once a second. Files that cannot be read are reported in the log, and the last
+//! valid ones stay in use, so that a failed rotation does not cut the links.
 
 use std::net::IpAddr;
 use std::path::Path;
@@ -19,7 +19,7 @@
 
 use super::settings::TlsFiles;
 
-/// How often the files are checked_at at.
+/// The shortest time between two checks of the files.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The keys of this VM's links.
@@ -69,7 +69,7 @@
         stream.map_err(|error| error.to_string())
     }
 
-    /// Returns the keys, read again if the files changed.
+    /// Returns the keys, after reading them again if the files changed.
     fn current(&self) -> LoadedKeys {
         let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
         if loaded.checked_at.elapsed() < FILE_CHECK_INTERVAL {
@@ -79,10 +79,10 @@
         if loaded.modified_at != modified_at(&self.files) {
             match load(&self.files) {
                 Ok(fresh) => {
-                    tracing::info!("peer: the TLS files were read again.");
+                    tracing::info!("peer: reloaded the TLS files.");
                     *loaded = fresh;
                 }
-                Err(why) => tracing::error!("peer: the TLS files can not be read: {why}."),
+                Err(why) => tracing::error!("peer: cannot read the TLS files: {why}."),
             }
         }
         loaded.clone()
--- a/crates/kingcuploftd/src/peer_link/wire.rs
+++ b/crates/kingcuploftd/src/peer_link/wire.rs
@@ -1,4 +1,5 @@
-//! Between the types of the schema and those of the decisions.
+//! Converts between the Cap'n Proto types of the peer schema and the types of the decisions, and bounds what peers
+//! send.
 
 use std::net::SocketAddr;
 
@@ -10,29 +11,29 @@
 use super::peer_capnp::{beat, drain, member, peer};
 use crate::fleet_state::DrainNotice;
 
-/// The longest name or zone that is taken, in bytes.
+/// The longest accepted name or zone, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// The most notes that are taken in one message.
+/// The most accepted load notes in one message.
 const MAX_NOTES: u32 = 1024;
 
 /// A heartbeat.
 #[derive(Clone, Debug, Default)]
 pub struct Heartbeat {
-    /// The generation in force; 0 for none.
+    /// The active generation; 0 for none.
     pub generation: Generation,
     /// The first bytes of its root's hash.
     pub root_hash: u64,
-    /// How many heartbeats the sender has sent.
+    /// The number of heartbeats that the sender has sent.
     pub beat: u32,
-    /// A digest of the members that the sender counts as live.
+    /// A digest of the members that the sender considers live.
     pub digest: u32,
-    /// News of members.
+    /// Recent membership changes.
     pub gossip: Vec<Member>,
 }
 
 impl Heartbeat {
-    /// Writes it into a message.
+    /// Writes the heartbeat into a message.
     pub fn write(&self, mut to: beat::Builder<'_>) {
         to.set_generation(self.generation);
         to.set_root_hash(self.root_hash);
@@ -47,11 +48,11 @@
         }
     }
 
-    /// Reads it from a message.
+    /// Reads a heartbeat from a message.
     ///
     /// # Errors
     ///
-    /// The library's error, or one of a field that is malformed or too long.
+    /// Returns the library's error, or an error for a field that is malformed or too long.
     pub fn read(from: beat::Reader<'_>) -> capnp::Result<Self> {
         let gossip = from.get_news()?.iter().map(read_member);
         Ok(Self {
