--- a/crates/kingcuploftd/src/backend_edge/transport.rs
+++ b/crates/kingcuploftd/src/backend_edge/transport.rs
@@ -1,8 +1,9 @@
-//! A TCP transport that knows whether any byte of a request was handed to a connection.
+//! A TCP transport that records whether any byte of a request was written to a connection.
 //!
-//! A protected request is called "not run" only where that is proved. `ureq` reports errors
-//! without saying whether it had begun to write, so its transport is wrapped: the first write of
-//! a call sets a flag of the worker's thread, on which the whole call runs.
+//! Failure: a protected action that is reported as not run although the backend server received it would run twice
+//! after a retry. A request is reported as not run only if that is proved. `ureq` reports errors without saying whether
+//! it had begun to write, so its transport is wrapped: the first write of a call sets a thread-local flag. The whole
+//! call runs on its worker's thread, so the flag always belongs to that call.
 
 use std::cell::RefCell;
 use std::io::{ErrorKind, Read, Write};
@@ -21,38 +22,38 @@
 use super::registry::{BackendConnection, CountedConnection};
 use crate::shared::Shared;
 
-/// The shortest timeout that is set on a socket; none of zero can be.
-const SHORTEST_TIMEOUT: Duration = Duration::from_millis(1);
+/// The shortest timeout that is set on a socket; the system rejects a timeout of zero.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// The call that runs on this thread.
-struct Current {
+struct CurrentCall {
     shared: Arc<Shared>,
     attempt: AttemptId,
-    connections: usize,
+    connection_limit: usize,
     sent: bool,
 }
 
 thread_local! {
-    static CURRENT: RefCell<Option<Current>> = const { RefCell::new(None) };
+    static CURRENT_CALL: RefCell<Option<CurrentCall>> = const { RefCell::new(None) };
 }
 
-/// Begins a call on this thread; `connections` bounds those to its backend server.
-pub(super) fn begin_call(shared: &Arc<Shared>, attempt: AttemptId, connections: usize) {
-    let current = Current {
+/// Begins a call on this thread; `connection_limit` bounds the open connections to its backend server.
+pub(super) fn begin_call(shared: &Arc<Shared>, attempt: AttemptId, connection_limit: usize) {
+    let current = CurrentCall {
         shared: Arc::clone(shared),
         attempt,
-        connections,
+        connection_limit,
         sent: false,
     };
-    CURRENT.set(Some(current));
+    CURRENT_CALL.set(Some(current));
 }
 
-/// Tells whether a byte of this thread's call was handed to a connection.
+/// Returns whether any byte of this thread's call was written to a connection.
 pub(super) fn was_sent() -> bool {
-    CURRENT.with_borrow(|current| current.as_ref().is_some_and(|current| current.sent))
+    CURRENT_CALL.with_borrow(|current| current.as_ref().is_some_and(|current| current.sent))
 }
 
-/// Connects over TCP.
+/// Opens counted TCP connections.
 #[derive(Debug)]
 pub(super) struct TrackingConnector;
 
@@ -67,10 +68,10 @@
         let Some(address) = details.addrs.first() else {
             return Err(Error::HostNotFound);
         };
-        let counted = CURRENT.with_borrow(|current| {
+        let counted = CURRENT_CALL.with_borrow(|current| {
             let current = current.as_ref()?;
             let shared = &current.shared;
-            let counted = shared.calls.open(*address, current.connections);
+            let counted = shared.calls.open(*address, current.connection_limit);
             if counted.is_none() {
                 shared.metrics.backend_connection_limit.inc();
             } else {
@@ -82,7 +83,7 @@
             return Err(Error::Io(ErrorKind::QuotaExceeded.into()));
         };
         let stream = match details.timeout.not_zero() {
-            Some(left) => TcpStream::connect_timeout(address, *left)?,
+            Some(remaining) => TcpStream::connect_timeout(address, *remaining)?,
             None => TcpStream::connect(address)?,
         };
         stream.set_nodelay(true)?;
@@ -91,27 +92,27 @@
         Ok(Some(TrackingTransport {
             connection: Arc::new(BackendConnection::new(stream)),
             buffers,
-            read_timeout: SetTimeout::default(),
-            write_timeout: SetTimeout::default(),
+            read_timeout: CachedTimeout::default(),
+            write_timeout: CachedTimeout::default(),
             _counted: counted,
         }))
     }
 }
 
-/// A TCP connection with the witness.
+/// A TCP connection that records the first write of each call.
 #[derive(Debug)]
 pub(super) struct TrackingTransport {
     connection: Arc<BackendConnection>,
     buffers: LazyBuffers,
-    read_timeout: SetTimeout,
-    write_timeout: SetTimeout,
+    read_timeout: CachedTimeout,
+    write_timeout: CachedTimeout,
     _counted: CountedConnection,
 }
 
 impl TrackingTransport {
-    /// Notes, before the first byte of a call goes out, that it is on this connection.
-    fn witness(&self) -> Result<(), Error> {
-        CURRENT.with_borrow_mut(|current| {
+    /// Records, before the first byte of a call is written, that the call runs on this connection.
+    fn mark_sent(&self) -> Result<(), Error> {
+        CURRENT_CALL.with_borrow_mut(|current| {
             let Some(current) = current else {
                 return Ok(());
             };
@@ -134,54 +135,56 @@
     }
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
-        self.witness()?;
-        let left = timeout.not_zero().map(|left| *left);
-        let due = left.map(|left| Instant::now() + left);
+        self.mark_sent()?;
+        let remaining = timeout.not_zero().map(|remaining| *remaining);
+        let deadline = remaining.map(|remaining| Instant::now() + remaining);
         let mut stream = self.connection.tcp();
         let mut output = &self.buffers.output()[..amount];
         self.write_timeout
-            .at_most(left, |left| stream.set_write_timeout(left))?;
+            .set_at_most(remaining, |remaining| stream.set_write_timeout(remaining))?;
         while !output.is_empty() {
             match stream.write(output) {
                 Ok(0) => return Err(Error::Io(ErrorKind::WriteZero.into())),
                 Ok(written) => output = &output[written..],
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if is_early(&error, due) => {
-                    let left = due.map(|due| due.saturating_duration_since(Instant::now()));
+                Err(error) if is_early(&error, deadline) => {
+                    let remaining =
+                        deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
                     self.write_timeout
-                        .exactly(left, |left| stream.set_write_timeout(left))?;
+                        .set_exactly(remaining, |remaining| stream.set_write_timeout(remaining))?;
                 }
-                Err(error) => return Err(timed(error, timeout)),
+                Err(error) => return Err(map_timeout(error, timeout)),
             }
         }
         Ok(())
     }
 
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, Error> {
-        let left = timeout.not_zero().map(|left| *left);
-        let due = left.map(|left| Instant::now() + left);
+        let remaining = timeout.not_zero().map(|remaining| *remaining);
+        let deadline = remaining.map(|remaining| Instant::now() + remaining);
         let mut stream = self.connection.tcp();
         self.read_timeout
-            .at_most(left, |left| stream.set_read_timeout(left))?;
+            .set_at_most(remaining, |remaining| stream.set_read_timeout(remaining))?;
         loop {
             match stream.read(self.buffers.input_append_buf()) {
                 Ok(amount) => {
                     self.buffers.input_appended(amount);
                     return Ok(amount > 0);
                 }
-                Err(error) if is_early(&error, due) => {
-                    let left = due.map(|due| due.saturating_duration_since(Instant::now()));
+                Err(error) if is_early(&error, deadline) => {
+                    let remaining =
+                        deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
                     self.read_timeout
-                        .exactly(left, |left| stream.set_read_timeout(left))?;
+                        .set_exactly(remaining, |remaining| stream.set_read_timeout(remaining))?;
                 }
-                Err(error) => return Err(timed(error, timeout)),
+                Err(error) => return Err(map_timeout(error, timeout)),
             }
         }
     }
 
-    /// Tells whether a kept connection may carry the next request: one that the backend server
-    /// closed, or on which an answer arrived too late or twice, may not. Its next caller would be
-    /// given another's answer; the bytes that wait in the socket or were read ahead betray it.
+    /// Returns whether a pooled connection may carry the next request. One that the backend server closed, or on which
+    /// an answer arrived late or twice, may not: the next request on it would receive another request's answer. Such an
+    /// answer shows as bytes that wait in the socket or were read ahead.
     fn is_open(&mut self) -> bool {
         if self.connection.retired() || !self.buffers.input().is_empty() {
             return false;
@@ -194,52 +197,52 @@
     }
 }
 
-/// The timeout that a socket has, so that it is set anew only where it has to be.
+/// The timeout that is set on a socket, to save system calls that would change it only slightly.
 ///
-/// The time left to a deadline differs with each call by less than matters. A timeout that is a
-/// little too short is kept; where it ends a wait early, the wait goes on for the exact rest.
+/// The time until the deadline differs little from call to call. A timeout that is somewhat too short is kept; if it
+/// ends a wait early, the wait continues for exactly the remaining time.
 #[derive(Debug, Default)]
-struct SetTimeout(Option<Duration>);
+struct CachedTimeout(Option<Duration>);
 
-impl SetTimeout {
-    /// Sees to a timeout that is no longer than the time left, and not much shorter.
-    fn at_most(
+impl CachedTimeout {
+    /// Ensures a timeout of at most the remaining time, and of at least half of it.
+    fn set_at_most(
         &mut self,
-        left: Option<Duration>,
+        remaining: Option<Duration>,
         set: impl FnOnce(Option<Duration>) -> std::io::Result<()>,
     ) -> std::io::Result<()> {
-        let fits = match (self.0, left) {
-            (Some(has), Some(left)) => has <= left && has * 2 >= left,
+        let fits = match (self.0, remaining) {
+            (Some(has), Some(remaining)) => has <= remaining && has * 2 >= remaining,
             (None, None) => true,
             _ => false,
         };
         if fits {
             return Ok(());
         }
-        let shorter = left.map(|left| left * 7 / 8);
-        self.exactly(shorter, set)
+        let shorter = remaining.map(|remaining| remaining * 7 / 8);
+        self.set_exactly(shorter, set)
     }
 
-    fn exactly(
+    fn set_exactly(
         &mut self,
-        left: Option<Duration>,
+        remaining: Option<Duration>,
         set: impl FnOnce(Option<Duration>) -> std::io::Result<()>,
     ) -> std::io::Result<()> {
-        let left = left.map(|left| left.max(SHORTEST_TIMEOUT));
-        set(left)?;
-        self.0 = left;
+        let remaining = remaining.map(|remaining| remaining.max(MIN_TIMEOUT));
+        set(remaining)?;
+        self.0 = remaining;
         Ok(())
     }
 }
 
-/// Tells whether a socket's timeout ended a wait before it was due.
-fn is_early(error: &std::io::Error, due: Option<Instant>) -> bool {
+/// Returns whether the socket's timeout ended a wait before the deadline.
+fn is_early(error: &std::io::Error, deadline: Option<Instant>) -> bool {
     let timeout = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
-    timeout && due.is_none_or(|due| Instant::now() + SHORTEST_TIMEOUT < due)
+    timeout && deadline.is_none_or(|deadline| Instant::now() + MIN_TIMEOUT < deadline)
 }
 
-/// Turns the socket's timeout into the library's.
-fn timed(error: std::io::Error, timeout: NextTimeout) -> Error {
+/// Converts a socket timeout into the HTTP library's timeout error.
+fn map_timeout(error: std::io::Error, timeout: NextTimeout) -> Error {
     match error.kind() {
         ErrorKind::WouldBlock | ErrorKind::TimedOut => Error::Timeout(timeout.reason),
         _ => Error::Io(error),
--- a/crates/kingcuploftd/src/caller_edge/reply_body.rs
+++ b/crates/kingcuploftd/src/caller_edge/reply_body.rs
@@ -1,4 +1,4 @@
-//! The body of a reply: whole, or streamed from a backend worker.
+//! The HTTP body of a reply: complete in memory, or streamed from a backend worker.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,11 +9,11 @@
 use super::activity::Busy;
 use crate::answer_stream::{BodyChunks, NextChunk};
 
-/// A streamed answer was cut: the HTTP library closes the caller's connection, so that the caller
-/// can not take the part it has for the whole.
+/// The error of a streamed answer that ended early. The HTTP library then closes the caller's connection, so that the
+/// caller cannot mistake the part it has for the complete body.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the backend server cut its answer")]
-pub(super) struct Cut;
+pub(super) struct TruncatedAnswer;
 
 /// A reply's body.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
 }
 
 impl ReplyBody {
-    /// Builds a body; it is whole where there is no rest.
+    /// Builds a body; without `rest`, `beginning` is all of it.
     pub(super) fn new(beginning: Bytes, rest: Option<BodyChunks>) -> Self {
         let beginning = Some(beginning).filter(|bytes| !bytes.is_empty());
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Lets the connection be busy until the body has been handed over.
+    /// Keeps the connection marked as busy until the body has been written.
     pub(super) fn until_written(self, busy: Busy) -> Self {
         Self {
             _busy: Some(busy),
@@ -45,12 +45,12 @@
 
 impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         if let Some(beginning) = self.beginning.take() {
             return Poll::Ready(Some(Ok(Frame::data(beginning))));
         }
@@ -59,7 +59,7 @@
         };
         rest.poll_next(context).map(|next| match next {
             NextChunk::Data(data) => Some(Ok(Frame::data(data))),
-            NextChunk::Cut => Some(Err(Cut)),
+            NextChunk::Truncated => Some(Err(TruncatedAnswer)),
             NextChunk::End => {
                 self.rest = None;
                 None
--- a/crates/kingcuploftd/src/peer_link/tls.rs
+++ b/crates/kingcuploftd/src/peer_link/tls.rs
@@ -1,8 +1,8 @@
-//! Mutual TLS of the peer links, with files that may change while the daemon runs.
+//! Mutual TLS of the peer links, with key files that may be rotated while the daemon runs.
 //!
-//! Each VM's certificate is signed by the fleet's authority and names the VM's IP address. The
-//! files are checked_at at when a link is opened, at most once a second; a set that can not be read is
-//! told in the log and the last good one stays in use.
+//! Each VM's certificate is signed by the fleet's certificate authority and names the VM's IP address. The files are
+//! checked when a link opens, at most once a second. Files that cannot be read are reported in the log, and the last
+//! valid ones stay in use, so that a failed rotation does not cut the links.
 
 use std::net::IpAddr;
 use std::path::Path;
@@ -19,21 +19,21 @@
 
 use super::settings::TlsFiles;
 
-/// How often the files are checked_at at.
+/// The shortest time between two checks of the files.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The keys of this VM's links.
 #[derive(Debug)]
 pub(super) struct Tls {
     files: TlsFiles,
-    loaded: Mutex<Loaded>,
+    loaded: Mutex<LoadedKeys>,
 }
 
 #[derive(Clone, Debug)]
-struct Loaded {
+struct LoadedKeys {
     client: Arc<ClientConfig>,
     server: Arc<ServerConfig>,
-    changed: [Option<SystemTime>; 3],
+    modified_at: [Option<SystemTime>; 3],
     checked_at: Instant,
 }
 
@@ -69,35 +69,35 @@
         stream.map_err(|error| error.to_string())
     }
 
-    /// Returns the keys, read again if the files changed.
-    fn current(&self) -> Loaded {
+    /// Returns the keys, after reading them again if the files changed.
+    fn current(&self) -> LoadedKeys {
         let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
         if loaded.checked_at.elapsed() < FILE_CHECK_INTERVAL {
             return loaded.clone();
         }
         loaded.checked_at = Instant::now();
-        if loaded.changed != changed(&self.files) {
+        if loaded.modified_at != modified_at(&self.files) {
             match load(&self.files) {
                 Ok(fresh) => {
-                    tracing::info!("peer: the TLS files were read again.");
+                    tracing::info!("peer: reloaded the TLS files.");
                     *loaded = fresh;
                 }
-                Err(why) => tracing::error!("peer: the TLS files can not be read: {why}."),
+                Err(why) => tracing::error!("peer: cannot read the TLS files: {why}."),
             }
         }
         loaded.clone()
     }
 }
 
-fn changed(files: &TlsFiles) -> [Option<SystemTime>; 3] {
+fn modified_at(files: &TlsFiles) -> [Option<SystemTime>; 3] {
     [&files.certificate, &files.key, &files.ca].map(|path| {
         let data = std::fs::metadata(path).ok()?;
         data.modified().ok()
     })
 }
 
-fn load(files: &TlsFiles) -> Result<Loaded, String> {
-    let changed = changed(files);
+fn load(files: &TlsFiles) -> Result<LoadedKeys, String> {
+    let modified_at = modified_at(files);
     let mut roots = RootCertStore::empty();
     for certificate in certificates(&files.ca)? {
         let added = roots.add(certificate);
@@ -122,18 +122,18 @@
             let builder = builder.with_root_certificates(roots);
             builder.with_client_auth_cert(chain, key)
         });
-    Ok(Loaded {
+    Ok(LoadedKeys {
         client: Arc::new(client.map_err(|error| error.to_string())?),
         server: Arc::new(server.map_err(|error| error.to_string())?),
-        changed,
+        modified_at,
         checked_at: Instant::now(),
     })
 }
 
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, String> {
-    let told = |error| format!("{}: {error}", path.display());
-    let read = CertificateDer::pem_file_iter(path).map_err(told)?;
-    let read: Vec<_> = read.collect::<Result<_, _>>().map_err(told)?;
+    let in_file = |error| format!("{}: {error}", path.display());
+    let read = CertificateDer::pem_file_iter(path).map_err(in_file)?;
+    let read: Vec<_> = read.collect::<Result<_, _>>().map_err(in_file)?;
     match read.is_empty() {
         true => Err(format!("{}: no certificate found", path.display())),
         false => Ok(read),
