--- a/crates/kingcuploft/src/dispatcher/explain.rs
+++ b/crates/kingcuploft/src/dispatcher/explain.rs
@@ -130,7 +130,7 @@
 
     /// Returns the decisions that match a query, newest first.
     pub(super) fn find(&self, now: Instant, query: &Query) -> Vec<Explanation> {
-        let fits = |explanation: &Explanation| {
+        let matches_query = |explanation: &Explanation| {
             let Query {
                 request,
                 caller,
@@ -140,13 +140,14 @@
                 && caller.as_ref().is_none_or(|c| *c == explanation.caller)
                 && service.as_ref().is_none_or(|s| *s == explanation.service)
         };
-        let kept = self.entries.iter().rev();
-        let kept = kept.filter(|(_, explanation)| fits(explanation));
-        kept.map(|(at, explanation)| Explanation {
-            ago_ms: ms(now.saturating_duration_since(*at)),
-            ..explanation.clone()
-        })
-        .collect()
+        let matching = self.entries.iter().rev();
+        let matching = matching.filter(|(_, explanation)| matches_query(explanation));
+        matching
+            .map(|(at, explanation)| Explanation {
+                ago_ms: ms(now.saturating_duration_since(*at)),
+                ..explanation.clone()
+            })
+            .collect()
     }
 }
 
--- a/crates/kingcuploft/src/dispatcher/mod.rs
+++ b/crates/kingcuploft/src/dispatcher/mod.rs
@@ -84,7 +84,7 @@
     ManifestAdopted(AcceptedManifest),
     /// A backend server drains, as reported by a peer, the VM list or an operator.
     ServerDraining(ServiceName, BackendServerName),
-    /// The live VMs, this one included. They decide who probes which servers and how often notes go out, never which
+    /// The live VMs, this one included. They decide which VM probes which servers and how often notes go out, never which
     /// request is served.
     MembershipChanged(Vec<VmName>),
     /// A peer sent its load notes.
@@ -114,7 +114,7 @@
     Answer(RequestId, AttemptId),
     /// Refuse the request.
     Refuse(RequestId, Refusal),
-    /// Send the peers the news that a backend server drains.
+    /// Notify the peers that a backend server drains.
     ShareDraining(ServiceName, BackendServerName),
     /// Send these load notes to every live peer.
     ShareNotes(PeerNotes),
--- a/crates/kingcuploft/src/dispatcher/service_state.rs
+++ b/crates/kingcuploft/src/dispatcher/service_state.rs
@@ -94,8 +94,8 @@
                 old.admission.update_service(&service);
                 old.concurrency.update_service(&service);
                 old.retry.update_settings(&service.policy.retry);
-                let kept = |name: &_| service.backend_servers.iter().any(|s| s.name == *name);
-                old.hedge.update_settings(&service.policy.hedge, kept);
+                let is_kept = |name: &_| service.backend_servers.iter().any(|s| s.name == *name);
+                old.hedge.update_settings(&service.policy.hedge, is_kept);
                 (
                     old.admission,
                     old.retries,
--- a/crates/kingcuploft/src/manifest/check.rs
+++ b/crates/kingcuploft/src/manifest/check.rs
@@ -146,9 +146,9 @@
     }
 
     fn name(&mut self, path: &str, name: &str) {
-        let fits = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
         let dots = name.chars().all(|c| c == '.');
-        if name.len() > MAX_NAME_BYTES || dots || !name.chars().all(fits) {
+        if name.len() > MAX_NAME_BYTES || dots || !name.chars().all(is_allowed) {
             let expected = format!(
                 "`{}` found, expected 1 to {MAX_NAME_BYTES} letters, digits, `.`, `_` or `-`",
                 name.escape_debug()
@@ -171,8 +171,8 @@
         self.count(&format!("{path}.hosts"), service.hosts.len(), MAX_HOSTS);
         for (i, host) in service.hosts.iter().enumerate() {
             let field = format!("{path}.hosts[{i}]");
-            let fits = |c: char| c.is_ascii_alphanumeric() || ".-_".contains(c);
-            if host.is_empty() || !host.chars().all(fits) {
+            let is_allowed = |c: char| c.is_ascii_alphanumeric() || ".-_".contains(c);
+            if host.is_empty() || !host.chars().all(is_allowed) {
                 let expected = "expected a host name or IPv4 address without a port";
                 self.add(
                     field,
--- a/crates/kingcuploft/src/manifest/root.rs
+++ b/crates/kingcuploft/src/manifest/root.rs
@@ -171,11 +171,14 @@
 impl RootDelta {
     /// Builds the difference between two roots; without an earlier root it lists all services.
     pub fn between(earlier: Option<&Root>, later: &Root) -> Self {
-        let known = earlier.map_or(&[][..], |root| &root.services);
+        let earlier_services = earlier.map_or(&[][..], |root| &root.services);
         let names = |services: &[ServiceRef]| -> Vec<ServiceName> {
             services.iter().map(|s| s.name.clone()).collect()
         };
-        let changed = later.services.iter().filter(|s| !known.contains(s));
+        let changed = later
+            .services
+            .iter()
+            .filter(|s| !earlier_services.contains(s));
         let order = names(&later.services);
         Self {
             since: earlier.map_or(0, |root| root.generation),
@@ -183,7 +186,7 @@
                 services: changed.cloned().collect(),
                 ..later.clone()
             },
-            order: (order != names(known)).then_some(order),
+            order: (order != names(earlier_services)).then_some(order),
             hash: ContentHash::of(&later.text()),
         }
     }
@@ -191,13 +194,13 @@
     /// Returns the complete later root; `None` if `earlier` is not the root that the difference starts from, or if the
     /// result does not have the expected hash.
     pub fn apply(&self, earlier: Option<&Root>) -> Option<Root> {
-        let known = match self.since {
+        let earlier_services = match self.since {
             0 => &[][..],
             since => &earlier.filter(|root| root.generation == since)?.services,
         };
-        let both = known.iter().chain(&self.root.services);
+        let both = earlier_services.iter().chain(&self.root.services);
         let hashes: HashMap<_, _> = both.map(|s| (&s.name, &s.hash)).collect();
-        let same_order = || known.iter().map(|s| s.name.clone()).collect();
+        let same_order = || earlier_services.iter().map(|s| s.name.clone()).collect();
         let order = self.order.clone().unwrap_or_else(same_order);
         let services = order.into_iter().map(|name| {
             let hash = (*hashes.get(&name)?).clone();
