--- a/crates/kingcuploftd/src/admin.rs
+++ b/crates/kingcuploftd/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin duty: readiness, liveness, metrics and status for the platform and operators.
+//! The admin port: readiness, liveness, metrics, status and fleet pages for the platform and operators.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -20,16 +20,16 @@
 use crate::shared::Shared;
 use crate::{admin_fleet, explain, status};
 
-/// How often the accept loop looks whether to stop.
+/// How often the accept loop checks whether to stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The most connections at once; a reader of pages needs one.
+/// The most connections at once; one client needs one connection.
 const MAX_CONNECTIONS: usize = 256;
 
-/// Time for a head, and for which a connection may be idle.
+/// The timeout for a request head, and for an idle connection.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs the duty until the daemon ends.
+/// Runs the admin thread until the daemon ends.
 ///
 /// # Panics
 ///
@@ -76,8 +76,8 @@
     }
 }
 
-/// Answers a request that may have its page. The two pages that the platform's balancer reads
-/// need no token: they tell one bit.
+/// Answers an authorized request. The two health pages that the platform's balancer reads need no token: they reveal
+/// only one bit.
 async fn authorize(
     shared: &Shared,
     token: Option<&AdminToken>,
--- a/crates/kingcuploftd/src/admin_fleet.rs
+++ b/crates/kingcuploftd/src/admin_fleet.rs
@@ -1,5 +1,5 @@
-//! The admin pages about the fleet: members, manifest, drains and decisions, and what operators may
-//! hand in while the store is down.
+//! The admin pages about the fleet: members, manifest, drains and decisions, and the uploads of drains and manifests
+//! that operators can make while the store is down.
 
 use std::sync::Arc;
 
@@ -14,19 +14,19 @@
 use crate::fleet_state;
 use crate::shared::Shared;
 
-/// Where these pages begin.
+/// The path prefix of these pages.
 pub const PREFIX: &str = "/fleet/";
 
 /// The longest body, in bytes: an accepted manifest with every service object.
 const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
-/// An accepted manifest, handed to a VM by who applied it: should the store go down before any VM
-/// has read it, the VMs pass it on all the same.
+/// An accepted manifest that the operator who applied it uploads to a VM. If the store goes down before any VM has read
+/// the manifest, the VMs still distribute it among themselves.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct ManifestUpload {
     /// The root object's text.
     pub root: String,
-    /// The service objects' texts; those that the VM has may be left out.
+    /// The service objects' texts; those that the VM already has may be omitted.
     pub services: Vec<String>,
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// Takes an accepted manifest as from any other source: by hash, and only forward.
+/// Adopts an uploaded manifest as from any other source: parts are checked by hash, and the generation only grows.
 fn upload_manifest(shared: &Shared, body: &Bytes) -> Page {
     let upload: ManifestUpload = match serde_json::from_slice(body) {
         Ok(upload) => upload,
--- a/crates/kingcuploftd/src/admin_token.rs
+++ b/crates/kingcuploftd/src/admin_token.rs
@@ -1,4 +1,4 @@
-//! The bearer token of the admin port, read from a file and again when the file changes.
+//! The bearer token of the admin port, read from a file and reloaded when the file changes.
 
 use std::path::PathBuf;
 use std::sync::{Mutex, PoisonError};
@@ -14,7 +14,7 @@
     cached: Mutex<CachedToken>,
 }
 
-/// The token as it was last read; only its hash is kept, so that no log line can show it.
+/// The token of the last read; only its hash is kept, so that no log line can contain the token.
 #[derive(Debug, Default)]
 struct CachedToken {
     file_version: Option<(SystemTime, u64)>,
@@ -22,7 +22,7 @@
 }
 
 impl AdminToken {
-    /// Builds the token of a file; it is read with the first request.
+    /// Builds the token of a file, which is read at the first request.
     pub fn new(file: PathBuf) -> Self {
         Self {
             file,
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Tells whether a request carries the token. A file that can not be read just now leaves the
-    /// last token in force; one that was never read or is empty lets nobody in.
+    /// Returns whether a request carries the valid token. While the file cannot be read, the last token stays valid; if
+    /// it was never read or is empty, no request is authorized.
     pub fn is_valid(&self, headers: &HeaderMap) -> bool {
         let mut values = headers.get_all(AUTHORIZATION).iter();
         let (Some(value), None) = (values.next(), values.next()) else {
@@ -40,7 +40,7 @@
         let Some(token) = value.to_str().ok().and_then(|v| v.strip_prefix("Bearer ")) else {
             return false;
         };
-        // Hashes are compared in a time that does not tell how much of a guess is right.
+        // Hashes are compared in constant time, so that the time does not reveal how much of a guess is right.
         self.hash() == Some(blake3::hash(token.trim().as_bytes()))
     }
 
@@ -56,9 +56,9 @@
                     let hash = blake3::hash(token.as_bytes());
                     cached.hash = (!token.is_empty()).then_some(hash);
                     cached.file_version = file_version;
-                    tracing::info!("admin: the token was read.");
+                    tracing::info!("admin: loaded the token.");
                 }
-                Err(error) => tracing::warn!("admin: the token can not be read: {error}."),
+                Err(error) => tracing::warn!("admin: cannot read the token: {error}."),
             }
         }
         cached.hash
--- a/crates/kingcuploftd/src/daemon.rs
+++ b/crates/kingcuploftd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon: its duties started, and stopped without cutting a request.
+//! Starts the daemon's threads, and stops them gracefully so that no request in flight is lost.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
     prober,
 };
 
-/// Probes that wait for the measuring duty; more would be old before they run.
+/// The most probes that wait for the prober; more would be outdated before they run.
 const MAX_QUEUED_PROBES: usize = 16;
 
 /// A running daemon.
@@ -41,12 +41,12 @@
     /// A port could not be opened.
     #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// The address of the settings.
+        /// The address in the settings.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         error: std::io::Error,
     },
-    /// The peer links can not be made safely.
+    /// The peer links are not secure, or their keys cannot be read.
     #[error("peer links: {0}")]
     Peers(String),
     /// A thread could not be started.
@@ -55,11 +55,12 @@
 }
 
 impl Daemon {
-    /// Opens the ports and starts every duty.
+    /// Opens the ports and starts every thread.
     ///
     /// # Errors
     ///
-    /// [`StartError`] where a port or a thread is not to be had; nothing is left running.
+    /// Returns [`StartError`] if a port cannot be opened, the peer settings are not usable or a thread cannot be
+    /// started.
     pub fn start(settings: Settings) -> Result<Self, StartError> {
         let callers = listen(settings.listen)?;
         let admins = listen(settings.admin_listen)?;
@@ -91,8 +92,8 @@
         let (context, own_store) = (shared.clone(), store.clone());
         let thread_main = move || claims::run(context, &claim_tasks, own_store);
         threads.push(spawn("claims", thread_main)?);
-        // Manifests and membership have connections, a budget and a circuit of their own: a burst
-        // of claims must not hold up a manifest.
+        // Manifests and membership have their own connections, call budget and circuit breaker, so that a burst of
+        // claims does not delay a manifest.
         let fleet_settings = shared.settings.store.clone();
         let fleet_store = Client::with_settings(&platform, fleet_settings, incarnation ^ 1);
         let (context, own_store) = (shared.clone(), fleet_store.clone());
@@ -138,31 +139,31 @@
         })
     }
 
-    /// Returns where callers connect.
+    /// Returns the address for callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns where the platform and operators connect.
+    /// Returns the address of the admin port, for the platform and operators.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin_address
     }
 
-    /// Returns where other VMs connect; `None` without links.
+    /// Returns the address for other entry VMs; `None` without peer links.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         self.peer_address
     }
 
-    /// Returns the daemon's context.
+    /// Returns the state that the threads share.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Stops as planned, without cutting a request.
+    /// Shuts down gracefully, without losing a request in flight.
     ///
-    /// Not ready first, while callers are still served; then the door closes and every
-    /// answer in flight is written whole; then the other duties end. What has not ended within
-    /// `stop_timeout_ms` of the door's closing is cut and counted.
+    /// First the daemon reports that it is not ready, while callers are still served. Then it stops accepting
+    /// connections and completes every answer in flight. Then the other threads end. Connections that are still open
+    /// `stop_timeout_ms` after accepting stopped are closed and counted.
     pub fn stop(self) {
         let limits = &self.shared.settings.limits;
         self.shared.stop();
@@ -170,11 +171,11 @@
         std::thread::sleep(Duration::from_millis(limits.not_ready_ms));
         let until = Instant::now() + Duration::from_millis(limits.stop_timeout_ms);
         self.shared.close(until);
-        // The caller edge ends first: only then can no request arrive at the dispatch duty.
+        // The caller edge ends first: after that, no request can arrive at the dispatch thread.
         drop(self.caller_edge.join());
         drop(self.shared.dispatch.send(Message::Stop(until)));
         drop(self.dispatch.join());
-        // What is still at a backend server passed the bound of the stop.
+        // Calls that are still in flight have passed the stop timeout.
         self.shared.calls.cancel_all();
         self.shared.end();
         for thread in self.threads {
@@ -184,7 +185,7 @@
     }
 }
 
-/// What the peer duty starts with.
+/// The peer thread's listening socket and keys.
 struct PeerListener {
     listener: TcpListener,
     address: SocketAddr,
@@ -210,9 +211,11 @@
     }
 }
 
-/// How many connections the system takes before the daemon does. The standard library's 128 are
-/// fewer than the callers that connect at once when an entry VM comes back behind the platform's
-/// balancer: the system drops the others' first packets, and they wait a second or three.
+/// The listen backlog: how many connections the system holds until the daemon accepts them.
+///
+/// Load pattern: many callers connect at once when an entry VM returns behind the platform's balancer. The standard
+/// library's backlog of 128 is smaller than that; the system then drops the first packets of the other callers, which
+/// wait 1 s or 3 s before they retry.
 const ACCEPT_BACKLOG: i32 = 4096;
 
 fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
--- a/crates/kingcuploftd/src/decision_log.rs
+++ b/crates/kingcuploftd/src/decision_log.rs
@@ -1,7 +1,7 @@
-//! The last decisions with their reasons, for operators who ask why.
+//! A log of the latest decisions with their reasons, for operators.
 //!
-//! Only what is out of the ordinary is kept: refusals, retries, drains. A bounded ring in memory;
-//! the oldest goes first. No header, body or idempotency key is kept, only the key's hash.
+//! Only exceptional decisions are kept: refusals, retries and drains. The log is a bounded ring buffer in memory that
+//! drops its oldest entry. It contains no header, body or idempotency key, only the key's hash.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,10 +9,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How many decisions are kept.
+/// The most decisions in the log.
 const MAX_DECISIONS: usize = 2048;
 
-/// The most decisions in one answer.
+/// The most decisions in one search result.
 const MAX_RESULTS: usize = 200;
 
 /// What was decided.
@@ -21,37 +21,37 @@
 pub enum DecisionKind {
     /// A request was refused.
     Refused,
-    /// A request is sent again.
+    /// A request is retried.
     Retried,
-    /// A backend server gets no new work.
+    /// A backend server receives no new requests.
     Drained,
 }
 
 /// One decision.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Decision {
-    /// When, in ms since 1970.
+    /// The time, in ms since the Unix epoch.
     pub at_ms: u64,
     /// What was decided.
     pub decided: DecisionKind,
-    /// Why: the word of the metric.
+    /// The reason, as in the metric label.
     pub reason: String,
-    /// The service, where one was found.
+    /// The service; empty if none was found.
     pub service: String,
-    /// The request's id, as the caller got it; empty for a drain.
+    /// The request's id, as sent to the caller; empty for a drain or a retry.
     pub request: String,
-    /// What the decision was made from.
+    /// The inputs of the decision.
     pub inputs: String,
 }
 
-/// The last decisions.
+/// The latest decisions, oldest first.
 #[derive(Debug, Default)]
 pub struct DecisionLog {
     decisions: Mutex<VecDeque<Decision>>,
 }
 
 impl DecisionLog {
-    /// Keeps a decision.
+    /// Adds a decision, and drops the oldest one if the log is full.
     pub fn record(
         &self,
         decided: DecisionKind,
@@ -76,8 +76,7 @@
         decisions.push_back(decision);
     }
 
-    /// Returns the decisions that a query such as `service=trip&reason=queue_full` asks for, newest
-    /// first.
+    /// Returns the decisions that match a query such as `service=trip&reason=queue_full`, newest first.
     pub fn search(&self, query: &str) -> Vec<Decision> {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         let wanted: Vec<(&str, &str)> = pairs.collect();
--- a/crates/kingcuploftd/src/explain.rs
+++ b/crates/kingcuploftd/src/explain.rs
@@ -1,4 +1,4 @@
-//! The page that says why a request was treated as it was, from the dispatcher's own records.
+//! The admin page `/explain`: the dispatcher's recorded decisions about requests, with their inputs.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::message::Message;
 use crate::shared::Shared;
 
-/// How long the dispatch duty is waited for.
+/// How long the page waits for the dispatch thread.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers a query such as `request=ID`, `caller=NAME` or `service=NAME`, or several of them
-/// joined by `&`, with the decisions that fit, newest first.
+/// Answers a query such as `request=ID`, `caller=NAME` or `service=NAME`, or several of them joined by `&`, with the
+/// matching decisions, newest first.
 pub async fn answer(shared: &Shared, query: &str) -> (StatusCode, String) {
     let query = match parse_query(shared, query) {
         Ok(query) => query,
@@ -51,7 +51,7 @@
     Ok(query)
 }
 
-/// Returns the number of a request by the id that its caller got from this life of this VM.
+/// Returns the number of a request from the id that this incarnation of this VM sent to its caller.
 fn parse_request_id(shared: &Shared, id: &str) -> Result<RequestId, String> {
     let number = id.rsplit('-').next().and_then(|number| number.parse().ok());
     let known = number.filter(|&number| shared.request_name(number) == id);
--- a/crates/kingcuploftd/src/fleet_state.rs
+++ b/crates/kingcuploftd/src/fleet_state.rs
@@ -1,4 +1,4 @@
-//! Keeps what this VM knows of the fleet: the members, the drains, and what is to be told.
+//! This VM's view of the fleet: the members, the drains, and the queue of updates for the peers.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,36 +14,36 @@
 use crate::message::Message;
 use crate::shared::Shared;
 
-/// How many messages may wait for the peer duty.
+/// The most updates that wait for the peer thread.
 const MAX_QUEUED_UPDATES: usize = 1024;
 
-/// How many drains are kept; a fleet of 10,000 backend servers replaces fewer at a time.
+/// The most drains that are kept; a fleet of 10,000 backend servers replaces fewer at a time.
 const MAX_DRAINS: usize = 4096;
 
-/// How long a drain is kept that the manifest in force does not know: a newer one may.
+/// How long a drain is kept whose backend server the active manifest does not contain: a newer manifest may.
 const UNKNOWN_DRAIN_LIFETIME: Duration = Duration::from_secs(60);
 
-/// A backend server that drains, at the place it drains.
+/// A draining backend server, identified by service, name and address.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct DrainNotice {
     /// The service.
     pub service: ServiceName,
     /// The backend server.
     pub backend_server: BackendServerName,
-    /// Where it listens: one that comes back elsewhere under its name does not drain.
+    /// Its address: a backend server that returns under its name at another address is not draining.
     pub address: SocketAddr,
 }
 
-/// What other duties want told to the peers.
+/// An update that another thread sends to the peers.
 #[derive(Clone, Debug)]
 pub enum PeerUpdate {
-    /// A backend server drains.
+    /// A backend server is draining.
     Draining(DrainNotice),
-    /// Backend servers turned full or free.
+    /// Load notes: backend servers became full or free.
     Notes(PeerNotes),
 }
 
-/// What this VM knows of the fleet.
+/// This VM's view of the fleet.
 #[derive(Debug)]
 pub struct FleetState {
     membership: Mutex<Membership>,
@@ -53,7 +53,7 @@
 }
 
 impl FleetState {
-    /// Builds the view of a VM that knows only itself.
+    /// Builds the view from a membership, without drains.
     pub fn new(membership: Membership) -> Self {
         let (outbox, inbox) = mpsc::channel(MAX_QUEUED_UPDATES);
         Self {
@@ -64,36 +64,35 @@
         }
     }
 
-    /// Returns the members for a look or a change.
+    /// Locks and returns the membership.
     pub fn membership(&self) -> MutexGuard<'_, Membership> {
         let lock = self.membership.lock();
         lock.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the end at which news arrive; the peer duty does this once.
+    /// Takes the receiving end of the update queue; the peer thread does this once.
     pub fn take_inbox(&self) -> Option<mpsc::Receiver<PeerUpdate>> {
         let mut inbox = self.inbox.lock().unwrap_or_else(PoisonError::into_inner);
         inbox.take()
     }
 
-    /// Hands news to the peer duty; where its ring is full they are counted and left out.
+    /// Sends an update to the peer thread; if its channel is full, the update is counted and dropped.
     pub fn send_to_peers(&self, shared: &Shared, update: PeerUpdate) {
         if self.outbox.try_send(update).is_err() {
             shared.metrics.fleet.peer_over_budget.inc();
         }
     }
 
-    /// Takes a drain from any source but the dispatch duty: that is told, and the peers, if it is
-    /// news.
+    /// Records a drain from any source but the dispatch thread; a new one is sent to the dispatch thread and the peers.
     pub fn record_drain(&self, shared: &Shared, notice: DrainNotice) {
         if self.record_own_drain(shared, notice.clone()) {
             notify_dispatch(shared, &shared.accepted.load().manifest, &notice);
         }
     }
 
-    /// Takes a drain that the dispatch duty saw itself; tells whether it is news.
+    /// Records a drain that the dispatch thread detected, and sends it to the peers; returns whether it is new.
     ///
-    /// The dispatch duty must not be sent what it is the reader of: its ring may be full.
+    /// It is not sent to the dispatch thread: that thread would block on its own channel if the channel were full.
     pub fn record_own_drain(&self, shared: &Shared, notice: DrainNotice) -> bool {
         let mut drains = self.drains.lock().unwrap_or_else(PoisonError::into_inner);
         if drains.contains_key(&notice) {
@@ -115,7 +114,7 @@
         true
     }
 
-    /// Returns the drains that are known.
+    /// Returns the known drains, sorted by service and backend server.
     pub fn drains(&self) -> Vec<DrainNotice> {
         let drains = self.drains.lock().unwrap_or_else(PoisonError::into_inner);
         let mut drains: Vec<DrainNotice> = drains.keys().cloned().collect();
@@ -124,8 +123,8 @@
         drains
     }
 
-    /// Tells the dispatch duty of the drains that a manifest that has come in force knows, and
-    /// forgets those of backend servers that are no more.
+    /// Sends the dispatch thread the drains whose backend servers a newly activated manifest contains, and removes
+    /// those of backend servers that it has not contained for a while.
     pub fn match_drains(&self, shared: &Shared, manifest: &Manifest) {
         let mut drains = self.drains.lock().unwrap_or_else(PoisonError::into_inner);
         drains.retain(|notice, since| {
@@ -133,7 +132,7 @@
         });
     }
 
-    /// Sets the metrics of the fleet and how many VMs share the backend servers.
+    /// Updates the member metrics and the number of VMs that share the backend servers.
     pub fn update_metrics(&self, shared: &Shared) {
         let membership = self.membership();
         let members = membership.members();
@@ -146,10 +145,10 @@
         shared.set_live_vms(self.sharing_vm_count(shared));
     }
 
-    /// Returns how many VMs share the backend servers.
+    /// Returns the number of VMs that share the backend servers.
     ///
-    /// A VM that hears nobody has lost its links rather than its fleet: it goes by the number in
-    /// its settings. To take the whole of every backend server would be the costlier mistake.
+    /// Failure: a VM without any live peer has probably lost its links and not its fleet. It then uses the number in
+    /// its settings, because taking every backend server's whole capacity for itself would overload the servers.
     pub fn sharing_vm_count(&self, shared: &Shared) -> usize {
         match self.membership().serving_vms() {
             1 => shared.settings.limits.vms,
@@ -157,13 +156,14 @@
         }
     }
 
-    /// Returns every member that is known, this VM included.
+    /// Returns all known members, this VM included.
     pub fn members(&self) -> Vec<Member> {
         self.membership().members()
     }
 }
 
-/// Tells the dispatch duty of a drain if the manifest has the backend server at that place.
+/// Sends a drain to the dispatch thread if the manifest contains the backend server at that address; returns whether it
+/// does.
 fn notify_dispatch(shared: &Shared, manifest: &Manifest, notice: &DrainNotice) -> bool {
     let service = manifest.services.iter().find(|s| s.name == notice.service);
     let mut servers = service.iter().flat_map(|s| &s.backend_servers);
@@ -180,7 +180,7 @@
     known
 }
 
-/// Returns the place of a backend server in a manifest.
+/// Returns the drain notice of a backend server, with its address in the manifest; `None` if it is not there.
 pub fn drain_notice(
     manifest: &Manifest,
     service: &ServiceName,
--- a/crates/kingcuploftd/src/hop_by_hop.rs
+++ b/crates/kingcuploftd/src/hop_by_hop.rs
@@ -1,4 +1,4 @@
-//! Headers that end at the next hop are not passed on, in either direction.
+//! Removes hop-by-hop headers from requests and answers, which a proxy must not forward.
 
 use http::HeaderMap;
 use http::header::{
@@ -18,10 +18,10 @@
     UPGRADE,
 ];
 
-/// Those that have no constant.
+/// The hop-by-hop headers for which the HTTP library has no constant.
 const HOP_BY_HOP_NAMES: [&str; 2] = ["keep-alive", "proxy-connection"];
 
-/// Keeps the end-to-end headers; the length is set anew from the body.
+/// Returns the end-to-end headers. The content length is removed too, because it is set again from the body.
 pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     if headers.contains_key(CONNECTION) {
         for name in named_by_connection(&headers) {
--- a/crates/kingcuploftd/src/lib.rs
+++ b/crates/kingcuploftd/src/lib.rs
@@ -1,4 +1,8 @@
-//! The daemon: the edges of an entry VM, a thread for each duty, joined by bounded rings.
+//! The daemon of one entry VM: it accepts callers' requests and load-balances them over backend servers.
+//!
+//! Each task has its own thread: accepting callers, dispatching, calling backend servers, claiming idempotency keys,
+//! probing, gossip with other VMs, reading the store and the admin port. Bounded channels connect the threads, so that
+//! overload shows as a full channel and not as unbounded memory.
 
 pub mod admin;
 pub mod admin_fleet;
--- a/crates/kingcuploftd/src/logs.rs
+++ b/crates/kingcuploftd/src/logs.rs
@@ -1,4 +1,4 @@
-//! Structured logs: short sentences, each with its part as a prefix.
+//! Sets up logging: short sentences, each with its component as a prefix.
 
 use tracing_subscriber::EnvFilter;
 
@@ -15,6 +15,6 @@
         LogFormat::Text => builder.try_init(),
         LogFormat::Json => builder.json().try_init(),
     };
-    // A test starts several daemons in one process: the first one's logging serves all.
+    // Tests start several daemons in one process, which share the logging of the first.
     drop(started);
 }
--- a/crates/kingcuploftd/src/main.rs
+++ b/crates/kingcuploftd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line.
+//! The daemon's command line: parses the options, starts the daemon and stops it on a signal.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/kingcuploftd/src/manifest_state.rs
+++ b/crates/kingcuploftd/src/manifest_state.rs
@@ -1,4 +1,4 @@
-//! Keeps what this VM knows of the manifest, for the duties that learn of it and tell of it.
+//! The state of the manifest's adoption, shared by the threads that receive its parts and those that pass them on.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -8,7 +8,7 @@
 
 use crate::shared::Shared;
 
-/// What this VM knows of the manifest.
+/// The state of the manifest's adoption.
 #[derive(Debug)]
 pub struct ManifestState {
     adoption: Mutex<Adoption>,
@@ -25,15 +25,16 @@
 }
 
 impl ManifestState {
-    /// Returns what a look at the adoption gives.
+    /// Returns the result of a read-only closure over the adoption.
     pub fn read<T>(&self, look: impl FnOnce(&Adoption) -> T) -> T {
         look(&self.lock())
     }
 
-    /// Takes something learnt from a source and puts a manifest in force that has become whole.
+    /// Applies a change from a source to the adoption, and activates the manifest if it is now complete; returns
+    /// whether the change was accepted.
     ///
-    /// The lock is held until the manifest is handed on, so two duties that complete two
-    /// generations at once hand them on in order.
+    /// The lock is held until the manifest is activated, so two threads that complete two generations at once activate
+    /// them in order.
     pub fn update(
         &self,
         shared: &Shared,
@@ -53,7 +54,7 @@
             Ok(AdoptionStep::Unchanged | AdoptionStep::FetchMissing) => true,
             Err(error) => {
                 shared.metrics.fleet.manifest_faults.inc();
-                tracing::warn!("manifest: a part from {source} was not taken: {error}.");
+                tracing::warn!("manifest: a part from {source} was rejected: {error}.");
                 false
             }
         };
@@ -64,7 +65,7 @@
         learnt
     }
 
-    /// Returns a watch on the generation in force.
+    /// Returns a watch on the active generation.
     pub fn subscribe(&self) -> watch::Receiver<Generation> {
         self.in_force.subscribe()
     }
--- a/crates/kingcuploftd/src/manifest_watch.rs
+++ b/crates/kingcuploftd/src/manifest_watch.rs
@@ -1,4 +1,7 @@
-//! The manifest duty: learns the manifest from the store and fetches what is missing of it.
+//! The manifest thread: reads the manifest's root from the store and fetches the service objects that are missing.
+//!
+//! Load pattern: a fleet of VMs that all read the store. Only the VMs that the membership selects watch the store; the
+//! others poll it rarely and receive changes through gossip.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,37 +14,37 @@
 
 use crate::shared::Shared;
 
-/// How long one watch waits; a waiting watch is one call, so a watching VM makes one in 2 s.
+/// How long one watch waits. A waiting watch is one store call, so a watching VM makes one call every 2 s.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// After how many watches the root is listed again: a watch that answers but misses a change is
-/// noticed within 8 s even where no peer tells of it.
+/// The number of watches after which the root is listed again: a watch that answers but misses a change is noticed
+/// within 8 s even if no peer announces the change.
 const WATCHES_PER_LIST: u32 = 4;
 
-/// The pause after the store did not answer or an object was missing.
+/// The delay after the store did not answer or an object was missing.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The longest pause while the same thing goes on failing.
+/// The longest delay of the exponential backoff while reads keep failing.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// How often a VM that leaves the watch to others reads the root, before jitter.
+/// How often a VM that does not watch the store reads the root, before jitter.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long a VM without a manifest waits for the store before it takes a peer's word that a
-/// generation is the newest; peers answer within this time too.
+/// How long a VM without a manifest waits for the store before it accepts the newest generation that its peers know;
+/// peers answer within this time too.
 const FIRST_MANIFEST_WAIT: Duration = Duration::from_secs(1);
 
-/// Above this many missing service objects one listing of all costs less than reading each: a new
-/// VM at 740 services read them one by one under its budget of 100 calls/s and took 11.8 s.
+/// The number of missing service objects above which one listing of all costs less than reading each. A new VM with 740
+/// services that read them one by one under its budget of 100 calls/s took 11.8 s.
 const LIST_THRESHOLD: usize = 16;
 
-/// How often a wait looks whether it is still right to wait.
+/// How often a wait checks whether it should end early.
 const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs the duty until the daemon ends.
+/// Runs the manifest thread until the daemon ends.
 pub fn run(shared: &Arc<Shared>, store: &dyn ObjectStore) {
     let started = Instant::now();
-    let mut duty = ManifestWatch {
+    let mut watch = ManifestWatch {
         shared,
         store,
         after: 0,
@@ -50,14 +53,14 @@
     };
     while !shared.ended() {
         if started.elapsed() > FIRST_MANIFEST_WAIT {
-            duty.end_source_wait("the peers");
+            watch.end_source_wait("the peers");
         }
-        match duty.step() {
-            Ok(()) => duty.pause = RETRY_DELAY,
+        match watch.step() {
+            Ok(()) => watch.pause = RETRY_DELAY,
             Err(why) => {
                 tracing::warn!("manifest: {why}.");
-                duty.wait_at_most(duty.pause);
-                duty.pause = (duty.pause * 2).min(MAX_RETRY_DELAY);
+                watch.wait_at_most(watch.pause);
+                watch.pause = (watch.pause * 2).min(MAX_RETRY_DELAY);
             }
         }
     }
@@ -80,7 +83,7 @@
 }
 
 impl ManifestWatch<'_> {
-    /// Reads the root by watch, listing or poll, then fetches what is missing.
+    /// Reads the root by watch, listing or poll, then fetches the missing service objects.
     fn step(&mut self) -> Result<(), String> {
         let incomplete = self.missing_parts() != MissingParts::Nothing;
         let none = self.shared.accepted.load().generation == 0;
@@ -95,8 +98,8 @@
             }
             Err(StoreError::WatchExpired) => self.after = 0,
             Err(error) => {
-                // A watch that stalls shows as silence: the next read is a listing, which does not
-                // depend on the watch.
+                // A stalled watch shows as a missing answer: the next read is a listing, which does not depend on the
+                // watch.
                 self.after = 0;
                 return Err(format!("the store does not answer: {error}"));
             }
@@ -108,8 +111,7 @@
         self.watches += 1;
         let lists = self.after == 0 || self.watches.is_multiple_of(WATCHES_PER_LIST);
         if incomplete && self.watches > 1 {
-            // A listing does not wait: without a pause this would be a busy loop while a part is
-            // missing.
+            // A listing returns at once: without this delay, a missing part would cause a busy loop.
             self.wait_at_most(RETRY_DELAY);
         }
         let seen = match lists || incomplete {
@@ -120,7 +122,7 @@
         Ok(seen.changes.into_iter().filter_map(|c| c.value).collect())
     }
 
-    /// Reads the root after a while, unless a peer tells of a newer one first.
+    /// Reads the root after the poll interval, or earlier if a peer announces a newer one.
     fn poll(&mut self) -> Result<Vec<String>, StoreError> {
         self.after = 0;
         self.wait_at_most(POLL_INTERVAL.mul_f64(0.5 + fastrand::f64()));
@@ -128,7 +130,7 @@
         Ok(found.into_iter().map(|object| object.value).collect())
     }
 
-    /// Waits until the time has passed, the daemon ends or a part is missing that was not before.
+    /// Waits until the time has passed, the daemon ends or the set of missing parts changes.
     fn wait_at_most(&self, time: Duration) {
         let before = self.missing_parts();
         let mut left = time;
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Notes that enough sources were asked for a first manifest.
+    /// Ends the wait for further sources of the first manifest.
     fn end_source_wait(&self, source: &str) {
         let manifest = &self.shared.manifest;
         if manifest.read(|adoption| adoption.awaits_sources()) {
@@ -170,7 +172,7 @@
         for hash in &missing {
             match self.fetch_service(hash) {
                 Ok(()) => {}
-                // One object that is missing or corrupt says nothing of the others.
+                // One missing or corrupt object says nothing about the others.
                 Err(FetchError::Object(why)) => last = Err(why),
                 Err(FetchError::Store(error)) => {
                     return Err(format!("the store does not answer: {error}"));
@@ -180,7 +182,7 @@
         last
     }
 
-    /// Takes the missing service objects from one listing of all; a corrupt one stays missing.
+    /// Reads the missing service objects from one listing of all; a corrupt one stays missing.
     fn fetch_from_list(&self, missing: &[ContentHash]) -> Result<(), StoreError> {
         let listed = self.store.list(SERVICES_PREFIX)?;
         let values = listed.changes.into_iter();
--- a/crates/kingcuploftd/src/membership_sync.rs
+++ b/crates/kingcuploftd/src/membership_sync.rs
@@ -1,4 +1,4 @@
-//! The membership duty: reads the platform's VM list and the operators' drains.
+//! The membership thread: reads the platform's VM list and the operators' drains from the store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,19 +11,19 @@
 use crate::fleet_state::{DrainNotice, drain_notice};
 use crate::shared::Shared;
 
-/// Where the operators' drains stand, as `drains/SERVICE/BACKEND_SERVER`.
+/// The key prefix of the operators' drains: `drains/SERVICE/BACKEND_SERVER`.
 pub const DRAINS_PREFIX: &str = "drains/";
 
 /// How long one watch of the drains waits.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// How often a VM that leaves the watch to others reads the VM list and drains, before jitter.
+/// How often a VM that does not watch the store reads the VM list and drains, before jitter.
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How often a pause looks whether it is still right to wait.
+/// How often a wait checks whether the daemon ends.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The pause after the store did not answer.
+/// The delay after the store did not answer.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Reads the VM list and the drains until the daemon ends.
@@ -61,18 +61,18 @@
     for change in drains.changes {
         match parse_drain(&change) {
             Some(notice) => shared.fleet.record_drain(shared, notice),
-            None => tracing::debug!("membership: {} tells no drain.", change.key),
+            None => tracing::debug!("membership: {} is not a readable drain.", change.key),
         }
     }
     Ok(())
 }
 
-/// Returns the drain that an object tells; `None` where it was deleted or is corrupt.
+/// Parses a drain object; `None` if it was deleted or is corrupt.
 fn parse_drain(change: &Change) -> Option<DrainNotice> {
     serde_json::from_str(change.value.as_ref()?).ok()
 }
 
-/// Takes the VM list: entry VMs to link with, and backend servers that leave.
+/// Applies the VM list: adds entry VMs as candidates for links, and records leaving backend servers as draining.
 fn apply_vm_list(shared: &Shared, vms: &[ListedVm]) {
     let accepted = shared.accepted.load_full();
     let mut entries = Vec::new();
@@ -95,7 +95,7 @@
             });
         }
     }
-    // Before a manifest is known a backend server can not be told from an entry VM.
+    // Before a manifest is known, backend servers cannot be distinguished from entry VMs.
     if accepted.generation > 0 {
         shared
             .fleet
--- a/crates/kingcuploftd/src/message.rs
+++ b/crates/kingcuploftd/src/message.rs
@@ -15,7 +15,7 @@
 
 use crate::answer_stream::RemainingBody;
 
-/// A request's HTTP parts, kept until it is answered.
+/// A request's HTTP parts, kept until the request is answered.
 #[derive(Clone, Debug)]
 pub struct RequestParts {
     /// The method.
@@ -28,14 +28,14 @@
     pub body: Bytes,
 }
 
-/// A backend server's answer: whole, or its beginning and the ring with the rest.
+/// A backend server's answer: complete, or its beginning and the channel with the rest.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The status.
     pub status: StatusCode,
     /// The end-to-end headers.
     pub headers: HeaderMap,
-    /// The whole body, or its beginning where there is a rest.
+    /// The complete body, or its beginning if there is a rest.
     pub body: Bytes,
     /// The rest of a body that is longer than the rule's `whole_answer_bytes`.
     pub rest: Option<RemainingBody>,
@@ -44,95 +44,95 @@
 /// What the caller edge sends to its caller.
 #[derive(Debug)]
 pub enum Reply {
-    /// A backend server's answer, or the record of an earlier one.
+    /// A backend server's answer, or the recorded answer of an earlier request.
     Answer(Answer),
-    /// The system's own answer.
+    /// The balancer's own answer.
     Refused(Refusal),
 }
 
-/// What the other duties tell the dispatch duty.
+/// A message from another thread to the dispatch thread.
 #[derive(Debug)]
 pub enum Message {
     /// A request arrived.
     RequestArrived {
-        /// What the decisions need to know.
+        /// What the dispatcher needs to know.
         arrival: Arrival,
         /// Its HTTP parts.
         parts: Box<RequestParts>,
         /// Where its answer goes.
         reply: oneshot::Sender<Reply>,
     },
-    /// The caller of a request went away.
+    /// The caller of a request disconnected.
     CallerDisconnected(RequestId),
     /// An attempt ended.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// What it told.
+        /// How it ended.
         report: CallReport,
-        /// The whole answer, where there is one.
+        /// The answer, if there is one.
         answer: Option<Box<Answer>>,
     },
-    /// A claim was settled.
+    /// A claim was granted or refused.
     Claimed {
         /// The request.
         request: RequestId,
-        /// How.
+        /// The claim's result.
         result: ClaimResult,
-        /// The recorded answer, where the claim's end is a replay.
+        /// The recorded answer, if the result is a replay.
         recorded: Option<Box<Answer>>,
     },
-    /// A newer manifest is known.
+    /// A newer manifest is active.
     ManifestAdopted(AcceptedManifest),
-    /// A peer told of backend servers that turned full or free.
+    /// A peer sent load notes on backend servers that became full or free.
     NotesReceived(PeerNotes),
-    /// A backend server drains.
+    /// A backend server is draining.
     ServerDraining(ServiceName, BackendServerName),
-    /// A probe came back, or failed.
+    /// A probe succeeded or failed.
     Probed(ProbeResult),
-    /// An operator asks why.
+    /// An operator asks for the explanations of decisions.
     Explain(Query, oneshot::Sender<Vec<Explanation>>),
-    /// Finish what is in flight until this time, then end.
+    /// Finish the requests in flight until this time, then end.
     Stop(Instant),
 }
 
 /// A call for the backend edge.
 #[derive(Debug)]
 pub struct CallTask {
-    /// Where, and until when.
+    /// The backend server's address, the attempt and the deadline.
     pub call: Call,
-    /// What to send.
+    /// The request to send.
     pub parts: RequestParts,
 }
 
-/// Work for the claims duty.
+/// A task for the claims thread.
 #[derive(Debug)]
 pub enum ClaimTask {
-    /// Claim a key before anything is sent.
+    /// Claim an idempotency key before the request is sent.
     Claim {
         /// The request.
         request: RequestId,
         /// The hash of the service and the caller's idempotency key.
         key: KeyHash,
-        /// Tells this request's content from another's.
+        /// A hash of the request's content, to detect a key that is reused for another request.
         fingerprint: Fingerprint,
-        /// When the request's answer is due.
+        /// The request's deadline.
         deadline: Instant,
         /// How long the key is remembered.
         window: Duration,
         /// The longest answer that is recorded, in bytes.
         record_bytes: u64,
     },
-    /// Give a claim back: nothing was sent.
+    /// Release a claim whose request was not sent.
     Release {
         /// The request.
         request: RequestId,
     },
-    /// Record how a protected request ended.
+    /// Record the outcome of a protected request.
     Acknowledge {
         /// The request.
         request: RequestId,
-        /// The answer; `None` where the end is not known.
+        /// The answer; `None` if the outcome is unknown.
         answer: Option<Box<Answer>>,
     },
 }
--- a/crates/kingcuploftd/src/metrics.rs
+++ b/crates/kingcuploftd/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts, by `prometheus-client`.
+//! The daemon's metrics: counters, gauges and histograms in Prometheus' text format.
 
 use std::time::Duration;
 
@@ -33,11 +33,11 @@
     refusals: Family<ReasonLabel, Counter>,
     retries: Family<ReasonLabel, Counter>,
     latency: Family<ServiceLabel, Histogram>,
-    /// What the claims duty counts.
+    /// The metrics of claims.
     pub claims: ClaimMetrics,
-    /// The generation in force.
+    /// The active generation.
     pub generation: Gauge,
-    /// Callers' connections cut because a planned stop reached its bound.
+    /// Callers' connections that were closed at the stop timeout.
     pub cut_by_stop: Counter,
     /// Queues, limits, hedges and refusals by service.
     pub service: ServiceMetrics,
@@ -45,19 +45,19 @@
     pub fleet: FleetMetrics,
     /// Probes of backend servers.
     pub probes: Counter,
-    /// Probes that the measuring duty had no room for.
+    /// Probes that were dropped because the prober's channel was full.
     pub probes_dropped: Counter,
     /// Connections opened to backend servers.
     pub backend_connections_opened: Counter,
-    /// Calls that found this VM's share of a backend server's connections in use.
+    /// Calls that failed because this VM's share of a backend server's connections was in use.
     pub backend_connection_limit: Counter,
-    /// Streamed answers that did not reach their caller whole.
+    /// Streamed answers that did not reach their caller completely.
     pub streams_cut: Counter,
-    /// Callers' connections refused at the limit.
+    /// Callers' connections refused at the connection limit.
     pub connections_refused: Counter,
     /// Callers' connections closed because their headers came too slowly.
     pub slow_callers: Counter,
-    /// Connections that the system could not give.
+    /// Errors of the system while accepting connections.
     pub accept_errors: Counter,
 }
 
@@ -160,7 +160,7 @@
         self.refusals.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Returns how often a reason was counted.
+    /// Returns the number of refusals for a reason.
     pub fn refusals(&self, reason: RefusalReason) -> u64 {
         let reason = reason.label();
         self.refusals.get_or_create(&ReasonLabel { reason }).get()
@@ -179,7 +179,7 @@
         histogram.observe(latency.as_secs_f64());
     }
 
-    /// Returns the metrics in the text format.
+    /// Returns the metrics in Prometheus' text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         match prometheus_client::encoding::text::encode(&mut text, &self.registry) {
--- a/crates/kingcuploftd/src/metrics_fleet.rs
+++ b/crates/kingcuploftd/src/metrics_fleet.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts of the manifest, its peers and the fleet.
+//! The metrics of the manifest, the peer links and the fleet.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -18,28 +18,28 @@
 /// The metrics of the manifest, peers and fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetMetrics {
-    /// The newest generation any source told of.
+    /// The newest generation that any source has announced.
     pub manifest_heard: Gauge,
-    /// Service objects of a newer manifest that are missing here.
+    /// Service objects of a newer manifest that this VM does not have yet.
     pub manifest_missing: Gauge,
-    /// Roots and service objects that were corrupt or did not fit.
+    /// Roots and service objects that were corrupt or inconsistent.
     pub manifest_faults: Counter,
-    /// Live links to peers, in both directions.
+    /// Open links to peers, in both directions.
     pub peer_links: Gauge,
     /// Bytes of peer links, by direction.
     pub peer_bytes: ByKind,
     /// Peer links that failed or ended, by cause.
     pub peer_link_ends: ByKind,
-    /// Notes on backend servers, by direction.
+    /// Load notes on backend servers, by direction.
     pub peer_notes: ByKind,
-    /// Messages to peers that the byte budget did not allow.
+    /// Messages to peers that were dropped: over the byte budget, or a channel or list was full.
     pub peer_over_budget: Counter,
     /// Members of the fleet, by state.
     pub members: Family<KindLabel, Gauge>,
 }
 
 impl FleetMetrics {
-    /// Builds the metrics and makes them part of a registry.
+    /// Builds the metrics and adds them to a registry.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         let m = metrics.clone();
@@ -69,13 +69,13 @@
         counts.sum()
     }
 
-    /// Counts notes on backend servers.
+    /// Counts load notes on backend servers.
     pub fn count_notes(&self, kind: &'static str, notes: usize) {
         let counter = self.peer_notes.get_or_create(&KindLabel { kind });
         counter.inc_by(notes as u64);
     }
 
-    /// Returns the notes on backend servers so far, in one direction.
+    /// Returns the number of load notes on backend servers so far, in one direction.
     pub fn notes(&self, kind: &'static str) -> u64 {
         self.peer_notes.get_or_create(&KindLabel { kind }).get()
     }
--- a/crates/kingcuploftd/src/metrics_service.rs
+++ b/crates/kingcuploftd/src/metrics_service.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts of each service: its queue, limit, hedges and refusals.
+//! The metrics of each service: its queue, concurrency limit, hedges, retry budget and refusals.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
 }
 
 impl ServiceMetrics {
-    /// Builds the metrics and makes them part of a registry.
+    /// Builds the metrics and adds them to a registry.
     pub fn register(registry: &mut Registry) -> Self {
         let constructor: fn() -> Histogram = || Histogram::new(WAIT_BOUNDS_S);
         let metrics = Self {
@@ -87,19 +87,19 @@
         self.hedges.get_or_create(&label).inc();
     }
 
-    /// Records the time from a request's arrival until a call.
+    /// Records the time from a request's arrival to the start of a call.
     pub fn record_wait(&self, service: &ServiceName, wait: Duration) {
         let histogram = self.wait.get_or_create(&service_label(service));
         histogram.observe(wait.as_secs_f64());
     }
 
-    /// Returns a service's queue length, calls in flight and limit, as they were last shown.
+    /// Returns a service's queue length, calls in flight and concurrency limit, as they were last set.
     pub fn load(&self, service: &ServiceName) -> [i64; 3] {
         let gauges = [&self.queue_length, &self.in_flight, &self.limit];
         gauges.map(|gauges| gauges.get_or_create(&service_label(service)).get())
     }
 
-    /// Shows the load of a service.
+    /// Sets the load gauges of a service.
     pub fn set_load(&self, service: &ServiceName, load: &LoadSnapshot) {
         let label = service_label(service);
         let show = |gauges: &Family<ServiceLabel, Gauge>, value: u64| {
--- a/crates/kingcuploftd/src/prober.rs
+++ b/crates/kingcuploftd/src/prober.rs
@@ -1,4 +1,4 @@
-//! The measuring duty: probes backend servers when the dispatcher asks for it.
+//! The prober: reads the health and load endpoints of backend servers when the dispatcher requests a probe.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 use crate::message::Message;
 use crate::shared::Shared;
 
-/// The longest answer of a load endpoint that is read, in bytes.
+/// The most bytes of a load endpoint's answer that are read.
 const MAX_LOAD_BYTES: u64 = 4096;
 
-/// The answer of a load endpoint; what else it holds is ignored.
+/// The answer of a load endpoint; other fields are ignored.
 #[derive(Debug, Deserialize)]
 struct Load {
     in_flight: u32,
 }
 
-/// What the health endpoint said.
+/// The answer of a health endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct Health {
     healthy: bool,
     draining: bool,
 }
 
-/// Runs the duty until the dispatch duty ends.
+/// Runs the prober until the dispatch thread ends.
 pub fn run(shared: &Arc<Shared>, probes: &Receiver<Probe>) {
     let agent = agent();
     for probe in probes {
@@ -53,7 +53,7 @@
     Agent::new_with_config(config)
 }
 
-/// Asks for health first, as a server that takes no work is not to be asked for its load.
+/// Probes the health first: a server that accepts no requests is not asked for its load.
 fn run_probe(agent: &Agent, probe: &Probe) -> ProbeResult {
     let health = health(agent, probe).unwrap_or_default();
     let load = match health.healthy {
--- a/crates/kingcuploftd/src/settings.rs
+++ b/crates/kingcuploftd/src/settings.rs
@@ -20,35 +20,35 @@
 pub struct Settings {
     /// The VM's name, unique in the fleet.
     pub vm: String,
-    /// The availability zone it stands in.
+    /// The VM's availability zone.
     pub availability_zone: String,
-    /// Where callers connect.
+    /// The address for callers.
     pub listen: SocketAddr,
-    /// Where the platform's balancer and operators connect.
+    /// The address of the admin port, for the platform's balancer and operators.
     pub admin_listen: SocketAddr,
-    /// The file with the bearer token of the admin port; needed where that is no loopback address.
+    /// The file with the bearer token of the admin port; required unless that is a loopback address.
     #[serde(default)]
     pub admin_token_file: Option<PathBuf>,
     /// The platform's object API, as `host:port`.
     pub platform: String,
-    /// The form of the log lines.
+    /// The format of the log lines.
     #[serde(default)]
     pub log_format: LogFormat,
-    /// How this VM links with others.
+    /// The links with other entry VMs.
     #[serde(default)]
     pub peer: PeerSettings,
-    /// How much the daemon takes on.
+    /// The daemon's limits and timeouts.
     #[serde(default)]
     pub limits: Limits,
-    /// How the platform's object API is called.
+    /// The client of the platform's object API.
     #[serde(default)]
     pub store: ClientSettings,
-    /// How protected actions are claimed.
+    /// The claims of protected actions.
     #[serde(default)]
     pub claims: ClaimSettings,
 }
 
-/// The form of the log lines.
+/// The format of the log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
@@ -59,7 +59,7 @@
     Json,
 }
 
-/// How much the daemon takes on.
+/// The daemon's limits and timeouts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
@@ -67,15 +67,16 @@
     pub workers: usize,
     /// Open connections from callers.
     pub connections: usize,
-    /// Entry VMs that share a backend server's connections, until the VM list tells.
+    /// Entry VMs that share a backend server's connections, until the membership is known.
     pub vms: usize,
-    /// Messages that wait in a ring.
+    /// The capacity of the channels between threads, in messages.
     pub ring: usize,
     /// Time from a planned stop until connections are refused, in ms.
     pub not_ready_ms: u64,
-    /// Time for what is in flight to end after that, in ms; what has not ended then is cut.
+    /// Time after that for requests in flight to finish, in ms; connections that are still open then are closed.
     pub stop_timeout_ms: u64,
-    /// Time for which a kept-alive connection may be idle, in ms; longer than the balancer's.
+    /// Time for which a keepalive connection may be idle, in ms; must be longer than the balancer's idle timeout, so
+    /// that the balancer closes first.
     pub idle_timeout_ms: u64,
     /// Time for a caller to send its headers, in ms.
     pub header_timeout_ms: u64,
--- a/crates/kingcuploftd/src/settings/check.rs
+++ b/crates/kingcuploftd/src/settings/check.rs
@@ -1,10 +1,10 @@
-//! Finds figures, names and addresses in settings that can not be meant.
+//! Checks the values of parsed settings: numbers, names and addresses that cannot work.
 
 use std::net::SocketAddr;
 
 use super::{Limits, Settings};
 
-/// A field and what was expected of it.
+/// The path of a faulty field, with what was found and expected.
 pub(super) type Found = (&'static str, String);
 
 /// The longest name of a VM or availability zone; it is part of request ids.
@@ -17,7 +17,7 @@
 /// The longest time, in ms: a day.
 const MAX_MS: u64 = 86_400_000;
 
-/// Returns every fault of settings that were read.
+/// Returns every fault of parsed settings.
 pub(super) fn faults(settings: &Settings) -> Vec<Found> {
     let mut faults = Vec::new();
     name(&mut faults, "vm", &settings.vm);
@@ -42,7 +42,7 @@
     faults
 }
 
-/// A name is part of header values, log lines and object keys.
+/// Checks a name, which becomes part of header values, log lines and object keys.
 fn name(faults: &mut Vec<Found>, field: &'static str, name: &str) {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(allowed) {
--- a/crates/kingcuploftd/src/settings/reader.rs
+++ b/crates/kingcuploftd/src/settings/reader.rs
@@ -1,8 +1,8 @@
-//! Reads a settings file strictly and reports every fault of it at once.
+//! Reads a settings file strictly and reports all its faults at once.
 //!
-//! The text becomes a tree that knows its lines. The reader of the types stops at its first fault;
-//! so that one does not hide the next, the faulty field is noted, taken out or put right, and the
-//! rest is read again.
+//! The text is parsed into a tree that knows its lines. Deserialization stops at its first fault. So that one fault
+//! does not hide the next, the faulty field is recorded, then removed or replaced by a placeholder, and the tree is
+//! deserialized again.
 
 use std::path::Path;
 
@@ -25,7 +25,7 @@
 pub struct Fault {
     /// The file.
     pub file: String,
-    /// The line, from 1; of the nearest container where the field is missing.
+    /// The line, from 1; for a missing field, the line of its container.
     pub line: usize,
     /// The path of the field, such as `limits.workers`.
     pub field: String,
@@ -41,7 +41,7 @@
     Unreadable {
         /// The file.
         file: String,
-        /// Why.
+        /// The system's error.
         error: std::io::Error,
     },
     /// Fields are wrong.
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// Every fault found, with file, line and field.
+/// Returns every fault found, with file, line and field.
 pub fn read(path: &Path) -> Result<Settings, SettingsError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
@@ -88,11 +88,11 @@
     }
 }
 
-/// Reads and checks the text of a settings file, without a look at any other file.
+/// Reads and checks the text of a settings file, without reading any other file.
 ///
 /// # Errors
 ///
-/// Every fault found, in the order of the text.
+/// Returns every fault found, in the order of the text.
 pub fn parse(file: &str, text: &str) -> Result<Settings, Vec<Fault>> {
     if text.len() > MAX_TEXT_BYTES {
         let expected = format!(
@@ -111,7 +111,7 @@
     let settings = reader.settings();
     if let Some(settings) = &settings {
         for (field, expected) in check::faults(settings) {
-            // A field that was put right to read on is not judged as well.
+            // A field that was replaced by a placeholder is not checked.
             if !reader.found.iter().any(|fault| fault.field == field) {
                 reader.add(field, expected);
             }
@@ -134,7 +134,7 @@
     }
 }
 
-/// Values that stand in for required fields that are missing or wrong, to read on.
+/// Returns placeholder values for required fields that are missing or wrong, to continue reading.
 fn placeholders() -> Value {
     json!({
         "vm": "vm",
@@ -157,7 +157,7 @@
         self.found.push(fault(self.file, line, field, expected));
     }
 
-    /// Reads the settings; `None` where a fault could not be read past.
+    /// Reads the settings; `None` if reading cannot continue after a fault.
     fn settings(&mut self) -> Option<Settings> {
         let mut value = self.tree.value();
         if !value.is_object() {
@@ -181,8 +181,8 @@
     }
 }
 
-/// Returns the path of the field that an error is about; the error of a missing or unknown field
-/// stands at its container and names it.
+/// Returns the path of the field that an error is about. The error of a missing or unknown field has the path of its
+/// container and names the field in its message.
 fn field(path: &str, message: &str) -> String {
     let path = if path == "." { "" } else { path };
     let named = ["missing field `", "unknown field `"];
@@ -197,7 +197,7 @@
     }
 }
 
-/// Puts a stand-in in the place of a field, or takes it out; tells whether anything changed.
+/// Replaces a field by its placeholder, or removes it; returns whether anything changed.
 fn replace_or_remove(value: &mut Value, field: &str) -> bool {
     let (parents, name) = field.rsplit_once('.').unwrap_or(("", field));
     let mut at = value;
@@ -220,7 +220,7 @@
     }
 }
 
-/// Takes out the list or member that a path such as `peer.peers[1]` leads through.
+/// Removes the list or object that a path such as `peer.peers[1]` goes through.
 fn remove_parent(at: &mut Value, step: &str) -> bool {
     let name = step.split('[').next().unwrap_or(step);
     at.as_object_mut()
--- a/crates/kingcuploftd/src/shared.rs
+++ b/crates/kingcuploftd/src/shared.rs
@@ -1,4 +1,4 @@
-//! The daemon's one context: built once, passed by reference to every duty.
+//! The state that all threads of the daemon share: built once at start and passed by reference.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,26 +23,26 @@
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 
-/// What every duty may read.
+/// The state that all threads of the daemon share.
 #[derive(Debug)]
 pub struct Shared {
     /// The settings.
     pub settings: Settings,
     /// This VM.
     pub vm: Vm,
-    /// The manifest in force; generation 0 until one is known.
+    /// The active manifest; generation 0 until one is known.
     pub accepted: ArcSwap<AcceptedManifest>,
-    /// The hosts of the manifest in force; empty until one is known.
+    /// The routing table of the active manifest; empty until one is known.
     pub routes: ArcSwap<Routes>,
-    /// What is known of the manifest, in force or not.
+    /// The state of the manifest's adoption.
     pub manifest: ManifestState,
-    /// What is known of the fleet.
+    /// The members and drains of the fleet.
     pub fleet: FleetState,
-    /// The last decisions, for operators.
+    /// The latest decisions, for operators.
     pub decisions: DecisionLog,
-    /// The counters.
+    /// The metrics.
     pub metrics: Metrics,
-    /// The ring to the dispatch duty.
+    /// The channel to the dispatch thread.
     pub dispatch: Sender<Message>,
     /// The calls in flight and the connections to backend servers.
     pub calls: CallRegistry,
@@ -54,7 +54,7 @@
 }
 
 impl Shared {
-    /// Builds the context.
+    /// Builds the shared state.
     pub fn new(settings: Settings, vm: Vm, dispatch: Sender<Message>) -> Arc<Self> {
         let live_vms = settings.limits.vms;
         let fleet = FleetState::new(membership(&settings, &vm));
@@ -77,24 +77,24 @@
         })
     }
 
-    /// Puts a manifest in force on this VM, for callers first and then for the dispatch duty.
+    /// Activates a manifest on this VM: first the routing of new requests, then the dispatch thread.
     pub fn activate_manifest(&self, accepted: AcceptedManifest) {
         self.routes.store(Arc::new(Routes::new(&accepted.manifest)));
         self.accepted.store(Arc::new(accepted.clone()));
         drop(self.dispatch.send(Message::ManifestAdopted(accepted)));
     }
 
-    /// Tells whether this VM is one of those that watch the store for manifests.
+    /// Returns whether this VM is one of those that watch the store for manifests.
     pub fn watches_store(&self) -> bool {
         self.fleet.membership().watches_store()
     }
 
-    /// Tells whether the platform's balancer may send callers here.
+    /// Returns whether the platform's balancer may send callers to this VM.
     pub fn ready(&self) -> bool {
         !self.stopping() && self.accepted.load().generation > 0
     }
 
-    /// Tells whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub fn stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
@@ -104,22 +104,23 @@
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Closes the door to callers: what is in flight may go on until `until`.
+    /// Stops accepting connections; requests in flight may continue until `until`.
     pub fn close(&self, until: Instant) {
         self.closing.send_replace(Some(until));
     }
 
-    /// Returns a watch on the door: `None` while it is open, else until when requests may go on.
+    /// Returns a watch on whether connections are accepted: `None` while they are, else until when requests in flight
+    /// may continue.
     pub fn closing(&self) -> watch::Receiver<Option<Instant>> {
         self.closing.subscribe()
     }
 
-    /// Tells whether nothing is in flight any more and every duty should end.
+    /// Returns whether nothing is in flight any more and every thread should end.
     pub fn ended(&self) -> bool {
         self.ended.load(Ordering::Acquire)
     }
 
-    /// Tells every duty to end.
+    /// Signals every thread to end.
     pub fn end(&self) {
         self.ended.store(true, Ordering::Release);
     }
@@ -129,18 +130,18 @@
         self.last_request.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Returns a request's name, unique in the fleet and over this VM's lives.
+    /// Returns a request's id for callers and logs, unique in the fleet and over this VM's incarnations.
     pub fn request_name(&self, request: RequestId) -> String {
         let vm = &self.vm;
         format!("{}-{:x}-{request}", vm.name, vm.incarnation)
     }
 
-    /// Tells how many entry VMs are live, this one included.
+    /// Sets the number of live entry VMs, this one included.
     pub fn set_live_vms(&self, live_vms: usize) {
         self.live_vms.store(live_vms.max(1), Ordering::Relaxed);
     }
 
-    /// Returns this VM's share of the connections that a call's backend server accepts.
+    /// Returns this VM's share of the connections that a call's backend server accepts, at least 1.
     pub fn connection_share(&self, call: &Call) -> usize {
         let servers = &call.route.service.backend_servers;
         let server = servers.iter().find(|s| s.name == call.backend_server);
@@ -149,7 +150,7 @@
     }
 }
 
-/// Builds the view of a VM that knows only itself.
+/// Builds the membership of a VM that knows only itself.
 fn membership(settings: &Settings, vm: &Vm) -> Membership {
     let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
     let own = Member {
--- a/crates/kingcuploftd/src/status.rs
+++ b/crates/kingcuploftd/src/status.rs
@@ -1,4 +1,4 @@
-//! The status page: what an operator wants to know of one VM at a glance, in JSON.
+//! The admin page `/status`: the state of one VM for operators, in JSON.
 
 use std::collections::BTreeMap;
 
@@ -32,7 +32,7 @@
     status.to_string()
 }
 
-/// Returns the queue, the calls in flight and the limit of each service in force.
+/// Returns the queue length, calls in flight and concurrency limit of each service in the active manifest.
 fn services(shared: &Shared) -> BTreeMap<String, serde_json::Value> {
     let accepted = shared.accepted.load();
     let services = accepted.manifest.services.iter();
@@ -44,7 +44,7 @@
     loads.collect()
 }
 
-/// Returns how often each reason was counted, for those that were.
+/// Returns the number of refusals by reason, without reasons that never occurred.
 fn refusals(shared: &Shared) -> BTreeMap<&'static str, u64> {
     let counted = RefusalReason::ALL.iter();
     let counted = counted.map(|reason| (reason.label(), shared.metrics.refusals(*reason)));
