--- a/crates/kingcuploft-standins/src/bin/kingcuploft-experiment.rs
+++ b/crates/kingcuploft-standins/src/bin/kingcuploft-experiment.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use kingcuploft_standins::experiments::{ALL, DeploymentName, Entry, Options};
+use kingcuploft_standins::experiments::{ALL, DeploymentName, Experiment, Options};
 use lexopt::prelude::*;
 
 const HELP: &str = "\
@@ -26,7 +26,7 @@
 ";
 
 struct Asked {
-    entry: Entry,
+    entry: Experiment,
     options: Options,
     json: bool,
 }
@@ -37,7 +37,7 @@
         Ok(None) => {
             print!("{HELP}");
             for entry in ALL {
-                println!("  {:<16} {}", entry.name, entry.about);
+                println!("  {:<16} {}", entry.name, entry.description);
             }
             ExitCode::SUCCESS
         }
@@ -56,7 +56,7 @@
     while let Some(arg) = parser.next()? {
         match arg {
             Long("seed") => options.seed = parser.value()?.parse()?,
-            Long("seconds") => options.time = Duration::from_secs(parser.value()?.parse()?),
+            Long("seconds") => options.duration = Duration::from_secs(parser.value()?.parse()?),
             Long("rounds") => options.rounds = parser.value()?.parse()?,
             Long("load") => options.load = parser.value()?.parse()?,
             Long("plot") => options.plot = Some(PathBuf::from(parser.value()?)),
@@ -98,13 +98,13 @@
     if !asked.json {
         println!("{}", report.text);
     }
-    for broken in &report.broken {
+    for broken in &report.violations {
         eprintln!("broken: {broken}");
     }
     if asked.json {
         println!("{}", report.figures);
     }
-    match report.broken.is_empty() {
+    match report.violations.is_empty() {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
--- a/crates/kingcuploft-standins/src/bin/kingcuploft-quickstart.rs
+++ b/crates/kingcuploft-standins/src/bin/kingcuploft-quickstart.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use kingcuploft_standins::deployment;
-use kingcuploft_standins::fleet::{Fleet, Variant};
-use kingcuploft_standins::load::{self, DueCall};
+use kingcuploft_standins::fleet::{Fleet, FleetOptions};
+use kingcuploft_standins::load::{self, ScheduledCall};
 use kingcuploft_standins::plot::{self, Labels, Line};
 use kingcuploft_standins::tally::{Figures, Tally};
 use kingcuploft_standins::traffic::{self, Traffic};
@@ -104,7 +104,7 @@
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
     signal_hook::flag::register(SIGINT, Arc::clone(&stop))?;
     signal_hook::flag::register(SIGTERM, Arc::clone(&stop))?;
-    let fleet = Fleet::start(deployment::quickstart(), Variant::default())?;
+    let fleet = Fleet::start(deployment::quickstart(), FleetOptions::default())?;
     introduce(&fleet);
     let time = asked.time.unwrap_or(TRAFFIC);
     let traffic = traffic::mixed(&fleet.deployment, asked.per_second, time, asked.seed);
@@ -167,7 +167,7 @@
         let to = fleet.addresses();
         load::run_with(
             &fleet.runtime,
-            move |call: &DueCall| to[call.to % to.len()],
+            move |call: &ScheduledCall| to[call.address_index % to.len()],
             traffic.calls,
             move |call, got, latency| {
                 counter.fetch_add(1, Ordering::Relaxed);
@@ -254,5 +254,5 @@
         x: "quantile, %",
         y: "latency, ms",
     };
-    plot::lines(file, &labels, &lines)
+    plot::draw_lines(file, &labels, &lines)
 }
--- a/crates/kingcuploft-standins/src/callers.rs
+++ b/crates/kingcuploft-standins/src/callers.rs
@@ -29,7 +29,7 @@
 
 /// What a caller received.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Received {
+pub enum CallResult {
     /// A whole answer of a backend server.
     Answer {
         /// The status.
@@ -47,7 +47,7 @@
         outcome: String,
     },
     /// No whole answer: the connection ended or the caller gave up.
-    Nothing,
+    NoAnswer,
 }
 
 /// The callers' connections.
@@ -58,12 +58,12 @@
 
 impl Callers {
     /// Calls and reads the whole answer, at most for `patience`.
-    pub async fn call(&self, to: SocketAddr, plan: &CallPlan, patience: Duration) -> Received {
+    pub async fn call(&self, to: SocketAddr, plan: &CallPlan, patience: Duration) -> CallResult {
         let called = tokio::time::timeout(patience, self.exchange(to, plan)).await;
-        called.ok().flatten().unwrap_or(Received::Nothing)
+        called.ok().flatten().unwrap_or(CallResult::NoAnswer)
     }
 
-    async fn exchange(&self, to: SocketAddr, plan: &CallPlan) -> Option<Received> {
+    async fn exchange(&self, to: SocketAddr, plan: &CallPlan) -> Option<CallResult> {
         let mut connection = self.connection(to).await?;
         let mut request = Request::builder()
             .method(plan.method.clone())
@@ -82,8 +82,8 @@
         let status = head.status.as_u16();
         let header = |name| Some(head.headers.get(name)?.to_str().ok()?.to_owned());
         Some(match header("x-kingcuploft-reason") {
-            None => Received::Answer { status, body },
-            Some(reason) => Received::Refused {
+            None => CallResult::Answer { status, body },
+            Some(reason) => CallResult::Refused {
                 status,
                 reason,
                 outcome: header("x-kingcuploft-outcome").unwrap_or_default(),
--- a/crates/kingcuploft-standins/src/deployment.rs
+++ b/crates/kingcuploft-standins/src/deployment.rs
@@ -83,7 +83,7 @@
 ];
 
 /// Returns the service of the virtual fleet with its rules, at the brief's sizes.
-pub fn virtual_twin(place: Place) -> Deployment {
+pub fn virtual_deployment(place: Place) -> Deployment {
     match place {
         Place::Teamway => Deployment {
             services: vec![service("trip", 11, 2, RUN_RULES)],
--- a/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
@@ -18,7 +18,7 @@
 use kingcuploftd::settings::Settings;
 use kingcuploftd::shared::Shared;
 
-use super::{Claimed, RUN};
+use super::{ACTION_TIME, ClaimResults};
 
 /// How long a claim may take here.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -34,7 +34,7 @@
     orders: Sender<ClaimTask>,
     began: Began,
     duty: JoinHandle<()>,
-    actions: JoinHandle<Claimed>,
+    actions: JoinHandle<ClaimResults>,
 }
 
 impl LedgerVm {
@@ -80,7 +80,7 @@
         drop(self.orders.send(claim));
     }
 
-    pub(in crate::experiments) fn finish(self) -> Claimed {
+    pub(in crate::experiments) fn finish(self) -> ClaimResults {
         // The actions' thread ends once nobody else can add a claim.
         drop(self.began);
         let claimed = self.actions.join();
@@ -91,8 +91,12 @@
 }
 
 /// Runs the held actions, each for its time, until there has been none for a while.
-fn run_actions(verdicts: &Receiver<Message>, began: &Began, ends: Sender<ClaimTask>) -> Claimed {
-    let mut claimed = Claimed::default();
+fn run_actions(
+    verdicts: &Receiver<Message>,
+    began: &Began,
+    ends: Sender<ClaimTask>,
+) -> ClaimResults {
+    let mut claimed = ClaimResults::default();
     let mut running: VecDeque<(Instant, u64)> = VecDeque::new();
     let mut last = Instant::now();
     loop {
@@ -111,7 +115,7 @@
                     claimed.add(at, end == ClaimResult::Held);
                 }
                 if end == ClaimResult::Held {
-                    running.push_back((Instant::now() + RUN, request));
+                    running.push_back((Instant::now() + ACTION_TIME, request));
                 }
             }
             Ok(_) => {}
--- a/crates/kingcuploft-standins/src/experiments/claims/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/mod.rs
@@ -22,7 +22,7 @@
 use crate::platform::Platform;
 
 /// How many VMs claim.
-pub(super) const VMS: usize = 14;
+pub(super) const VM_COUNT: usize = 14;
 
 /// The rates, in actions a second over all VMs.
 const RATES: [f64; 4] = [10.0, 100.0, 400.0, 1000.0];
@@ -34,7 +34,7 @@
 const WARM_UP: Duration = Duration::from_secs(3);
 
 /// The time of one action at its backend server.
-const RUN: Duration = Duration::from_millis(10);
+const ACTION_TIME: Duration = Duration::from_millis(10);
 
 /// How claims are written.
 #[derive(Clone, Copy, Debug)]
@@ -89,7 +89,7 @@
 
 /// One decided claim.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Decided {
+pub(super) struct DecidedClaim {
     pub(super) began: Instant,
     pub(super) latency: Duration,
     pub(super) held: bool,
@@ -97,14 +97,14 @@
 
 /// What one VM's claims came to.
 #[derive(Debug)]
-pub(super) struct Claimed {
+pub(super) struct ClaimResults {
     latency_us: Histogram<u64>,
     held: u64,
     refused: u64,
-    pub(super) decided: Vec<Decided>,
+    pub(super) decided: Vec<DecidedClaim>,
 }
 
-impl Default for Claimed {
+impl Default for ClaimResults {
     fn default() -> Self {
         Self {
             latency_us: Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit"),
@@ -115,17 +115,17 @@
     }
 }
 
-impl Claimed {
+impl ClaimResults {
     fn add(&mut self, began: Instant, held: bool) {
         let latency = began.elapsed();
-        self.decided.push(Decided {
+        self.decided.push(DecidedClaim {
             began,
             latency,
             held,
         });
     }
 
-    fn count(&mut self, claim: Decided) {
+    fn count(&mut self, claim: DecidedClaim) {
         match claim.held {
             true => {
                 self.held += 1;
@@ -167,7 +167,7 @@
     Ok(Report {
         text: table(&rows),
         figures: serde_json::to_value(&rows)?,
-        broken: Vec::new(),
+        violations: Vec::new(),
     })
 }
 
@@ -185,7 +185,7 @@
         }
     }
 
-    fn finish(self) -> Claimed {
+    fn finish(self) -> ClaimResults {
         match self {
             Self::Ledger(vm) => vm.finish(),
             Self::PerAction(vm) => vm.finish(),
@@ -205,7 +205,7 @@
     let vms = start(&platform, way)?;
     let mut rng = fastrand::Rng::with_seed(options.seed);
     let began = Instant::now();
-    let due = arrivals(&mut rng, rate, WARM_UP + options.time);
+    let due = arrivals(&mut rng, rate, WARM_UP + options.duration);
     let warm = due.iter().filter(|at| **at < WARM_UP).count();
     let mut before = platform.calls();
     for (action, at) in due.iter().enumerate() {
@@ -217,7 +217,7 @@
     }
     let after = platform.calls();
     let measured = began + WARM_UP;
-    let mut all = Claimed::default();
+    let mut all = ClaimResults::default();
     for vm in vms {
         let decided = vm.finish().decided.into_iter();
         decided
@@ -225,7 +225,7 @@
             .for_each(|claim| all.count(claim));
     }
     let actions = (due.len() - warm) as f64;
-    let seconds = options.time.as_secs_f64();
+    let seconds = options.duration.as_secs_f64();
     let writes = (after.writes() - before.writes()) as f64;
     let ms = |quantile| all.latency_us.value_at_quantile(quantile) as f64 / 1000.0;
     Ok(Row {
@@ -246,7 +246,7 @@
     let (partitions, linger_ms, aim) = match way {
         Way::PerAction => {
             let vm = |i| ClaimVm::PerAction(PerActionVm::start(platform, i));
-            return Ok((0..VMS).map(vm).collect());
+            return Ok((0..VM_COUNT).map(vm).collect());
         }
         Way::AnyVm {
             partitions,
@@ -267,7 +267,7 @@
     };
     let settings = settings(platform, claims)?;
     let vm = |i| ClaimVm::Ledger(LedgerVm::start(settings.clone(), i));
-    Ok((0..VMS).map(vm).collect())
+    Ok((0..VM_COUNT).map(vm).collect())
 }
 
 pub(super) fn settings(
@@ -287,7 +287,7 @@
 fn writer(way: Way, action: usize, rng: &mut fastrand::Rng) -> usize {
     match way {
         Way::OneWriter { partitions, .. } => action % usize::from(partitions),
-        _ => rng.usize(0..VMS),
+        _ => rng.usize(0..VM_COUNT),
     }
 }
 
--- a/crates/kingcuploft-standins/src/experiments/claims/per_action.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/per_action.rs
@@ -7,7 +7,7 @@
 use kingcuploft_platform::client::{Client, ClientSettings};
 use kingcuploft_platform::{ObjectStore, WriteCondition};
 
-use super::{Claimed, RUN};
+use super::{ACTION_TIME, ClaimResults};
 use crate::platform::Platform;
 
 /// How many calls one VM makes side by side.
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct PerActionVm {
     actions: Sender<(u64, Instant)>,
-    threads: Vec<JoinHandle<Claimed>>,
+    threads: Vec<JoinHandle<ClaimResults>>,
 }
 
 impl PerActionVm {
@@ -50,9 +50,9 @@
         debug_assert!(sent.is_ok());
     }
 
-    pub(super) fn finish(self) -> Claimed {
+    pub(super) fn finish(self) -> ClaimResults {
         drop(self.actions);
-        let mut all = Claimed::default();
+        let mut all = ClaimResults::default();
         for thread in self.threads {
             let claimed = thread.join().unwrap_or_default();
             all.decided.extend(claimed.decided);
@@ -61,15 +61,15 @@
     }
 }
 
-fn work(store: &Client, ring: &Receiver<(u64, Instant)>) -> Claimed {
-    let mut claimed = Claimed::default();
+fn work(store: &Client, ring: &Receiver<(u64, Instant)>) -> ClaimResults {
+    let mut claimed = ClaimResults::default();
     let (claim, record) = ("x".repeat(CLAIM_BYTES), "x".repeat(RECORD_BYTES));
     for (action, began) in ring {
         let key = format!("claims/{action}");
         let put = store.put(&key, &claim, WriteCondition::Absent);
         claimed.add(began, put.is_ok());
         if let Ok(version) = put {
-            std::thread::sleep(RUN);
+            std::thread::sleep(ACTION_TIME);
             drop(store.put(&key, &record, WriteCondition::Version(version)));
         }
     }
--- a/crates/kingcuploft-standins/src/experiments/connections.rs
+++ b/crates/kingcuploft-standins/src/experiments/connections.rs
@@ -96,7 +96,7 @@
     Ok(Report {
         text: rows.iter().map(|row| format!("{row:?}\n")).collect(),
         figures: serde_json::to_value(&rows)?,
-        broken: broken.into_iter().collect(),
+        violations: broken.into_iter().collect(),
     })
 }
 
--- a/crates/kingcuploft-standins/src/experiments/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/mod.rs
@@ -29,7 +29,7 @@
     /// The seed of everything drawn.
     pub seed: u64,
     /// How long the load lasts, for each part of the experiment.
-    pub time: Duration,
+    pub duration: Duration,
     /// How often the parts are repeated, interleaved.
     pub rounds: usize,
     /// The load, as a share of what the slots can do.
@@ -44,7 +44,7 @@
     fn default() -> Self {
         Self {
             seed: 1,
-            time: Duration::from_secs(5),
+            duration: Duration::from_secs(5),
             rounds: 1,
             load: 0.75,
             deployment: DeploymentName::Teamway,
@@ -64,7 +64,7 @@
 
 impl DeploymentName {
     /// Returns the deployment's twin in the virtual fleet.
-    pub fn place(self) -> Place {
+    pub fn virtual_place(self) -> Place {
         match self {
             Self::Teamway => Place::Teamway,
             Self::Bern => Place::Bern,
@@ -88,7 +88,7 @@
     /// The same, as a table for a person.
     pub text: String,
     /// The promises that were broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Why an experiment has no figures.
@@ -110,65 +110,65 @@
 
 /// An experiment's entry in the tool.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct Experiment {
     /// The name on the command line.
     pub name: &'static str,
     /// What it measures, in one line.
-    pub about: &'static str,
+    pub description: &'static str,
     /// Runs it.
     pub run: fn(&Options) -> Result<Report, ExperimentError>,
 }
 
 /// Every experiment.
-pub const ALL: &[Entry] = &[
-    Entry {
+pub const ALL: &[Experiment] = &[
+    Experiment {
         name: "connections",
-        about: "bursts of callers and slow senders, at rouille and at the daemon",
+        description: "bursts of callers and slow senders, at rouille and at the daemon",
         run: connections::run,
     },
-    Entry {
+    Experiment {
         name: "overhead",
-        about: "what one daemon adds to a call, interleaved with calls straight to the server",
+        description: "what one daemon adds to a call, interleaved with calls straight to the server",
         run: overhead::run,
     },
-    Entry {
+    Experiment {
         name: "claims",
-        about: "store writes and added latency of protected actions, by ledger and rate",
+        description: "store writes and added latency of protected actions, by ledger and rate",
         run: claims::run,
     },
-    Entry {
+    Experiment {
         name: "overload",
-        about: "what callers receive under overload, with a hot caller",
+        description: "what callers receive under overload, with a hot caller",
         run: overload::run,
     },
-    Entry {
+    Experiment {
         name: "peer_slope",
-        about: "bytes and time of the peer links at 14, 50 and 200 light nodes",
+        description: "bytes and time of the peer links at 14, 50 and 200 light nodes",
         run: peer_slope::run,
     },
-    Entry {
+    Experiment {
         name: "promises",
-        about: "daemon processes under mixed faults, every call checked",
+        description: "daemon processes under mixed faults, every call checked",
         run: promises::run,
     },
-    Entry {
+    Experiment {
         name: "propagation",
-        about: "time until a manifest is in force everywhere, the store dying or not",
+        description: "time until a manifest is in force everywhere, the store dying or not",
         run: propagation::run,
     },
-    Entry {
+    Experiment {
         name: "store_outage",
-        about: "protected actions while the store is down, and the calls after its return",
+        description: "protected actions while the store is down, and the calls after its return",
         run: store_outage::run,
     },
-    Entry {
+    Experiment {
         name: "slopes",
-        about: "what one daemon costs as the deployment grows",
+        description: "what one daemon costs as the deployment grows",
         run: slopes::run,
     },
-    Entry {
+    Experiment {
         name: "tail",
-        about: "tail latency and the cost of measuring, by policy",
+        description: "tail latency and the cost of measuring, by policy",
         run: tail::run,
     },
 ];
--- a/crates/kingcuploft-standins/src/experiments/overhead.rs
+++ b/crates/kingcuploft-standins/src/experiments/overhead.rs
@@ -104,7 +104,7 @@
         }
     });
     let took = began.elapsed().as_secs_f64();
-    let closed = closed_loop(daemon, options.time.min(Duration::from_secs(2)));
+    let closed = closed_loop(daemon, options.duration.min(Duration::from_secs(2)));
     fleet.stop();
     let figures = Figures {
         added_p50_ms: through.ms(0.5) - straight.ms(0.5),
@@ -123,7 +123,7 @@
     Ok(Report {
         text: format!("{figures:#?}"),
         figures: serde_json::to_value(&figures)?,
-        broken: failed.into_iter().collect(),
+        violations: failed.into_iter().collect(),
     })
 }
 
@@ -144,7 +144,7 @@
     let per_second = CALLS_PER_SECOND / CONNECTIONS as f64;
     let began = Instant::now();
     let mut due = Duration::ZERO;
-    while due < options.time {
+    while due < options.duration {
         std::thread::sleep(due.saturating_sub(began.elapsed()));
         if rng.bool() {
             straight.1.call(&mut to_server);
--- a/crates/kingcuploft-standins/src/experiments/overload.rs
+++ b/crates/kingcuploft-standins/src/experiments/overload.rs
@@ -60,7 +60,7 @@
         let with = outcome(options, seed, HOT)?;
         let figures = figures(options, &with, &without);
         if figures.duplicate_runs > 0 {
-            report.broken.push(format!(
+            report.violations.push(format!(
                 "seed {seed}: {} duplicate runs",
                 figures.duplicate_runs
             ));
@@ -87,8 +87,8 @@
             ..Stream::default()
         });
     }
-    let deployment = Deployment::new(options.deployment.place());
-    let run = Run::new(deployment, &streams, options.time, seed);
+    let deployment = Deployment::new(options.deployment.virtual_place());
+    let run = Run::new(deployment, &streams, options.duration, seed);
     real_run::run(&run, "{}".into())
 }
 
--- a/crates/kingcuploft-standins/src/experiments/peer_slope.rs
+++ b/crates/kingcuploft-standins/src/experiments/peer_slope.rs
@@ -144,7 +144,7 @@
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let (mut rows, mut failed) = (Vec::new(), Vec::new());
     for size in SIZES {
-        match measure(size, options.time) {
+        match measure(size, options.duration) {
             Ok(row) => rows.push(row),
             Err(error) => failed.push(error.to_string()),
         }
@@ -157,7 +157,7 @@
         format!("a node of {nodes} spends {bytes:.0} bytes a second")
     });
     Ok(Report {
-        broken: broken.chain(failed).collect(),
+        violations: broken.chain(failed).collect(),
         text: table(&rows),
         figures: serde_json::json!({
             "seed": options.seed, "services": SERVICES, "rows": rows,
--- a/crates/kingcuploft-standins/src/experiments/promises/chaos.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/chaos.rs
@@ -7,7 +7,7 @@
 
 /// Something that happens to the deployment.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub enum ChaosEvent {
     /// The platform gets faults.
     Store(StoreFaults),
     /// A backend server gets faults.
@@ -25,60 +25,65 @@
     /// A VM's peer links are cut for a time.
     CutPeers(usize, Duration),
     /// Two operators apply a manifest at once.
-    Race,
+    ConcurrentApplies,
     /// A backend server leaves, by the manifest.
-    Leave(usize),
+    DrainByManifest(usize),
     /// A backend server leaves, by its replies.
-    LeaveByReply(usize),
+    DrainByReply(usize),
 }
 
 /// A step and when it happens.
 #[derive(Clone, Debug)]
-pub struct DueStep {
+pub struct ScheduledEvent {
     /// Time from the start of the run.
     pub at: Duration,
     /// What happens.
-    pub step: Step,
+    pub event: ChaosEvent,
 }
 
 /// Draws the steps of a run; the last fifth of the time is left without new faults.
-pub fn draw(seed: u64, time: Duration, vms: usize, backend_servers: usize) -> Vec<DueStep> {
+pub fn draw_events(
+    seed: u64,
+    time: Duration,
+    vms: usize,
+    backend_servers: usize,
+) -> Vec<ScheduledEvent> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x00c0_ffee);
     let mut at = Duration::from_millis(300);
     let mut steps = Vec::new();
     let mut left = 0;
     while at < time.mul_f64(0.8) {
         let step = draw_step(&mut rng, vms, backend_servers, &mut left);
-        steps.push(DueStep { at, step });
+        steps.push(ScheduledEvent { at, event: step });
         at += Duration::from_millis(rng.u64(80..500));
     }
     steps
 }
 
-fn draw_step(rng: &mut fastrand::Rng, vms: usize, servers: usize, left: &mut usize) -> Step {
+fn draw_step(rng: &mut fastrand::Rng, vms: usize, servers: usize, left: &mut usize) -> ChaosEvent {
     let vm = rng.usize(..vms);
     let server = rng.usize(..servers);
     let pause = Duration::from_millis(rng.u64(50..1200));
     match rng.u8(..20) {
-        0..=2 => Step::Store(StoreFaults::drawn(rng)),
-        3..=4 => Step::Store(StoreFaults::default()),
-        5..=9 => Step::Backend(server, backend_faults(rng)),
-        10 => Step::Backend(server, BackendFaults::default()),
-        11 => Step::CloseConnections(server),
-        12 => Step::Pause(vm, pause),
-        13 => Step::Kill(vm),
-        14 => Step::Stop(vm),
-        15 => Step::CutPlatform(vm, pause * 2),
-        16 => Step::CutPeers(vm, pause * 2),
-        17..=18 => Step::Race,
+        0..=2 => ChaosEvent::Store(StoreFaults::drawn(rng)),
+        3..=4 => ChaosEvent::Store(StoreFaults::default()),
+        5..=9 => ChaosEvent::Backend(server, backend_faults(rng)),
+        10 => ChaosEvent::Backend(server, BackendFaults::default()),
+        11 => ChaosEvent::CloseConnections(server),
+        12 => ChaosEvent::Pause(vm, pause),
+        13 => ChaosEvent::Kill(vm),
+        14 => ChaosEvent::Stop(vm),
+        15 => ChaosEvent::CutPlatform(vm, pause * 2),
+        16 => ChaosEvent::CutPeers(vm, pause * 2),
+        17..=18 => ChaosEvent::ConcurrentApplies,
         _ if *left == 0 => {
             *left += 1;
             match rng.bool() {
-                true => Step::Leave(server),
-                false => Step::LeaveByReply(server),
+                true => ChaosEvent::DrainByManifest(server),
+                false => ChaosEvent::DrainByReply(server),
             }
         }
-        _ => Step::Race,
+        _ => ChaosEvent::ConcurrentApplies,
     }
 }
 
--- a/crates/kingcuploft-standins/src/experiments/promises/check.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/check.rs
@@ -5,21 +5,21 @@
 
 use serde::Serialize;
 
-use super::record::{Record, Told};
-use crate::callers::Received;
+use super::record::{Record, ReportedOutcome};
+use crate::callers::CallResult;
 
 /// What the stand-ins counted.
-pub trait Runs {
+pub trait ExecutionCounts {
     /// Returns how often the action with this idempotency key ran.
-    fn of_key(&self, key: &str) -> u64;
+    fn executions_of_key(&self, key: &str) -> u64;
 
     /// Returns how often this call ran.
-    fn of_call(&self, call: usize) -> u64;
+    fn executions_of_call(&self, call: usize) -> u64;
 }
 
 /// The promises that a run broke, each as a count.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct Broken {
+pub struct Violations {
     /// Runs of a protected action after its first.
     pub duplicate_runs: u64,
     /// Calls told `not_run` that ran.
@@ -34,7 +34,7 @@
 
 /// What was counted besides the promises.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Counted {
+pub struct CallCounts {
     /// Calls made.
     pub calls: u64,
     /// Protected actions, by their keys.
@@ -52,14 +52,14 @@
 }
 
 /// Checks every record.
-pub fn check(records: &[Record], runs: &dyn Runs) -> (Broken, Counted) {
-    let mut broken = Broken::default();
-    let mut counted = Counted::default();
+pub fn check(records: &[Record], runs: &dyn ExecutionCounts) -> (Violations, CallCounts) {
+    let mut broken = Violations::default();
+    let mut counted = CallCounts::default();
     let mut by_key: BTreeMap<&str, Vec<&Record>> = BTreeMap::new();
     for record in records {
         counted.calls += 1;
         check_answer(record, &mut broken, &mut counted);
-        if let Received::Refused { reason, .. } = &record.received {
+        if let CallResult::Refused { reason, .. } = &record.received {
             *counted.refused.entry(reason.clone()).or_default() += 1;
         }
         if let Some(key) = &record.key {
@@ -77,8 +77,8 @@
 }
 
 /// Checks that an answer is whole and the call's own.
-fn check_answer(record: &Record, broken: &mut Broken, counted: &mut Counted) {
-    let Received::Answer { status: 200, body } = &record.received else {
+fn check_answer(record: &Record, broken: &mut Violations, counted: &mut CallCounts) {
+    let CallResult::Answer { status: 200, body } = &record.received else {
         return;
     };
     counted.answered += 1;
@@ -95,37 +95,41 @@
 fn check_action(
     key: &str,
     calls: &[&Record],
-    runs: &dyn Runs,
-    broken: &mut Broken,
-    counted: &mut Counted,
+    runs: &dyn ExecutionCounts,
+    broken: &mut Violations,
+    counted: &mut CallCounts,
 ) {
-    let ran = runs.of_key(key);
+    let ran = runs.executions_of_key(key);
     broken.duplicate_runs += ran.saturating_sub(1);
-    let all_not_run = calls.iter().all(|call| call.told() == Told::NotRun);
+    let all_not_run = calls
+        .iter()
+        .all(|call| call.reported_outcome() == ReportedOutcome::NotRun);
     if all_not_run && ran > 0 {
         broken.false_not_run += 1;
     }
     for call in calls {
-        match call.told() {
-            Told::NotRun if runs.of_call(call.call) > 0 => broken.false_not_run += 1,
-            Told::NotRun if ran > 0 => counted.not_run_beside_a_run += 1,
-            Told::NotRun => {}
-            Told::Ran => broken.false_ran += u64::from(ran == 0),
-            Told::Answered => broken.false_ran += u64::from(ran == 0 && succeeded(call)),
-            Told::Unknown => counted.unknown += 1,
+        match call.reported_outcome() {
+            ReportedOutcome::NotRun if runs.executions_of_call(call.call_id) > 0 => {
+                broken.false_not_run += 1
+            }
+            ReportedOutcome::NotRun if ran > 0 => counted.not_run_beside_a_run += 1,
+            ReportedOutcome::NotRun => {}
+            ReportedOutcome::Ran => broken.false_ran += u64::from(ran == 0),
+            ReportedOutcome::Answered => broken.false_ran += u64::from(ran == 0 && succeeded(call)),
+            ReportedOutcome::Unknown => counted.unknown += 1,
         }
     }
 }
 
 fn succeeded(call: &Record) -> bool {
-    matches!(call.received, Received::Answer { status: 200, .. })
+    matches!(call.received, CallResult::Answer { status: 200, .. })
 }
 
 /// One reading of a daemon's generation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Reading {
+pub struct GenerationSample {
     /// The daemon, by its life.
-    pub life: usize,
+    pub daemon_id: usize,
     /// When, from the start of the run.
     pub at: Duration,
     /// The generation in force.
@@ -133,11 +137,11 @@
 }
 
 /// Counts the readings in which a daemon's generation is below an earlier one of its own.
-pub fn reverts(readings: &[Reading]) -> u64 {
+pub fn count_reverts(readings: &[GenerationSample]) -> u64 {
     let mut greatest: BTreeMap<usize, u64> = BTreeMap::new();
     let mut reverts = 0;
     for reading in readings {
-        let greatest = greatest.entry(reading.life).or_default();
+        let greatest = greatest.entry(reading.daemon_id).or_default();
         reverts += u64::from(reading.generation < *greatest);
         *greatest = reading.generation.max(*greatest);
     }
@@ -146,9 +150,9 @@
 
 /// A time during which a daemon should follow.
 #[derive(Clone, Copy, Debug)]
-pub struct Awake {
+pub struct ActivePeriod {
     /// The daemon, by its life.
-    pub life: usize,
+    pub daemon_id: usize,
     /// Since when it was ready and not paused.
     pub from: Duration,
     /// Until when.
@@ -159,15 +163,17 @@
 /// until that daemon had it in force; one that never had it counts until it slept or ended.
 pub fn longest_until_in_force(
     accepted: &[(u64, Duration)],
-    awake: &[Awake],
-    readings: &[Reading],
+    awake: &[ActivePeriod],
+    readings: &[GenerationSample],
 ) -> Duration {
     let mut longest = Duration::ZERO;
     for &(generation, at) in accepted {
         for span in awake.iter().filter(|span| span.until > at) {
             let since = at.max(span.from);
             let seen = readings.iter().find(|reading| {
-                reading.life == span.life && reading.at >= since && reading.generation >= generation
+                reading.daemon_id == span.daemon_id
+                    && reading.at >= since
+                    && reading.generation >= generation
             });
             let until = seen.map_or(span.until, |reading| reading.at.min(span.until));
             longest = longest.max(until.saturating_sub(since));
--- a/crates/kingcuploft-standins/src/experiments/promises/entry.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/entry_vms.rs
@@ -7,7 +7,7 @@
 
 use tokio::runtime::Runtime;
 
-use super::check::{Awake, Reading};
+use super::check::{ActivePeriod, GenerationSample};
 use crate::link::{Link, LinkState};
 use crate::process::{DaemonProcess, Ports};
 
@@ -25,9 +25,9 @@
 
 /// One place for an entry VM, and the daemon that lives there now.
 #[derive(Debug)]
-struct Place {
+struct VmSlot {
     process: DaemonProcess,
-    life: usize,
+    daemon_id: usize,
     ports: Ports,
     in_rotation: bool,
     stopping: bool,
@@ -36,33 +36,33 @@
 
 /// What the observer noted.
 #[derive(Clone, Debug, Default)]
-pub struct Observed {
+pub struct Observations {
     /// Generations read.
-    pub readings: Vec<Reading>,
+    pub generation_samples: Vec<GenerationSample>,
     /// Times during which a daemon should follow.
-    pub awake: Vec<Awake>,
+    pub active_periods: Vec<ActivePeriod>,
     /// Lives that were asked to stop as planned, and when.
-    pub stopped: Vec<(usize, Duration)>,
+    pub planned_stops: Vec<(usize, Duration)>,
     /// Lives that were paused or killed.
-    pub disturbed: Vec<usize>,
+    pub paused_or_killed: Vec<usize>,
     /// Planned stops that did not end in time or not with success.
     pub failed_stops: u64,
 }
 
 /// The entry VMs.
 #[derive(Debug)]
-pub struct Entries {
+pub struct EntryVms {
     began: Instant,
     folder: PathBuf,
     platform_links: Vec<Link>,
     peer_links: Vec<Mutex<Link>>,
-    places: Vec<Mutex<Place>>,
-    observed: Mutex<Observed>,
-    lives: Mutex<usize>,
+    slots: Vec<Mutex<VmSlot>>,
+    observed: Mutex<Observations>,
+    daemons_started: Mutex<usize>,
     runtime: std::sync::Arc<Runtime>,
 }
 
-impl Entries {
+impl EntryVms {
     /// Starts `count` daemons and waits until they are ready.
     ///
     /// # Errors
@@ -79,9 +79,9 @@
             folder,
             platform_links: Vec::new(),
             peer_links: Vec::new(),
-            places: Vec::new(),
+            slots: Vec::new(),
             observed: Mutex::default(),
-            lives: Mutex::new(0),
+            daemons_started: Mutex::new(0),
             runtime,
         };
         let mut ports = Vec::new();
@@ -95,50 +95,50 @@
             ports.push(own);
         }
         for (vm, ports) in ports.into_iter().enumerate() {
-            let (process, life) = entries.launch(vm, ports)?;
-            let place = Place {
+            let (process, daemon_id) = entries.launch(vm, ports)?;
+            let slot = VmSlot {
                 process,
-                life,
+                daemon_id,
                 ports,
                 in_rotation: false,
                 stopping: false,
                 awake_since: None,
             };
-            entries.places.push(Mutex::new(place));
+            entries.slots.push(Mutex::new(slot));
         }
         for vm in 0..count {
-            let mut place = lock(&entries.places[vm]);
-            if !place.process.wait_ready(READY_TIMEOUT) {
+            let mut slot = lock(&entries.slots[vm]);
+            if !slot.process.wait_ready(READY_TIMEOUT) {
                 // Another process may have taken one of the free ports before the daemon did.
-                entries.replace(vm, &mut place);
+                entries.replace(vm, &mut slot);
             }
-            if place.process.page("ready").is_none() {
+            if slot.process.admin_page("ready").is_none() {
                 return Err(std::io::Error::other("a daemon is not ready"));
             }
-            place.in_rotation = true;
-            place.awake_since = Some(Duration::ZERO);
+            slot.in_rotation = true;
+            slot.awake_since = Some(Duration::ZERO);
         }
         entries.began = Instant::now();
         Ok(entries)
     }
 
     /// Returns when the run began.
-    pub fn began(&self) -> Instant {
+    pub fn started_at(&self) -> Instant {
         self.began
     }
 
     /// Returns the address and life of a VM that the platform's balancer would choose.
-    pub fn choose(&self, draw: usize) -> (SocketAddr, usize) {
-        let count = self.places.len();
+    pub fn choose_vm(&self, draw: usize) -> (SocketAddr, usize) {
+        let count = self.slots.len();
         let order = (0..count).map(|i| (draw + i) % count);
         let mut fallback = None;
-        for place in order {
+        for slot in order {
             // A place whose VM is being replaced is locked for long: the balancer passes it by.
-            let Ok(place) = self.places[place].try_lock() else {
+            let Ok(slot) = self.slots[slot].try_lock() else {
                 continue;
             };
-            let found = (place.ports.callers, place.life);
-            if place.in_rotation {
+            let found = (slot.ports.callers, slot.daemon_id);
+            if slot.in_rotation {
                 return found;
             }
             fallback = Some(found);
@@ -148,76 +148,76 @@
 
     /// Looks at every VM once: readiness for the balancer, the generation for the check.
     pub fn observe(&self) {
-        for place in &self.places {
-            let Ok(mut place) = place.try_lock() else {
+        for slot in &self.slots {
+            let Ok(mut slot) = slot.try_lock() else {
                 continue;
             };
-            place.in_rotation = place.process.page("ready").is_some();
-            let Some(generation) = place.process.generation() else {
+            slot.in_rotation = slot.process.admin_page("ready").is_some();
+            let Some(generation) = slot.process.generation() else {
                 continue;
             };
-            let reading = Reading {
-                life: place.life,
+            let reading = GenerationSample {
+                daemon_id: slot.daemon_id,
                 at: self.began.elapsed(),
                 generation,
             };
-            lock(&self.observed).readings.push(reading);
+            lock(&self.observed).generation_samples.push(reading);
         }
     }
 
     /// Pauses a VM for a time; whoever looks at it meanwhile passes it by.
     pub fn pause(&self, vm: usize, time: Duration) {
-        let mut place = lock(&self.places[vm]);
-        self.sleep_begins(&mut place);
-        lock(&self.observed).disturbed.push(place.life);
-        place.process.pause();
-        let life = place.life;
-        drop(place);
+        let mut slot = lock(&self.slots[vm]);
+        self.sleep_begins(&mut slot);
+        lock(&self.observed).paused_or_killed.push(slot.daemon_id);
+        slot.process.pause();
+        let daemon_id = slot.daemon_id;
+        drop(slot);
         std::thread::sleep(time);
-        let mut place = lock(&self.places[vm]);
+        let mut slot = lock(&self.slots[vm]);
         // Another fault may have replaced the VM meanwhile; the new one was never paused.
-        if place.life == life {
-            place.process.resume();
-            place.awake_since = Some(self.began.elapsed());
+        if slot.daemon_id == daemon_id {
+            slot.process.resume();
+            slot.awake_since = Some(self.began.elapsed());
         }
     }
 
     /// Kills a VM and replaces it.
     pub fn kill(&self, vm: usize) {
-        let mut place = lock(&self.places[vm]);
-        self.sleep_begins(&mut place);
-        lock(&self.observed).disturbed.push(place.life);
-        place.process.kill();
-        self.replace(vm, &mut place);
+        let mut slot = lock(&self.slots[vm]);
+        self.sleep_begins(&mut slot);
+        lock(&self.observed).paused_or_killed.push(slot.daemon_id);
+        slot.process.kill();
+        self.replace(vm, &mut slot);
     }
 
     /// Stops a VM as planned and replaces it; the balancer goes on looking meanwhile.
     pub fn stop(&self, vm: usize) {
-        let life = {
-            let mut place = lock(&self.places[vm]);
+        let daemon_id = {
+            let mut slot = lock(&self.slots[vm]);
             // A second signal ends a daemon at once, so only one planned stop is asked for.
-            if std::mem::replace(&mut place.stopping, true) {
+            if std::mem::replace(&mut slot.stopping, true) {
                 return;
             }
-            self.sleep_begins(&mut place);
-            let stopped = (place.life, self.began.elapsed());
-            lock(&self.observed).stopped.push(stopped);
+            self.sleep_begins(&mut slot);
+            let stopped = (slot.daemon_id, self.began.elapsed());
+            lock(&self.observed).planned_stops.push(stopped);
             // A paused process can not stop; its pause, which waits for this place, ends here.
-            place.process.resume();
-            place.process.terminate();
-            place.life
+            slot.process.resume();
+            slot.process.terminate();
+            slot.daemon_id
         };
         std::thread::sleep(Duration::from_millis(NOT_READY_MS));
-        let mut place = lock(&self.places[vm]);
+        let mut slot = lock(&self.slots[vm]);
         // Another fault may have killed the VM meanwhile; the new one was not asked to stop.
-        if place.life != life {
+        if slot.daemon_id != daemon_id {
             return;
         }
-        let ended = place.process.wait_ended(STOP_TIMEOUT);
+        let ended = slot.process.wait_ended(STOP_TIMEOUT);
         if !ended.is_some_and(|status| status.success()) {
             lock(&self.observed).failed_stops += 1;
         }
-        self.replace(vm, &mut place);
+        self.replace(vm, &mut slot);
     }
 
     /// Cuts a VM's link to the platform for a time.
@@ -235,7 +235,7 @@
     }
 
     /// Opens every link.
-    pub fn mend(&self) {
+    pub fn open_links(&self) {
         self.platform_links
             .iter()
             .for_each(|link| link.set(LinkState::Open));
@@ -245,23 +245,27 @@
     }
 
     /// Returns what was observed, every daemon awake until now.
-    pub fn finish(&self) -> Observed {
-        for place in &self.places {
-            self.sleep_begins(&mut lock(place));
+    pub fn finish(&self) -> Observations {
+        for slot in &self.slots {
+            self.sleep_begins(&mut lock(slot));
         }
         lock(&self.observed).clone()
     }
 
-    fn sleep_begins(&self, place: &mut Place) {
-        if let Some(from) = place.awake_since.take() {
+    fn sleep_begins(&self, slot: &mut VmSlot) {
+        if let Some(from) = slot.awake_since.take() {
             let until = self.began.elapsed();
-            let life = place.life;
-            lock(&self.observed).awake.push(Awake { life, from, until });
+            let daemon_id = slot.daemon_id;
+            lock(&self.observed).active_periods.push(ActivePeriod {
+                daemon_id,
+                from,
+                until,
+            });
         }
-        place.in_rotation = false;
+        slot.in_rotation = false;
     }
 
-    fn replace(&self, vm: usize, place: &mut Place) {
+    fn replace(&self, vm: usize, slot: &mut VmSlot) {
         // A replaced VM has a new address; its peers learn it from the platform's list.
         let Ok(ports) = Ports::free() else {
             return;
@@ -269,23 +273,23 @@
         if let Ok(link) = Link::start(&self.runtime, ports.peers) {
             *lock(&self.peer_links[vm]) = link;
         }
-        let Ok((process, life)) = self.launch(vm, ports) else {
+        let Ok((process, daemon_id)) = self.launch(vm, ports) else {
             return;
         };
-        place.process = process;
-        place.stopping = false;
-        place.life = life;
-        place.ports = ports;
-        if place.process.wait_ready(READY_TIMEOUT) {
-            place.awake_since = Some(self.began.elapsed());
+        slot.process = process;
+        slot.stopping = false;
+        slot.daemon_id = daemon_id;
+        slot.ports = ports;
+        if slot.process.wait_ready(READY_TIMEOUT) {
+            slot.awake_since = Some(self.began.elapsed());
         }
     }
 
     fn launch(&self, vm: usize, ports: Ports) -> std::io::Result<(DaemonProcess, usize)> {
-        let mut lives = lock(&self.lives);
-        *lives += 1;
-        let life = *lives;
-        let name = format!("entry-{vm}-{life}");
+        let mut daemons_started = lock(&self.daemons_started);
+        *daemons_started += 1;
+        let daemon_id = *daemons_started;
+        let name = format!("entry-{vm}-{daemon_id}");
         let peers: Vec<String> = self
             .peer_links
             .iter()
@@ -303,7 +307,7 @@
             peer_settings(ports, shown, &peers),
         );
         let process = DaemonProcess::start(&self.folder, &name, ports, &settings)?;
-        Ok((process, life))
+        Ok((process, daemon_id))
     }
 }
 
@@ -314,7 +318,7 @@
 }
 
 /// Observes until told to end.
-pub fn observe_until(entries: &Entries, ended: &std::sync::atomic::AtomicBool) {
+pub fn observe_until(entries: &EntryVms, ended: &std::sync::atomic::AtomicBool) {
     while !ended.load(std::sync::atomic::Ordering::Relaxed) {
         entries.observe();
         std::thread::sleep(POLL);
--- a/crates/kingcuploft-standins/src/experiments/promises/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod chaos;
 pub mod check;
-pub mod entry;
+pub mod entry_vms;
 mod protected;
 pub mod record;
 pub mod run;
@@ -13,7 +13,7 @@
 
 use serde::Serialize;
 
-use self::check::{Broken, Counted};
+use self::check::{CallCounts, Violations};
 use self::run::{Protection, Trace};
 use super::{ExperimentError, Options, Report};
 
@@ -30,10 +30,10 @@
     pub seed: u64,
     /// What was counted.
     #[serde(flatten)]
-    pub counted: Counted,
+    pub call_counts: CallCounts,
     /// The promises about answers and actions.
     #[serde(flatten)]
-    pub broken: Broken,
+    pub violations: Violations,
     /// Readings of a generation below an earlier one of the same daemon.
     pub manifest_reverts: u64,
     /// The longest time until an accepted manifest was in force on a daemon that was awake.
@@ -58,9 +58,9 @@
     let mut all = Vec::new();
     for round in 0..options.rounds as u64 {
         let seed = options.seed + round;
-        let trace = run::run(seed, options.time, Protection::Full)?;
+        let trace = run::run(seed, options.duration, Protection::Full)?;
         let figures = figures(seed, &trace);
-        let faults = faults(&figures);
+        let faults = list_violations(&figures);
         if !faults.is_empty() {
             let logs = trace.folder.keep();
             eprintln!(
@@ -69,7 +69,7 @@
             );
         }
         report
-            .broken
+            .violations
             .extend(faults.iter().map(|fault| format!("seed {seed}: {fault}")));
         report.text += &serde_json::to_string(&figures)?;
         report.text.push('\n');
@@ -84,7 +84,11 @@
 /// # Errors
 ///
 /// [`ExperimentError`] where the deployment did not start.
-pub fn one(seed: u64, time: Duration, protection: Protection) -> Result<Figures, ExperimentError> {
+pub fn run_seed(
+    seed: u64,
+    time: Duration,
+    protection: Protection,
+) -> Result<Figures, ExperimentError> {
     let trace = run::run(seed, time, protection)?;
     Ok(figures(seed, &trace))
 }
@@ -92,25 +96,28 @@
 fn figures(seed: u64, trace: &Trace) -> Figures {
     let (broken, counted) = check::check(&trace.records, trace);
     let observed = &trace.observed;
-    let in_force =
-        check::longest_until_in_force(&trace.accepted, &observed.awake, &observed.readings);
+    let in_force = check::longest_until_in_force(
+        &trace.accepted_generations,
+        &observed.active_periods,
+        &observed.generation_samples,
+    );
     let actions = counted.actions.max(1) as f64;
     Figures {
         seed,
-        broken,
-        manifest_reverts: check::reverts(&observed.readings),
+        violations: broken,
+        manifest_reverts: check::count_reverts(&observed.generation_samples),
         in_force_ms_max: in_force.as_millis() as u64,
-        new_work_after_leave_ms_max: trace.new_work_after_leave.as_millis() as u64,
+        new_work_after_leave_ms_max: trace.new_work_after_drain.as_millis() as u64,
         cut_in_flight: run::cut_in_flight(trace),
         failed_stops: observed.failed_stops,
         store_writes_per_action: trace.store_writes as f64 / actions,
-        counted,
+        call_counts: counted,
     }
 }
 
 /// Names the promises that a run broke.
-pub fn faults(figures: &Figures) -> Vec<String> {
-    let broken = &figures.broken;
+pub fn list_violations(figures: &Figures) -> Vec<String> {
+    let broken = &figures.violations;
     let counts = [
         ("duplicate_runs", broken.duplicate_runs),
         ("false_not_run", broken.false_not_run),
--- a/crates/kingcuploft-standins/src/experiments/promises/record.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/record.rs
@@ -2,30 +2,30 @@
 
 use std::time::Duration;
 
-use crate::callers::Received;
+use crate::callers::CallResult;
 
 /// One call of a caller.
 #[derive(Clone, Debug)]
 pub struct Record {
     /// The number of the call, sent as `x-call-id`.
-    pub call: usize,
+    pub call_id: usize,
     /// The idempotency key of a protected action; `None` for a lookup.
     pub key: Option<String>,
     /// The body of the only right answer.
     pub expected: String,
     /// The entry VM that was called, by its life.
-    pub life: usize,
+    pub daemon_id: usize,
     /// When it was sent, from the start of the run.
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// When its end was known, from the start of the run.
-    pub ended: Duration,
+    pub ended_at: Duration,
     /// What was received.
-    pub received: Received,
+    pub received: CallResult,
 }
 
 /// What a caller was told about whether its request ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Told {
+pub enum ReportedOutcome {
     /// A backend server's answer, or the record of one.
     Answered,
     /// It ran.
@@ -38,12 +38,12 @@
 
 impl Record {
     /// Returns what the caller was told.
-    pub fn told(&self) -> Told {
+    pub fn reported_outcome(&self) -> ReportedOutcome {
         match &self.received {
-            Received::Answer { .. } => Told::Answered,
-            Received::Refused { outcome, .. } if outcome == "ran" => Told::Ran,
-            Received::Refused { outcome, .. } if outcome == "not_run" => Told::NotRun,
-            Received::Refused { .. } | Received::Nothing => Told::Unknown,
+            CallResult::Answer { .. } => ReportedOutcome::Answered,
+            CallResult::Refused { outcome, .. } if outcome == "ran" => ReportedOutcome::Ran,
+            CallResult::Refused { outcome, .. } if outcome == "not_run" => ReportedOutcome::NotRun,
+            CallResult::Refused { .. } | CallResult::NoAnswer => ReportedOutcome::Unknown,
         }
     }
 }
--- a/crates/kingcuploft-standins/src/experiments/promises/run.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/run.rs
@@ -12,11 +12,11 @@
 use kingcuploft_platform::client::Client;
 use kingcuploft_platform::manifest_root::{self, ApplyOutcome};
 
-use super::chaos::{self, Step};
-use super::entry::{self, Entries};
+use super::chaos::{self, ChaosEvent};
+use super::entry_vms::{self, EntryVms};
 pub use super::protected::Protection;
 use super::protected::manifest;
-use super::record::{Record, Told};
+use super::record::{Record, ReportedOutcome};
 pub use super::trace::Trace;
 use crate::backend_server::{BackendServer, Faults as BackendFaults, Work};
 use crate::callers::{CallPlan, Callers};
@@ -48,7 +48,7 @@
 struct World {
     platform: Platform,
     servers: Vec<BackendServer>,
-    entries: Entries,
+    entries: EntryVms,
     protection: Protection,
     /// By backend server: when it left, and when the last new work was seen.
     left: Mutex<Vec<Option<(Duration, Duration, u64)>>>,
@@ -72,7 +72,7 @@
     let world = start(&runtime, folder.path(), seed, protection)?;
     let ended = AtomicBool::new(false);
     let records = std::thread::scope(|scope| {
-        scope.spawn(|| entry::observe_until(&world.entries, &ended));
+        scope.spawn(|| entry_vms::observe_until(&world.entries, &ended));
         scope.spawn(|| watch_leavers(&world, &ended));
         scope.spawn(|| disturb(&world, seed, time));
         let records = call(&runtime, &world, seed, time);
@@ -94,12 +94,12 @@
     let trace = Trace {
         records,
         observed,
-        accepted: world
+        accepted_generations: world
             .accepted
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone(),
-        new_work_after_leave: after.max().unwrap_or_default(),
+        new_work_after_drain: after.max().unwrap_or_default(),
         store_writes: world.platform.calls().writes(),
         backend_servers: world.servers,
         folder,
@@ -129,7 +129,7 @@
     }
     let manifest = manifest(&servers, &[false; BACKEND_SERVERS], protection);
     apply(&platform, &manifest, "start");
-    let entries = Entries::start(Arc::clone(runtime), platform.address(), folder.into(), VMS)?;
+    let entries = EntryVms::start(Arc::clone(runtime), platform.address(), folder.into(), VMS)?;
     Ok(World {
         platform,
         servers,
@@ -152,7 +152,7 @@
 
 impl World {
     fn now(&self) -> Duration {
-        self.entries.began().elapsed()
+        self.entries.started_at().elapsed()
     }
 
     /// Applies the manifest as it stands and notes the generation where it was accepted.
@@ -188,7 +188,7 @@
 
     fn mend(&self) {
         self.platform.set_faults(StoreFaults::default());
-        self.entries.mend();
+        self.entries.open_links();
         let left = self
             .left
             .lock()
@@ -225,37 +225,37 @@
 
 /// Lets the drawn faults happen, each on a thread of its own, since some last.
 fn disturb(world: &World, seed: u64, time: Duration) {
-    let steps = chaos::draw(seed, time, VMS, BACKEND_SERVERS);
+    let steps = chaos::draw_events(seed, time, VMS, BACKEND_SERVERS);
     std::thread::scope(|scope| {
         for (i, due) in steps.into_iter().enumerate() {
             let wait = due.at.saturating_sub(world.now());
             std::thread::sleep(wait);
-            scope.spawn(move || happen(world, i, due.step));
+            scope.spawn(move || happen(world, i, due.event));
         }
     });
 }
 
-fn happen(world: &World, number: usize, step: Step) {
+fn happen(world: &World, number: usize, step: ChaosEvent) {
     match step {
-        Step::Store(faults) => world.platform.set_faults(faults),
-        Step::Backend(server, faults) => world.servers[server].change(|now| {
+        ChaosEvent::Store(faults) => world.platform.set_faults(faults),
+        ChaosEvent::Backend(server, faults) => world.servers[server].change(|now| {
             *now = BackendFaults {
                 draining: now.draining,
                 ..faults
             };
         }),
-        Step::CloseConnections(server) => world.servers[server].close_connections(),
-        Step::Pause(vm, time) => world.entries.pause(vm, time),
-        Step::Kill(vm) => world.entries.kill(vm),
-        Step::Stop(vm) => world.entries.stop(vm),
-        Step::CutPlatform(vm, time) => world.entries.cut_platform(vm, time),
-        Step::CutPeers(vm, time) => world.entries.cut_peers(vm, time),
-        Step::Race => std::thread::scope(|scope| {
+        ChaosEvent::CloseConnections(server) => world.servers[server].close_connections(),
+        ChaosEvent::Pause(vm, time) => world.entries.pause(vm, time),
+        ChaosEvent::Kill(vm) => world.entries.kill(vm),
+        ChaosEvent::Stop(vm) => world.entries.stop(vm),
+        ChaosEvent::CutPlatform(vm, time) => world.entries.cut_platform(vm, time),
+        ChaosEvent::CutPeers(vm, time) => world.entries.cut_peers(vm, time),
+        ChaosEvent::ConcurrentApplies => std::thread::scope(|scope| {
             for operator in 0..2 {
                 scope.spawn(move || world.apply(&format!("{number}-{operator}")));
             }
         }),
-        Step::Leave(server) => {
+        ChaosEvent::DrainByManifest(server) => {
             world
                 .draining
                 .lock()
@@ -264,7 +264,7 @@
                 world.leaves(server);
             }
         }
-        Step::LeaveByReply(server) => {
+        ChaosEvent::DrainByReply(server) => {
             world.servers[server].change(|faults| faults.draining = true);
             world.leaves(server);
         }
@@ -283,7 +283,7 @@
     let records = Mutex::new(Vec::new());
     let numbers = AtomicUsize::new(0);
     let callers = Callers::default();
-    let began = world.entries.began();
+    let began = world.entries.started_at();
     let shared = (&records, &numbers, &callers, world);
     runtime.block_on(async {
         let mut tasks = FuturesUnordered::new();
@@ -337,25 +337,25 @@
                 String::new()
             }),
         };
-        let (address, life) = world.entries.choose(rng.usize(..));
+        let (address, daemon_id) = world.entries.choose_vm(rng.usize(..));
         let sent = world.now();
         let received = callers.call(address, &plan, PATIENCE).await;
         let record = Record {
-            call,
+            call_id: call,
             key: key.clone(),
             expected: format!("{method} {path}\n"),
-            life,
-            sent,
-            ended: world.now(),
+            daemon_id,
+            sent_at: sent,
+            ended_at: world.now(),
             received,
         };
-        let told = record.told();
+        let told = record.reported_outcome();
         records
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(record);
         // One action in eight is sent again although its end is known: a crossed resend.
-        if matches!(told, Told::Answered | Told::Ran) && rng.u8(..8) != 0 {
+        if matches!(told, ReportedOutcome::Answered | ReportedOutcome::Ran) && rng.u8(..8) != 0 {
             return;
         }
         tokio::time::sleep(Duration::from_millis(rng.u64(5..300))).await;
@@ -367,12 +367,12 @@
     let observed = &trace.observed;
     let cut = trace.records.iter().filter(|record| {
         let stopped = observed
-            .stopped
+            .planned_stops
             .iter()
-            .any(|(life, _)| *life == record.life);
-        let disturbed = observed.disturbed.contains(&record.life);
-        let nothing = record.received == crate::callers::Received::Nothing;
-        let impatient = record.ended.saturating_sub(record.sent) >= PATIENCE;
+            .any(|(daemon_id, _)| *daemon_id == record.daemon_id);
+        let disturbed = observed.paused_or_killed.contains(&record.daemon_id);
+        let nothing = record.received == crate::callers::CallResult::NoAnswer;
+        let impatient = record.ended_at.saturating_sub(record.sent_at) >= PATIENCE;
         stopped && !disturbed && nothing && !impatient
     });
     cut.count() as u64
--- a/crates/kingcuploft-standins/src/experiments/promises/trace.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/trace.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::check::Runs;
-use super::entry::Observed;
+use super::check::ExecutionCounts;
+use super::entry_vms::Observations;
 use super::record::Record;
 use crate::backend_server::BackendServer;
 
@@ -14,11 +14,11 @@
     /// Every call.
     pub records: Vec<Record>,
     /// What the observer noted.
-    pub observed: Observed,
+    pub observed: Observations,
     /// The generations accepted, and when.
-    pub accepted: Vec<(u64, Duration)>,
+    pub accepted_generations: Vec<(u64, Duration)>,
     /// The longest time from a backend server's leaving to the last new work it got.
-    pub new_work_after_leave: Duration,
+    pub new_work_after_drain: Duration,
     /// Writes of all kinds to the store.
     pub store_writes: u64,
     /// The backend servers, which counted the runs.
@@ -28,15 +28,15 @@
     pub(super) _runtime: Arc<tokio::runtime::Runtime>,
 }
 
-impl Runs for Trace {
-    fn of_key(&self, key: &str) -> u64 {
+impl ExecutionCounts for Trace {
+    fn executions_of_key(&self, key: &str) -> u64 {
         self.backend_servers
             .iter()
             .map(|server| server.runs(key))
             .sum()
     }
 
-    fn of_call(&self, call: usize) -> u64 {
+    fn executions_of_call(&self, call: usize) -> u64 {
         let call = call.to_string();
         self.backend_servers
             .iter()
--- a/crates/kingcuploft-standins/src/experiments/propagation.rs
+++ b/crates/kingcuploft-standins/src/experiments/propagation.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 
 use super::{ExperimentError, Options, Report};
-use crate::fleet::{Fleet, Variant};
+use crate::fleet::{Fleet, FleetOptions};
 use crate::platform::Outage;
 
 /// How often each case is measured.
@@ -48,9 +48,9 @@
 ///
 /// [`ExperimentError`] where a fleet did not start or a manifest is not in force in 20 s.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
-    let variant = Variant {
-        settings: "peer: {listen: '127.0.0.1:0'}\nlimits: {workers: 2}\n".into(),
-        ..Variant::default()
+    let variant = FleetOptions {
+        extra_settings: "peer: {listen: '127.0.0.1:0'}\nlimits: {workers: 2}\n".into(),
+        ..FleetOptions::default()
     };
     let fleet = Fleet::start(options.deployment.plan(), variant)?;
     let vms = fleet.daemons.iter().filter_map(|daemon| {
@@ -85,7 +85,7 @@
         )
     });
     let report = Report {
-        broken: broken.collect(),
+        violations: broken.collect(),
         text: table(&rows),
         figures: serde_json::json!({
             "seed": options.seed, "vms": fleet.daemons.len(), "applies": APPLIES, "rows": rows,
--- a/crates/kingcuploft-standins/src/experiments/real_run.rs
+++ b/crates/kingcuploft-standins/src/experiments/real_run.rs
@@ -12,10 +12,10 @@
 
 use super::ExperimentError;
 use crate::backend_server::BackendServer;
-use crate::callers::{CallPlan, Received};
+use crate::callers::{CallPlan, CallResult};
 use crate::deployment;
-use crate::fleet::{Fleet, Variant};
-use crate::load::{self, DueCall};
+use crate::fleet::{Fleet, FleetOptions};
+use crate::load::{self, ScheduledCall};
 use crate::virtual_fleet::deployment::{HOLD, Place, SEARCH};
 use crate::virtual_fleet::outcome::{Cost, End, Record};
 use crate::virtual_fleet::server::FakeServer;
@@ -33,14 +33,17 @@
 ///
 /// [`ExperimentError`] where the fleet did not start.
 pub fn run(run: &Run, policy: String) -> Result<Outcome, ExperimentError> {
-    let variant = Variant {
+    let variant = FleetOptions {
         policy,
         link_delay: LINK_DELAY,
-        settings: format!("limits: {{workers: 48}}\n{}", claims(run.deployment.place)),
+        extra_settings: format!("limits: {{workers: 48}}\n{}", claims(run.deployment.place)),
         seed: run.seed,
-        ..Variant::default()
+        ..FleetOptions::default()
     };
-    let fleet = Fleet::start(deployment::virtual_twin(run.deployment.place), variant)?;
+    let fleet = Fleet::start(
+        deployment::virtual_deployment(run.deployment.place),
+        variant,
+    )?;
     let records: Vec<Record> = (0..run.asks.len()).map(|ask| run.record(ask)).collect();
     let records = Arc::new(Mutex::new(records));
     let ended = AtomicBool::new(false);
@@ -50,7 +53,7 @@
         scope.spawn(|| follow_spells(&fleet.backend_servers[0], &run.servers(), &ended));
         let to = fleet.addresses();
         let noted = Arc::clone(&records);
-        let address = move |call: &DueCall| to[call.to % to.len()];
+        let address = move |call: &ScheduledCall| to[call.address_index % to.len()];
         load::run_with(
             &fleet.runtime,
             address,
@@ -87,7 +90,7 @@
     }
 }
 
-fn calls(run: &Run) -> Vec<DueCall> {
+fn calls(run: &Run) -> Vec<ScheduledCall> {
     let vms = run.deployment.vms as f64;
     let asks = run.asks.iter().enumerate();
     let calls = asks.map(|(i, ask)| {
@@ -105,9 +108,9 @@
                 .as_ref()
                 .map(|key| ("idempotency-key", key.to_string())),
         );
-        DueCall {
+        ScheduledCall {
             at: ask.at,
-            to: (ask.vm * vms) as usize,
+            address_index: (ask.vm * vms) as usize,
             plan: CallPlan {
                 method,
                 host: format!("{}.example", run.deployment.service.name),
@@ -138,12 +141,12 @@
     }
 }
 
-fn end(received: &Received) -> End {
+fn end(received: &CallResult) -> End {
     match received {
-        Received::Answer { status, .. } if *status < 500 => End::Answered,
-        Received::Answer { .. } => End::Failed,
-        Received::Nothing => End::Lost,
-        Received::Refused {
+        CallResult::Answer { status, .. } if *status < 500 => End::Answered,
+        CallResult::Answer { .. } => End::Failed,
+        CallResult::NoAnswer => End::Lost,
+        CallResult::Refused {
             reason, outcome, ..
         } => {
             let reason = RefusalReason::ALL
--- a/crates/kingcuploft-standins/src/experiments/slopes/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/slopes/mod.rs
@@ -18,7 +18,7 @@
 use crate::backend_server::{BackendServer, Work};
 use crate::callers::CallPlan;
 use crate::fleet::FleetError;
-use crate::load::{self, DueCall};
+use crate::load::{self, ScheduledCall};
 use crate::platform::Platform;
 use crate::process::{DaemonProcess, Ports};
 
@@ -91,7 +91,7 @@
     let runtime = Runtime::new()?;
     let mut sizes = Vec::new();
     for (services, servers) in SIZES {
-        sizes.push(size(&runtime, services, servers, options.time)?);
+        sizes.push(size(&runtime, services, servers, options.duration)?);
     }
     let (rates, callers) = traffic(&runtime, options)?;
     let by_server = |figure: fn(&SizePoint) -> f64| {
@@ -121,7 +121,7 @@
     Ok(Report {
         text: text(&figures),
         figures: serde_json::to_value(&figures)?,
-        broken: Vec::new(),
+        violations: Vec::new(),
     })
 }
 
@@ -214,7 +214,7 @@
     RatePoint {
         calls_per_s: rate,
         cpu_us_per_call: used.as_secs_f64() * 1e6 / tally.calls.max(1) as f64,
-        core_share: used.as_secs_f64() / options.time.as_secs_f64(),
+        core_share: used.as_secs_f64() / options.duration.as_secs_f64(),
         p99_ms: tally.quantile_ms(0.99),
     }
 }
@@ -227,20 +227,23 @@
     options: &Options,
 ) -> crate::tally::Tally {
     let mut rng = fastrand::Rng::with_seed(options.seed);
-    let arrivals = load::arrivals(&mut rng, rate, options.time);
-    let calls = arrivals.into_iter().enumerate().map(|(i, at)| DueCall {
-        at,
-        to: 0,
-        plan: CallPlan {
-            method: Method::GET,
-            host: "service-0.example".into(),
-            path: format!("/lookup/{i}"),
-            headers: vec![("x-caller", format!("caller-{}", i % callers))],
-            body: Bytes::new(),
-        },
-        deadline: Duration::from_secs(2),
-        group: 0,
-    });
+    let arrivals = load::arrivals(&mut rng, rate, options.duration);
+    let calls = arrivals
+        .into_iter()
+        .enumerate()
+        .map(|(i, at)| ScheduledCall {
+            at,
+            address_index: 0,
+            plan: CallPlan {
+                method: Method::GET,
+                host: "service-0.example".into(),
+                path: format!("/lookup/{i}"),
+                headers: vec![("x-caller", format!("caller-{}", i % callers))],
+                body: Bytes::new(),
+            },
+            deadline: Duration::from_secs(2),
+            group: 0,
+        });
     let calls = calls.collect();
     load::run(runtime, &[daemon.ports().callers], calls, 1).remove(0)
 }
--- a/crates/kingcuploft-standins/src/experiments/store_outage.rs
+++ b/crates/kingcuploft-standins/src/experiments/store_outage.rs
@@ -8,7 +8,7 @@
 use tokio::runtime::Runtime;
 
 use super::claims::ledger_vm::LedgerVm;
-use super::claims::{Decided, VMS, settings};
+use super::claims::{DecidedClaim, VM_COUNT, settings};
 use super::{ExperimentError, Options, Report};
 use crate::load::arrivals;
 use crate::platform::{Outage, Platform};
@@ -65,7 +65,7 @@
     Ok(Report {
         text: format!("{rows:#?}"),
         figures: serde_json::to_value(&rows)?,
-        broken: late
+        violations: late
             .map(|row| {
                 format!(
                     "the store {}: back after {} ms",
@@ -85,14 +85,14 @@
     platform.change_faults(|faults| faults.delay = STORE_DELAY);
     let settings = settings(&platform, ClaimSettings::default())?;
     let vm = |i| LedgerVm::start(settings.clone(), i);
-    let vms: Vec<LedgerVm> = (0..VMS).map(vm).collect();
+    let vms: Vec<LedgerVm> = (0..VM_COUNT).map(vm).collect();
     std::thread::sleep(Duration::from_millis(300));
     let began = Instant::now();
     let down = began + AROUND;
-    let back = down + options.time;
+    let back = down + options.duration;
     let mut samples = Vec::new();
     drive(options, &platform, &vms, outage, &mut samples);
-    let decided: Vec<Vec<Decided>> = vms.into_iter().map(|vm| vm.finish().decided).collect();
+    let decided: Vec<Vec<DecidedClaim>> = vms.into_iter().map(|vm| vm.finish().decided).collect();
     Ok(figures(name, &decided, &samples, down, back))
 }
 
@@ -107,9 +107,9 @@
     let mut rng = fastrand::Rng::with_seed(options.seed);
     let began = Instant::now();
     let down = began + AROUND;
-    let back = down + options.time;
+    let back = down + options.duration;
     let mut is_down = false;
-    let due = arrivals(&mut rng, RATE, AROUND * 2 + options.time);
+    let due = arrivals(&mut rng, RATE, AROUND * 2 + options.duration);
     for (action, at) in due.iter().enumerate() {
         let at = began + *at;
         while Instant::now() < at {
@@ -128,13 +128,13 @@
 
 fn figures(
     outage: &'static str,
-    decided: &[Vec<Decided>],
+    decided: &[Vec<DecidedClaim>],
     samples: &[Sample],
     down: Instant,
     back: Instant,
 ) -> Row {
     let all = decided.iter().flatten();
-    let in_outage: Vec<&Decided> = all
+    let in_outage: Vec<&DecidedClaim> = all
         .filter(|claim| claim.began > down && claim.began + claim.latency < back)
         .collect();
     let refused = in_outage.iter().filter(|claim| !claim.held);
--- a/crates/kingcuploft-standins/src/experiments/tail.rs
+++ b/crates/kingcuploft-standins/src/experiments/tail.rs
@@ -90,8 +90,8 @@
         load: options.load,
         ..Stream::default()
     }];
-    let deployment = Deployment::new(options.deployment.place());
-    Run::new(deployment, &streams, options.time, seed)
+    let deployment = Deployment::new(options.deployment.virtual_place());
+    Run::new(deployment, &streams, options.duration, seed)
 }
 
 fn yaml(policy: SelectionPolicy, budget_share: f64) -> String {
@@ -103,7 +103,7 @@
     if outcome.double_runs > 0 {
         let (policy, runs) = (policy.label(), outcome.double_runs);
         let broken = format!("seed {seed}, {policy}: {runs} duplicate runs");
-        report.broken.push(broken);
+        report.violations.push(broken);
     }
 }
 
--- a/crates/kingcuploft-standins/src/fleet.rs
+++ b/crates/kingcuploft-standins/src/fleet.rs
@@ -38,26 +38,26 @@
 
 /// What differs between fleets of the same deployment.
 #[derive(Clone, Debug)]
-pub struct Variant {
+pub struct FleetOptions {
     /// The policy of every service, as YAML in flow style.
     pub policy: String,
     /// The mean work time of the backend servers.
-    pub mean: Duration,
+    pub mean_work_time: Duration,
     /// The delay of the links to the backend servers, one way.
     pub link_delay: Duration,
     /// Lines added to every daemon's settings.
-    pub settings: String,
+    pub extra_settings: String,
     /// The seed of the work times.
     pub seed: u64,
 }
 
-impl Default for Variant {
+impl Default for FleetOptions {
     fn default() -> Self {
         Self {
             policy: "{}".into(),
-            mean: Duration::from_millis(10),
+            mean_work_time: Duration::from_millis(10),
             link_delay: Duration::ZERO,
-            settings: String::new(),
+            extra_settings: String::new(),
             seed: 1,
         }
     }
@@ -76,7 +76,7 @@
     pub daemons: Vec<Daemon>,
     /// The runtime of the stand-ins and callers.
     pub runtime: Arc<Runtime>,
-    variant: Variant,
+    variant: FleetOptions,
     started: usize,
 }
 
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// [`FleetError`]; what had started ends.
-    pub fn start(deployment: Deployment, variant: Variant) -> Result<Self, FleetError> {
+    pub fn start(deployment: Deployment, variant: FleetOptions) -> Result<Self, FleetError> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()?;
@@ -134,10 +134,10 @@
                 rules,
             }],
         };
-        let variant = Variant {
-            settings: "limits: {vms: 1}\n".into(),
+        let variant = FleetOptions {
+            extra_settings: "limits: {vms: 1}\n".into(),
             seed,
-            ..Variant::default()
+            ..FleetOptions::default()
         };
         Self::start(deployment, variant)
     }
@@ -156,7 +156,7 @@
             self.deployment.zone(index),
             self.platform.address(),
             peers.join(", "),
-            self.variant.settings,
+            self.variant.extra_settings,
         );
         let settings: Settings =
             serde_saphyr::from_str(&text).map_err(|error| FleetError::Plan(error.to_string()))?;
@@ -257,13 +257,13 @@
 fn start_backend_servers(
     runtime: &Runtime,
     plan: &ServicePlan,
-    variant: &Variant,
+    variant: &FleetOptions,
 ) -> Result<Vec<BackendServer>, FleetError> {
     let mut servers = Vec::new();
     for i in 0..plan.backend_servers {
         let work = Work {
             slots: plan.slots as usize,
-            mean: variant.mean,
+            mean: variant.mean_work_time,
             link_delay: variant.link_delay,
             seed: variant.seed.wrapping_mul(1_000).wrapping_add(i as u64),
             ..Work::default()
--- a/crates/kingcuploft-standins/src/http.rs
+++ b/crates/kingcuploft-standins/src/http.rs
@@ -29,7 +29,7 @@
 struct ClosedWithoutAnswer;
 
 /// Returns the response that closes the connection without an answer.
-pub fn closed() -> WholeResponse {
+pub fn close_without_answer() -> WholeResponse {
     let mut response = Response::new(Full::new(Bytes::new()));
     response.extensions_mut().insert(Closed);
     response
--- a/crates/kingcuploft-standins/src/load.rs
+++ b/crates/kingcuploft-standins/src/load.rs
@@ -7,17 +7,17 @@
 use std::time::Instant;
 use tokio::runtime::Runtime;
 
-use crate::callers::{CallPlan, Callers, Received};
+use crate::callers::{CallPlan, CallResult, Callers};
 use crate::precise_sleep;
 use crate::tally::Tally;
 
 /// A call and when it is due.
 #[derive(Clone, Debug)]
-pub struct DueCall {
+pub struct ScheduledCall {
     /// Time from the start of the run.
     pub at: Duration,
     /// The index of the address it goes to.
-    pub to: usize,
+    pub address_index: usize,
     /// The call.
     pub plan: CallPlan,
     /// When its answer is late.
@@ -40,12 +40,17 @@
 }
 
 /// Makes the calls when they are due and counts what callers received, a tally for each group.
-pub fn run(runtime: &Runtime, to: &[SocketAddr], calls: Vec<DueCall>, groups: usize) -> Vec<Tally> {
+pub fn run(
+    runtime: &Runtime,
+    to: &[SocketAddr],
+    calls: Vec<ScheduledCall>,
+    groups: usize,
+) -> Vec<Tally> {
     let tallies = vec![Tally::default(); groups];
     let tallies = Arc::new(Mutex::new(tallies));
     let counted = Arc::clone(&tallies);
     let to = to.to_vec();
-    let address = move |call: &DueCall| to[call.to % to.len()];
+    let address = move |call: &ScheduledCall| to[call.address_index % to.len()];
     run_with(runtime, address, calls, move |call, received, latency| {
         let mut tallies = counted.lock().unwrap_or_else(PoisonError::into_inner);
         tallies[call.group].add(&received, latency, call.deadline);
@@ -58,9 +63,9 @@
 /// it was due; returns when the last one has ended.
 pub fn run_with(
     runtime: &Runtime,
-    address: impl Fn(&DueCall) -> SocketAddr,
-    calls: Vec<DueCall>,
-    received: impl Fn(&DueCall, Received, Duration) + Send + Sync + 'static,
+    address: impl Fn(&ScheduledCall) -> SocketAddr,
+    calls: Vec<ScheduledCall>,
+    received: impl Fn(&ScheduledCall, CallResult, Duration) + Send + Sync + 'static,
 ) {
     let callers = Arc::new(Callers::default());
     let received = Arc::new(received);
--- a/crates/kingcuploft-standins/src/platform/mod.rs
+++ b/crates/kingcuploft-standins/src/platform/mod.rs
@@ -17,7 +17,7 @@
 pub use self::faults::{Faults, Outage, WriteFault};
 pub use self::state::Calls;
 use self::state::{Condition, State};
-use crate::http::{Handler, Server, WholeRequest, WholeResponse, closed};
+use crate::http::{Handler, Server, WholeRequest, WholeResponse, close_without_answer};
 
 /// The longest value, in bytes.
 pub const VALUE_BYTES: usize = 1024 * 1024;
@@ -164,10 +164,10 @@
     async fn out(&self, outage: Outage) -> WholeResponse {
         match outage {
             Outage::Unavailable => json(StatusCode::SERVICE_UNAVAILABLE, &"down"),
-            Outage::Closed => closed(),
+            Outage::Closed => close_without_answer(),
             Outage::Silence => {
                 tokio::time::sleep(SILENCE).await;
-                closed()
+                close_without_answer()
             }
         }
     }
@@ -214,10 +214,10 @@
         };
         match fault {
             None => store.apply(key, value, condition),
-            Some(WriteFault::LostRequest) => closed(),
+            Some(WriteFault::LostRequest) => close_without_answer(),
             Some(WriteFault::LostAnswer) => {
                 drop(store.apply(key, value, condition));
-                closed()
+                close_without_answer()
             }
             Some(WriteFault::Slow(time)) => {
                 tokio::time::sleep(time).await;
@@ -229,7 +229,7 @@
                     tokio::time::sleep(time).await;
                     drop(store.apply(&key, value, condition));
                 });
-                closed()
+                close_without_answer()
             }
         }
     }
--- a/crates/kingcuploft-standins/src/plot.rs
+++ b/crates/kingcuploft-standins/src/plot.rs
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// [`PlotError`] where the file can not be written.
-pub fn lines(file: &Path, labels: &Labels<'_>, lines: &[Line]) -> Result<(), PlotError> {
+pub fn draw_lines(file: &Path, labels: &Labels<'_>, lines: &[Line]) -> Result<(), PlotError> {
     let area = SVGBackend::new(file, (860, 480)).into_drawing_area();
     area.fill(&WHITE).map_err(fault)?;
     let points = || lines.iter().flat_map(|line| &line.points);
--- a/crates/kingcuploft-standins/src/process.rs
+++ b/crates/kingcuploft-standins/src/process.rs
@@ -91,7 +91,7 @@
     pub fn wait_ready(&mut self, timeout: Duration) -> bool {
         let until = Instant::now() + timeout;
         while Instant::now() < until && !self.has_ended() {
-            if self.page("ready").is_some() {
+            if self.admin_page("ready").is_some() {
                 return true;
             }
             std::thread::sleep(POLL);
@@ -104,7 +104,7 @@
     }
 
     /// Reads a page of its admin port; `None` where it does not answer 200.
-    pub fn page(&self, name: &str) -> Option<String> {
+    pub fn admin_page(&self, name: &str) -> Option<String> {
         let url = format!("http://{}/{name}", self.ports.admin);
         let mut response = self.agent.get(url).call().ok()?;
         let ok = response.status() == 200;
@@ -113,7 +113,7 @@
 
     /// Returns the generation in force, by its status page.
     pub fn generation(&self) -> Option<u64> {
-        let status: serde_json::Value = serde_json::from_str(&self.page("status")?).ok()?;
+        let status: serde_json::Value = serde_json::from_str(&self.admin_page("status")?).ok()?;
         status.get("generation")?.as_u64()
     }
 
--- a/crates/kingcuploft-standins/src/tally.rs
+++ b/crates/kingcuploft-standins/src/tally.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::callers::Received;
+use crate::callers::CallResult;
 
 /// Counts and latencies of one run.
 #[derive(Clone, Debug)]
@@ -71,21 +71,21 @@
 
 impl Tally {
     /// Counts one call.
-    pub fn add(&mut self, received: &Received, latency: Duration, deadline: Duration) {
+    pub fn add(&mut self, received: &CallResult, latency: Duration, deadline: Duration) {
         self.calls += 1;
         let us = latency.as_micros() as u64;
         match received {
-            Received::Answer { status, .. } if *status < 500 => {
+            CallResult::Answer { status, .. } if *status < 500 => {
                 self.answered += 1;
                 self.late += u64::from(latency > deadline);
                 self.latency_us.saturating_record(us);
             }
-            Received::Answer { .. } => self.failed += 1,
-            Received::Refused { reason, .. } => {
+            CallResult::Answer { .. } => self.failed += 1,
+            CallResult::Refused { reason, .. } => {
                 *self.refused.entry(reason.clone()).or_default() += 1;
                 self.refusal_us.saturating_record(us);
             }
-            Received::Nothing => self.nothing += 1,
+            CallResult::NoAnswer => self.nothing += 1,
         }
     }
 
--- a/crates/kingcuploft-standins/src/traffic.rs
+++ b/crates/kingcuploft-standins/src/traffic.rs
@@ -7,7 +7,7 @@
 
 use crate::callers::CallPlan;
 use crate::deployment::Deployment;
-use crate::load::{self, DueCall};
+use crate::load::{self, ScheduledCall};
 
 /// One in this many calls to a service with protected actions is one of them.
 const ACTION_EVERY: usize = 10;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     /// The calls, by when they are due.
-    pub calls: Vec<DueCall>,
+    pub calls: Vec<ScheduledCall>,
     /// The idempotency keys.
     pub keys: Vec<String>,
 }
@@ -62,10 +62,17 @@
     traffic
 }
 
-fn lookup(at: Duration, to: usize, host: String, caller: &str, group: usize, i: usize) -> DueCall {
-    DueCall {
+fn lookup(
+    at: Duration,
+    to: usize,
+    host: String,
+    caller: &str,
+    group: usize,
+    i: usize,
+) -> ScheduledCall {
+    ScheduledCall {
         at,
-        to,
+        address_index: to,
         plan: CallPlan {
             method: Method::GET,
             host,
@@ -78,10 +85,10 @@
     }
 }
 
-fn resent(call: &DueCall, rng: &mut fastrand::Rng) -> DueCall {
+fn resent(call: &ScheduledCall, rng: &mut fastrand::Rng) -> ScheduledCall {
     let mut again = call.clone();
     again.at += RESENT_AFTER;
-    again.to = rng.usize(..);
+    again.address_index = rng.usize(..);
     again
 }
 
--- a/crates/kingcuploft-standins/tests/claims/entry.rs
+++ b/crates/kingcuploft-standins/tests/claims/entry.rs
@@ -11,7 +11,7 @@
 use kingcuploft::world::vm::Vm;
 use kingcuploft_platform::client::Client;
 use kingcuploft_standins::deployment::{Deployment, ServicePlan};
-use kingcuploft_standins::fleet::{Fleet, Variant};
+use kingcuploft_standins::fleet::{Fleet, FleetOptions};
 use kingcuploftd::claims;
 use kingcuploftd::message::{Answer, ClaimTask, Message, RequestParts};
 use kingcuploftd::shared::Shared;
@@ -36,10 +36,10 @@
         availability_zones: &["a"],
         services: vec![service],
     };
-    let variant = Variant {
-        mean: Duration::from_millis(1),
-        settings: "claims: {end_linger_ms: 20}\nstore: {call_timeout_ms: 200}\n".into(),
-        ..Variant::default()
+    let variant = FleetOptions {
+        mean_work_time: Duration::from_millis(1),
+        extra_settings: "claims: {end_linger_ms: 20}\nstore: {call_timeout_ms: 200}\n".into(),
+        ..FleetOptions::default()
     };
     let fleet = Fleet::start(deployment, variant).unwrap();
     // Every VM has read the ledger's layout once a claim through it was decided.
--- a/crates/kingcuploft-standins/tests/promises_checker.rs
+++ b/crates/kingcuploft-standins/tests/promises_checker.rs
@@ -2,10 +2,11 @@
 
 use std::time::Duration;
 
-use kingcuploft_standins::callers::Received;
+use kingcuploft_standins::callers::CallResult;
 use kingcuploft_standins::experiments::promises;
 use kingcuploft_standins::experiments::promises::check::{
-    Awake, Broken, Reading, Runs, check, longest_until_in_force, reverts,
+    ActivePeriod, ExecutionCounts, GenerationSample, Violations, check, count_reverts,
+    longest_until_in_force,
 };
 use kingcuploft_standins::experiments::promises::record::Record;
 use kingcuploft_standins::experiments::promises::run::Protection;
@@ -16,44 +17,44 @@
     calls: Vec<u64>,
 }
 
-impl Runs for Ran {
-    fn of_key(&self, _key: &str) -> u64 {
+impl ExecutionCounts for Ran {
+    fn executions_of_key(&self, _key: &str) -> u64 {
         self.key
     }
 
-    fn of_call(&self, call: usize) -> u64 {
+    fn executions_of_call(&self, call: usize) -> u64 {
         self.calls.get(call).copied().unwrap_or_default()
     }
 }
 
-fn action(call: usize, received: Received) -> Record {
+fn action(call: usize, received: CallResult) -> Record {
     Record {
-        call,
+        call_id: call,
         key: Some("squad-7".into()),
         expected: "POST /holds\n".into(),
-        life: 1,
-        sent: Duration::ZERO,
-        ended: Duration::from_millis(5),
+        daemon_id: 1,
+        sent_at: Duration::ZERO,
+        ended_at: Duration::from_millis(5),
         received,
     }
 }
 
-fn answer(body: &'static str) -> Received {
-    Received::Answer {
+fn answer(body: &'static str) -> CallResult {
+    CallResult::Answer {
         status: 200,
         body: body.into(),
     }
 }
 
-fn refused(outcome: &str) -> Received {
-    Received::Refused {
+fn refused(outcome: &str) -> CallResult {
+    CallResult::Refused {
         status: 503,
         reason: "any".into(),
         outcome: outcome.into(),
     }
 }
 
-fn broken(records: &[Record], key: u64, calls: &[u64]) -> Broken {
+fn broken(records: &[Record], key: u64, calls: &[u64]) -> Violations {
     let ran = Ran {
         key,
         calls: calls.to_vec(),
@@ -69,7 +70,7 @@
         action(2, refused("unknown")),
         action(3, refused("not_run")),
     ];
-    assert_eq!(broken(&calls, 1, &[1]), Broken::default());
+    assert_eq!(broken(&calls, 1, &[1]), Violations::default());
 }
 
 #[test]
@@ -112,9 +113,9 @@
     assert_eq!((cut.wrong_answers, cut.partial_answers), (0, 1));
 }
 
-fn reading(life: usize, ms: u64, generation: u64) -> Reading {
-    Reading {
-        life,
+fn reading(daemon_id: usize, ms: u64, generation: u64) -> GenerationSample {
+    GenerationSample {
+        daemon_id,
         at: Duration::from_millis(ms),
         generation,
     }
@@ -123,16 +124,16 @@
 #[test]
 fn a_daemon_that_goes_back_to_an_older_generation_is_found() {
     let forward = [reading(1, 0, 4), reading(2, 1, 3), reading(1, 2, 5)];
-    assert_eq!(reverts(&forward), 0);
+    assert_eq!(count_reverts(&forward), 0);
     let back = [reading(1, 0, 4), reading(1, 1, 3), reading(1, 2, 4)];
-    assert_eq!(reverts(&back), 1);
+    assert_eq!(count_reverts(&back), 1);
 }
 
 #[test]
 fn the_last_daemon_to_have_a_generation_in_force_sets_the_time() {
     let accepted = [(5, Duration::from_millis(100))];
-    let awake = |life, from, until| Awake {
-        life,
+    let awake = |daemon_id, from, until| ActivePeriod {
+        daemon_id,
         from: Duration::from_millis(from),
         until: Duration::from_millis(until),
     };
@@ -148,23 +149,23 @@
 /// see the caller's key, so it claims nothing, and the school is billed twice.
 #[test]
 fn without_claims_the_experiment_finds_duplicate_runs() {
-    let figures = promises::one(7, Duration::from_secs(2), Protection::NoClaims).unwrap();
-    assert!(figures.broken.duplicate_runs > 0, "{figures:?}");
+    let figures = promises::run_seed(7, Duration::from_secs(2), Protection::NoClaims).unwrap();
+    assert!(figures.violations.duplicate_runs > 0, "{figures:?}");
 }
 
 /// A hold's answer is cut on the way back. The rule wrongly says that it may be retried, so the
 /// VM sends it to another backend server at once, and it runs there too.
 #[test]
 fn with_sent_requests_retried_the_experiment_finds_duplicate_runs() {
-    let figures = promises::one(7, Duration::from_secs(2), Protection::RetrySent).unwrap();
-    assert!(figures.broken.duplicate_runs > 0, "{figures:?}");
+    let figures = promises::run_seed(7, Duration::from_secs(2), Protection::RetrySent).unwrap();
+    assert!(figures.violations.duplicate_runs > 0, "{figures:?}");
 }
 
 /// The same faults with the rule as it should be: nothing runs twice, and nobody is told wrongly.
 #[test]
 fn with_full_protection_the_experiment_finds_nothing_told_wrongly() {
-    let figures = promises::one(7, Duration::from_secs(2), Protection::Full).unwrap();
-    assert_eq!(figures.broken, Broken::default(), "{figures:?}");
+    let figures = promises::run_seed(7, Duration::from_secs(2), Protection::Full).unwrap();
+    assert_eq!(figures.violations, Violations::default(), "{figures:?}");
     assert_eq!(figures.manifest_reverts, 0);
-    assert!(figures.counted.actions > 50, "{figures:?}");
+    assert!(figures.call_counts.actions > 50, "{figures:?}");
 }
