--- a/crates/kingcuploft-standins/examples/admission_table.rs
+++ b/crates/kingcuploft-standins/examples/admission_table.rs
@@ -6,7 +6,7 @@
 
 use kingcuploft::world::contract::Priority;
 use kingcuploft_standins::virtual_fleet::outcome::{End, Outcome, Record, latency};
-use kingcuploft_standins::virtual_fleet::scenario::with;
+use kingcuploft_standins::virtual_fleet::scenario::with_changes;
 use kingcuploft_standins::virtual_fleet::workload::Stream;
 use kingcuploft_standins::virtual_fleet::{Deployment, Run, run};
 use serde_json::{Value, json};
@@ -57,7 +57,7 @@
         for (variant, settings) in variants() {
             let mut deployment = Deployment::teamway();
             let policy = &mut deployment.service.policy;
-            *policy = with(policy, &settings);
+            *policy = with_changes(policy, &settings);
             let outcome = run(&Run::new(deployment, &streams, DURATION, seed));
             println!("| {load} | {variant} | {} |", row(&outcome));
         }
@@ -68,14 +68,14 @@
     let all = outcome.summary(|_| true);
     let share = |keep: &dyn Fn(&Record) -> bool| {
         let kept: Vec<&Record> = outcome.records.iter().filter(|r| keep(r)).collect();
-        let in_time = kept.iter().filter(|r| r.in_time()).count();
+        let in_time = kept.iter().filter(|r| r.within_deadline()).count();
         in_time as f64 / kept.len().max(1) as f64
     };
     let refused = outcome.records.iter();
     let refused = refused.filter(|r| matches!(r.end, End::Refused(..)));
-    let refused = latency(refused.map(|r| r.took));
+    let refused = latency(refused.map(|r| r.latency));
     let in_run = outcome.records.iter();
-    let in_run = in_run.filter(|r| r.in_time() && r.at + r.took <= outcome.duration);
+    let in_run = in_run.filter(|r| r.within_deadline() && r.at + r.latency <= outcome.duration);
     let work: Duration = in_run.map(|r| r.work).sum();
     let figures = [
         work.as_secs_f64() / (outcome.duration.as_secs_f64() * f64::from(outcome.slots)),
--- a/crates/kingcuploft-standins/examples/hedge_table.rs
+++ b/crates/kingcuploft-standins/examples/hedge_table.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use kingcuploft_standins::virtual_fleet::scenario::with;
+use kingcuploft_standins::virtual_fleet::scenario::with_changes;
 use kingcuploft_standins::virtual_fleet::workload::Stream;
 use kingcuploft_standins::virtual_fleet::{Deployment, Run, run};
 use serde_json::json;
@@ -41,7 +41,7 @@
 fn figures(load: f64, budget_share: f64, late: bool, seed: u64) -> [f64; 5] {
     let mut deployment = Deployment::teamway();
     let policy = &mut deployment.service.policy;
-    *policy = with(
+    *policy = with_changes(
         policy,
         &json!({"hedge": {"budget_share": budget_share, "late": late}}),
     );
--- a/crates/kingcuploft-standins/examples/policies.rs
+++ b/crates/kingcuploft-standins/examples/policies.rs
@@ -7,7 +7,7 @@
 
 use kingcuploft_standins::virtual_fleet::deployment::Place;
 use kingcuploft_standins::virtual_fleet::outcome::Summary;
-use kingcuploft_standins::virtual_fleet::policies::{Row, Trial, Variant, rows};
+use kingcuploft_standins::virtual_fleet::policies::{Row, Trial, Variant, compare_variants};
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -29,7 +29,7 @@
         name: json.clone(),
         settings: serde_json::from_str(json).ok(),
     }));
-    let rows = rows(trial, &variants, &seeds);
+    let rows = compare_variants(trial, &variants, &seeds);
     println!(
         "  p50_ms   p99_ms  p999_ms answered late failed refused probe_share notes_b/s policy"
     );
--- a/crates/kingcuploft-standins/examples/scenarios.rs
+++ b/crates/kingcuploft-standins/examples/scenarios.rs
@@ -9,16 +9,16 @@
     for path in std::env::args().skip(1) {
         let text = std::fs::read_to_string(&path).map_err(|error| format!("{path}: {error}"))?;
         let scenario = Scenario::read(&text)?;
-        let on = run(&scenario.run(&Value::Null));
-        let off = run(&scenario.run(&scenario.switched_off));
+        let on = run(&scenario.build_run(&Value::Null));
+        let off = run(&scenario.build_run(&scenario.switched_off));
         for expectation in &scenario.expect {
             println!(
                 "| {path} | {:?} | {:?}..{:?} | {:.4} | {:.4} |",
                 expectation.figure,
                 expectation.at_least,
                 expectation.at_most,
-                expectation.value(&on),
-                expectation.value(&off),
+                expectation.measure(&on),
+                expectation.measure(&off),
             );
         }
     }
--- a/crates/kingcuploft-standins/src/backend_server/answer.rs
+++ b/crates/kingcuploft-standins/src/backend_server/answer.rs
@@ -10,7 +10,7 @@
 use super::state::State;
 
 /// Longer answers are not remembered for those that cross.
-const REMEMBERED_BYTES: usize = 256;
+const MAX_REMEMBERED_BYTES: usize = 256;
 
 /// An answer before faults.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
 }
 
 /// Whether the connection goes on after an answer.
-pub(super) enum Next {
+pub(super) enum AfterAnswer {
     /// Another request may come.
     KeepAlive,
     /// The connection ends.
@@ -44,7 +44,7 @@
 }
 
 /// Returns the load that the server tells, where it tells any.
-pub(super) fn told_load(state: &State, truth: u32) -> Option<u32> {
+pub(super) fn reported_load(state: &State, truth: u32) -> Option<u32> {
     match state.faults.borrow().load {
         LoadReporting::Truthful => Some(truth),
         LoadReporting::Always(load) => Some(load),
@@ -59,28 +59,34 @@
     request: &Request,
     answer: Answer,
     fault: Option<AnswerFault>,
-) -> Next {
-    let wire = Wire::new(state, request, answer, fault);
+) -> AfterAnswer {
+    let wire = EncodedAnswer::new(state, request, answer, fault);
     let whole = wire.bytes();
     let head = wire.head.len();
     let (bytes, next) = match fault {
         Some(AnswerFault::Late(late)) => {
             tokio::time::sleep(late).await;
-            (&whole[..], Next::KeepAlive)
+            (&whole[..], AfterAnswer::KeepAlive)
         }
         Some(AnswerFault::Never) => std::future::pending().await,
-        Some(AnswerFault::CutRequest | AnswerFault::CutBeforeHead) => return Next::Close,
-        Some(AnswerFault::CutInHead) => (&whole[..head / 2], Next::Close),
-        Some(AnswerFault::CutInBody) => (&whole[..head + (whole.len() - head) / 2], Next::Close),
-        Some(AnswerFault::CutInChunks) => (&whole[..whole.len() - 5], Next::Close),
-        Some(AnswerFault::NoLength) => (&whole[..], Next::Close),
-        Some(AnswerFault::Garbage) => (&b"\x16\x03\x01\x02\x00garbage\r\n\r\n"[..], Next::Close),
+        Some(AnswerFault::CutRequest | AnswerFault::CutBeforeHead) => return AfterAnswer::Close,
+        Some(AnswerFault::CutInHead) => (&whole[..head / 2], AfterAnswer::Close),
+        Some(AnswerFault::CutInBody) => (
+            &whole[..head + (whole.len() - head) / 2],
+            AfterAnswer::Close,
+        ),
+        Some(AnswerFault::CutInChunks) => (&whole[..whole.len() - 5], AfterAnswer::Close),
+        Some(AnswerFault::NoLength) => (&whole[..], AfterAnswer::Close),
+        Some(AnswerFault::Garbage) => (
+            &b"\x16\x03\x01\x02\x00garbage\r\n\r\n"[..],
+            AfterAnswer::Close,
+        ),
         Some(AnswerFault::Dripped(pause)) => return drip(stream, &whole, pause).await,
         Some(AnswerFault::Duplicated) => {
             let twice = [&whole[..], &whole[..]].concat();
             return match connection::write(stream, &twice).await {
-                true => Next::KeepAlive,
-                false => Next::Close,
+                true => AfterAnswer::KeepAlive,
+                false => AfterAnswer::Close,
             };
         }
         Some(
@@ -89,31 +95,31 @@
             | AnswerFault::Chunked
             | AnswerFault::Redirect,
         )
-        | None => (&whole[..], Next::KeepAlive),
+        | None => (&whole[..], AfterAnswer::KeepAlive),
     };
     match connection::write(stream, bytes).await {
         true => next,
-        false => Next::Close,
+        false => AfterAnswer::Close,
     }
 }
 
-async fn drip(stream: &mut TcpStream, bytes: &[u8], pause: Duration) -> Next {
+async fn drip(stream: &mut TcpStream, bytes: &[u8], pause: Duration) -> AfterAnswer {
     for byte in bytes.chunks(1) {
         if !connection::write(stream, byte).await {
-            return Next::Close;
+            return AfterAnswer::Close;
         }
         tokio::time::sleep(pause).await;
     }
-    Next::KeepAlive
+    AfterAnswer::KeepAlive
 }
 
 /// An answer's head and body as they go out.
-struct Wire {
+struct EncodedAnswer {
     head: Vec<u8>,
     body: Bytes,
 }
 
-impl Wire {
+impl EncodedAnswer {
     fn new(state: &State, request: &Request, answer: Answer, fault: Option<AnswerFault>) -> Self {
         let answer = with_signals(state, answer);
         let answer = with_content(state, request, answer, fault);
@@ -153,7 +159,7 @@
 
 /// Adds what the server tells about itself.
 fn with_signals(state: &State, answer: Answer) -> Answer {
-    let answer = match told_load(state, state.load.now()) {
+    let answer = match reported_load(state, state.load.now()) {
         Some(load) => answer.header("x-load-in-flight", load.to_string()),
         None => answer,
     };
@@ -180,7 +186,7 @@
                 ..answer
             };
         }
-        None if answer.body.len() < REMEMBERED_BYTES => {
+        None if answer.body.len() < MAX_REMEMBERED_BYTES => {
             let body = String::from_utf8_lossy(&answer.body);
             state.remember(id.unwrap_or_default(), &body);
         }
--- a/crates/kingcuploft-standins/src/backend_server/connection.rs
+++ b/crates/kingcuploft-standins/src/backend_server/connection.rs
@@ -7,13 +7,13 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::answer::{self, Answer, Next};
+use super::answer::{self, AfterAnswer, Answer};
 use super::faults::AnswerFault;
-use super::state::{Drawn, State};
+use super::state::{RequestDraws, State};
 use crate::precise_sleep;
 
 /// The most headers of a request.
-const HEADERS: usize = 96;
+const MAX_HEADERS: usize = 96;
 
 /// A request whose body was read.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     while let Some(request) = read_head(&mut stream, &mut buffer).await {
         state.count(|counts| counts.requests += 1);
         let drawn = state.draw();
-        let fault = state.faults.borrow().drawn(drawn.answer);
+        let fault = state.faults.borrow().pick_answer_fault(drawn.answer);
         let whole = fault != Some(AnswerFault::CutRequest);
         let bytes = if whole {
             request.length
@@ -63,8 +63,8 @@
             }
         };
         match answer::write(state, &mut stream, &request, answer, fault).await {
-            Next::KeepAlive => {}
-            Next::Close => return,
+            AfterAnswer::KeepAlive => {}
+            AfterAnswer::Close => return,
         }
     }
 }
@@ -88,7 +88,7 @@
 
 /// Parses a head: `None` where it is not HTTP, `Some(None)` where more bytes are needed.
 fn parse(buffer: &[u8]) -> Option<Option<(Request, usize)>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let httparse::Status::Complete(length) = parsed.parse(buffer).ok()? else {
         return Some(None);
@@ -121,7 +121,7 @@
 }
 
 /// Works on a request after the link's delay and lets the answer pass it too.
-async fn respond_over_link(state: &State, request: &Request, drawn: &Drawn) -> Answer {
+async fn respond_over_link(state: &State, request: &Request, drawn: &RequestDraws) -> Answer {
     pass_link(state).await;
     let answer = respond(state, request, drawn).await;
     pass_link(state).await;
@@ -135,7 +135,7 @@
 }
 
 /// Works on a request.
-async fn respond(state: &State, request: &Request, drawn: &Drawn) -> Answer {
+async fn respond(state: &State, request: &Request, drawn: &RequestDraws) -> Answer {
     let path = request.path.split('?').next().unwrap_or_default();
     match path {
         "/health" => health(state),
@@ -160,12 +160,12 @@
     precise_sleep::sleep(state.work.probe_cost).await;
     drop(slot);
     state.count(|counts| counts.probe_us += state.work.probe_cost.as_micros() as u64);
-    let told = answer::told_load(state, state.load.lagging());
+    let told = answer::reported_load(state, state.load.delayed());
     let body = told.map_or("{}\n".into(), |n| format!("{{\"in_flight\":{n}}}\n"));
     Answer::new(200, body)
 }
 
-async fn work(state: &State, request: &Request, drawn: &Drawn) -> Answer {
+async fn work(state: &State, request: &Request, drawn: &RequestDraws) -> Answer {
     let (shed, fail) = {
         let faults = state.faults.borrow();
         let full = faults.shed_at.is_some_and(|at| state.load.now() >= at);
@@ -191,22 +191,27 @@
 }
 
 /// Waits for a slot and works, until the deadline at most.
-async fn run(state: &State, request: &Request, drawn: &Drawn, deadline: Option<Instant>) -> Answer {
+async fn run(
+    state: &State,
+    request: &Request,
+    drawn: &RequestDraws,
+    deadline: Option<Instant>,
+) -> Answer {
     let expired = || state.count(|counts| counts.expired += 1);
-    let Ok(slot) = before(deadline, state.slots.acquire()).await else {
+    let Ok(slot) = run_until_deadline(deadline, state.slots.acquire()).await else {
         expired();
         return Answer::new(503, "the deadline passed\n").header("x-not-run", "1");
     };
-    state.began(
+    state.record_run(
         request.header("idempotency-key"),
         request.header("x-call-id"),
     );
     let asked = request.header("x-work-us").and_then(|us| us.parse().ok());
-    let time = state.slowed(asked.map_or(drawn.time, Duration::from_micros));
+    let time = state.scale_work_time(asked.map_or(drawn.time, Duration::from_micros));
     let began = Instant::now();
     let done = match time.is_zero() {
         true => Ok(()),
-        false => before(deadline, precise_sleep::sleep(time)).await,
+        false => run_until_deadline(deadline, precise_sleep::sleep(time)).await,
     };
     drop(slot);
     state.count(|counts| counts.work_us += began.elapsed().as_micros() as u64);
@@ -227,7 +232,10 @@
     }
 }
 
-async fn before<T>(deadline: Option<Instant>, work: impl Future<Output = T>) -> Result<T, ()> {
+async fn run_until_deadline<T>(
+    deadline: Option<Instant>,
+    work: impl Future<Output = T>,
+) -> Result<T, ()> {
     match deadline {
         Some(deadline) => tokio::time::timeout_at(deadline, work).await.map_err(drop),
         None => Ok(work.await),
--- a/crates/kingcuploft-standins/src/backend_server/faults.rs
+++ b/crates/kingcuploft-standins/src/backend_server/faults.rs
@@ -46,12 +46,12 @@
 
 impl Faults {
     /// Makes one fault befall every answer.
-    pub fn always(&mut self, fault: AnswerFault) {
+    pub fn set_answer_fault(&mut self, fault: AnswerFault) {
         self.answers = vec![(fault, 1.0)];
     }
 
     /// Returns the fault that a draw between 0 and 1 falls on.
-    pub(super) fn drawn(&self, draw: f64) -> Option<AnswerFault> {
+    pub(super) fn pick_answer_fault(&self, draw: f64) -> Option<AnswerFault> {
         let mut sum = 0.0;
         let fault = self.answers.iter().find(|(_, share)| {
             sum += share;
--- a/crates/kingcuploft-standins/src/backend_server/listener.rs
+++ b/crates/kingcuploft-standins/src/backend_server/listener.rs
@@ -30,7 +30,7 @@
         tokio::select! {
             accepted = accepted => {
                 if let Ok((stream, _)) = accepted {
-                    begin(&state, stream);
+                    serve_connection(&state, stream);
                 }
             }
             changed = faults.changed() => {
@@ -42,7 +42,7 @@
     }
 }
 
-fn begin(state: &Arc<State>, stream: TcpStream) {
+fn serve_connection(state: &Arc<State>, stream: TcpStream) {
     let limit = state.work.connections as u64;
     let full = state.counts().open_connections >= limit;
     state.count(|counts| {
--- a/crates/kingcuploft-standins/src/backend_server/load.rs
+++ b/crates/kingcuploft-standins/src/backend_server/load.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns the load as it was the lag ago.
-    pub(super) fn lagging(&self) -> u32 {
+    pub(super) fn delayed(&self) -> u32 {
         self.change(|in_flight| in_flight);
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let oldest = state.changes.front();
--- a/crates/kingcuploft-standins/src/backend_server/state.rs
+++ b/crates/kingcuploft-standins/src/backend_server/state.rs
@@ -64,7 +64,7 @@
 
 /// What was drawn for one request.
 #[derive(Debug)]
-pub(super) struct Drawn {
+pub(super) struct RequestDraws {
     /// Picks the faulty answer.
     pub(super) answer: f64,
     /// Picks the requests that are shed.
@@ -116,9 +116,9 @@
 
     /// Draws what befalls a request; every request draws alike, so that faults switched on or
     /// off do not change the draws of others.
-    pub(super) fn draw(&self) -> Drawn {
+    pub(super) fn draw(&self) -> RequestDraws {
         let mut inner = self.lock();
-        Drawn {
+        RequestDraws {
             answer: inner.rng.f64(),
             shed: inner.rng.f64(),
             fail: inner.rng.f64(),
@@ -127,14 +127,14 @@
     }
 
     /// Returns the work time with the slowness of this moment.
-    pub(super) fn slowed(&self, time: Duration) -> Duration {
+    pub(super) fn scale_work_time(&self, time: Duration) -> Duration {
         let age = self.lock().started.elapsed();
         let factor = self.work.cold_factor_at(age) * self.faults.borrow().factor_at(age);
         time.mul_f64(factor)
     }
 
     /// Counts a run, for its idempotency key and for the one call: the work begins.
-    pub(super) fn began(&self, key: Option<&str>, call: Option<&str>) {
+    pub(super) fn record_run(&self, key: Option<&str>, call: Option<&str>) {
         let mut inner = self.lock();
         inner.counts.runs += 1;
         if let Some(key) = key {
--- a/crates/kingcuploft-standins/src/experiments/overload.rs
+++ b/crates/kingcuploft-standins/src/experiments/overload.rs
@@ -112,7 +112,7 @@
         others_answered_share: share(with, |r| !is_hot(r)),
         others_answered_share_without_hot_caller: share(without, |r| !is_hot(r)),
         hot_caller_share: share(with, is_hot),
-        duplicate_runs: with.double_runs + without.double_runs,
+        duplicate_runs: with.duplicate_runs + without.duplicate_runs,
     }
 }
 
@@ -123,14 +123,14 @@
 /// Returns the share of the kept records that were answered in time.
 fn share(outcome: &Outcome, keep: impl Fn(&Record) -> bool) -> f64 {
     let kept: Vec<&Record> = outcome.records.iter().filter(|r| keep(r)).collect();
-    let in_time = kept.iter().filter(|r| r.in_time()).count();
+    let in_time = kept.iter().filter(|r| r.within_deadline()).count();
     in_time as f64 / kept.len().max(1) as f64
 }
 
 fn refusal_ms(outcome: &Outcome, quantile: f64, keep: impl Fn(&Record) -> bool) -> f64 {
     let kept = outcome.records.iter().filter(|record| keep(record));
     let refused = kept.filter(|record| matches!(record.end, End::Refused(..)));
-    quantile_ms(refused.map(|record| record.took), quantile)
+    quantile_ms(refused.map(|record| record.latency), quantile)
 }
 
 fn by_reason(outcome: &Outcome) -> BTreeMap<&'static str, ReasonFigures> {
@@ -153,7 +153,7 @@
         .records
         .iter()
         .filter_map(|record| match record.end {
-            End::Refused(reason, _) => Some((reason, record.took)),
+            End::Refused(reason, _) => Some((reason, record.latency)),
             _ => None,
         })
 }
--- a/crates/kingcuploft-standins/src/experiments/promises/chaos.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/chaos.rs
@@ -60,7 +60,7 @@
     let server = rng.usize(..servers);
     let pause = Duration::from_millis(rng.u64(50..1200));
     match rng.u8(..20) {
-        0..=2 => Step::Store(StoreFaults::drawn(rng)),
+        0..=2 => Step::Store(StoreFaults::random(rng)),
         3..=4 => Step::Store(StoreFaults::default()),
         5..=9 => Step::Backend(server, backend_faults(rng)),
         10 => Step::Backend(server, BackendFaults::default()),
--- a/crates/kingcuploft-standins/src/experiments/real_run.rs
+++ b/crates/kingcuploft-standins/src/experiments/real_run.rs
@@ -16,7 +16,7 @@
 use crate::deployment;
 use crate::fleet::{Fleet, Variant};
 use crate::load::{self, DueCall};
-use crate::virtual_fleet::deployment::{HOLD, Place, SEARCH};
+use crate::virtual_fleet::deployment::{HOLD_RULE, Place, SEARCH_RULE};
 use crate::virtual_fleet::outcome::{Cost, End, Record};
 use crate::virtual_fleet::server::FakeServer;
 use crate::virtual_fleet::{Outcome, Run};
@@ -41,7 +41,7 @@
         ..Variant::default()
     };
     let fleet = Fleet::start(deployment::virtual_twin(run.deployment.place), variant)?;
-    let records: Vec<Record> = (0..run.asks.len()).map(|ask| run.record(ask)).collect();
+    let records: Vec<Record> = (0..run.requests.len()).map(|ask| run.record(ask)).collect();
     let records = Arc::new(Mutex::new(records));
     let ended = AtomicBool::new(false);
     let control_before = control_bytes(&fleet.daemons);
@@ -58,7 +58,7 @@
             move |call, received, took| {
                 let mut records = noted.lock().unwrap_or_else(PoisonError::into_inner);
                 records[call.group].end = end(&received);
-                records[call.group].took = took;
+                records[call.group].latency = took;
             },
         );
         ended.store(true, Ordering::Relaxed);
@@ -68,7 +68,7 @@
     let control = control_bytes(&fleet.daemons) - control_before;
     // The rate is taken over the sending time, as the virtual fleet's is.
     cost.note_bytes = (control as f64 / sent_s) as u64;
-    let keys = run.asks.iter().filter_map(|ask| ask.key.as_ref());
+    let keys = run.requests.iter().filter_map(|ask| ask.key.as_ref());
     let double_runs = keys.map(|key| fleet.runs(key).saturating_sub(1)).sum();
     fleet.stop();
     let records = records
@@ -89,11 +89,11 @@
 
 fn calls(run: &Run) -> Vec<DueCall> {
     let vms = run.deployment.vms as f64;
-    let asks = run.asks.iter().enumerate();
+    let asks = run.requests.iter().enumerate();
     let calls = asks.map(|(i, ask)| {
         let (method, path) = match ask.rule {
-            HOLD => (Method::POST, "hold"),
-            SEARCH => (Method::GET, "search"),
+            HOLD_RULE => (Method::POST, "hold"),
+            SEARCH_RULE => (Method::GET, "search"),
             _ => (Method::GET, "lookup"),
         };
         let mut headers = vec![
@@ -165,8 +165,8 @@
         let counts = server.counts();
         cost.calls += counts.requests - counts.probes;
         cost.probes += counts.probes;
-        cost.probe_time += Duration::from_micros(counts.probe_us);
-        cost.busy += Duration::from_micros(counts.work_us + counts.probe_us);
+        cost.probe_slot_time += Duration::from_micros(counts.probe_us);
+        cost.used_slot_time += Duration::from_micros(counts.work_us + counts.probe_us);
     }
     let sent = |step| move |daemon: &Daemon| labelled(daemon, "kingcuploft_hedges_total", step);
     let hedges = |step| fleet.daemons.iter().map(sent(step)).sum::<u64>();
--- a/crates/kingcuploft-standins/src/experiments/tail.rs
+++ b/crates/kingcuploft-standins/src/experiments/tail.rs
@@ -100,8 +100,8 @@
 }
 
 fn note_broken(report: &mut Report, seed: u64, policy: SelectionPolicy, outcome: &Outcome) {
-    if outcome.double_runs > 0 {
-        let (policy, runs) = (policy.label(), outcome.double_runs);
+    if outcome.duplicate_runs > 0 {
+        let (policy, runs) = (policy.label(), outcome.duplicate_runs);
         let broken = format!("seed {seed}, {policy}: {runs} duplicate runs");
         report.broken.push(broken);
     }
--- a/crates/kingcuploft-standins/src/platform/faults.rs
+++ b/crates/kingcuploft-standins/src/platform/faults.rs
@@ -47,7 +47,7 @@
     /// Whether no watch is ever answered.
     pub stalled_watch: bool,
     /// Whether each watch is told that its revision is too old.
-    pub lapsed_watch: bool,
+    pub expired_watch: bool,
     /// How many changes are kept; an older watch lapses.
     pub history: usize,
     /// How far the VM list lags.
@@ -71,7 +71,7 @@
             stale_read_share: 0.0,
             stale_by: 1,
             stalled_watch: false,
-            lapsed_watch: false,
+            expired_watch: false,
             history: 10_000,
             vms_lag: Duration::ZERO,
             writes_per_s: None,
@@ -83,7 +83,7 @@
 
 impl Faults {
     /// Draws a mix of faults: one time in three an outage, else shares of single faults.
-    pub fn drawn(rng: &mut fastrand::Rng) -> Self {
+    pub fn random(rng: &mut fastrand::Rng) -> Self {
         let outages = [Outage::Unavailable, Outage::Closed, Outage::Silence];
         let outage = (rng.u8(0..3) == 0).then(|| outages[rng.usize(0..outages.len())]);
         Self {
@@ -95,7 +95,7 @@
             stale_read_share: rng.f64() * 0.3,
             stale_by: rng.usize(1..4),
             stalled_watch: rng.u8(0..4) == 0,
-            lapsed_watch: rng.u8(0..8) == 0,
+            expired_watch: rng.u8(0..8) == 0,
             vms_lag: Duration::from_millis(rng.u64(0..2000)),
             ..Self::default()
         }
--- a/crates/kingcuploft-standins/src/platform/mod.rs
+++ b/crates/kingcuploft-standins/src/platform/mod.rs
@@ -20,10 +20,10 @@
 use crate::http::{Handler, Server, WholeRequest, WholeResponse, closed};
 
 /// The longest value, in bytes.
-pub const VALUE_BYTES: usize = 1024 * 1024;
+pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
 /// How long a silent call holds its connection.
-const SILENCE: Duration = Duration::from_secs(30);
+const SILENT_CALL_TIME: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Default)]
 struct Store {
@@ -115,14 +115,14 @@
     async fn handle(&self, request: WholeRequest) -> WholeResponse {
         let store = &self.0;
         let write = matches!(*request.method(), Method::PUT | Method::DELETE);
-        if let Some(refusal) = store.enter(write).await {
+        if let Some(refusal) = store.admit(write).await {
             return refusal;
         }
         let path = request.uri().path().to_owned();
         let path = path.strip_prefix("/v1/").unwrap_or_default();
         match (request.method(), path) {
-            (&Method::GET, "objects") => store.list(&Query::of(&request)),
-            (&Method::GET, "watch") => store.watch(&Query::of(&request)).await,
+            (&Method::GET, "objects") => store.list(&Query::parse(&request)),
+            (&Method::GET, "watch") => store.watch(&Query::parse(&request)).await,
             (&Method::GET, "vms") => store.vms(),
             (&Method::GET, path) => match path.strip_prefix("objects/") {
                 Some(key) => store.get(key),
@@ -142,31 +142,31 @@
     }
 
     /// Applies outage, slowness and rate limits to a call before it begins.
-    async fn enter(&self, write: bool) -> Option<WholeResponse> {
+    async fn admit(&self, write: bool) -> Option<WholeResponse> {
         let delay = self.lock().faults.delay;
         if delay > Duration::ZERO {
             tokio::time::sleep(delay).await;
         }
         let (outage, fits) = {
             let mut state = self.lock();
-            let fits = state.within_rate(write);
+            let fits = state.try_admit(write);
             let outage = state.faults.outage;
             state.calls.refused += u64::from(outage.is_some() || !fits);
             (outage, fits)
         };
         match outage {
-            Some(outage) => Some(self.out(outage).await),
+            Some(outage) => Some(self.answer_outage(outage).await),
             None if !fits => Some(json(StatusCode::TOO_MANY_REQUESTS, &"too many calls")),
             None => None,
         }
     }
 
-    async fn out(&self, outage: Outage) -> WholeResponse {
+    async fn answer_outage(&self, outage: Outage) -> WholeResponse {
         match outage {
             Outage::Unavailable => json(StatusCode::SERVICE_UNAVAILABLE, &"down"),
             Outage::Closed => closed(),
             Outage::Silence => {
-                tokio::time::sleep(SILENCE).await;
+                tokio::time::sleep(SILENT_CALL_TIME).await;
                 closed()
             }
         }
@@ -204,7 +204,7 @@
         };
         if value
             .as_ref()
-            .is_some_and(|value| value.len() > VALUE_BYTES)
+            .is_some_and(|value| value.len() > MAX_VALUE_BYTES)
         {
             return json(StatusCode::PAYLOAD_TOO_LARGE, &"a value has at most 1 MB");
         }
@@ -261,7 +261,7 @@
                 (seen, state.faults.outage, state.faults.stalled_watch)
             };
             if let Some(outage) = outage {
-                return self.out(outage).await;
+                return self.answer_outage(outage).await;
             }
             if stalled {
                 // Ends only when the caller gives up or the fault is lifted.
@@ -298,7 +298,7 @@
 }
 
 impl Query {
-    fn of(request: &WholeRequest) -> Self {
+    fn parse(request: &WholeRequest) -> Self {
         let mut query = Self::default();
         let pairs = request.uri().query().unwrap_or_default().split('&');
         for (name, value) in pairs.filter_map(|pair| pair.split_once('=')) {
--- a/crates/kingcuploft-standins/src/platform/state.rs
+++ b/crates/kingcuploft-standins/src/platform/state.rs
@@ -64,7 +64,7 @@
     earlier: BTreeMap<String, Vec<Option<Object>>>,
     history: VecDeque<Change>,
     /// The greatest revision that is not in the history any more.
-    forgotten: Version,
+    compacted_until: Version,
     vms: VecDeque<(Instant, Vec<ListedVm>)>,
     pub(super) calls: Calls,
     pub(super) faults: Faults,
@@ -73,7 +73,7 @@
 }
 
 /// How many earlier revisions of an object are kept for stale reads.
-const EARLIER: usize = 8;
+const MAX_EARLIER_REVISIONS: usize = 8;
 
 impl State {
     /// Tells whether the condition of a write holds; else returns what was found.
@@ -103,7 +103,7 @@
         };
         let earlier = self.earlier.entry(key.into()).or_default();
         earlier.push(before);
-        if earlier.len() > EARLIER {
+        if earlier.len() > MAX_EARLIER_REVISIONS {
             earlier.remove(0);
         }
         self.history.push_back(Change {
@@ -118,7 +118,7 @@
     fn trim(&mut self) {
         while self.history.len() > self.faults.history {
             let forgotten = self.history.pop_front();
-            self.forgotten = forgotten.map_or(self.forgotten, |change| change.version);
+            self.compacted_until = forgotten.map_or(self.compacted_until, |change| change.version);
         }
     }
 
@@ -150,7 +150,7 @@
 
     /// Returns the changes after a revision; `None` where they are forgotten.
     pub(super) fn since(&self, prefix: &str, after: Version) -> Option<Changes> {
-        if after < self.forgotten || self.faults.lapsed_watch {
+        if after < self.compacted_until || self.faults.expired_watch {
             return None;
         }
         let newer = self.history.iter().rev();
@@ -177,7 +177,7 @@
     }
 
     /// Counts a call against the rate limits; tells whether it fits.
-    pub(super) fn within_rate(&mut self, write: bool) -> bool {
+    pub(super) fn try_admit(&mut self, write: bool) -> bool {
         let now = Instant::now();
         let over = |at: Instant| now.duration_since(at).as_secs() >= 1;
         if self.rate.second.is_none_or(over) {
--- a/crates/kingcuploft-standins/src/virtual_fleet/calls.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/calls.rs
@@ -6,9 +6,9 @@
 use kingcuploft::world::backend_server::{CallEnd, CallReport, LoadReport};
 use kingcuploft::world::ids::{AttemptId, RequestId};
 
-use super::fleet::{Fleet, Happening};
+use super::fleet::{Fleet, FleetEvent};
 use super::outcome::End;
-use super::server::{Accepted, Health, Job, JobId};
+use super::server::{Health, Job, JobAdmission, JobId};
 
 /// One call to a backend server.
 #[derive(Clone, Debug)]
@@ -16,12 +16,12 @@
     pub(super) node: usize,
     pub(super) attempt: AttemptId,
     pub(super) server: usize,
-    pub(super) ask: usize,
+    pub(super) request_index: usize,
     pub(super) sent: Duration,
 }
 
 /// How long a server that fails fast takes.
-const FAIL_FAST: Duration = Duration::from_micros(200);
+const FAIL_FAST_TIME: Duration = Duration::from_micros(200);
 
 impl Fleet<'_> {
     /// Sends a call; the server gets it after the link and, without an idle connection, a connect.
@@ -36,7 +36,7 @@
             node,
             attempt: call.attempt,
             server,
-            ask,
+            request_index: ask,
             sent: self.now,
         };
         self.calls.insert(job, sent);
@@ -55,19 +55,19 @@
         match health {
             Health::Refuses => {
                 let never_sent = report(CallEnd::NeverSent);
-                self.push(self.now + 2 * one_way, Happening::ReachVm(job, never_sent));
+                self.schedule(self.now + 2 * one_way, FleetEvent::ReachVm(job, never_sent));
             }
             Health::Gone if !warm => {
                 let at = self.now + links.connect_timeout;
-                self.push(at, Happening::ReachVm(job, report(CallEnd::NeverSent)));
+                self.schedule(at, FleetEvent::ReachVm(job, report(CallEnd::NeverSent)));
             }
             Health::Gone | Health::Working | Health::FailsFast => {
                 let at = self.now + connect + one_way;
-                self.push(at, Happening::ReachServer(job));
+                self.schedule(at, FleetEvent::ReachServer(job));
             }
         }
         let due = call.deadline.saturating_duration_since(self.base);
-        self.push(due.max(self.now), Happening::Timeout(job));
+        self.schedule(due.max(self.now), FleetEvent::Timeout(job));
     }
 
     fn count_call(&mut self, ask: usize, server: usize) {
@@ -97,9 +97,9 @@
             return;
         };
         match self.servers[call.server].health {
-            Health::Working => self.take(job, &call),
+            Health::Working => self.accept_call(job, &call),
             Health::FailsFast => {
-                let at = self.now + FAIL_FAST;
+                let at = self.now + FAIL_FAST_TIME;
                 self.reply(job, &call, at, CallEnd::Answered { status: 500 });
             }
             Health::Refuses => self.reply(job, &call, self.now, CallEnd::Broken),
@@ -107,18 +107,18 @@
         }
     }
 
-    fn take(&mut self, job: JobId, call: &BackendCall) {
-        let asked = &self.run.asks[call.ask];
+    fn accept_call(&mut self, job: JobId, call: &BackendCall) {
+        let asked = &self.run.requests[call.request_index];
         let work = asked.work;
         let accepted = self.servers[call.server].accept(self.now, Job { id: job, work });
-        if accepted == Accepted::Shed {
+        if accepted == JobAdmission::Shed {
             return self.reply(job, call, self.now, CallEnd::Refused);
         }
         if let Some(key) = &asked.key {
             *self.runs_by_key.entry(key.clone()).or_default() += 1;
         }
-        if let Accepted::Runs(until) = accepted {
-            self.push(until, Happening::Finish(call.server, job));
+        if let JobAdmission::Started(until) = accepted {
+            self.schedule(until, FleetEvent::Finish(call.server, job));
         }
     }
 
@@ -128,7 +128,7 @@
             return;
         };
         if let Some((next, at)) = next {
-            self.push(at, Happening::Finish(server, next));
+            self.schedule(at, FleetEvent::Finish(server, next));
         }
         if let Some(node) = self.probes.remove(&job) {
             self.probe_ends(node, server);
@@ -148,11 +148,11 @@
             ..report(end)
         };
         let at = at + self.one_way(call.node, call.server);
-        self.push(at, Happening::ReachVm(job, report));
+        self.schedule(at, FleetEvent::ReachVm(job, report));
     }
 
     pub(super) fn reach_vm(&mut self, job: JobId, report: CallReport) {
-        let Some(call) = self.forget(job) else {
+        let Some(call) = self.remove_call(job) else {
             return;
         };
         if let CallEnd::Answered { .. } | CallEnd::Refused = report.end {
@@ -164,60 +164,60 @@
         }
         let latency = self.now - call.sent;
         let report = CallReport { latency, ..report };
-        self.tell(call.node, Event::AttemptEnded(call.attempt, report));
+        self.dispatch(call.node, Event::AttemptEnded(call.attempt, report));
     }
 
     /// Ends a call at its deadline; the server drops it too, as it knows the deadline.
     pub(super) fn time_out(&mut self, job: JobId) {
-        let Some(call) = self.forget(job) else {
+        let Some(call) = self.remove_call(job) else {
             return;
         };
         let at = self.now + self.one_way(call.node, call.server);
-        self.push(at, Happening::CancelAtServer(call.server, job));
+        self.schedule(at, FleetEvent::CancelAtServer(call.server, job));
         let report = CallReport {
             latency: self.now - call.sent,
             ..report(CallEnd::TimedOut)
         };
-        self.tell(call.node, Event::AttemptEnded(call.attempt, report));
+        self.dispatch(call.node, Event::AttemptEnded(call.attempt, report));
     }
 
     pub(super) fn cancel(&mut self, node: usize, attempt: AttemptId) {
         let Some(&job) = self.jobs.get(&(node, attempt)) else {
             return;
         };
-        let Some(call) = self.forget(job) else {
+        let Some(call) = self.remove_call(job) else {
             return;
         };
         let at = self.now + self.one_way(call.node, call.server);
-        self.push(at, Happening::CancelAtServer(call.server, job));
+        self.schedule(at, FleetEvent::CancelAtServer(call.server, job));
         let report = CallReport {
             latency: self.now - call.sent,
             ..report(CallEnd::Cancelled)
         };
-        self.push(self.now, Happening::Ended(node, attempt, report));
+        self.schedule(self.now, FleetEvent::AttemptEnded(node, attempt, report));
     }
 
     pub(super) fn cancel_at_server(&mut self, server: usize, job: JobId) {
         if let Some((next, at)) = self.servers[server].cancel(self.now, job) {
-            self.push(at, Happening::Finish(server, next));
+            self.schedule(at, FleetEvent::Finish(server, next));
         }
     }
 
-    fn forget(&mut self, job: JobId) -> Option<BackendCall> {
+    fn remove_call(&mut self, job: JobId) -> Option<BackendCall> {
         let call = self.calls.remove(&job)?;
         self.jobs.remove(&(call.node, call.attempt));
-        if let Some(flying) = self.in_flight.get_mut(&call.ask) {
+        if let Some(flying) = self.in_flight.get_mut(&call.request_index) {
             *flying -= 1;
         }
         Some(call)
     }
 
-    pub(super) fn answered(&mut self, node: usize, request: RequestId, _attempt: AttemptId) {
+    pub(super) fn record_answer(&mut self, node: usize, request: RequestId, _attempt: AttemptId) {
         let end = match self.status {
             500.. => End::Failed,
             _ => End::Answered,
         };
-        self.end(node, request, end);
+        self.record_end(node, request, end);
     }
 }
 
--- a/crates/kingcuploft-standins/src/virtual_fleet/changes.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/changes.rs
@@ -9,7 +9,7 @@
 use kingcuploft::world::ids::{BackendServerName, VmName};
 
 use super::change::Change;
-use super::fleet::{Fleet, Happening};
+use super::fleet::{Fleet, FleetEvent};
 use super::server::Health;
 
 /// The size of a word to a peer that a backend server drains, in bytes, headers included.
@@ -49,7 +49,7 @@
                 let node = (0..self.nodes.len()).find(|&n| self.nodes[n].accepts);
                 for &server in servers {
                     node.into_iter()
-                        .for_each(|node| self.drain_heard(node, server));
+                        .for_each(|node| self.receive_drain(node, server));
                 }
             }
             Change::ManifestDraining { servers } => self.adopt_draining(servers),
@@ -79,7 +79,7 @@
                 load: None,
                 draining: false,
             };
-            self.push(at, Happening::ReachVm(job, broken));
+            self.schedule(at, FleetEvent::ReachVm(job, broken));
         }
     }
 
@@ -104,20 +104,20 @@
             self.nodes[node].accepts = false;
             self.start_vm();
         }
-        self.tell_membership();
+        self.broadcast_membership();
     }
 
     /// Tells every VM which VMs are live.
-    pub(super) fn tell_membership(&mut self) {
+    pub(super) fn broadcast_membership(&mut self) {
         let live = self.nodes.iter().filter(|node| node.accepts);
         let live: Vec<VmName> = live.map(|node| node.name.clone()).collect();
         for node in 0..self.nodes.len() {
-            self.tell(node, Event::MembershipChanged(live.clone()));
+            self.dispatch(node, Event::MembershipChanged(live.clone()));
         }
     }
 
     /// Sends notes to every live peer; the links may lose them.
-    pub(super) fn tell_peers(&mut self, node: usize, notes: &PeerNotes) {
+    pub(super) fn share_notes(&mut self, node: usize, notes: &PeerNotes) {
         let links = self.run.deployment.links;
         for peer in 0..self.nodes.len() {
             if peer == node || !self.nodes[peer].accepts {
@@ -132,9 +132,9 @@
                 true => links.within_zone,
                 false => links.between_zones,
             };
-            self.push(
+            self.schedule(
                 self.now + one_way,
-                Happening::NotesHeard(peer, notes.clone()),
+                FleetEvent::NotesReceived(peer, notes.clone()),
             );
         }
     }
@@ -154,11 +154,11 @@
             self.servers[i].health = Health::Gone;
             self.apply_health(i);
         }
-        self.tell_membership();
+        self.broadcast_membership();
     }
 
     /// Sends a word to every peer that a backend server drains.
-    pub(super) fn tell_draining(&mut self, node: usize, server: &BackendServerName) {
+    pub(super) fn share_draining(&mut self, node: usize, server: &BackendServerName) {
         let servers = &self.run.deployment.service.backend_servers;
         let Some(server) = servers.iter().position(|s| s.name == *server) else {
             return;
@@ -168,14 +168,14 @@
             let links = self.run.deployment.links;
             if self.rng.f64() >= links.peer_loss_share {
                 let at = self.now + links.between_zones;
-                self.push(at, Happening::DrainHeard(peer, server));
+                self.schedule(at, FleetEvent::DrainReceived(peer, server));
             }
         }
     }
 
-    pub(super) fn drain_heard(&mut self, node: usize, server: usize) {
+    pub(super) fn receive_drain(&mut self, node: usize, server: usize) {
         let service = &self.run.deployment.service;
         let server = service.backend_servers[server].name.clone();
-        self.tell(node, Event::ServerDraining(service.name.clone(), server));
+        self.dispatch(node, Event::ServerDraining(service.name.clone(), server));
     }
 }
--- a/crates/kingcuploft-standins/src/virtual_fleet/deployment.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/deployment.rs
@@ -153,11 +153,11 @@
 }
 
 /// The index of the lookup rule.
-pub const LOOKUP: usize = 0;
+pub const LOOKUP_RULE: usize = 0;
 /// The index of the protected rule.
-pub const HOLD: usize = 1;
+pub const HOLD_RULE: usize = 1;
 /// The index of the search rule.
-pub const SEARCH: usize = 2;
+pub const SEARCH_RULE: usize = 2;
 
 fn rules() -> Vec<Rule> {
     let rule = |name: &str, method: &str, contract, priority, deadline_ms| Rule {
--- a/crates/kingcuploft-standins/src/virtual_fleet/fleet.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/fleet.rs
@@ -25,7 +25,7 @@
 
 /// What the heap holds.
 #[derive(Debug)]
-pub(super) enum Happening {
+pub(super) enum FleetEvent {
     Step(usize),
     Claimed(usize, RequestId, ClaimResult),
     ReachServer(JobId),
@@ -33,36 +33,36 @@
     ReachVm(JobId, CallReport),
     Timeout(JobId),
     CancelAtServer(usize, JobId),
-    Ended(usize, AttemptId, CallReport),
-    DrainHeard(usize, usize),
-    NotesHeard(usize, PeerNotes),
-    ProbeReaches(usize, usize, JobId),
-    Probed(usize, ProbeResult),
+    AttemptEnded(usize, AttemptId, CallReport),
+    DrainReceived(usize, usize),
+    NotesReceived(usize, PeerNotes),
+    ProbeArrived(usize, usize, JobId),
+    ProbeEnded(usize, ProbeResult),
     Tick(usize),
 }
 
 #[derive(Debug)]
-struct Due {
+struct ScheduledEvent {
     at: Duration,
     order: u64,
-    happening: Happening,
+    happening: FleetEvent,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.order == other.order
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
@@ -85,7 +85,7 @@
     pub(super) run: &'a Run,
     pub(super) base: Instant,
     pub(super) now: Duration,
-    heap: BinaryHeap<Reverse<Due>>,
+    heap: BinaryHeap<Reverse<ScheduledEvent>>,
     pushed: u64,
     pub(super) nodes: Vec<Node>,
     pub(super) servers: Vec<FakeServer>,
@@ -107,14 +107,14 @@
 }
 
 /// How long a run goes on after its last request: longer than any deadline.
-const AFTER: Duration = Duration::from_secs(5);
+const COMPLETION_TIME: Duration = Duration::from_secs(5);
 
 /// Runs the fleet until every caller has its answer.
 pub fn run(run: &Run) -> Outcome {
     let mut fleet = Fleet::new(run);
-    let mut asks = (0..run.asks.len()).peekable();
+    let mut asks = (0..run.requests.len()).peekable();
     loop {
-        let arrival = asks.peek().map(|&ask| run.asks[ask].at);
+        let arrival = asks.peek().map(|&ask| run.requests[ask].at);
         let due = fleet.heap.peek().map(|Reverse(due)| due.at);
         match (arrival, due) {
             (None, None) => break,
@@ -122,18 +122,18 @@
                 fleet.now = at;
                 asks.next().into_iter().for_each(|ask| fleet.arrive(ask));
             }
-            (None, Some(due)) if due > run.duration + AFTER => break,
+            (None, Some(due)) if due > run.duration + COMPLETION_TIME => break,
             _ => {
                 let Some(Reverse(due)) = fleet.heap.pop() else {
                     break;
                 };
                 fleet.now = due.at;
-                fleet.happen(due.happening);
+                fleet.handle_event(due.happening);
             }
         }
     }
     let double_runs = fleet.runs_by_key.values().map(|runs| runs - 1).sum();
-    fleet.cost.busy = fleet.servers.iter().map(|s| s.busy).sum();
+    fleet.cost.used_slot_time = fleet.servers.iter().map(|s| s.busy).sum();
     run.outcome(fleet.records, fleet.cost, double_runs)
 }
 
@@ -156,7 +156,7 @@
             probes: HashMap::default(),
             generation: 1,
             manifest: Arc::new(run.deployment.manifest()),
-            records: (0..run.asks.len()).map(|i| run.record(i)).collect(),
+            records: (0..run.requests.len()).map(|i| run.record(i)).collect(),
             cost: Cost::default(),
             runs_by_key: HashMap::default(),
             rng: fastrand::Rng::with_seed(run.seed ^ 0x5eed),
@@ -164,17 +164,17 @@
         for _ in 0..run.deployment.vms {
             fleet.start_vm();
         }
-        fleet.tell_membership();
+        fleet.broadcast_membership();
         for (i, step) in run.steps.iter().enumerate() {
-            fleet.push(step.at(), Happening::Step(i));
+            fleet.schedule(step.at(), FleetEvent::Step(i));
         }
         fleet
     }
 
-    pub(super) fn push(&mut self, at: Duration, happening: Happening) {
+    pub(super) fn schedule(&mut self, at: Duration, happening: FleetEvent) {
         self.pushed += 1;
         let order = self.pushed;
-        self.heap.push(Reverse(Due {
+        self.heap.push(Reverse(ScheduledEvent {
             at,
             order,
             happening,
@@ -208,12 +208,12 @@
             generation: self.generation,
             manifest: Arc::clone(&self.manifest),
         };
-        self.tell(node, Event::LiveVmCount(self.run.deployment.vms as u32));
-        self.tell(node, Event::ManifestAdopted(accepted));
+        self.dispatch(node, Event::LiveVmCount(self.run.deployment.vms as u32));
+        self.dispatch(node, Event::ManifestAdopted(accepted));
     }
 
     fn arrive(&mut self, ask: usize) {
-        let asked = &self.run.asks[ask];
+        let asked = &self.run.requests[ask];
         let accepting: Vec<usize> = (0..self.nodes.len())
             .filter(|&n| self.nodes[n].accepts)
             .collect();
@@ -237,11 +237,11 @@
             arrived,
             deadline,
         };
-        self.tell(node, Event::Arrived(arrival));
+        self.dispatch(node, Event::Arrived(arrival));
     }
 
     /// Hands an event to a dispatcher and carries out what it says.
-    pub(super) fn tell(&mut self, node: usize, event: Event) {
+    pub(super) fn dispatch(&mut self, node: usize, event: Event) {
         if !self.nodes[node].runs {
             return;
         }
@@ -251,7 +251,7 @@
         dispatcher.on_event(now, event, &mut actions);
         let next_tick = dispatcher.next_tick();
         for action in actions {
-            self.act(node, action);
+            self.perform(node, action);
         }
         if let Some(due) = next_tick {
             self.schedule_tick(node, due.saturating_duration_since(self.base));
@@ -263,36 +263,38 @@
         let scheduled = self.nodes[node].tick;
         if scheduled.is_none_or(|scheduled| due < scheduled) {
             self.nodes[node].tick = Some(due);
-            self.push(due, Happening::Tick(node));
+            self.schedule(due, FleetEvent::Tick(node));
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn handle_event(&mut self, happening: FleetEvent) {
         match happening {
-            Happening::Step(step) => self.change(step),
-            Happening::Claimed(node, request, end) => self.claimed(node, request, end),
-            Happening::ReachServer(job) => self.reach_server(job),
-            Happening::Finish(server, job) => self.finish(server, job),
-            Happening::ReachVm(job, report) => self.reach_vm(job, report),
-            Happening::Timeout(job) => self.time_out(job),
-            Happening::CancelAtServer(server, job) => self.cancel_at_server(server, job),
-            Happening::Ended(node, attempt, report) => {
-                self.tell(node, Event::AttemptEnded(attempt, report));
+            FleetEvent::Step(step) => self.change(step),
+            FleetEvent::Claimed(node, request, end) => self.handle_claim_result(node, request, end),
+            FleetEvent::ReachServer(job) => self.reach_server(job),
+            FleetEvent::Finish(server, job) => self.finish(server, job),
+            FleetEvent::ReachVm(job, report) => self.reach_vm(job, report),
+            FleetEvent::Timeout(job) => self.time_out(job),
+            FleetEvent::CancelAtServer(server, job) => self.cancel_at_server(server, job),
+            FleetEvent::AttemptEnded(node, attempt, report) => {
+                self.dispatch(node, Event::AttemptEnded(attempt, report));
             }
-            Happening::DrainHeard(node, server) => self.drain_heard(node, server),
-            Happening::ProbeReaches(node, server, job) => self.probe_reaches(node, server, job),
-            Happening::Probed(node, probed) => self.tell(node, Event::Probed(probed)),
-            Happening::NotesHeard(node, notes) => self.tell(node, Event::NotesReceived(notes)),
-            Happening::Tick(node) => {
+            FleetEvent::DrainReceived(node, server) => self.receive_drain(node, server),
+            FleetEvent::ProbeArrived(node, server, job) => self.probe_reaches(node, server, job),
+            FleetEvent::ProbeEnded(node, probed) => self.dispatch(node, Event::Probed(probed)),
+            FleetEvent::NotesReceived(node, notes) => {
+                self.dispatch(node, Event::NotesReceived(notes))
+            }
+            FleetEvent::Tick(node) => {
                 if self.nodes[node].tick.is_some_and(|tick| tick <= self.now) {
                     self.nodes[node].tick = None;
-                    self.tell(node, Event::Tick);
+                    self.dispatch(node, Event::Tick);
                 }
             }
         }
     }
 
-    fn act(&mut self, node: usize, action: Action) {
+    fn perform(&mut self, node: usize, action: Action) {
         match action {
             Action::Claim(request) => self.claim(node, request),
             Action::Release(request) => {
@@ -307,13 +309,13 @@
             }
             Action::Call(call) => self.send(node, &call),
             Action::Cancel(attempt) => self.cancel(node, attempt),
-            Action::Answer(request, attempt) => self.answered(node, request, attempt),
+            Action::Answer(request, attempt) => self.record_answer(node, request, attempt),
             Action::Refuse(request, refusal) => {
-                self.end(node, request, End::Refused(refusal.reason, refusal.outcome));
+                self.record_end(node, request, End::Refused(refusal.reason, refusal.outcome));
             }
-            Action::ShareDraining(_, server) => self.tell_draining(node, &server),
+            Action::ShareDraining(_, server) => self.share_draining(node, &server),
             Action::Probe(probe) => self.send_probe(node, &probe),
-            Action::ShareNotes(notes) => self.tell_peers(node, &notes),
+            Action::ShareNotes(notes) => self.share_notes(node, &notes),
             Action::CountRetry(_, _) => self.cost.retries += 1,
             Action::CountHedge(..) => {}
         }
@@ -322,7 +324,7 @@
     /// Returns the idempotency key of a request.
     fn key(&self, node: usize, request: RequestId) -> Option<IdempotencyKey> {
         let ask = *self.nodes[node].requests.get(&request)?;
-        self.run.asks[ask].key.clone()
+        self.run.requests[ask].key.clone()
     }
 
     fn claim(&mut self, node: usize, request: RequestId) {
@@ -331,30 +333,30 @@
         };
         let end = self.claims.claim(&key);
         let at = self.now + self.run.deployment.claim;
-        self.push(at, Happening::Claimed(node, request, end));
+        self.schedule(at, FleetEvent::Claimed(node, request, end));
     }
 
     /// Hands a claim's end over; the claims' duty itself answers what must not be sent.
-    fn claimed(&mut self, node: usize, request: RequestId, end: ClaimResult) {
+    fn handle_claim_result(&mut self, node: usize, request: RequestId, end: ClaimResult) {
         match end {
             ClaimResult::Held => {}
-            ClaimResult::Replayed => self.end(node, request, End::Answered),
+            ClaimResult::Replayed => self.record_end(node, request, End::Answered),
             ClaimResult::Refused(refusal) => {
-                self.end(node, request, End::Refused(refusal.reason, refusal.outcome));
+                self.record_end(node, request, End::Refused(refusal.reason, refusal.outcome));
             }
         }
-        self.tell(node, Event::Claimed(request, end));
+        self.dispatch(node, Event::Claimed(request, end));
     }
 
     /// Records what a caller received; only the first word reaches it.
-    pub(super) fn end(&mut self, node: usize, request: RequestId, end: End) {
+    pub(super) fn record_end(&mut self, node: usize, request: RequestId, end: End) {
         let Some(&ask) = self.nodes[node].requests.get(&request) else {
             return;
         };
         let record = &mut self.records[ask];
         if record.end == End::Lost {
             record.end = end;
-            record.took = self.now - record.at;
+            record.latency = self.now - record.at;
         }
     }
 }
--- a/crates/kingcuploft-standins/src/virtual_fleet/ideal.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/ideal.rs
@@ -4,7 +4,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use super::deployment::HOLD;
+use super::deployment::HOLD_RULE;
 use super::outcome::{Cost, End, Outcome, Record};
 use super::run::Run;
 use super::server::FakeServer;
@@ -14,13 +14,14 @@
 pub fn run(run: &Run) -> Outcome {
     let servers = run.servers();
     let mut free: Vec<usize> = servers.iter().map(|s| s.slots).collect();
-    let mut ready: Vec<(Duration, usize)> =
-        (0..run.asks.len()).map(|i| (ready_at(run, i), i)).collect();
+    let mut ready: Vec<(Duration, usize)> = (0..run.requests.len())
+        .map(|i| (ready_at(run, i), i))
+        .collect();
     ready.sort_unstable();
     let mut arrivals = ready.into_iter().peekable();
     let mut ends: BinaryHeap<Reverse<(Duration, usize, usize)>> = BinaryHeap::new();
     let mut queue: VecDeque<usize> = VecDeque::new();
-    let mut records: Vec<Record> = (0..run.asks.len()).map(|i| run.record(i)).collect();
+    let mut records: Vec<Record> = (0..run.requests.len()).map(|i| run.record(i)).collect();
     loop {
         let arrival = arrivals.peek().map(|&(at, _)| at);
         let end = ends.peek().map(|&Reverse((at, _, _))| at);
@@ -36,14 +37,14 @@
             };
             free[server] += 1;
             records[ask].end = End::Answered;
-            records[ask].took = now - run.asks[ask].at;
+            records[ask].latency = now - run.requests[ask].at;
         } else if let Some((_, ask)) = arrivals.next() {
             queue.push_back(ask);
         }
         while let Some(server) = fastest(&servers, &free, now) {
             let Some(ask) = queue.pop_front() else { break };
             free[server] -= 1;
-            let done = servers[server].done_at(now, run.asks[ask].work);
+            let done = servers[server].done_at(now, run.requests[ask].work);
             ends.push(Reverse((done, server, ask)));
         }
     }
@@ -52,9 +53,9 @@
 
 /// Returns when a request may start: a hold waits for its claim.
 fn ready_at(run: &Run, ask: usize) -> Duration {
-    let ask = &run.asks[ask];
+    let ask = &run.requests[ask];
     match ask.rule {
-        HOLD => ask.at + run.deployment.claim,
+        HOLD_RULE => ask.at + run.deployment.claim,
         _ => ask.at,
     }
 }
--- a/crates/kingcuploft-standins/src/virtual_fleet/outcome.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/outcome.rs
@@ -38,15 +38,15 @@
     /// How it ended.
     pub end: End,
     /// From arrival to its end.
-    pub took: Duration,
+    pub latency: Duration,
     /// How often it was sent to a backend server.
     pub sent: u32,
 }
 
 impl Record {
     /// Tells whether the caller got a whole answer within the deadline.
-    pub fn in_time(&self) -> bool {
-        self.end == End::Answered && self.took <= self.deadline
+    pub fn within_deadline(&self) -> bool {
+        self.end == End::Answered && self.latency <= self.deadline
     }
 }
 
@@ -62,9 +62,9 @@
     /// Probes sent to backend servers.
     pub probes: u64,
     /// Slot time of the probes.
-    pub probe_time: Duration,
+    pub probe_slot_time: Duration,
     /// Slot time used in all.
-    pub busy: Duration,
+    pub used_slot_time: Duration,
     /// Bytes of the messages between VMs.
     pub note_bytes: u64,
     /// When calls were sent, and to which backend server.
@@ -85,7 +85,7 @@
     /// Entry VMs.
     pub vms: usize,
     /// Runs of each idempotency key beyond the first.
-    pub double_runs: u64,
+    pub duplicate_runs: u64,
 }
 
 /// The figures of a run.
@@ -125,7 +125,7 @@
         let latency = latency(
             kept.iter()
                 .filter(|r| r.end == End::Answered)
-                .map(|r| r.took),
+                .map(|r| r.latency),
         );
         let quantile_ms = |q| latency.value_at_quantile(q) as f64 / 1000.0;
         let mut refused = BTreeMap::new();
@@ -134,7 +134,7 @@
                 *refused.entry(reason.label()).or_default() += 1;
             }
         }
-        let in_time = kept.iter().filter(|r| r.in_time());
+        let in_time = kept.iter().filter(|r| r.within_deadline());
         let useful: Duration = in_time.map(|r| r.work).sum();
         let capacity = self.duration.as_secs_f64() * f64::from(self.slots);
         let node_seconds = self.duration.as_secs_f64() * self.vms as f64;
@@ -142,12 +142,12 @@
             p50_ms: quantile_ms(0.5),
             p99_ms: quantile_ms(0.99),
             p999_ms: quantile_ms(0.999),
-            answered: count(&|r| r.in_time()),
-            late: count(&|r| r.end == End::Answered && !r.in_time()),
+            answered: count(&|r| r.within_deadline()),
+            late: count(&|r| r.end == End::Answered && !r.within_deadline()),
             failed: count(&|r| r.end == End::Failed),
             refused,
             lost: count(&|r| r.end == End::Lost),
-            probe_share: self.cost.probe_time.as_secs_f64() / capacity,
+            probe_share: self.cost.probe_slot_time.as_secs_f64() / capacity,
             hedge_share: self.cost.hedges as f64 / self.records.len().max(1) as f64,
             goodput_share: useful.as_secs_f64() / capacity,
             notes_bytes_per_second_per_node: self.cost.note_bytes as f64 / node_seconds,
--- a/crates/kingcuploft-standins/src/virtual_fleet/policies.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/policies.rs
@@ -9,7 +9,7 @@
 use super::deployment::{Deployment, Place};
 use super::outcome::Summary;
 use super::run::Run;
-use super::scenario::with;
+use super::scenario::with_changes;
 use super::workload::Stream;
 
 /// What is run: the ideal, or a fleet under some settings.
@@ -60,13 +60,13 @@
 }
 
 /// Runs every policy and the ideal on the same work, for each seed.
-pub fn policies(place: Place, load: f64, duration: Duration, seeds: &[u64]) -> Vec<Row> {
+pub fn compare_policies(place: Place, load: f64, duration: Duration, seeds: &[u64]) -> Vec<Row> {
     let trial = Trial {
         place,
         load,
         duration,
     };
-    rows(trial, &Variant::policies(), seeds)
+    compare_variants(trial, &Variant::policies(), seeds)
 }
 
 /// Runs variants on the same work, for each seed; the seeds run side by side.
@@ -74,7 +74,7 @@
 /// # Panics
 ///
 /// Panics where a variant's settings name a field that does not exist.
-pub fn rows(trial: Trial, variants: &[Variant], seeds: &[u64]) -> Vec<Row> {
+pub fn compare_variants(trial: Trial, variants: &[Variant], seeds: &[u64]) -> Vec<Row> {
     std::thread::scope(|scope| {
         let play = |&seed: &u64| scope.spawn(move || seed_rows(trial, variants, seed));
         let plays: Vec<_> = seeds.iter().map(play).collect();
@@ -97,7 +97,7 @@
         let outcome = match &variant.settings {
             None => super::ideal::run(&run),
             Some(settings) => {
-                run.deployment.service.policy = with(&base, settings);
+                run.deployment.service.policy = with_changes(&base, settings);
                 super::run(&run)
             }
         };
--- a/crates/kingcuploft-standins/src/virtual_fleet/probes.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/probes.rs
@@ -3,8 +3,8 @@
 use kingcuploft::dispatcher::{Probe, ProbeResult};
 use kingcuploft::world::backend_server::LoadReport;
 
-use super::fleet::{Fleet, Happening};
-use super::server::{Accepted, Health, Job, JobId};
+use super::fleet::{Fleet, FleetEvent};
+use super::server::{Health, Job, JobAdmission, JobId};
 
 impl Fleet<'_> {
     pub(super) fn send_probe(&mut self, node: usize, probe: &Probe) {
@@ -16,7 +16,7 @@
         self.last_job += 1;
         let job = self.last_job;
         let at = self.now + self.run.deployment.links.connect + self.one_way(node, server);
-        self.push(at, Happening::ProbeReaches(node, server, job));
+        self.schedule(at, FleetEvent::ProbeArrived(node, server, job));
     }
 
     /// Puts a probe in the server's queue; one that does not work answers nothing good.
@@ -25,11 +25,11 @@
             return self.probe_ends(node, server);
         }
         let work = self.run.deployment.probe;
-        self.cost.probe_time += work;
+        self.cost.probe_slot_time += work;
         match self.servers[server].accept(self.now, Job { id, work }) {
-            Accepted::Runs(until) => self.push(until, Happening::Finish(server, id)),
-            Accepted::Waits => {}
-            Accepted::Shed => return self.probe_ends(node, server),
+            JobAdmission::Started(until) => self.schedule(until, FleetEvent::Finish(server, id)),
+            JobAdmission::Queued => {}
+            JobAdmission::Shed => return self.probe_ends(node, server),
         }
         self.probes.insert(id, node);
     }
@@ -46,6 +46,6 @@
             load: load.map(|in_flight| LoadReport { in_flight }),
         };
         let at = self.now + self.one_way(node, server);
-        self.push(at, Happening::Probed(node, probed));
+        self.schedule(at, FleetEvent::ProbeEnded(node, probed));
     }
 }
--- a/crates/kingcuploft-standins/src/virtual_fleet/run.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/run.rs
@@ -5,8 +5,8 @@
 use super::change::{Change, Step};
 use super::deployment::Deployment;
 use super::outcome::{Cost, End, Outcome, Record};
-use super::server::{FakeServer, Spell};
-use super::workload::{self, Ask, Stream};
+use super::server::{FakeServer, SlowSpell};
+use super::workload::{self, PlannedRequest, Stream};
 
 /// Everything that a run is made of.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// The places and sizes.
     pub deployment: Deployment,
     /// Every request.
-    pub asks: Vec<Ask>,
+    pub requests: Vec<PlannedRequest>,
     /// What changes.
     pub steps: Vec<Step>,
     /// How long callers send requests.
@@ -27,7 +27,7 @@
     /// Draws the requests of a run.
     pub fn new(deployment: Deployment, streams: &[Stream], duration: Duration, seed: u64) -> Self {
         Self {
-            asks: workload::draw(&deployment, streams, duration, seed),
+            requests: workload::draw(&deployment, streams, duration, seed),
             deployment,
             steps: Vec::new(),
             duration,
@@ -53,7 +53,7 @@
 
     /// Builds the record of a request that has not ended.
     pub fn record(&self, ask: usize) -> Record {
-        let ask = &self.asks[ask];
+        let ask = &self.requests[ask];
         let rule = &self.deployment.service.rules[ask.rule];
         Record {
             at: ask.at,
@@ -62,7 +62,7 @@
             work: ask.work,
             deadline: rule.deadline(),
             end: End::Lost,
-            took: Duration::ZERO,
+            latency: Duration::ZERO,
             sent: 0,
         }
     }
@@ -75,7 +75,7 @@
             duration: self.duration,
             slots: self.deployment.slots(),
             vms: self.deployment.vms,
-            double_runs,
+            duplicate_runs: double_runs,
         }
     }
 }
@@ -90,7 +90,7 @@
         } => {
             let until = step.at() + Duration::from_millis(*for_ms);
             for &server in which {
-                servers[server].add_spell(Spell {
+                servers[server].add_spell(SlowSpell {
                     from: step.at(),
                     until,
                     factor: *factor,
@@ -111,13 +111,13 @@
 }
 
 /// Steps in which a cold backend server warms up.
-const COLD_STEPS: u32 = 8;
+const COLD_START_STEPS: u32 = 8;
 
 fn add_cold_start(server: &mut FakeServer, at: Duration, factor: f64, for_ms: u64) {
-    let step = Duration::from_millis(for_ms) / COLD_STEPS;
-    for i in 0..COLD_STEPS {
-        let warm = f64::from(i) / f64::from(COLD_STEPS);
-        server.add_spell(Spell {
+    let step = Duration::from_millis(for_ms) / COLD_START_STEPS;
+    for i in 0..COLD_START_STEPS {
+        let warm = f64::from(i) / f64::from(COLD_START_STEPS);
+        server.add_spell(SlowSpell {
             from: at + step * i,
             until: at + step * (i + 1),
             factor: factor - (factor - 1.0) * warm,
--- a/crates/kingcuploft-standins/src/virtual_fleet/scenario.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/scenario.rs
@@ -106,7 +106,7 @@
 /// A figure that missed its bounds.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{expectation:?} was {value}")]
-pub struct Missed {
+pub struct FailedExpectation {
     /// What was expected.
     pub expectation: Expectation,
     /// What was measured.
@@ -124,13 +124,13 @@
     }
 
     /// Runs it as it stands and returns what was missed.
-    pub fn play(&self) -> Vec<Missed> {
-        self.judge(&super::run(&self.run(&Value::Null)))
+    pub fn run_as_written(&self) -> Vec<FailedExpectation> {
+        self.check(&super::run(&self.build_run(&Value::Null)))
     }
 
     /// Runs it with its part switched off and returns what was missed.
-    pub fn play_switched_off(&self) -> Vec<Missed> {
-        self.judge(&super::run(&self.run(&self.switched_off)))
+    pub fn run_switched_off(&self) -> Vec<FailedExpectation> {
+        self.check(&super::run(&self.build_run(&self.switched_off)))
     }
 
     /// Builds the run, with further settings on top of the scenario's own.
@@ -138,11 +138,11 @@
     /// # Panics
     ///
     /// Panics where the settings name a field that does not exist.
-    pub fn run(&self, settings: &Value) -> Run {
+    pub fn build_run(&self, settings: &Value) -> Run {
         let mut deployment = Deployment::new(self.deployment);
         let policy = &mut deployment.service.policy;
-        *policy = with(policy, &self.policy);
-        *policy = with(policy, settings);
+        *policy = with_changes(policy, &self.policy);
+        *policy = with_changes(policy, settings);
         deployment.links.peer_loss_share = self.peer_loss_share;
         if let Some(claim_ms) = self.claim_ms {
             deployment.claim = Duration::from_millis(claim_ms);
@@ -153,30 +153,30 @@
         run
     }
 
-    fn judge(&self, outcome: &Outcome) -> Vec<Missed> {
+    fn check(&self, outcome: &Outcome) -> Vec<FailedExpectation> {
         let expectations = self.expect.iter();
         expectations
-            .filter_map(|expectation| expectation.missed(outcome))
+            .filter_map(|expectation| expectation.check_outcome(outcome))
             .collect()
     }
 }
 
 impl Expectation {
     /// Returns the figure where it misses its bounds.
-    pub fn missed(&self, outcome: &Outcome) -> Option<Missed> {
-        let value = self.value(outcome);
+    pub fn check_outcome(&self, outcome: &Outcome) -> Option<FailedExpectation> {
+        let value = self.measure(outcome);
         let low = self.at_least.is_some_and(|bound| value < bound);
         let high = self.at_most.is_some_and(|bound| value > bound);
-        (low || high || value.is_nan()).then(|| Missed {
+        (low || high || value.is_nan()).then(|| FailedExpectation {
             expectation: self.clone(),
             value,
         })
     }
 
     /// Returns the figure.
-    pub fn value(&self, outcome: &Outcome) -> f64 {
-        let summary = outcome.summary(|record| self.keeps(record));
-        let kept: Vec<&Record> = outcome.records.iter().filter(|r| self.keeps(r)).collect();
+    pub fn measure(&self, outcome: &Outcome) -> f64 {
+        let summary = outcome.summary(|record| self.matches(record));
+        let kept: Vec<&Record> = outcome.records.iter().filter(|r| self.matches(r)).collect();
         let share = |count: u64| count as f64 / kept.len() as f64;
         let refused = || kept.iter().filter(|r| matches!(r.end, End::Refused(..)));
         match self.figure {
@@ -188,13 +188,13 @@
             Figure::P99Ms => summary.p99_ms,
             Figure::P999Ms => summary.p999_ms,
             Figure::RefusalP99Ms => {
-                let times = super::outcome::latency(refused().map(|r| r.took));
+                let times = super::outcome::latency(refused().map(|r| r.latency));
                 times.value_at_quantile(0.99) as f64 / 1000.0
             }
             Figure::GoodputShare => summary.goodput_share,
             Figure::CallsPerRequest => share(kept.iter().map(|r| u64::from(r.sent)).sum()),
             Figure::ProbeShare => summary.probe_share,
-            Figure::DoubleRuns => outcome.double_runs as f64,
+            Figure::DoubleRuns => outcome.duplicate_runs as f64,
             Figure::CallsTo(server) => {
                 let calls = outcome.cost.sent.iter();
                 calls
@@ -204,7 +204,7 @@
         }
     }
 
-    fn keeps(&self, record: &Record) -> bool {
+    fn matches(&self, record: &Record) -> bool {
         let caller = self.caller.as_ref();
         caller.is_none_or(|caller| record.caller.starts_with(caller.as_str()))
             && self
@@ -226,7 +226,7 @@
 /// # Panics
 ///
 /// Panics where `changes` names a field that does not exist.
-pub fn with(policy: &Policy, changes: &Value) -> Policy {
+pub fn with_changes(policy: &Policy, changes: &Value) -> Policy {
     let mut value = serde_json::to_value(policy).expect("Settings are plain data.");
     merge(&mut value, changes);
     serde_json::from_value(value).expect("The changes name fields of the settings.")
--- a/crates/kingcuploft-standins/src/virtual_fleet/server.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/server.rs
@@ -13,7 +13,7 @@
 
 /// A time in which work takes longer.
 #[derive(Clone, Copy, Debug)]
-pub struct Spell {
+pub struct SlowSpell {
     /// When it begins.
     pub from: Duration,
     /// When it ends.
@@ -74,18 +74,18 @@
     pub idle_connections: HashMap<usize, u32>,
     /// Slot time that was used.
     pub busy: Duration,
-    spells: Vec<Spell>,
+    spells: Vec<SlowSpell>,
     queue: VecDeque<Job>,
     running: HashMap<JobId, Duration>,
 }
 
 /// What became of a job that arrived.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Accepted {
+pub enum JobAdmission {
     /// It runs until then.
-    Runs(Duration),
+    Started(Duration),
     /// It waits for a slot.
-    Waits,
+    Queued,
     /// The server sheds it.
     Shed,
 }
@@ -109,20 +109,20 @@
     }
 
     /// Adds a slow spell.
-    pub fn add_spell(&mut self, spell: Spell) {
+    pub fn add_spell(&mut self, spell: SlowSpell) {
         self.spells.push(spell);
     }
 
     /// Takes a job in.
-    pub fn accept(&mut self, now: Duration, job: Job) -> Accepted {
+    pub fn accept(&mut self, now: Duration, job: Job) -> JobAdmission {
         if self.in_flight() >= self.shed_above {
-            return Accepted::Shed;
+            return JobAdmission::Shed;
         }
         if self.running.len() >= self.slots {
             self.queue.push_back(job);
-            return Accepted::Waits;
+            return JobAdmission::Queued;
         }
-        Accepted::Runs(self.start(now, job))
+        JobAdmission::Started(self.start(now, job))
     }
 
     /// Ends a job; returns the next one and when it ends. `None` where it was cancelled before.
@@ -194,7 +194,7 @@
     }
 }
 
-fn draw_spells(spells: &SlowSpells, duration: Duration, rng: &mut fastrand::Rng) -> Vec<Spell> {
+fn draw_spells(spells: &SlowSpells, duration: Duration, rng: &mut fastrand::Rng) -> Vec<SlowSpell> {
     let mut drawn = Vec::new();
     let mut from = Duration::ZERO;
     loop {
@@ -204,7 +204,7 @@
         }
         let (shortest, longest) = spells.lasting;
         let until = from + shortest + (longest - shortest).mul_f64(rng.f64());
-        drawn.push(Spell {
+        drawn.push(SlowSpell {
             from,
             until,
             factor: spells.factor,
--- a/crates/kingcuploft-standins/src/virtual_fleet/workload.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/workload.rs
@@ -5,11 +5,11 @@
 use kingcuploft::world::ids::{Caller, IdempotencyKey};
 use serde::{Deserialize, Serialize};
 
-use super::deployment::{Deployment, HOLD, LOOKUP, SEARCH};
+use super::deployment::{Deployment, HOLD_RULE, LOOKUP_RULE, SEARCH_RULE};
 
 /// One request of a caller.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PlannedRequest {
     /// When it arrives at an entry VM.
     pub at: Duration,
     /// Who asks.
@@ -115,7 +115,7 @@
         duration: Duration,
         number: usize,
         seed: u64,
-    ) -> Vec<Ask> {
+    ) -> Vec<PlannedRequest> {
         let mut rng =
             fastrand::Rng::with_seed(seed ^ (number as u64 + 1).wrapping_mul(0x9e37_79b9));
         let per_ms = self.load * f64::from(deployment.slots()) / self.work.mean_ms();
@@ -134,16 +134,22 @@
         }
     }
 
-    fn ask(&self, at_ms: f64, number: usize, nth: usize, rng: &mut fastrand::Rng) -> Ask {
+    fn ask(
+        &self,
+        at_ms: f64,
+        number: usize,
+        nth: usize,
+        rng: &mut fastrand::Rng,
+    ) -> PlannedRequest {
         let kind = rng.f64();
         let rule = match kind {
-            kind if kind < self.hold_share => HOLD,
-            kind if kind < self.hold_share + self.search_share => SEARCH,
-            _ => LOOKUP,
+            kind if kind < self.hold_share => HOLD_RULE,
+            kind if kind < self.hold_share + self.search_share => SEARCH_RULE,
+            _ => LOOKUP_RULE,
         };
         let own_key = || format!("key-{number}-{nth}");
-        let key = (rule == HOLD).then(|| self.key.clone().unwrap_or_else(own_key));
-        Ask {
+        let key = (rule == HOLD_RULE).then(|| self.key.clone().unwrap_or_else(own_key));
+        PlannedRequest {
             at: Duration::from_secs_f64(at_ms / 1000.0),
             caller: format!("{}-{}", self.caller, rng.u32(0..self.callers.max(1))).into(),
             rule,
@@ -160,10 +166,10 @@
     streams: &[Stream],
     duration: Duration,
     seed: u64,
-) -> Vec<Ask> {
+) -> Vec<PlannedRequest> {
     let streams = streams.iter().enumerate();
     let asks = streams.flat_map(|(i, stream)| stream.draw(deployment, duration, i, seed));
-    let mut asks: Vec<Ask> = asks.collect();
+    let mut asks: Vec<PlannedRequest> = asks.collect();
     asks.sort_by_key(|ask| ask.at);
     asks
 }
--- a/crates/kingcuploft-standins/tests/backend_server.rs
+++ b/crates/kingcuploft-standins/tests/backend_server.rs
@@ -71,16 +71,16 @@
         (AnswerFault::Never, "", "", 1),
     ];
     for (fault, start, end, runs) in cases {
-        server.change(|faults| faults.always(fault));
+        server.change(|faults| faults.set_answer_fault(fault));
         let before = server.runs("k");
         let answer = call(&server, HOLD);
         assert!(answer.starts_with(start), "{fault:?}: {answer}");
         assert!(answer.ends_with(end), "{fault:?}: {answer}");
         assert_eq!(server.runs("k") - before, runs, "{fault:?}");
     }
-    server.change(|faults| faults.always(AnswerFault::Duplicated));
+    server.change(|faults| faults.set_answer_fault(AnswerFault::Duplicated));
     assert_eq!(call(&server, HOLD).matches("HTTP/1.1 200").count(), 2);
-    server.change(|faults| faults.always(AnswerFault::Crossed));
+    server.change(|faults| faults.set_answer_fault(AnswerFault::Crossed));
     assert!(!call(&server, HOLD).contains("x-request-id: 7"));
 }
 
--- a/crates/kingcuploft-standins/tests/edges/backend.rs
+++ b/crates/kingcuploft-standins/tests/edges/backend.rs
@@ -82,7 +82,7 @@
                 } else {
                     pair.server.close_connections();
                 }
-                pair.server.change(|faults| faults.always(fault));
+                pair.server.change(|faults| faults.set_answer_fault(fault));
                 let key = format!("{method}-{i}-{warm}");
                 let before = pair.server.counts().requests;
                 let answer = pair.call(method, &key);
@@ -127,7 +127,7 @@
         AnswerFault::Duplicated,
         AnswerFault::Late(Duration::from_millis(600)),
     ] {
-        pair.server.change(|faults| faults.always(fault));
+        pair.server.change(|faults| faults.set_answer_fault(fault));
         drop(pair.call("GET", "left-over"));
         pair.server.change(|faults| faults.answers.clear());
         for i in 0..20 {
@@ -184,7 +184,7 @@
     let metrics = &pair.bench.daemon.shared().metrics;
     assert_eq!(metrics.streams_cut.get(), 0);
     for fault in [AnswerFault::CutInBody, AnswerFault::CutInChunks] {
-        pair.server.change(|faults| faults.always(fault));
+        pair.server.change(|faults| faults.set_answer_fault(fault));
         let mut stream = connect(pair.address());
         let request = "GET /list HTTP/1.1\r\nhost: trip.example\r\nx-answer-bytes: 5000000\r\n\r\n";
         stream.write_all(request.as_bytes()).unwrap();
@@ -257,7 +257,7 @@
 fn redirects_cookies_and_codings_are_the_callers() {
     let pair = pair("");
     pair.server
-        .change(|faults| faults.always(AnswerFault::Redirect));
+        .change(|faults| faults.set_answer_fault(AnswerFault::Redirect));
     let answer = pair.call("GET", "redirect").to_lowercase();
     assert!(answer.starts_with("http/1.1 302"), "{answer}");
     assert!(answer.contains("set-cookie: session=1"), "{answer}");
--- a/crates/kingcuploft-standins/tests/platform.rs
+++ b/crates/kingcuploft-standins/tests/platform.rs
@@ -4,7 +4,7 @@
 
 use kingcuploft_platform::client::Client;
 use kingcuploft_platform::{ListedVm, ObjectStore, StoreError, VmState, WriteCondition};
-use kingcuploft_standins::platform::{Faults, Outage, Platform, VALUE_BYTES, WriteFault};
+use kingcuploft_standins::platform::{Faults, MAX_VALUE_BYTES, Outage, Platform, WriteFault};
 use tokio::runtime::Runtime;
 
 fn start() -> (Runtime, Platform, Client) {
@@ -65,7 +65,7 @@
     platform.change_faults(|faults| faults.stale_read_share = 1.0);
     assert_eq!(client.get("a").unwrap().unwrap().value, "1");
     platform.set_faults(Faults {
-        lapsed_watch: true,
+        expired_watch: true,
         vms_lag: Duration::from_secs(60),
         ..Faults::default()
     });
@@ -80,7 +80,7 @@
     assert_eq!(client.vms().unwrap(), []);
     platform.set_faults(Faults::default());
     assert_eq!(client.vms().unwrap().len(), 1);
-    let big = "x".repeat(VALUE_BYTES + 1);
+    let big = "x".repeat(MAX_VALUE_BYTES + 1);
     let put = client.put("b", &big, WriteCondition::Absent);
     assert_eq!(put, Err(StoreError::Refused(413)));
     platform.change_faults(|faults| faults.outage = Some(Outage::Closed));
--- a/crates/kingcuploft-standins/tests/scenarios.rs
+++ b/crates/kingcuploft-standins/tests/scenarios.rs
@@ -22,9 +22,9 @@
         Ok(scenario) => scenario,
         Err(error) => return vec![format!("{name}: {error}")],
     };
-    let missed = scenario.play();
+    let missed = scenario.run_as_written();
     let mut faults: Vec<String> = missed.iter().map(|m| format!("{name}: {m}")).collect();
-    if scenario.play_switched_off().is_empty() {
+    if scenario.run_switched_off().is_empty() {
         faults.push(format!("{name}: holds with its part switched off"));
     }
     faults
--- a/crates/kingcuploft-standins/tests/virtual_fleet.rs
+++ b/crates/kingcuploft-standins/tests/virtual_fleet.rs
@@ -4,7 +4,7 @@
 
 use kingcuploft_standins::virtual_fleet::deployment::Place;
 use kingcuploft_standins::virtual_fleet::outcome::End;
-use kingcuploft_standins::virtual_fleet::policies::policies;
+use kingcuploft_standins::virtual_fleet::policies::compare_policies;
 use kingcuploft_standins::virtual_fleet::workload::Stream;
 use kingcuploft_standins::virtual_fleet::{Deployment, Run, ideal, run};
 
@@ -23,20 +23,20 @@
     let outcome = run(&at_load(0.6));
     assert!(outcome.records.len() > 3000);
     assert!(outcome.records.iter().all(|r| r.end != End::Lost));
-    assert_eq!(outcome.double_runs, 0);
+    assert_eq!(outcome.duplicate_runs, 0);
 }
 
 #[test]
 fn the_same_seed_gives_the_same_figures() {
     let took = |outcome: kingcuploft_standins::virtual_fleet::Outcome| {
-        outcome.records.iter().map(|r| r.took).sum::<Duration>()
+        outcome.records.iter().map(|r| r.latency).sum::<Duration>()
     };
     assert_eq!(took(run(&at_load(0.75))), took(run(&at_load(0.75))));
 }
 
 #[test]
 fn no_policy_beats_the_central_queue() {
-    let rows = policies(Place::Teamway, 0.75, DURATION, &[5]);
+    let rows = compare_policies(Place::Teamway, 0.75, DURATION, &[5]);
     let p99_ms = |policy| {
         let row = rows.iter().find(|row| row.policy == policy);
         row.map(|row| row.summary.p99_ms).expect("The policy ran.")
@@ -49,7 +49,7 @@
 fn the_ideal_never_starts_more_jobs_than_slots() {
     let outcome = ideal::run(&at_load(0.9));
     let work: Duration = outcome.records.iter().map(|r| r.work).sum();
-    let last = outcome.records.iter().map(|r| r.at + r.took).max();
+    let last = outcome.records.iter().map(|r| r.at + r.latency).max();
     let last = last.expect("There are requests.").as_secs_f64();
     assert!(work.as_secs_f64() <= last * f64::from(outcome.slots));
 }
