--- a/crates/kingcuploftd/src/caller_edge/headers.rs
+++ b/crates/kingcuploftd/src/caller_edge/headers.rs
@@ -1,4 +1,4 @@
-//! What a request's headers say: its key, its caller, its deadline.
+//! Reads a request's idempotency key, caller and deadline from its headers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use kingcuploft::world::refusal::{Refusal, RefusalReason};
 
 /// The longest idempotency key, in bytes.
-const KEY_BYTES: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
-/// The longest name of a caller, in bytes; one with a longer name is told by its address.
-const CALLER_BYTES: usize = 256;
+/// The longest caller name, in bytes; a caller with a longer name is identified by its address.
+const MAX_CALLER_BYTES: usize = 256;
 
-/// Returns a request's idempotency key, if its rule asks for one.
+/// Returns a request's idempotency key if its rule uses one.
 pub(super) fn key(
     route: &Route,
     headers: &http::HeaderMap,
@@ -27,7 +27,7 @@
     match keys.next() {
         Some(_) if keys.next().is_some() => Err(Refusal::not_run(RefusalReason::KeyInvalid)),
         Some(value) => match value.to_str() {
-            Ok(key) if !key.is_empty() && key.len() <= KEY_BYTES => Ok(Some(key.into())),
+            Ok(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Ok(Some(key.into())),
             _ => Err(Refusal::not_run(RefusalReason::KeyInvalid)),
         },
         None if rule.idempotency.required => Err(Refusal::not_run(RefusalReason::KeyMissing)),
@@ -35,19 +35,19 @@
     }
 }
 
-/// Returns who sent a request: by the service's header, else by the peer's address.
+/// Returns the caller of a request: the value of the service's caller header, else the peer's address.
 pub(super) fn caller(route: &Route, headers: &http::HeaderMap, peer: SocketAddr) -> Caller {
     let named = route.service.caller_header.as_ref();
     let named = named.and_then(|name| headers.get(name)?.to_str().ok());
-    let named = named.filter(|name| !name.is_empty() && name.len() <= CALLER_BYTES);
+    let named = named.filter(|name| !name.is_empty() && name.len() <= MAX_CALLER_BYTES);
     named.map_or_else(|| peer.ip().to_string().into(), Into::into)
 }
 
-/// Returns the caller's deadline, capped by the rule's.
+/// Returns the time until the caller's deadline, capped by the rule's.
 pub(super) fn deadline(route: &Route, headers: &http::HeaderMap) -> Result<Duration, Refusal> {
     let rule = route.rule().deadline();
-    let mut asked = headers.get_all("x-deadline-ms").iter();
-    let (Some(ms), None) = (asked.next(), asked.next()) else {
+    let mut values = headers.get_all("x-deadline-ms").iter();
+    let (Some(ms), None) = (values.next(), values.next()) else {
         return match headers.contains_key("x-deadline-ms") {
             true => Err(Refusal::not_run(RefusalReason::BadRequest)),
             false => Ok(rule),
