--- a/crates/kingcuploft-standins/src/experiments/promises/chaos.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/chaos.rs
@@ -65,7 +65,7 @@
     let server = rng.usize(..servers);
     let pause = Duration::from_millis(rng.u64(50..1200));
     match rng.u8(..20) {
-        0..=2 => ChaosEvent::Store(StoreFaults::drawn(rng)),
+        0..=2 => ChaosEvent::Store(StoreFaults::random(rng)),
         3..=4 => ChaosEvent::Store(StoreFaults::default()),
         5..=9 => ChaosEvent::Backend(server, backend_faults(rng)),
         10 => ChaosEvent::Backend(server, BackendFaults::default()),
