--- a/crates/kingcuploft-standins/src/experiments/real_run.rs
+++ b/crates/kingcuploft-standins/src/experiments/real_run.rs
@@ -12,11 +12,11 @@
 
 use super::ExperimentError;
 use crate::backend_server::BackendServer;
-use crate::callers::{CallPlan, Received};
+use crate::callers::{CallPlan, CallResult};
 use crate::deployment;
-use crate::fleet::{Fleet, Variant};
-use crate::load::{self, DueCall};
-use crate::virtual_fleet::deployment::{HOLD, Place, SEARCH};
+use crate::fleet::{Fleet, FleetOptions};
+use crate::load::{self, ScheduledCall};
+use crate::virtual_fleet::deployment::{HOLD_RULE, Place, SEARCH_RULE};
 use crate::virtual_fleet::outcome::{Cost, End, Record};
 use crate::virtual_fleet::server::FakeServer;
 use crate::virtual_fleet::{Outcome, Run};
@@ -33,15 +33,18 @@
 ///
 /// [`ExperimentError`] where the fleet did not start.
 pub fn run(run: &Run, policy: String) -> Result<Outcome, ExperimentError> {
-    let variant = Variant {
+    let variant = FleetOptions {
         policy,
         link_delay: LINK_DELAY,
-        settings: format!("limits: {{workers: 48}}\n{}", claims(run.deployment.place)),
+        extra_settings: format!("limits: {{workers: 48}}\n{}", claims(run.deployment.place)),
         seed: run.seed,
-        ..Variant::default()
+        ..FleetOptions::default()
     };
-    let fleet = Fleet::start(deployment::virtual_twin(run.deployment.place), variant)?;
-    let records: Vec<Record> = (0..run.asks.len()).map(|ask| run.record(ask)).collect();
+    let fleet = Fleet::start(
+        deployment::virtual_deployment(run.deployment.place),
+        variant,
+    )?;
+    let records: Vec<Record> = (0..run.requests.len()).map(|ask| run.record(ask)).collect();
     let records = Arc::new(Mutex::new(records));
     let ended = AtomicBool::new(false);
     let control_before = control_bytes(&fleet.daemons);
@@ -50,7 +53,7 @@
         scope.spawn(|| follow_spells(&fleet.backend_servers[0], &run.servers(), &ended));
         let to = fleet.addresses();
         let noted = Arc::clone(&records);
-        let address = move |call: &DueCall| to[call.to % to.len()];
+        let address = move |call: &ScheduledCall| to[call.address_index % to.len()];
         load::run_with(
             &fleet.runtime,
             address,
@@ -58,7 +61,7 @@
             move |call, received, took| {
                 let mut records = noted.lock().unwrap_or_else(PoisonError::into_inner);
                 records[call.group].end = end(&received);
-                records[call.group].took = took;
+                records[call.group].latency = took;
             },
         );
         ended.store(true, Ordering::Relaxed);
@@ -68,7 +71,7 @@
     let control = control_bytes(&fleet.daemons) - control_before;
     // The rate is taken over the sending time, as the virtual fleet's is.
     cost.note_bytes = (control as f64 / sent_s) as u64;
-    let keys = run.asks.iter().filter_map(|ask| ask.key.as_ref());
+    let keys = run.requests.iter().filter_map(|ask| ask.key.as_ref());
     let double_runs = keys.map(|key| fleet.runs(key).saturating_sub(1)).sum();
     fleet.stop();
     let records = records
@@ -87,13 +90,13 @@
     }
 }
 
-fn calls(run: &Run) -> Vec<DueCall> {
+fn calls(run: &Run) -> Vec<ScheduledCall> {
     let vms = run.deployment.vms as f64;
-    let asks = run.asks.iter().enumerate();
+    let asks = run.requests.iter().enumerate();
     let calls = asks.map(|(i, ask)| {
         let (method, path) = match ask.rule {
-            HOLD => (Method::POST, "hold"),
-            SEARCH => (Method::GET, "search"),
+            HOLD_RULE => (Method::POST, "hold"),
+            SEARCH_RULE => (Method::GET, "search"),
             _ => (Method::GET, "lookup"),
         };
         let mut headers = vec![
@@ -105,9 +108,9 @@
                 .as_ref()
                 .map(|key| ("idempotency-key", key.to_string())),
         );
-        DueCall {
+        ScheduledCall {
             at: ask.at,
-            to: (ask.vm * vms) as usize,
+            address_index: (ask.vm * vms) as usize,
             plan: CallPlan {
                 method,
                 host: format!("{}.example", run.deployment.service.name),
@@ -138,12 +141,12 @@
     }
 }
 
-fn end(received: &Received) -> End {
+fn end(received: &CallResult) -> End {
     match received {
-        Received::Answer { status, .. } if *status < 500 => End::Answered,
-        Received::Answer { .. } => End::Failed,
-        Received::Nothing => End::Lost,
-        Received::Refused {
+        CallResult::Answer { status, .. } if *status < 500 => End::Answered,
+        CallResult::Answer { .. } => End::Failed,
+        CallResult::NoAnswer => End::Lost,
+        CallResult::Refused {
             reason, outcome, ..
         } => {
             let reason = RefusalReason::ALL
@@ -165,8 +168,8 @@
         let counts = server.counts();
         cost.calls += counts.requests - counts.probes;
         cost.probes += counts.probes;
-        cost.probe_time += Duration::from_micros(counts.probe_us);
-        cost.busy += Duration::from_micros(counts.work_us + counts.probe_us);
+        cost.probe_slot_time += Duration::from_micros(counts.probe_us);
+        cost.used_slot_time += Duration::from_micros(counts.work_us + counts.probe_us);
     }
     let sent = |step| move |daemon: &Daemon| labelled(daemon, "kingcuploft_hedges_total", step);
     let hedges = |step| fleet.daemons.iter().map(sent(step)).sum::<u64>();
