--- a/crates/kingcuploft/tests/dispatcher/adoption.rs
+++ b/crates/kingcuploft/tests/dispatcher/adoption.rs
@@ -37,8 +37,8 @@
     assert_eq!(calls(&actions)[0].request, second.id);
 }
 
-/// Failure: two applies during a call remove a backend server and restore it. The call's slot must count as taken from
-/// the time the backend server is restored, or it is overloaded and the count underflows when the call ends.
+/// Failure: two applies during a call remove a backend server and restore it. If the call's slot does not count as
+/// taken from then on, the backend server gets more calls than it has slots.
 #[test]
 fn a_backend_server_that_left_and_came_back_keeps_its_calls() {
     let mut harness = TestDispatcher::new(service(&["one"]));
