--- a/crates/kingcuploft-platform/src/backoff.rs
+++ b/crates/kingcuploft-platform/src/backoff.rs
@@ -1,8 +1,8 @@
-//! Jittered exponential backoff.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
-/// The pauses between tries, each drawn evenly below a bound that doubles.
+/// The delays between attempts, each drawn uniformly below a bound that doubles with each attempt.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     initial: Duration,
@@ -11,7 +11,7 @@
 }
 
 impl Backoff {
-    /// Builds the pauses; the first is at most `first`, none is above `longest`.
+    /// Builds a backoff whose first delay is at most `initial`; no delay is above `max`.
     pub fn new(initial: Duration, max: Duration) -> Self {
         Self {
             initial,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Returns the next pause.
+    /// Returns the delay before the next attempt.
     pub fn next_delay(&mut self, rng: &mut fastrand::Rng) -> Duration {
         let factor = 1_u32 << self.tries.min(16);
         self.tries += 1;
@@ -28,7 +28,7 @@
         bound.mul_f64(rng.f64())
     }
 
-    /// Begins anew after a success.
+    /// Starts again from the initial bound, after a success.
     pub fn reset(&mut self) {
         self.tries = 0;
     }
--- a/crates/kingcuploft-platform/src/call_budget.rs
+++ b/crates/kingcuploft-platform/src/call_budget.rs
@@ -1,14 +1,14 @@
-//! A token bucket over the calls of one VM.
+//! A token bucket that limits the rate at which one VM calls the store.
 
 use std::time::{Duration, Instant};
 
-/// The longest wait that is told.
+/// The longest time until the next call that is reported.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// The calls that a VM may still make.
+/// The token bucket of a VM's calls to the store.
 ///
-/// The platform counts each call and its rates grow more slowly than the fleet. Without a bound, a
-/// VM that retries on its own takes the calls that the others' claims need.
+/// Load pattern: a VM retries on its own. The platform counts each call, and the rates it allows grow more slowly
+/// than the number of VMs. Without a bound, that VM uses up the calls that the other VMs' claims need.
 #[derive(Debug)]
 pub struct CallBudget {
     calls_per_s: f64,
@@ -18,7 +18,7 @@
 }
 
 impl CallBudget {
-    /// Builds a full bucket.
+    /// Builds a full token bucket.
     pub fn new(calls_per_s: f64, burst: f64) -> Self {
         Self {
             calls_per_s,
@@ -28,11 +28,11 @@
         }
     }
 
-    /// Takes one call out.
+    /// Takes the token of one call.
     ///
     /// # Errors
     ///
-    /// The time until there is one, where the bucket is empty.
+    /// Returns the time until the next token if the bucket is empty.
     pub fn try_take(&mut self, now: Instant) -> Result<(), Duration> {
         let since = self.filled.map(|at| now.saturating_duration_since(at));
         let earned = since.unwrap_or_default().as_secs_f64() * self.calls_per_s;
@@ -43,7 +43,7 @@
             return Ok(());
         }
         let missing_s = (1.0 - self.tokens) / self.calls_per_s;
-        // A rate of nothing would give a time that no clock can add.
+        // A rate of 0 gives an infinite time, which no `Duration` holds.
         let missing = Duration::try_from_secs_f64(missing_s).unwrap_or(MAX_RETRY_AFTER);
         Err(missing.min(MAX_RETRY_AFTER))
     }
--- a/crates/kingcuploft-platform/src/circuit_breaker.rs
+++ b/crates/kingcuploft-platform/src/circuit_breaker.rs
@@ -1,14 +1,14 @@
-//! A circuit breaker in front of a store that is down.
+//! The circuit breaker that keeps calls from a store that is down.
 
 use std::time::{Duration, Instant};
 
-/// Whether calls go to the store.
+/// Decides whether calls are sent to the store.
 ///
-/// Load pattern: the store is down or silent for long. Without a breaker each protected call waits
-/// for its own timeout before it is refused, and each VM's calls return at once with the store.
-/// While open, one probing call per jittered interval goes through, all others are refused in no
-/// time; an interval far below a second brings a VM back within a second, and its jitter spreads
-/// the VMs over the interval.
+/// Load pattern: the store is down or does not answer for a long time. Without a circuit breaker each protected call
+/// waits for its own timeout before it is refused, and when the store returns, the calls of all VMs reach it at the
+/// same moment. While the breaker is open, one probe per interval goes through and all other calls are refused at
+/// once. The interval is far below a second, so a VM recovers within a second of the store, and its jitter spreads the
+/// VMs' probes over the interval.
 #[derive(Debug)]
 pub struct CircuitBreaker {
     failures_to_open: u32,
@@ -17,19 +17,19 @@
     next_probe_at: Option<Instant>,
 }
 
-/// Whether a call may go to the store.
+/// Whether a call may be sent to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallPermission {
-    /// It may.
+    /// It may: the breaker is closed.
     Allowed,
-    /// It may, as the probe of a store that is thought to be down.
+    /// It may, as the probe of a store that counts as down.
     Probe,
-    /// It may not; the next probe is due after this time.
+    /// It may not: the breaker is open. The next probe is due after this time.
     Blocked(Duration),
 }
 
 impl CircuitBreaker {
-    /// Builds a closed circuit.
+    /// Builds a closed circuit breaker.
     pub fn new(failures_to_open: u32, probe_interval: Duration) -> Self {
         Self {
             failures_to_open,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Tells whether a call may go out now.
+    /// Returns whether a call may be sent now.
     pub fn permit(&mut self, now: Instant, rng: &mut fastrand::Rng) -> CallPermission {
         match self.next_probe_at {
             None => CallPermission::Allowed,
@@ -51,18 +51,18 @@
         }
     }
 
-    /// Tells when the next probe is due; `None` while the circuit is closed.
+    /// Returns when the next probe is due; `None` while the breaker is closed.
     pub fn next_probe_at(&self) -> Option<Instant> {
         self.next_probe_at
     }
 
-    /// Notes that the store answered.
+    /// Records that the store answered, which closes the breaker.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.next_probe_at = None;
     }
 
-    /// Notes that the store did not answer; enough of these in a row open the circuit.
+    /// Records that the store did not answer; enough of these in a row open the breaker.
     pub fn record_failure(&mut self, now: Instant, rng: &mut fastrand::Rng) {
         self.failures = self.failures.saturating_add(1);
         if self.failures >= self.failures_to_open && self.next_probe_at.is_none() {
--- a/crates/kingcuploft-platform/src/claim_lookup.rs
+++ b/crates/kingcuploft-platform/src/claim_lookup.rs
@@ -1,4 +1,4 @@
-//! What the ledger holds of one idempotency key, for operators.
+//! Looks up one idempotency key in the claims ledger, for operators.
 
 use kingcuploft::decisions::claim::ledger::{
     Entry, Head, Index, KeyHash, LAYOUT_KEY, Layout, Segment,
@@ -10,39 +10,39 @@
 
 use crate::{ObjectStore, StoreError};
 
-/// What the ledger holds of a key.
+/// What the claims ledger holds of an idempotency key.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct ClaimEntry {
-    /// The partition that decides the key.
+    /// The partition of the key.
     pub partition: u16,
-    /// The object that the entry stands in; `None` where the key is not claimed.
+    /// The key of the object that holds the entry; `None` where the idempotency key is not claimed.
     pub object: Option<String>,
-    /// The entry; `None` where the key is not claimed, was released, or its window is over.
+    /// The entry; `None` where the key is not claimed, was released, or its window has ended.
     pub entry: Option<Entry>,
 }
 
-/// Why a key could not be looked up.
+/// Why an idempotency key could not be looked up.
 #[derive(Debug, thiserror::Error)]
 pub enum ClaimLookupError {
-    /// The store failed.
+    /// A call to the store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// An object can not be read.
-    #[error("{object} can not be read: {error}")]
+    /// An object of the ledger can't be parsed.
+    #[error("{object} can't be parsed: {error}")]
     Corrupt {
         /// The object's key.
         object: String,
-        /// Why.
+        /// The parse error.
         error: serde_json::Error,
     },
 }
 
-/// Looks up what the ledger holds of a key. It reads the partition's head, and where the key is
-/// not there the indexes and the segments it names.
+/// Looks up an idempotency key. Reads the partition's head and, where the key is not in it, the indexes and segments
+/// that the head names.
 ///
 /// # Errors
 ///
-/// [`ClaimLookupError`] where the store fails or an object can not be read.
+/// Returns [`ClaimLookupError`] where a call to the store fails or an object can't be parsed.
 pub fn look_up(
     store: &dyn ObjectStore,
     service: &ServiceName,
@@ -79,7 +79,7 @@
         names.extend(holding.map(|segment| segment.segment.name));
     }
     names.extend(head.segments.iter().map(|segment| segment.name.clone()));
-    // The last one counts: a key may be claimed anew after its window.
+    // The newest segment decides, as a key may be claimed again after its window.
     for name in names.into_iter().rev() {
         let segment = read::<Segment>(store, &name)?;
         if let Some(entry) = segment.and_then(|mut segment| segment.entries.remove(&key)) {
--- a/crates/kingcuploft-platform/src/client.rs
+++ b/crates/kingcuploft-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP.
+//! An HTTP client of the object API, with a call budget and a circuit breaker.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -11,23 +11,24 @@
 use crate::circuit_breaker::{CallPermission, CircuitBreaker};
 use crate::{Changes, ListedVm, Object, ObjectStore, StoreError, Version, WriteCondition};
 
-/// How the platform's object API is called.
+/// Timeouts and limits of the calls to the object API.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientSettings {
-    /// Time to connect, in ms.
+    /// The timeout of connecting, in ms.
     pub connect_timeout_ms: u64,
-    /// Time of one call, a watch's wait apart, in ms.
+    /// The timeout of one call, a watch's wait not counted, in ms.
     pub call_timeout_ms: u64,
-    /// Time of a call that probes a store that was down, in ms.
+    /// The timeout of a call that probes a store that was down, in ms.
     pub probe_timeout_ms: u64,
-    /// Calls of this VM in a second, on average.
+    /// How many calls a second this VM may make on average.
     pub calls_per_s: f64,
-    /// Calls that may go out at once after a quiet time.
+    /// How many calls may be sent at once after an idle time.
     pub calls_burst: f64,
-    /// Calls without an answer in a row, after which the store counts as down.
+    /// After how many consecutive calls without an answer the store counts as down.
     pub failures_to_open: u32,
-    /// Time between probes of a store that is down, halved or raised by half at random, in ms.
+    /// The mean time between probes of a store that is down, in ms; jitter draws each between half of it and half as
+    /// much again.
     pub probe_interval_ms: u64,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// What bounds the calls of one VM.
+/// Limits the calls of one VM by its call budget and the circuit breaker.
 #[derive(Debug)]
 struct CallGuard {
     budget: CallBudget,
@@ -53,7 +54,7 @@
     rng: fastrand::Rng,
 }
 
-/// A client of the object API; its clones share connections, budget and circuit.
+/// A client of the object API; its clones share connections, call budget and circuit breaker.
 #[derive(Clone, Debug)]
 pub struct Client {
     agent: Agent,
@@ -63,12 +64,12 @@
 }
 
 impl Client {
-    /// Builds a client of the API at `address`, as `host:port`.
+    /// Builds a client with the default settings; `address` is `host:port`.
     pub fn new(address: &str) -> Self {
         Self::with_settings(address, ClientSettings::default(), fastrand::u64(..))
     }
 
-    /// Builds a client with settings; the seed spreads the probes of several VMs.
+    /// Builds a client with these settings; the seed of the jitter spreads the probes of several VMs.
     pub fn with_settings(address: &str, settings: ClientSettings, seed: u64) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Tells for how long the store counts as down at least; `None` while calls go through.
+    /// Returns the time until the next probe of a store that counts as down; `None` while calls are sent.
     pub fn retry_after(&self, now: Instant) -> Option<Duration> {
         let probe = self.with_guard(|guard| guard.circuit_breaker.next_probe_at())?;
         Some(probe.saturating_duration_since(now))
@@ -100,7 +101,7 @@
         act(&mut self.guard.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Makes one call within the budget and past the circuit.
+    /// Makes one call if the call budget and the circuit breaker allow it.
     fn call<T>(
         &self,
         wait: Duration,
@@ -112,7 +113,7 @@
             _ => ms(self.settings.call_timeout_ms),
         };
         let result = exchange(timeout + wait);
-        // A watch that stalls alone says nothing of the store: it is not counted.
+        // A watch that fails is not counted: a watch may stall while the store serves all other calls.
         let failed = result.as_ref().is_err_and(StoreError::is_outage);
         self.with_guard(|guard| match failed {
             true if wait.is_zero() => guard
@@ -143,7 +144,7 @@
     }
 }
 
-/// The longest answer to a read, in bytes: a listing may hold many values.
+/// The largest body of an answer to a read: a list may hold many values of 1 MB.
 const MAX_READ_BYTES: u64 = 64 * 1024 * 1024;
 
 impl CallGuard {
@@ -205,7 +206,7 @@
     }
 }
 
-/// The answer to a write: the version written, or the version that stood in the way.
+/// The body of an answer to a write: the version written, or the version that the condition met.
 #[derive(Deserialize)]
 struct WriteReply {
     version: Option<Version>,
@@ -225,8 +226,8 @@
     }
 }
 
-/// Turns a status into an error: one that something between here and the store may have made
-/// says nothing about a write.
+/// Turns a status into an error. 500, 502 and 504 may come from a proxy on the way to the store, so they do not tell
+/// whether a write took effect.
 fn status_error(status: StatusCode) -> StoreError {
     match status {
         StatusCode::INTERNAL_SERVER_ERROR
@@ -236,7 +237,7 @@
     }
 }
 
-/// Turns a failed exchange into an error: only a failure to connect proves that nothing was sent.
+/// Turns a failed exchange into an error. Only a failure to connect proves that nothing was sent.
 fn exchange_error(error: ureq::Error) -> StoreError {
     match &error {
         ureq::Error::HostNotFound
--- a/crates/kingcuploft-platform/src/lib.rs
+++ b/crates/kingcuploft-platform/src/lib.rs
@@ -1,8 +1,7 @@
-//! The client of the platform's object API.
+//! The client of the platform's object API, which is the store of manifests, claims and drains.
 //!
-//! The API speaks HTTP and JSON: `GET`, conditional `PUT` and `DELETE` of `/v1/objects/KEY`, a
-//! listing by prefix, a long-polling watch and the VM list. The version of an object is the
-//! store's revision at its last write.
+//! The API speaks HTTP and JSON: `GET`, conditional `PUT` and conditional `DELETE` of `/v1/objects/KEY`, a list by
+//! prefix, a long-polling watch and the VM list. The version of an object is the store's revision at its last write.
 
 pub mod backoff;
 pub mod call_budget;
@@ -13,7 +12,7 @@
 
 use std::time::Duration;
 
-/// The store's revision at the last write of an object; it only grows.
+/// A revision of the store, which only grows; an object's version is the revision of its last write.
 pub type Version = u64;
 
 /// An object and its version.
@@ -23,11 +22,11 @@
     pub key: String,
     /// The version.
     pub version: Version,
-    /// The value, text of at most 1 MB.
+    /// The value: text of at most 1 MB.
     pub value: String,
 }
 
-/// What must hold for a write to take effect.
+/// The condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteCondition {
     /// There is no object with this key.
@@ -36,7 +35,7 @@
     Version(Version),
 }
 
-/// A change seen by a watch.
+/// A change of an object.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct Change {
     /// The key.
@@ -47,7 +46,7 @@
     pub value: Option<String>,
 }
 
-/// What a listing or a watch returned.
+/// The answer to a list or a watch.
 #[derive(Clone, Debug, Default, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct Changes {
     /// The store's revision up to which the changes are complete.
@@ -66,7 +65,7 @@
     Leaving,
 }
 
-/// One line of the platform's VM list.
+/// An entry of the platform's VM list.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct ListedVm {
     /// The VM's name: an entry VM's, or a backend server's.
@@ -79,48 +78,48 @@
     pub state: VmState,
 }
 
-/// Why a call to the store did not give what was asked.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum StoreError {
-    /// The condition of a write did not hold; nothing was written.
+    /// The condition of a write did not hold. Nothing was written.
     #[error("the condition did not hold; the object's version is {found:?}")]
     Conflict {
         /// The version found; `None` where the object is absent.
         found: Option<Version>,
     },
-    /// No answer, or not a whole one: a write may have taken effect.
-    #[error("no whole answer came: {0}")]
+    /// No complete answer arrived. A write may have taken effect.
+    #[error("no complete answer arrived: {0}")]
     NoAnswer(String),
-    /// No connection was made: nothing was written.
-    #[error("the store can not be reached: {0}")]
+    /// No connection was made, so nothing was written.
+    #[error("the store can't be reached: {0}")]
     NotSent(String),
-    /// The store said that it did not do it.
+    /// The store answered that it did not carry out the call.
     #[error("the store refused with status {0}")]
     Refused(u16),
-    /// The store counts as down and was not called: nothing was written.
-    #[error("the store is down; it is tried again in {} ms", retry_after.as_millis())]
+    /// The circuit breaker is open and the call was not sent, so nothing was written.
+    #[error("the store is down; the next probe is due in {} ms", retry_after.as_millis())]
     Down {
-        /// When the store is tried again.
+        /// The time until the next probe.
         retry_after: Duration,
     },
-    /// This VM has spent its calls; the store was not called.
-    #[error("the budget of calls is spent; there is one in {} ms", retry_after.as_millis())]
+    /// This VM's call budget is empty and the call was not sent.
+    #[error("the call budget is empty; the next call is allowed in {} ms", retry_after.as_millis())]
     OverBudget {
-        /// When there is a call again.
+        /// The time until the next call is allowed.
         retry_after: Duration,
     },
-    /// The revision asked for is too old to watch from; list again.
-    #[error("the watch lapsed")]
+    /// The store no longer holds the changes since this revision; the caller lists again.
+    #[error("the revision is too old to watch from")]
     WatchExpired,
 }
 
 impl StoreError {
-    /// Tells whether a write that ended so may have taken effect, or may yet.
+    /// Returns whether a write that failed with this error may have taken effect, or may still do so.
     pub fn may_have_taken_effect(&self) -> bool {
         matches!(self, Self::NoAnswer(_))
     }
 
-    /// Tells whether the store failed to serve the call.
+    /// Returns whether the error shows that the store is unable to serve calls.
     pub fn is_outage(&self) -> bool {
         match self {
             Self::NoAnswer(_) | Self::NotSent(_) => true,
@@ -129,7 +128,7 @@
         }
     }
 
-    /// Returns the word that stands in metrics.
+    /// Returns the error's label in metrics.
     pub fn label(&self) -> &'static str {
         match self {
             Self::Conflict { .. } => "conflict",
@@ -143,48 +142,48 @@
     }
 }
 
-/// The object API, as far as the system uses it: the edge of the process, faked in tests.
+/// The part of the object API that kingcuploft uses; tests replace it with implementations of their own.
 pub trait ObjectStore: Send + Sync {
     /// Reads an object; `None` where it is absent.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Silent`] or [`StoreError::Refused`].
+    /// Returns [`StoreError::NoAnswer`] or [`StoreError::Refused`].
     fn get(&self, key: &str) -> Result<Option<Object>, StoreError>;
 
     /// Writes an object if `expect` holds and returns its new version.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`] where nothing was written, [`StoreError::Silent`] where that is
-    /// not known.
+    /// Returns [`StoreError::Conflict`] where the condition did not hold and nothing was written, and
+    /// [`StoreError::NoAnswer`] where it is not known whether the write took effect.
     fn put(&self, key: &str, value: &str, expect: WriteCondition) -> Result<Version, StoreError>;
 
     /// Deletes an object if it has this version.
     ///
     /// # Errors
     ///
-    /// As [`ObjectStore::put`].
+    /// Returns the errors of [`ObjectStore::put`].
     fn delete(&self, key: &str, version: Version) -> Result<(), StoreError>;
 
     /// Lists the objects whose keys begin with a prefix, as changes.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Silent`] or [`StoreError::Refused`].
+    /// Returns [`StoreError::NoAnswer`] or [`StoreError::Refused`].
     fn list(&self, prefix: &str) -> Result<Changes, StoreError>;
 
-    /// Waits for changes after a revision, at most for `wait`; no change is an empty answer.
+    /// Waits for changes after a revision, at most for `wait`; without a change the answer is empty.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Lapsed`] where the revision is too old, else as [`ObjectStore::list`].
+    /// Returns [`StoreError::WatchExpired`] where the revision is too old, else the errors of [`ObjectStore::list`].
     fn watch(&self, prefix: &str, after: Version, wait: Duration) -> Result<Changes, StoreError>;
 
-    /// Reads the platform's VM list, which lags.
+    /// Reads the platform's VM list, which lags behind the VMs' true state.
     ///
     /// # Errors
     ///
-    /// As [`ObjectStore::list`].
+    /// Returns the errors of [`ObjectStore::list`].
     fn vms(&self) -> Result<Vec<ListedVm>, StoreError>;
 }
--- a/crates/kingcuploft-platform/src/manifest_root.rs
+++ b/crates/kingcuploft-platform/src/manifest_root.rs
@@ -1,8 +1,8 @@
-//! The manifest in the store: service objects first, then the root by conditional update.
+//! Reads and writes the manifest in the store: first the service objects, then the root by a conditional write.
 //!
-//! Only the swap of the root makes a manifest accepted. It is conditional on the version that was
-//! read, so of two operators one wins, and it can be sent again after a lost answer: either it
-//! takes effect once, or it meets the version that another write, perhaps its own, left behind.
+//! Only the write of the root makes a manifest accepted. It is conditional on the version that was read, so of two
+//! concurrent applies one wins. It is idempotent, so it can be sent again after a lost answer: either it takes effect
+//! once, or it finds the version that another write, perhaps its own, left behind.
 
 use kingcuploft::manifest::root::{
     ContentHash, MAX_PAST_APPLIES, PastApply, Root, ServiceChange, ServiceObject, ServiceRef,
@@ -17,92 +17,92 @@
 /// The key of the root object.
 pub const ROOT_KEY: &str = "manifest/root";
 
-/// Where service objects stand, by hash.
+/// The key prefix of service objects; the content hash follows it.
 pub const SERVICES_PREFIX: &str = "manifest/services/";
 
-/// Where earlier roots stand, by generation.
+/// The key prefix of earlier roots; the generation follows it.
 pub const HISTORY_PREFIX: &str = "manifest/history/";
 
-/// How many earlier roots are kept.
+/// How many earlier roots pruning keeps.
 pub const MAX_HISTORY_ROOTS: u64 = 32;
 
-/// After how many generations old roots and unused service objects are deleted.
+/// After how many generations old roots and unused service objects are pruned.
 const PRUNE_INTERVAL_GENERATIONS: u64 = 16;
 
-/// The longest value of an object, in bytes.
+/// The largest value of an object that the store accepts.
 const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// How often a write without an answer is sent again.
+/// How often a write without an answer is retried.
 const MAX_RETRIES: usize = 3;
 
-/// What to apply, by whom.
+/// A manifest to apply, and who applies it.
 #[derive(Clone, Debug)]
 pub struct ApplyRequest {
     /// The manifest.
     pub manifest: Manifest,
-    /// The id of this apply, unique.
+    /// The unique id of this apply.
     pub apply_id: String,
-    /// Who applies it.
+    /// The operator who applies it.
     pub author: String,
-    /// When, in ms since 1970.
+    /// When it is applied, in ms since the Unix epoch.
     pub applied_ms: u64,
-    /// The generation that must be the accepted one; any where absent.
+    /// The generation that must be the accepted one; `None` allows any.
     pub base_generation: Option<Generation>,
-    /// The generation that the new one must be above, after the store was reset.
+    /// The generation that the new one must exceed; above 0 after the store was reset.
     pub above_generation: Generation,
-    /// Whether unchanged service objects are read and mended too.
+    /// Whether unchanged service objects are written too, which repairs corrupt ones.
     pub verify: bool,
 }
 
-/// How an apply ended.
+/// The outcome of an apply.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ApplyOutcome {
-    /// Accepted under this generation.
+    /// The manifest was accepted as this generation.
     Accepted(Generation),
-    /// Accepted under this generation, and another apply came after it.
+    /// The manifest was accepted as this generation, and a later apply has replaced it.
     Superseded {
-        /// The generation.
+        /// The generation of this apply.
         generation: Generation,
         /// The newest generation.
         by: Generation,
     },
-    /// Another operator's apply came first; nothing of this one is in force.
+    /// Another apply was accepted first; nothing of this one is in force.
     Conflicting {
-        /// The generation that stands.
+        /// The accepted generation.
         generation: Generation,
-        /// Who applied it.
+        /// The operator who applied it.
         author: String,
-        /// What it changed, seen from the generation this apply was based on.
+        /// What it changed, compared with the generation that this apply was based on.
         changes: Vec<ServiceChange>,
     },
-    /// Whether it took effect is not known: the write may still arrive.
+    /// It is not known whether the apply took effect: its write may still reach the store.
     Unknown(String),
 }
 
-/// Why a manifest was not applied; nothing is in force.
+/// Why a manifest was not applied; nothing of it is in force.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ApplyError {
-    /// The store did not do it.
+    /// A call to the store failed.
     #[error("nothing was put in force: {0}")]
     Store(#[from] StoreError),
-    /// An object would be longer than the store holds.
+    /// An object is larger than the store accepts.
     #[error("{what} takes {bytes} bytes, expected at most {MAX_VALUE_BYTES}")]
     TooLarge {
-        /// The service, or the root.
+        /// The service, or the root object.
         what: String,
-        /// The bytes.
+        /// The size of the object.
         bytes: usize,
     },
-    /// The object in the store can not be read.
+    /// The root or a service object in the store can't be used.
     #[error("the root object is corrupt: {0}")]
     CorruptRoot(String),
 }
 
-/// Applies a manifest under an id, by an author without a name.
+/// Applies a manifest under an id, without the name of an author.
 ///
 /// # Errors
 ///
-/// [`ApplyError`] where it is certain that nothing was put in force.
+/// Returns [`ApplyError`] where it is certain that nothing was put in force.
 pub fn apply(
     store: &dyn ObjectStore,
     manifest: Manifest,
@@ -120,11 +120,11 @@
     apply.run(store)
 }
 
-/// Reads the root; `None` where no manifest was ever accepted.
+/// Reads the root and its version; `None` where no manifest was ever accepted.
 ///
 /// # Errors
 ///
-/// [`ApplyError::Store`] or [`ApplyError::CorruptRoot`].
+/// Returns [`ApplyError::Store`] or [`ApplyError::CorruptRoot`].
 pub fn read_root(store: &dyn ObjectStore) -> Result<Option<(Version, Root)>, ApplyError> {
     let Some(object) = store.get(ROOT_KEY)? else {
         return Ok(None);
@@ -133,11 +133,11 @@
     Ok(Some((object.version, root)))
 }
 
-/// Reads the roots before the accepted one, oldest first.
+/// Reads the earlier roots, oldest first; corrupt ones are left out.
 ///
 /// # Errors
 ///
-/// [`ApplyError::Store`]; a corrupt one is left out.
+/// Returns [`ApplyError::Store`] if the list fails.
 pub fn read_history(store: &dyn ObjectStore) -> Result<Vec<Root>, ApplyError> {
     let listed = store.list(HISTORY_PREFIX)?;
     let values = listed.changes.into_iter().filter_map(|change| change.value);
@@ -147,11 +147,11 @@
     Ok(roots)
 }
 
-/// Reads the services of a root.
+/// Reads the manifest of a root from its service objects.
 ///
 /// # Errors
 ///
-/// [`ApplyError::Store`], or [`ApplyError::CorruptRoot`] where an object is missing or corrupt.
+/// Returns [`ApplyError::Store`], or [`ApplyError::CorruptRoot`] where a service object is missing or corrupt.
 pub fn read_manifest(store: &dyn ObjectStore, root: &Root) -> Result<Manifest, ApplyError> {
     let mut manifest = Manifest::default();
     for part in &root.services {
@@ -182,11 +182,11 @@
 }
 
 impl ApplyRequest {
-    /// Writes the service objects, then swaps the root.
+    /// Writes the service objects, then replaces the root.
     ///
     /// # Errors
     ///
-    /// [`ApplyError`] where it is certain that nothing was put in force.
+    /// Returns [`ApplyError`] where it is certain that nothing was put in force.
     pub fn run(&self, store: &dyn ObjectStore) -> Result<ApplyOutcome, ApplyError> {
         let found = read_root(store)?;
         let (expect, before) = match found {
@@ -218,7 +218,7 @@
         }
         let applied = self.swap(store, &text, expect, &before)?;
         if let (ApplyOutcome::Accepted(generation), true) = (&applied, self.should_prune(&root)) {
-            // Pruning is only thrift: a failure leaves objects that the next one deletes.
+            // Pruning only saves space: where it fails, the next one deletes the objects.
             drop(prune(store, *generation));
         }
         Ok(applied)
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Swaps the root. A write without an answer is sent again under the same condition, so it
+    /// Replaces the root by a conditional write. A write without an answer is retried under the same condition, so it
     /// takes effect at most once however often it arrives.
     fn swap(
         &self,
@@ -269,7 +269,7 @@
                 }
                 Err(StoreError::Conflict { .. }) => return Ok(self.read_back(store, before)),
                 Err(StoreError::NoAnswer(why)) => no_answer = Some(why),
-                // The store refused this try; an earlier one may still arrive.
+                // The store refused this attempt; an earlier one without an answer may still take effect.
                 Err(error) => match no_answer {
                     None => return Err(error.into()),
                     Some(why) => return Ok(ApplyOutcome::Unknown(why)),
@@ -279,7 +279,7 @@
         Ok(self.read_back(store, before))
     }
 
-    /// Reads back whether this apply took effect; a stale read tells nothing and is done again.
+    /// Reads the root back to find out whether this apply took effect. A stale read does not tell and is repeated.
     fn read_back(&self, store: &dyn ObjectStore, before: &Root) -> ApplyOutcome {
         let mut last = ApplyOutcome::Unknown("the write may still arrive".into());
         for _ in 0..=MAX_RETRIES {
@@ -295,7 +295,7 @@
         last
     }
 
-    /// Returns what a root read back tells of this apply.
+    /// Returns the outcome of this apply, by the root that was read back.
     pub fn outcome_from(&self, root: &Root, before: &Root) -> ApplyOutcome {
         if root.apply_id == self.apply_id {
             return ApplyOutcome::Accepted(root.generation);
@@ -333,7 +333,7 @@
     objects.chain([root]).collect()
 }
 
-/// Writes a value whose content follows from its key, so that any number of tries is one.
+/// Writes an object whose value follows from its key, so that a conflict means that it is already written.
 fn write_absent(store: &dyn ObjectStore, key: &str, value: &str) -> Result<(), StoreError> {
     let mut last = Ok(());
     for _ in 0..=MAX_RETRIES {
@@ -346,7 +346,7 @@
     confirm_written(store, key, value).or(last)
 }
 
-/// Tells whether an object stands as it was to be written, though no answer said so.
+/// Reads an object back after writes without an answer. Succeeds if it holds the value that was to be written.
 fn confirm_written(store: &dyn ObjectStore, key: &str, value: &str) -> Result<(), StoreError> {
     match store.get(key)? {
         Some(object) if object.value == value => Ok(()),
@@ -354,8 +354,8 @@
     }
 }
 
-/// Writes a service object. One that is there already is written again: its new version keeps a
-/// prune that runs beside this apply from deleting it, and a corrupt one is mended.
+/// Writes a service object. One that exists already is written again: its new version keeps a concurrent prune from
+/// deleting it, and a corrupt one is repaired.
 fn write_object(store: &dyn ObjectStore, object: &ServiceObject) -> Result<(), StoreError> {
     let key = service_key(&object.hash);
     let mut expect = WriteCondition::Absent;
@@ -374,10 +374,10 @@
     confirm_written(store, &key, &object.text).or(last)
 }
 
-/// Deletes earlier roots beyond those kept, and service objects that no kept root names.
+/// Deletes the earlier roots beyond those kept, and the service objects that no kept root names.
 ///
-/// An apply that runs beside this one writes its objects after it read the root, so an object that
-/// is older than the root and not named by it is not on its way into a newer one.
+/// A concurrent apply writes its objects after it has read the root. So an object that is older than the root and not
+/// named by it does not belong to an apply that is still running.
 fn prune(store: &dyn ObjectStore, generation: Generation) -> Result<(), ApplyError> {
     let Some((version, root)) = read_root(store)? else {
         return Ok(());
