--- a/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
@@ -14,11 +14,11 @@
 use kingcuploft::world::vm::Vm;
 use kingcuploft_platform::client::{Client, ClientSettings};
 use kingcuploftd::claims;
-use kingcuploftd::message::{Answer, ClaimOrder, Message};
+use kingcuploftd::message::{Answer, ClaimTask, Message};
 use kingcuploftd::settings::Settings;
 use kingcuploftd::shared::Shared;
 
-use super::{Claimed, RUN};
+use super::{ACTION_TIME, ClaimResults};
 
 /// How long a claim may take here.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -31,10 +31,10 @@
 /// A VM whose claims go to the ledger.
 #[derive(Debug)]
 pub(in crate::experiments) struct LedgerVm {
-    orders: Sender<ClaimOrder>,
+    orders: Sender<ClaimTask>,
     began: Began,
     duty: JoinHandle<()>,
-    actions: JoinHandle<Claimed>,
+    actions: JoinHandle<ClaimResults>,
 }
 
 impl LedgerVm {
@@ -69,7 +69,7 @@
         let now = Instant::now();
         let mut began = self.began.lock().unwrap_or_else(PoisonError::into_inner);
         began.insert(action, now);
-        let claim = ClaimOrder::Claim {
+        let claim = ClaimTask::Claim {
             request: action,
             key: KeyHash::from(action),
             fingerprint: 1,
@@ -80,7 +80,7 @@
         drop(self.orders.send(claim));
     }
 
-    pub(in crate::experiments) fn finish(self) -> Claimed {
+    pub(in crate::experiments) fn finish(self) -> ClaimResults {
         // The actions' thread ends once nobody else can add a claim.
         drop(self.began);
         let claimed = self.actions.join();
@@ -91,27 +91,35 @@
 }
 
 /// Runs the held actions, each for its time, until there has been none for a while.
-fn run_actions(verdicts: &Receiver<Message>, began: &Began, ends: Sender<ClaimOrder>) -> Claimed {
-    let mut claimed = Claimed::default();
+fn run_actions(
+    verdicts: &Receiver<Message>,
+    began: &Began,
+    ends: Sender<ClaimTask>,
+) -> ClaimResults {
+    let mut claimed = ClaimResults::default();
     let mut running: VecDeque<(Instant, u64)> = VecDeque::new();
     let mut last = Instant::now();
     loop {
         while let Some((_, action)) = running.pop_front_if(|(end, _)| *end <= Instant::now()) {
             let answer = Some(Box::new(answer()));
-            drop(ends.send(ClaimOrder::Acknowledge {
+            drop(ends.send(ClaimTask::Acknowledge {
                 request: action,
                 answer,
             }));
         }
         match verdicts.recv_timeout(Duration::from_millis(1)) {
-            Ok(Message::Claimed { request, end, .. }) => {
+            Ok(Message::Claimed {
+                request,
+                result: end,
+                ..
+            }) => {
                 last = Instant::now();
                 let mut began = began.lock().unwrap_or_else(PoisonError::into_inner);
                 if let Some(at) = began.remove(&request) {
                     claimed.add(at, end == ClaimResult::Held);
                 }
                 if end == ClaimResult::Held {
-                    running.push_back((Instant::now() + RUN, request));
+                    running.push_back((Instant::now() + ACTION_TIME, request));
                 }
             }
             Ok(_) => {}
--- a/crates/kingcuploft-standins/src/experiments/peer_slope.rs
+++ b/crates/kingcuploft-standins/src/experiments/peer_slope.rs
@@ -85,7 +85,7 @@
         // There is no store to wait for before a peer's first manifest is taken.
         shared
             .manifest
-            .learn(&shared, "the experiment", |adoption| {
+            .update(&shared, "the experiment", |adoption| {
                 Ok(adoption.sources_asked())
             });
         let keys = Keys::read(&shared.settings.peer).map_err(std::io::Error::other)?;
@@ -125,11 +125,11 @@
     /// Teaches this node a manifest as the store would.
     fn learn(&self, root: &Root, objects: &[ServiceObject]) {
         let keeper = &self.shared.manifest;
-        keeper.learn(&self.shared, "the experiment", |adoption| {
+        keeper.update(&self.shared, "the experiment", |adoption| {
             adoption.root_text(&root.text())
         });
         for object in objects {
-            keeper.learn(&self.shared, "the experiment", |adoption| {
+            keeper.update(&self.shared, "the experiment", |adoption| {
                 adoption.service_text(&object.hash, &object.text)
             });
         }
@@ -144,7 +144,7 @@
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let (mut rows, mut failed) = (Vec::new(), Vec::new());
     for size in SIZES {
-        match measure(size, options.time) {
+        match measure(size, options.duration) {
             Ok(row) => rows.push(row),
             Err(error) => failed.push(error.to_string()),
         }
@@ -157,7 +157,7 @@
         format!("a node of {nodes} spends {bytes:.0} bytes a second")
     });
     Ok(Report {
-        broken: broken.chain(failed).collect(),
+        violations: broken.chain(failed).collect(),
         text: table(&rows),
         figures: serde_json::json!({
             "seed": options.seed, "services": SERVICES, "rows": rows,
--- a/crates/kingcuploft-standins/tests/claims/entry.rs
+++ b/crates/kingcuploft-standins/tests/claims/entry.rs
@@ -11,9 +11,9 @@
 use kingcuploft::world::vm::Vm;
 use kingcuploft_platform::client::Client;
 use kingcuploft_standins::deployment::{Deployment, ServicePlan};
-use kingcuploft_standins::fleet::{Fleet, Variant};
+use kingcuploft_standins::fleet::{Fleet, FleetOptions};
 use kingcuploftd::claims;
-use kingcuploftd::message::{Answer, ClaimOrder, Message, RequestParts};
+use kingcuploftd::message::{Answer, ClaimTask, Message, RequestParts};
 use kingcuploftd::shared::Shared;
 
 const RULES: &[&str] = &[
@@ -36,10 +36,10 @@
         availability_zones: &["a"],
         services: vec![service],
     };
-    let variant = Variant {
-        mean: Duration::from_millis(1),
-        settings: "claims: {end_linger_ms: 20}\nstore: {call_timeout_ms: 200}\n".into(),
-        ..Variant::default()
+    let variant = FleetOptions {
+        mean_work_time: Duration::from_millis(1),
+        extra_settings: "claims: {end_linger_ms: 20}\nstore: {call_timeout_ms: 200}\n".into(),
+        ..FleetOptions::default()
     };
     let fleet = Fleet::start(deployment, variant).unwrap();
     // Every VM has read the ledger's layout once a claim through it was decided.
@@ -121,7 +121,7 @@
 
 /// A VM's claims duty in the hands of a test: it claims, and then does nothing until it is told to.
 pub(crate) struct HandHeld {
-    orders: Sender<ClaimOrder>,
+    orders: Sender<ClaimTask>,
     verdicts: Receiver<Message>,
     duty: std::thread::JoinHandle<()>,
 }
@@ -154,7 +154,7 @@
             headers: HeaderMap::new(),
             body: Bytes::copy_from_slice(body.as_bytes()),
         };
-        let claim = ClaimOrder::Claim {
+        let claim = ClaimTask::Claim {
             request: 1,
             key: key_hash(&"trip".into(), key),
             fingerprint: claims::fingerprint(&parts),
@@ -164,7 +164,7 @@
         };
         self.orders.send(claim).unwrap();
         match self.verdicts.recv_timeout(Duration::from_secs(5)).unwrap() {
-            Message::Claimed { end, .. } => end,
+            Message::Claimed { result: end, .. } => end,
             other => panic!("{other:?}"),
         }
     }
@@ -180,7 +180,7 @@
             body: Bytes::from_static(body),
             rest: None,
         };
-        let order = ClaimOrder::Acknowledge {
+        let order = ClaimTask::Acknowledge {
             request: 1,
             answer: Some(Box::new(answer)),
         };
--- a/crates/kingcuploftctl/src/apply.rs
+++ b/crates/kingcuploftctl/src/apply.rs
@@ -9,18 +9,18 @@
 
 use crate::args::ApplyArgs;
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 use crate::manifest;
 
 /// How many VMs are handed an accepted manifest; they pass it on.
-const HANDED_TO: usize = 3;
+const MAX_UPLOAD_VMS: usize = 3;
 
 /// Checks and applies a manifest file.
 ///
 /// # Errors
 ///
 /// An ending that tells why it is not in force.
-pub fn apply(context: &Context<'_>, args: &ApplyArgs) -> Result<Ending, Ending> {
+pub fn apply(context: &Context<'_>, args: &ApplyArgs) -> Result<Outcome, Outcome> {
     let checked = manifest::read(context, &args.file)?;
     let store = context.store()?;
     let apply = ApplyRequest {
@@ -33,12 +33,12 @@
         verify: args.verify,
     };
     let applied = apply.run(&store).map_err(|error| match error {
-        ApplyError::TooLarge { .. } => Ending::because(Code::Wrong, error.to_string()),
+        ApplyError::TooLarge { .. } => Outcome::failure(Code::InvalidInput, error.to_string()),
         other => manifest::failed(other),
     })?;
-    let mut ending = told(context, &apply.apply_id, &applied);
+    let mut ending = outcome(context, &apply.apply_id, &applied);
     if let ApplyOutcome::Accepted(_) = applied {
-        ending.err += &hand_on(context, &store, &apply.manifest);
+        ending.err += &upload_to_vms(context, &store, &apply.manifest);
     }
     for warning in checked.warnings {
         ending.err += &format!("warning: {warning}\n");
@@ -47,15 +47,15 @@
 }
 
 /// Says how an apply ended.
-pub fn told(context: &Context<'_>, apply_id: &str, applied: &ApplyOutcome) -> Ending {
+pub fn outcome(context: &Context<'_>, apply_id: &str, applied: &ApplyOutcome) -> Outcome {
     let (code, text, json) = match applied {
         ApplyOutcome::Accepted(generation) => (
-            Code::Done,
+            Code::Success,
             format!("accepted as generation {generation}"),
             serde_json::json!({ "outcome": "accepted", "generation": generation }),
         ),
         ApplyOutcome::Superseded { generation, by } => (
-            Code::Done,
+            Code::Success,
             format!("accepted as generation {generation}, then replaced by generation {by}"),
             serde_json::json!({
                 "outcome": "accepted", "generation": generation, "replaced_by": by,
@@ -72,7 +72,7 @@
                 false => format!(" by {author}"),
             };
             (
-                Code::Lost,
+                Code::Conflict,
                 format!(
                     "not accepted: generation {generation}{by} came first; it changed:{}",
                     lines.concat()
@@ -93,12 +93,12 @@
             serde_json::json!({ "outcome": "unknown", "why": why }),
         ),
     };
-    let mut ending = Ending::with(code, format!("{text}\n"));
+    let mut ending = Outcome::with_code(code, format!("{text}\n"));
     if context.json() {
         let mut json = json;
         json["apply_id"] = apply_id.into();
         ending.out = format!("{json}\n");
-    } else if code != Code::Done {
+    } else if code != Code::Success {
         ending.err = std::mem::take(&mut ending.out);
     }
     ending
@@ -106,7 +106,7 @@
 
 /// Hands the accepted manifest to a few VMs, where VMs were named: should the store go down before
 /// any VM has read it, they pass it on. Returns what is worth saying.
-fn hand_on(context: &Context<'_>, store: &dyn ObjectStore, manifest: &Manifest) -> String {
+fn upload_to_vms(context: &Context<'_>, store: &dyn ObjectStore, manifest: &Manifest) -> String {
     if !context.has_vms() {
         return String::new();
     }
@@ -129,7 +129,7 @@
             vm.post::<serde_json::Value>("/fleet/manifest", &body)
                 .is_ok(),
         );
-        if handed == HANDED_TO {
+        if handed == MAX_UPLOAD_VMS {
             break;
         }
     }
--- a/crates/kingcuploftd/src/admin.rs
+++ b/crates/kingcuploftd/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin duty: readiness, liveness, metrics and status for the platform and operators.
+//! The admin port: readiness, liveness, metrics, status and fleet pages for the platform and operators.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -20,16 +20,16 @@
 use crate::shared::Shared;
 use crate::{admin_fleet, explain, status};
 
-/// How often the accept loop looks whether to stop.
-const STOP_POLL: Duration = Duration::from_millis(20);
+/// How often the accept loop checks whether to stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The most connections at once; a reader of pages needs one.
-const CONNECTIONS: usize = 256;
+/// The most connections at once; one client needs one connection.
+const MAX_CONNECTIONS: usize = 256;
 
-/// Time for a head, and for which a connection may be idle.
+/// The timeout for a request head, and for an idle connection.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs the duty until the daemon ends.
+/// Runs the admin thread until the daemon ends.
 ///
 /// # Panics
 ///
@@ -44,47 +44,47 @@
 
 async fn serve(shared: &Arc<Shared>, listener: TcpListener) {
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listening socket");
-    let room = Arc::new(Semaphore::new(CONNECTIONS));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let token = shared.settings.admin_token_file.clone();
     let token = token.map(AdminToken::new).map(Rc::new);
     while !shared.ended() {
-        let accepted = tokio::time::timeout(STOP_POLL, listener.accept()).await;
+        let accepted = tokio::time::timeout(STOP_CHECK_INTERVAL, listener.accept()).await;
         let stream = match accepted {
             Ok(Ok((stream, _))) => stream,
             Ok(Err(_)) => {
-                tokio::time::sleep(STOP_POLL).await;
+                tokio::time::sleep(STOP_CHECK_INTERVAL).await;
                 continue;
             }
             Err(_) => continue,
         };
-        let Ok(place) = Arc::clone(&room).try_acquire_owned() else {
+        let Ok(slot) = Arc::clone(&slots).try_acquire_owned() else {
             continue;
         };
         let (shared, token) = (Arc::clone(shared), token.clone());
         tokio::task::spawn_local(async move {
             let service = service_fn(|request| {
                 let (shared, token) = (Arc::clone(&shared), token.clone());
-                async move { Ok::<_, Infallible>(guarded(&shared, token.as_deref(), request).await) }
+                async move { Ok::<_, Infallible>(authorize(&shared, token.as_deref(), request).await) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEADER_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             drop(connection.await);
-            drop(place);
+            drop(slot);
         });
     }
 }
 
-/// Answers a request that may have its page. The two pages that the platform's balancer reads
-/// need no token: they tell one bit.
-async fn guarded(
+/// Answers an authorized request. The two health pages that the platform's balancer reads need no token: they reveal
+/// only one bit.
+async fn authorize(
     shared: &Shared,
     token: Option<&AdminToken>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let open = matches!(request.uri().path(), "/live" | "/ready");
-    if open || token.is_none_or(|token| token.is_in(request.headers())) {
+    let is_public = matches!(request.uri().path(), "/live" | "/ready");
+    if is_public || token.is_none_or(|token| token.is_valid(request.headers())) {
         return answer(shared, request).await;
     }
     let mut response = Response::new(Full::new(Bytes::from("a bearer token is needed\n")));
--- a/crates/kingcuploftd/src/caller_edge/reply.rs
+++ b/crates/kingcuploftd/src/caller_edge/reply.rs
@@ -1,4 +1,4 @@
-//! Turns replies into HTTP.
+//! Builds the HTTP responses of replies: a backend server's answer, or the balancer's own refusal.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 use kingcuploft::world::refusal::{Refusal, RefusalReason};
 
 use super::reply_body::ReplyBody;
+use crate::answer_stream::RemainingBody;
 use crate::hop_by_hop::end_to_end;
 use crate::message::{Answer, Reply};
 use crate::shared::Shared;
-use crate::stream::Rest;
 
-/// After which pause a caller whom this VM has no room for may come back.
-pub(super) const OVERLOADED_PAUSE: Duration = Duration::from_secs(1);
+/// The retry delay that is sent to a caller when this VM is overloaded.
+pub(super) const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 const REASON_HEADER: HeaderName = HeaderName::from_static("x-kingcuploft-reason");
 const OUTCOME_HEADER: HeaderName = HeaderName::from_static("x-kingcuploft-outcome");
-/// Tells what is known of earlier requests with the same idempotency key.
+/// Says what is known about earlier requests with the same idempotency key.
 const EARLIER_HEADER: HeaderName = HeaderName::from_static("x-kingcuploft-earlier");
-/// The value where the ledger was not read.
+/// The value when the ledger was not read.
 const NOT_CHECKED: &str = "not_checked";
 const RETRY_AFTER_MS_HEADER: HeaderName = HeaderName::from_static("x-kingcuploft-retry-after-ms");
 
@@ -36,8 +36,8 @@
 ) -> Response<ReplyBody> {
     let own_id = shared.request_name(id);
     let mut response = match reply {
-        Reply::Answer(answer) => answered(answer, head_only),
-        Reply::Refused(refusal) => refused(&own_id, refusal),
+        Reply::Answer(answer) => answer_response(answer, head_only),
+        Reply::Refused(refusal) => refusal_response(&own_id, refusal),
     };
     if let Ok(value) = HeaderValue::from_str(&own_id) {
         response.headers_mut().insert("x-request-id", value);
@@ -49,22 +49,22 @@
     response
 }
 
-/// Passes a backend server's answer on. The length is told where it is known although the body
-/// does not go out with it: for a streamed answer, and for the head of one.
-fn answered(answer: Answer, head_only: bool) -> Response<ReplyBody> {
+/// Builds the response of a backend server's answer. For a streamed body and for an answer to HEAD, the HTTP library
+/// cannot derive the length from the body, so a known length is copied from the answer.
+fn answer_response(answer: Answer, head_only: bool) -> Response<ReplyBody> {
     let length = answer.headers.get(CONTENT_LENGTH).cloned();
-    let rest = answer.rest.as_ref().and_then(Rest::take);
-    let tell_length = head_only || rest.is_some();
+    let rest = answer.rest.as_ref().and_then(RemainingBody::take);
+    let send_length = head_only || rest.is_some();
     let mut response = Response::new(ReplyBody::new(answer.body, rest));
     *response.status_mut() = answer.status;
     *response.headers_mut() = end_to_end(answer.headers);
-    if let Some(length) = length.filter(|_| tell_length) {
+    if let Some(length) = length.filter(|_| send_length) {
         response.headers_mut().insert(CONTENT_LENGTH, length);
     }
     response
 }
 
-/// Returns the JSON body of the system's own answer.
+/// Returns the JSON body of a refusal.
 pub(super) fn refusal_body(own_id: &str, refusal: &Refusal) -> String {
     let body = serde_json::json!({
         "reason": refusal.reason.label(),
@@ -76,8 +76,8 @@
     body.to_string()
 }
 
-fn refused(own_id: &str, refusal: Refusal) -> Response<ReplyBody> {
-    let refusal = with_pause(refusal);
+fn refusal_response(own_id: &str, refusal: Refusal) -> Response<ReplyBody> {
+    let refusal = with_retry_after(refusal);
     let body = Bytes::from(refusal_body(own_id, &refusal));
     let mut response = Response::new(ReplyBody::new(body, None));
     *response.status_mut() = status(refusal.reason);
@@ -94,27 +94,27 @@
     if refusal.earlier_requests_unknown() {
         headers.insert(EARLIER_HEADER, label(NOT_CHECKED));
     }
-    if ends_connection(refusal.reason) {
+    if closes_connection(refusal.reason) {
         headers.insert(CONNECTION, label("close"));
     }
     response
 }
 
-/// Adds when to come back where only this VM lacks room: its caller should try another one.
-fn with_pause(refusal: Refusal) -> Refusal {
-    let no_room = matches!(
+/// Adds a retry delay to refusals that concern only this VM, after which the caller should try another VM.
+fn with_retry_after(refusal: Refusal) -> Refusal {
+    let overloaded = matches!(
         refusal.reason,
         RefusalReason::Overloaded | RefusalReason::NotReady | RefusalReason::ShuttingDown
     );
     match refusal.retry_after {
-        None if no_room => refusal.retry_after(OVERLOADED_PAUSE),
+        None if overloaded => refusal.retry_after(OVERLOAD_RETRY_AFTER),
         _ => refusal,
     }
 }
 
-/// Tells whether nothing more can be read after a refusal: what follows a request that has no
-/// single reading, or whose body was left unread, is not known to be a request.
-fn ends_connection(reason: RefusalReason) -> bool {
+/// Returns whether the connection must close after a refusal: the bytes after an ambiguous request, or after an unread
+/// body, may not be a request.
+fn closes_connection(reason: RefusalReason) -> bool {
     matches!(
         reason,
         RefusalReason::BadRequest
--- a/crates/kingcuploftd/src/explain.rs
+++ b/crates/kingcuploftd/src/explain.rs
@@ -1,4 +1,4 @@
-//! The page that says why a request was treated as it was, from the dispatcher's own records.
+//! The admin page `/explain`: the dispatcher's recorded decisions about requests, with their inputs.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use crate::message::Message;
 use crate::shared::Shared;
 
-/// How long the dispatch duty is waited for.
+/// How long the page waits for the dispatch thread.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers a query such as `request=ID`, `caller=NAME` or `service=NAME`, or several of them
-/// joined by `&`, with the decisions that fit, newest first.
+/// Answers a query such as `request=ID`, `caller=NAME` or `service=NAME`, or several of them joined by `&`, with the
+/// matching decisions, newest first.
 pub async fn answer(shared: &Shared, query: &str) -> (StatusCode, String) {
-    let query = match read(shared, query) {
+    let query = match parse_query(shared, query) {
         Ok(query) => query,
         Err(why) => return (StatusCode::BAD_REQUEST, why),
     };
@@ -38,11 +38,11 @@
     }
 }
 
-fn read(shared: &Shared, text: &str) -> Result<Query, String> {
+fn parse_query(shared: &Shared, text: &str) -> Result<Query, String> {
     let mut query = Query::default();
     for pair in text.split('&').filter(|pair| !pair.is_empty()) {
         match pair.split_once('=') {
-            Some(("request", id)) => query.request = Some(request(shared, id)?),
+            Some(("request", id)) => query.request = Some(parse_request_id(shared, id)?),
             Some(("caller", caller)) => query.caller = Some(caller.into()),
             Some(("service", service)) => query.service = Some(service.into()),
             _ => return Err(format!("`{pair}` is none of request=, caller=, service=\n")),
@@ -51,8 +51,8 @@
     Ok(query)
 }
 
-/// Returns the number of a request by the id that its caller got from this life of this VM.
-fn request(shared: &Shared, id: &str) -> Result<RequestId, String> {
+/// Returns the number of a request from the id that this incarnation of this VM sent to its caller.
+fn parse_request_id(shared: &Shared, id: &str) -> Result<RequestId, String> {
     let number = id.rsplit('-').next().and_then(|number| number.parse().ok());
     let known = number.filter(|&number| shared.request_name(number) == id);
     known.ok_or_else(|| format!("`{id}` is no request of this VM\n"))
--- a/crates/kingcuploftd/src/peer_link/link.rs
+++ b/crates/kingcuploftd/src/peer_link/link.rs
@@ -1,4 +1,4 @@
-//! One link, from its first byte to its end.
+//! One peer link: connection, TLS handshake, greeting, heartbeats and end.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,22 +14,22 @@
 use tokio::task::JoinHandle;
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-use super::counted::Counted;
+use super::broadcast::{send_drains, send_heartbeats};
+use super::byte_counter::CountedStream;
 use super::node::{Link, Node, in_time};
 use super::peer_capnp::peer;
 use super::server::PeerServer;
-use super::telling::{push_beat, tell_drains};
-use super::wire::{Beat, read_member, write_member};
+use super::wire::{Heartbeat, read_member, write_member};
 
 /// How long a connection, a TLS handshake or a greeting may take.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest message, in words of 8 bytes: 32 service objects of ordinary size, or a root of 740
-/// services, fit many times.
-const MESSAGE_WORDS: usize = 512 * 1024;
+/// The longest message, in words of 8 bytes. It fits 32 service objects of usual size, or a root of 740 services, many
+/// times over.
+const MAX_MESSAGE_WORDS: usize = 512 * 1024;
 
 /// The deepest nesting of a message; the schema needs 5.
-const NESTING: i32 = 16;
+const MAX_NESTING: i32 = 16;
 
 /// The members asked for in one call.
 pub(super) const MEMBERS_PER_PAGE: usize = 64;
@@ -37,31 +37,31 @@
 /// Why a link ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum LinkEnd {
-    /// No connection was made.
+    /// The connection attempt failed.
     #[error("no connection: {0}")]
     Unreachable(String),
-    /// The other end did not prove who it is, or this one could not.
+    /// The TLS handshake failed: one of the ends did not prove its identity.
     #[error("no TLS: {0}")]
     Tls(String),
-    /// The other end did not greet as an entry VM does.
+    /// The other end did not send a valid greeting.
     #[error("no greeting: {0}")]
     Greeting(String),
-    /// The other end is an earlier life of a VM, or this VM itself.
-    #[error("the other end was replaced")]
+    /// The other end is an earlier incarnation of a VM, or this VM itself.
+    #[error("a later incarnation of the other end is known")]
     Replaced,
-    /// The other end was silent for too long.
-    #[error("the other end is silent")]
+    /// The other end sent no heartbeat in time.
+    #[error("no heartbeat from the other end in time")]
     Silent,
     /// The connection was lost.
     #[error("the connection was lost")]
     Lost,
-    /// The other end is not a neighbour any more, or there is another link with it.
-    #[error("it is not needed")]
+    /// The other end is no longer a neighbour, or another link with it exists.
+    #[error("the link is not needed any more")]
     NotNeeded,
 }
 
 impl LinkEnd {
-    /// Returns the word that stands in metrics.
+    /// Returns the metric label.
     pub(super) fn label(&self) -> &'static str {
         match self {
             Self::Unreachable(_) => "unreachable",
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Tells whether the other end had greeted.
-    pub(super) fn was_linked(&self) -> bool {
+    /// Returns whether the link ended after the greeting.
+    pub(super) fn was_established(&self) -> bool {
         matches!(self, Self::Silent | Self::Lost | Self::NotNeeded)
     }
 }
@@ -96,11 +96,11 @@
     };
     drop(stream.set_nodelay(true));
     match &node.tls {
-        None => dialled(node, stream).await,
+        None => run_dialled(node, stream).await,
         Some(tls) => {
             let handshake = tls.connect(neighbour.address.ip(), stream);
             match tokio::time::timeout(OPEN_TIMEOUT, handshake).await {
-                Ok(Ok(stream)) => dialled(node, stream).await,
+                Ok(Ok(stream)) => run_dialled(node, stream).await,
                 Ok(Err(why)) => Err(LinkEnd::Tls(why)),
                 Err(_) => Err(LinkEnd::Tls("timeout".into())),
             }
@@ -112,9 +112,9 @@
 pub(super) async fn accept(node: &Rc<Node>, stream: TcpStream) -> Result<(), LinkEnd> {
     drop(stream.set_nodelay(true));
     match &node.tls {
-        None => accepted(node, stream).await,
+        None => run_accepted(node, stream).await,
         Some(tls) => match tokio::time::timeout(OPEN_TIMEOUT, tls.accept(stream)).await {
-            Ok(Ok(stream)) => accepted(node, stream).await,
+            Ok(Ok(stream)) => run_accepted(node, stream).await,
             Ok(Err(why)) => Err(LinkEnd::Tls(why)),
             Err(_) => Err(LinkEnd::Tls("timeout".into())),
         },
@@ -133,12 +133,12 @@
     where
         S: AsyncRead + AsyncWrite + Unpin + 'static,
     {
-        let stream = Counted::new(stream, node.shared.clone());
+        let stream = CountedStream::new(stream, node.shared.clone());
         let (reader, writer) = tokio::io::split(stream);
         let writer = futures::io::BufWriter::new(writer.compat_write());
         let mut options = ReaderOptions::new();
-        options.traversal_limit_in_words(Some(MESSAGE_WORDS));
-        options.nesting_limit(NESTING);
+        options.traversal_limit_in_words(Some(MAX_MESSAGE_WORDS));
+        options.nesting_limit(MAX_NESTING);
         let network = VatNetwork::new(reader.compat(), writer, side, options);
         let server = Rc::new(PeerServer::new(Rc::clone(node)));
         let own: peer::Client = capnp_rpc::new_client_from_rc(Rc::clone(&server));
@@ -160,25 +160,28 @@
     }
 }
 
-async fn dialled<S>(node: &Rc<Node>, stream: S) -> Result<LinkEnd, LinkEnd>
+async fn run_dialled<S>(node: &Rc<Node>, stream: S) -> Result<LinkEnd, LinkEnd>
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
 {
     let mut connection = Connection::new(node, stream, Side::Client, Side::Server);
     let link = greet(node, &connection).await?;
     connection.server.set_link(Rc::clone(&link));
-    node.linked(Rc::clone(&link));
+    node.add_link(Rc::clone(&link));
     if let Err(error) = node.read_fleet(&link, false).await {
-        tracing::debug!("peer: {} does not tell its members: {error}.", link.name);
+        tracing::debug!(
+            "peer: cannot read the members that {} knows: {error}.",
+            link.name
+        );
     }
     let drains = node.shared.fleet.drains();
     if !drains.is_empty() {
-        tell_drains(&link, &drains);
+        send_drains(&link, &drains);
     }
-    Ok(keep(node, &link, &mut connection).await)
+    Ok(run_heartbeats(node, &link, &mut connection).await)
 }
 
-/// Says who this VM is and learns who the other end is.
+/// Exchanges greetings: sends this VM's identity and reads the other end's.
 async fn greet(node: &Rc<Node>, connection: &Connection) -> Result<Rc<Link>, LinkEnd> {
     let mut request = connection.peer.hello_request();
     let own = node.shared.fleet.membership().own().clone();
@@ -188,7 +191,10 @@
     let answer = in_time(request.send().promise).await.map_err(greeting)?;
     let answer = answer.get().map_err(greeting)?;
     let member = answer.get_self().and_then(read_member).map_err(greeting)?;
-    let beat = answer.get_beat().and_then(Beat::read).map_err(greeting)?;
+    let beat = answer
+        .get_beat()
+        .and_then(Heartbeat::read)
+        .map_err(greeting)?;
     let now = Instant::now();
     if !node.shared.fleet.membership().accept_peer(now, &member) {
         return Err(LinkEnd::Replaced);
@@ -196,15 +202,15 @@
     let link = Rc::new(Link {
         name: member.name,
         peer: connection.peer.clone(),
-        knows: Cell::new(beat.generation),
-        heard: Cell::new(now),
+        known_generation: Cell::new(beat.generation),
+        last_received_at: Cell::new(now),
     });
-    node.heard(&link, &beat);
+    node.handle_heartbeat(&link, &beat);
     Ok(link)
 }
 
 /// Sends heartbeats until the link ends.
-async fn keep(node: &Rc<Node>, link: &Rc<Link>, connection: &mut Connection) -> LinkEnd {
+async fn run_heartbeats(node: &Rc<Node>, link: &Rc<Link>, connection: &mut Connection) -> LinkEnd {
     let settings = &node.shared.settings.peer.membership;
     loop {
         let pause = Duration::from_millis(settings.beat_ms).mul_f64(0.9 + 0.2 * fastrand::f64());
@@ -212,17 +218,17 @@
             _ = &mut connection.rpc => return LinkEnd::Lost,
             () = tokio::time::sleep(pause) => {}
         }
-        if node.is_spare(link) {
+        if node.is_redundant(link) {
             return LinkEnd::NotNeeded;
         }
-        push_beat(node, std::slice::from_ref(link)).await;
-        if link.heard.get().elapsed() > Duration::from_millis(settings.suspect_ms) {
+        send_heartbeats(node, std::slice::from_ref(link)).await;
+        if link.last_received_at.get().elapsed() > Duration::from_millis(settings.suspect_ms) {
             return LinkEnd::Silent;
         }
     }
 }
 
-async fn accepted<S>(node: &Rc<Node>, stream: S) -> Result<(), LinkEnd>
+async fn run_accepted<S>(node: &Rc<Node>, stream: S) -> Result<(), LinkEnd>
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
 {
@@ -238,7 +244,7 @@
         let Some(link) = connection.server.link() else {
             return Err(LinkEnd::Greeting("timeout".into()));
         };
-        let silent = link.heard.get().elapsed();
+        let silent = link.last_received_at.get().elapsed();
         if silent > silence {
             return Err(LinkEnd::Silent);
         }
--- a/crates/kingcuploftd/src/peer_link/mod.rs
+++ b/crates/kingcuploftd/src/peer_link/mod.rs
@@ -1,12 +1,13 @@
-//! The peer duty: links with a few other entry VMs, on one thread.
+//! The peer thread: gossip links with a few other entry VMs.
 //!
-//! Over a link go heartbeats, news of members, the root and service objects of a manifest, drains
-//! and notes. Either side of a link offers the same interface, so whichever learns something first
-//! tells the other. Nothing that comes in here is taken on trust: sizes and nesting are bounded,
-//! service objects are checked against their hashes, generations only grow.
+//! A link carries heartbeats, membership gossip, the root and service objects of a manifest, drains and load notes.
+//! Both sides of a link offer the same interface, so whichever side has new information sends it to the other.
+//!
+//! Failure: corrupt or hostile messages. Sizes and nesting are bounded, service objects are checked against their
+//! hashes, and generations only grow, so a message can neither exhaust memory nor move a VM back to an older manifest.
 
 mod budget;
-mod counted;
+mod byte_counter;
 mod link;
 mod node;
 #[expect(
@@ -16,9 +17,9 @@
 )]
 #[rustfmt::skip]
 pub mod peer_capnp;
+mod broadcast;
 mod server;
 pub mod settings;
-mod telling;
 mod tls;
 pub mod wire;
 
@@ -35,19 +36,19 @@
 pub use settings::PeerSettings;
 use tls::Tls;
 
-/// How often the loops look whether to stop.
-const STOP_POLL: Duration = Duration::from_millis(20);
+/// How often the loops check whether to stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often the neighbours are chosen anew.
-const CHOOSE: Duration = Duration::from_millis(100);
+/// How often the neighbours are chosen.
+const NEIGHBOUR_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often silence is looked at.
-const TICK: Duration = Duration::from_millis(200);
+/// How often members are checked for missing heartbeats.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Links that others may open to this VM; at 200 VMs with 3 neighbours each, a handful do.
-const ACCEPTED_LINKS: usize = 128;
+/// The most links that other VMs may open to this VM; with 200 VMs and 3 neighbours each, only a handful do.
+const MAX_ACCEPTED_LINKS: usize = 128;
 
-/// The keys of the links, read at start.
+/// The TLS keys of the links, read at start.
 #[derive(Debug)]
 pub struct Keys(Option<Tls>);
 
@@ -56,13 +57,13 @@
     ///
     /// # Errors
     ///
-    /// Which file can not be used and why.
+    /// Returns which file cannot be used and why.
     pub fn read(settings: &PeerSettings) -> Result<Self, String> {
         Ok(Self(settings.tls.clone().map(Tls::new).transpose()?))
     }
 }
 
-/// Runs the duty until the daemon ends.
+/// Runs the peer thread until the daemon ends.
 ///
 /// # Panics
 ///
@@ -83,13 +84,13 @@
         .fleet
         .membership()
         .add_candidates(Instant::now(), seeds);
-    tokio::task::spawn_local(telling::tell_peers(Rc::clone(&node)));
-    tokio::task::spawn_local(telling::follow_manifest(Rc::clone(&node)));
+    tokio::task::spawn_local(broadcast::send_updates(Rc::clone(&node)));
+    tokio::task::spawn_local(broadcast::announce_manifest(Rc::clone(&node)));
     tokio::task::spawn_local(choose_links(Rc::clone(&node)));
-    tokio::task::spawn_local(watch_silence(Rc::clone(&node)));
-    let accepted_links = Arc::new(Semaphore::new(ACCEPTED_LINKS));
+    tokio::task::spawn_local(detect_silent_members(Rc::clone(&node)));
+    let accepted_links = Arc::new(Semaphore::new(MAX_ACCEPTED_LINKS));
     while !shared.ended() {
-        let accepted = tokio::time::timeout(STOP_POLL, listener.accept()).await;
+        let accepted = tokio::time::timeout(STOP_CHECK_INTERVAL, listener.accept()).await;
         let Ok(Ok((stream, _))) = accepted else {
             continue;
         };
@@ -100,28 +101,28 @@
         let node = Rc::clone(&node);
         tokio::task::spawn_local(async move {
             if let Err(end) = link::accept(&node, stream).await {
-                node.ended(end);
+                node.record_link_end(end);
             }
             drop(permit);
         });
     }
-    node.say_goodbye().await;
+    node.announce_leave().await;
 }
 
-/// Looks for members that have fallen silent.
-async fn watch_silence(node: Rc<Node>) {
+/// Runs the failure detector: marks members without recent heartbeats as suspect, then as gone.
+async fn detect_silent_members(node: Rc<Node>) {
     let fleet = &node.shared.fleet;
     while !node.shared.ended() {
         let changed = fleet.membership().tick(Instant::now());
         if changed {
             tracing::info!("membership: the view of the fleet changed.");
         }
-        fleet.show(&node.shared);
-        tokio::time::sleep(TICK).await;
+        fleet.update_metrics(&node.shared);
+        tokio::time::sleep(SILENCE_CHECK_INTERVAL).await;
     }
 }
 
-/// Keeps a link to each neighbour that the membership names.
+/// Keeps a link to each neighbour that the membership selects.
 async fn choose_links(node: Rc<Node>) {
     while !node.shared.ended() {
         let neighbours = node.shared.fleet.membership().neighbours(Instant::now());
@@ -134,6 +135,6 @@
                 });
             }
         }
-        tokio::time::sleep(CHOOSE).await;
+        tokio::time::sleep(NEIGHBOUR_CHECK_INTERVAL).await;
     }
 }
--- a/crates/kingcuploftd/src/peer_link/node.rs
+++ b/crates/kingcuploftd/src/peer_link/node.rs
@@ -1,4 +1,4 @@
-//! This VM among its links: who is linked, what each knows, what is to be told.
+//! This VM's gossip node: its links, the manifest generation that each peer has, and pulling newer manifests.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,53 +14,53 @@
 use kingcuploft::world::ids::{Generation, VmName};
 use kingcuploft_platform::backoff::Backoff;
 
+use super::broadcast::send_heartbeats;
 use super::budget::ByteBudget;
 use super::link::{LinkEnd, MEMBERS_PER_PAGE};
 use super::peer_capnp::peer;
-use super::telling::push_beat;
 use super::tls::Tls;
-use super::wire::{Beat, read_drain, read_member};
+use super::wire::{Heartbeat, read_drain, read_member};
 use crate::message::Message;
 use crate::shared::Shared;
 
-/// The most lines of news on one heartbeat.
-const NEWS: usize = 4;
+/// The most membership entries on one heartbeat.
+const MAX_GOSSIP_ENTRIES: usize = 4;
 
-/// The most pages of members that are read from one peer.
-const MEMBER_PAGES: u32 = 64;
+/// The most pages of members that are read from one peer at a time.
+const MAX_MEMBER_PAGES: u32 = 64;
 
 /// The most service objects asked for in one call.
-const SERVICES_PER_CALL: usize = 32;
+const MAX_SERVICES_PER_CALL: usize = 32;
 
-/// How long a call to a peer may take; a link that is slower is cut.
+/// How long a call to a peer may take.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The pause before a failed pull is tried again, here or by another link's heartbeat.
-const PULL_PAUSE: Duration = Duration::from_millis(100);
+/// The delay before a failed pull is retried, on this link or on another link's heartbeat.
+const PULL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A link whose other end has said who it is.
+/// A link after the greeting.
 pub(super) struct Link {
     pub(super) name: VmName,
     pub(super) peer: peer::Client,
-    /// The newest generation the other end is known to have in force.
-    pub(super) knows: Cell<Generation>,
-    /// When the other end was last heard.
-    pub(super) heard: Cell<Instant>,
+    /// The newest generation that the other end is known to have activated.
+    pub(super) known_generation: Cell<Generation>,
+    /// When the other end's last heartbeat arrived.
+    pub(super) last_received_at: Cell<Instant>,
 }
 
-/// Tries to reach one address.
+/// The connection attempts to one address.
 struct Dial {
     running: bool,
     not_before: Instant,
     backoff: Backoff,
 }
 
-/// This VM among its links.
+/// This VM's gossip node.
 pub(super) struct Node {
     pub(super) shared: Arc<Shared>,
     links: RefCell<Vec<Rc<Link>>>,
     dials: RefCell<HashMap<SocketAddr, Dial>>,
-    /// The keys of the links; none for plain TCP.
+    /// The TLS keys of the links; `None` for plain TCP.
     pub(super) tls: Option<Tls>,
     pulling: Cell<bool>,
     budget: RefCell<ByteBudget>,
@@ -80,30 +80,31 @@
     }
 
     /// Returns the heartbeat to send now.
-    pub(super) fn beat(&self) -> Beat {
+    pub(super) fn beat(&self) -> Heartbeat {
         let (generation, root_hash) = self.shared.manifest.read(|adoption| {
             let hash = adoption.root_hash().map_or(0, ContentHash::short);
             (adoption.generation(), hash)
         });
-        let room = self.has_budget();
+        let has_budget = self.has_budget();
         let mut membership = self.shared.fleet.membership();
-        Beat {
+        Heartbeat {
             generation,
             root_hash,
             beat: membership.next_heartbeat(),
             digest: membership.digest(),
-            news: membership.next_gossip(if room { NEWS } else { 0 }),
+            gossip: membership.next_gossip(if has_budget { MAX_GOSSIP_ENTRIES } else { 0 }),
         }
     }
 
-    /// Takes a heartbeat from a link.
-    pub(super) fn heard(self: &Rc<Self>, link: &Rc<Link>, beat: &Beat) {
+    /// Handles a heartbeat from a link.
+    pub(super) fn handle_heartbeat(self: &Rc<Self>, link: &Rc<Link>, beat: &Heartbeat) {
         let now = Instant::now();
-        link.heard.set(now);
-        link.knows.set(link.knows.get().max(beat.generation));
+        link.last_received_at.set(now);
+        link.known_generation
+            .set(link.known_generation.get().max(beat.generation));
         let mut membership = self.shared.fleet.membership();
         membership.record_heartbeat(now, &link.name, beat.beat);
-        for member in &beat.news {
+        for member in &beat.gossip {
             membership.apply_gossip(now, member);
         }
         let differs = membership.needs_resync(now, beat.digest);
@@ -112,23 +113,23 @@
             let (node, link) = (Rc::clone(self), Rc::clone(link));
             tokio::task::spawn_local(async move { drop(node.read_fleet(&link, true).await) });
         }
-        self.compare(link, beat);
+        self.compare_manifests(link, beat);
     }
 
-    /// Pulls a newer manifest, and notices the same generation with another content.
-    fn compare(self: &Rc<Self>, link: &Rc<Link>, beat: &Beat) {
-        let keeper = &self.shared.manifest;
-        let own = keeper.read(|adoption| {
+    /// Compares a peer's manifest with this VM's: pulls a newer one, and reports different contents of one generation.
+    fn compare_manifests(self: &Rc<Self>, link: &Rc<Link>, beat: &Heartbeat) {
+        let manifest = &self.shared.manifest;
+        let own = manifest.read(|adoption| {
             let hash = adoption.root_hash().map_or(0, ContentHash::short);
             (adoption.generation(), hash)
         });
         if beat.generation == own.0 && beat.root_hash != own.1 {
             self.shared.metrics.fleet.manifest_faults.inc();
             let (name, generation) = (&link.name, own.0);
-            tracing::error!("manifest: {name} has another content of generation {generation}.");
+            tracing::error!("manifest: {name} has different contents for generation {generation}.");
         }
         if beat.generation > own.0 {
-            keeper.learn(&self.shared, "a peer", |adoption| {
+            manifest.update(&self.shared, "a peer", |adoption| {
                 adoption.note_generation(beat.generation);
                 Ok(kingcuploft::decisions::adoption::AdoptionStep::Unchanged)
             });
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Starts to pull what is missing from a link, unless a pull runs.
+    /// Starts to pull the missing manifest parts from a link, unless a pull is running.
     fn pull(self: &Rc<Self>, link: &Rc<Link>) {
         if self.pulling.replace(true) {
             return;
@@ -146,8 +147,8 @@
             if let Err(error) = node.pull_all(&link).await {
                 let name = &link.name;
                 tracing::warn!("manifest: a pull from {name} failed: {error}.");
-                // Another link's heartbeat, or this one's next, tries again.
-                tokio::time::sleep(PULL_PAUSE).await;
+                // The next heartbeat, of this link or another, retries the pull.
+                tokio::time::sleep(PULL_RETRY_DELAY).await;
             }
             node.pulling.set(false);
         });
@@ -173,19 +174,19 @@
         let answer = in_time(request.send().promise).await?;
         let text = answer.get()?.get_delta()?.to_str()?;
         let delta = serde_json::from_str(text);
-        let delta = delta.map_err(|e| capnp::Error::failed(format!("no difference: {e}")))?;
+        let delta = delta.map_err(|e| capnp::Error::failed(format!("not a root delta: {e}")))?;
         let source = &link.name;
-        let taken = self
+        let accepted = self
             .shared
             .manifest
-            .learn(&self.shared, source, |adoption| adoption.root_delta(&delta));
-        taken
+            .update(&self.shared, source, |adoption| adoption.root_delta(&delta));
+        accepted
             .then_some(())
-            .ok_or_else(|| failed("its root was not taken"))
+            .ok_or_else(|| failed("its root was not accepted"))
     }
 
     async fn pull_services(&self, link: &Link, missing: &[ContentHash]) -> capnp::Result<()> {
-        let wanted = &missing[..missing.len().min(SERVICES_PER_CALL)];
+        let wanted = &missing[..missing.len().min(MAX_SERVICES_PER_CALL)];
         let mut request = link.peer.services_request();
         let mut hashes = request.get().init_hashes(wanted.len() as u32);
         for (i, hash) in wanted.iter().enumerate() {
@@ -193,32 +194,29 @@
         }
         let answer = in_time(request.send().promise).await?;
         let texts = answer.get()?.get_texts()?;
-        let mut taken = 0;
+        let mut accepted = 0;
         for (hash, text) in wanted.iter().zip(texts.iter()) {
             let text = text?.to_str()?;
             if text.is_empty() {
                 continue;
             }
             let source = &link.name;
-            taken += usize::from(
-                self.shared
-                    .manifest
-                    .learn(&self.shared, source, |adoption| {
-                        adoption.service_text(hash, text)
-                    }),
-            );
+            accepted += usize::from(self.shared.manifest.update(
+                &self.shared,
+                source,
+                |adoption| adoption.service_text(hash, text),
+            ));
         }
-        match taken {
+        match accepted {
             0 => Err(failed("it has none of the missing service objects")),
             _ => Ok(()),
         }
     }
 
-    /// Reads all members and drains that the other end knows, as a VM that just started or was cut off
-    /// needs them.
-    pub(super) async fn read_fleet(&self, link: &Link, mends: bool) -> capnp::Result<()> {
+    /// Reads all members and drains that the other end knows, for a VM that has just started or was partitioned.
+    pub(super) async fn read_fleet(&self, link: &Link, reconcile: bool) -> capnp::Result<()> {
         let mut list = Vec::new();
-        for page in 0..MEMBER_PAGES {
+        for page in 0..MAX_MEMBER_PAGES {
             let from = page * MEMBERS_PER_PAGE as u32;
             let mut request = link.peer.members_request();
             request.get().set_from(from);
@@ -229,28 +227,30 @@
                 list.push(read_member(member)?);
             }
             for drain in answer.get_drains()? {
-                self.shared.fleet.drain(&self.shared, read_drain(drain)?);
+                self.shared
+                    .fleet
+                    .record_drain(&self.shared, read_drain(drain)?);
             }
             if members.len() < MEMBERS_PER_PAGE as u32 {
                 break;
             }
         }
         let mut membership = self.shared.fleet.membership();
-        match mends {
+        match reconcile {
             true => membership.reconcile_list(Instant::now(), &list),
             false => membership.merge_list(Instant::now(), &list),
         }
         Ok(())
     }
 
-    /// Adds a link that has said who it is.
-    pub(super) fn linked(&self, link: Rc<Link>) {
+    /// Adds a link after its greeting.
+    pub(super) fn add_link(&self, link: Rc<Link>) {
         self.links.borrow_mut().push(link);
-        self.show_links();
+        self.update_link_count();
     }
 
-    /// Takes a link out.
-    pub(super) fn unlinked(&self, link: &Rc<Link>) {
+    /// Removes a link.
+    pub(super) fn remove_link(&self, link: &Rc<Link>) {
         let mut links = self.links.borrow_mut();
         links.retain(|other| !Rc::ptr_eq(other, link));
         let left = links.iter().any(|other| other.name == link.name);
@@ -258,25 +258,25 @@
         if !left {
             self.shared.fleet.membership().record_unlinked(&link.name);
         }
-        self.show_links();
+        self.update_link_count();
     }
 
-    fn show_links(&self) {
+    fn update_link_count(&self) {
         let links = self.links.borrow().len();
         self.shared.metrics.fleet.peer_links.set(links as i64);
     }
 
-    /// Returns the links as they stand.
+    /// Returns the current links.
     pub(super) fn links(&self) -> Vec<Rc<Link>> {
         self.links.borrow().clone()
     }
 
-    /// Tells whether there is a link with this VM.
+    /// Returns whether there is a link with the named VM.
     fn has_link(&self, name: &VmName) -> bool {
         self.links.borrow().iter().any(|link| link.name == *name)
     }
 
-    /// Tells whether to begin to dial a neighbour now, and notes that it is being done.
+    /// Returns whether to dial a neighbour now; if so, marks it as being dialled.
     pub(super) fn begin_dial(&self, neighbour: &Neighbour) -> bool {
         if neighbour
             .name
@@ -299,30 +299,30 @@
         true
     }
 
-    /// Notes how a dial ended.
+    /// Records how a dial ended.
     pub(super) fn end_dial(&self, neighbour: &Neighbour, end: LinkEnd) {
         let now = Instant::now();
         let mut dials = self.dials.borrow_mut();
         if let Some(dial) = dials.get_mut(&neighbour.address) {
             dial.running = false;
-            if end.was_linked() {
+            if end.was_established() {
                 dial.backoff.reset();
             }
             dial.not_before = now + dial.backoff.next_delay(&mut fastrand::Rng::new());
         }
-        // Addresses of long ago would pile up with each replaced VM.
+        // Otherwise the address of every replaced VM would stay here for ever.
         dials.retain(|_, dial| dial.running || now < dial.not_before + Duration::from_secs(60));
         drop(dials);
-        if !end.was_linked() {
+        if !end.was_established() {
             let mut membership = self.shared.fleet.membership();
             membership.record_unreachable(now, neighbour.address);
         }
-        self.ended(end);
+        self.record_link_end(end);
     }
 
-    /// Tells whether a link that this VM opened may end: the other end is no neighbour any more,
-    /// or both opened a link and this one is the one that both give up.
-    pub(super) fn is_spare(&self, link: &Rc<Link>) -> bool {
+    /// Returns whether a link that this VM opened may end: the other end is no longer a neighbour, or both ends opened
+    /// a link. Of two such links, both ends drop the one that the VM with the greater name opened.
+    pub(super) fn is_redundant(&self, link: &Rc<Link>) -> bool {
         let twin = |other: &Rc<Link>| other.name == link.name && !Rc::ptr_eq(other, link);
         let gives_up = self.shared.vm.name > link.name;
         if gives_up && self.links.borrow().iter().any(twin) {
@@ -334,35 +334,41 @@
             .any(|n| n.name.as_ref() == Some(&link.name))
     }
 
-    /// Hands a peer's notes to the dispatch duty; where its ring is full they are worth least.
-    pub(super) fn take_notes(&self, notes: PeerNotes) {
+    /// Forwards a peer's load notes to the dispatch thread; they are dropped if its channel is full, as the least
+    /// important messages.
+    pub(super) fn forward_notes(&self, notes: PeerNotes) {
         let metrics = &self.shared.metrics.fleet;
         metrics.count_notes("received", notes.notes.len());
-        if self.shared.dispatch.try_send(Message::Told(notes)).is_err() {
+        if self
+            .shared
+            .dispatch
+            .try_send(Message::NotesReceived(notes))
+            .is_err()
+        {
             self.shared.metrics.fleet.peer_over_budget.inc();
         }
     }
 
     /// Counts the end of a link.
-    pub(super) fn ended(&self, end: LinkEnd) {
+    pub(super) fn record_link_end(&self, end: LinkEnd) {
         let label = end.label();
         self.shared.metrics.fleet.count_link_end(label);
         tracing::debug!("peer: a link ended: {end}.");
     }
 
-    /// Tells whether the byte budget allows what can be left out.
+    /// Returns whether the byte budget allows optional messages.
     pub(super) fn has_budget(&self) -> bool {
-        self.budget.borrow_mut().has_room(&self.shared)
+        self.budget.borrow_mut().has_bytes(&self.shared)
     }
 
-    /// Tells the neighbours that this VM stops.
-    pub(super) async fn say_goodbye(self: &Rc<Self>) {
+    /// Announces to the linked peers that this VM leaves the fleet.
+    pub(super) async fn announce_leave(self: &Rc<Self>) {
         self.shared.fleet.membership().leave();
-        push_beat(self, &self.links()).await;
+        send_heartbeats(self, &self.links()).await;
     }
 }
 
-/// Waits for a peer's answer, but not for long: a half-open link never answers.
+/// Waits for a peer's answer at most [`CALL_TIMEOUT`]: a half-open connection never answers.
 pub(super) async fn in_time<T>(
     promise: impl Future<Output = capnp::Result<T>>,
 ) -> capnp::Result<T> {
--- a/crates/kingcuploftd/src/measure.rs
+++ b/crates/kingcuploftd/src/prober.rs
@@ -1,4 +1,4 @@
-//! The measuring duty: probes backend servers when the dispatcher asks for it.
+//! The prober: reads the health and load endpoints of backend servers when the dispatcher requests a probe.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,32 +12,32 @@
 use crate::message::Message;
 use crate::shared::Shared;
 
-/// The longest answer of a load endpoint that is read, in bytes.
-const LOAD_BYTES: u64 = 4096;
+/// The most bytes of a load endpoint's answer that are read.
+const MAX_LOAD_BYTES: u64 = 4096;
 
-/// The answer of a load endpoint; what else it holds is ignored.
+/// The answer of a load endpoint; other fields are ignored.
 #[derive(Debug, Deserialize)]
 struct Load {
     in_flight: u32,
 }
 
-/// What the health endpoint said.
+/// The answer of a health endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct Health {
     healthy: bool,
     draining: bool,
 }
 
-/// Runs the duty until the dispatch duty ends.
-pub fn run(shared: &Arc<Shared>, ring: &Receiver<Probe>) {
+/// Runs the prober until the dispatch thread ends.
+pub fn run(shared: &Arc<Shared>, probes: &Receiver<Probe>) {
     let agent = agent();
-    for probe in ring {
+    for probe in probes {
         shared.metrics.probes.inc();
-        let probed = measure(&agent, &probe);
-        if !probed.healthy {
+        let result = run_probe(&agent, &probe);
+        if !result.healthy {
             tracing::debug!("measure: {} is not healthy.", probe.backend_server);
         }
-        if shared.dispatch.send(Message::Probed(probed)).is_err() {
+        if shared.dispatch.send(Message::Probed(result)).is_err() {
             return;
         }
     }
@@ -53,8 +53,8 @@
     Agent::new_with_config(config)
 }
 
-/// Asks for health first, as a server that takes no work is not to be asked for its load.
-fn measure(agent: &Agent, probe: &Probe) -> ProbeResult {
+/// Probes the health first: a server that accepts no requests is not asked for its load.
+fn run_probe(agent: &Agent, probe: &Probe) -> ProbeResult {
     let health = health(agent, probe).unwrap_or_default();
     let load = match health.healthy {
         true => load(agent, probe).ok(),
@@ -71,7 +71,7 @@
 
 fn health(agent: &Agent, probe: &Probe) -> Result<Health, ureq::Error> {
     let url = format!("http://{}{}", probe.address, probe.signals.health_path);
-    let response = within(agent.get(url), probe.timeout).call()?;
+    let response = with_timeout(agent.get(url), probe.timeout).call()?;
     let draining = response.headers();
     let draining = draining.contains_key(&probe.signals.drain_header);
     Ok(Health {
@@ -82,15 +82,15 @@
 
 fn load(agent: &Agent, probe: &Probe) -> Result<LoadReport, ureq::Error> {
     let url = format!("http://{}{}", probe.address, probe.signals.load_path);
-    let mut response = within(agent.get(url), probe.timeout).call()?;
-    let body = response.body_mut().with_config().limit(LOAD_BYTES);
+    let mut response = with_timeout(agent.get(url), probe.timeout).call()?;
+    let body = response.body_mut().with_config().limit(MAX_LOAD_BYTES);
     let load: Load = body.read_json()?;
     Ok(LoadReport {
         in_flight: load.in_flight,
     })
 }
 
-fn within(
+fn with_timeout(
     request: ureq::RequestBuilder<ureq::typestate::WithoutBody>,
     timeout: Duration,
 ) -> ureq::RequestBuilder<ureq::typestate::WithoutBody> {
