--- a/crates/kingcuploft-standins/tests/claims/entry.rs
+++ b/crates/kingcuploft-standins/tests/claims/entry.rs
@@ -1,4 +1,4 @@
-//! Callers of a small fleet, and a VM whose claims a test holds by hand.
+//! Callers of a small fleet, and a claims thread that a test controls step by step.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -36,13 +36,13 @@
         availability_zones: &["a"],
         services: vec![service],
     };
-    let variant = FleetOptions {
+    let options = FleetOptions {
         mean_work_time: Duration::from_millis(1),
         extra_settings: "claims: {end_linger_ms: 20}\nstore: {call_timeout_ms: 200}\n".into(),
         ..FleetOptions::default()
     };
-    let fleet = Fleet::start(deployment, variant).unwrap();
-    // Every VM has read the ledger's layout once a claim through it was decided.
+    let fleet = Fleet::start(deployment, options).unwrap();
+    // A VM has read the layout of the ledger once it has decided a claim, so one hold through each prepares them all.
     for vm in 0..vms {
         let warm = hold(&fleet, vm, &format!("warm-{vm}"), "beds");
         assert_eq!(warm.status, 200, "{warm:?}");
@@ -50,9 +50,9 @@
     fleet
 }
 
-/// What a caller received.
+/// The parts of an answer, as a caller receives it, that the tests compare.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Told {
+pub(crate) struct CallerAnswer {
     pub(crate) status: u16,
     pub(crate) reason: String,
     pub(crate) outcome: String,
@@ -61,8 +61,8 @@
     pub(crate) retry_after: bool,
 }
 
-/// Asks for a hold through one VM.
-pub(crate) fn hold(fleet: &Fleet, vm: usize, key: &str, body: &str) -> Told {
+/// Sends a hold with an idempotency key through one VM.
+pub(crate) fn hold(fleet: &Fleet, vm: usize, key: &str, body: &str) -> CallerAnswer {
     post(fleet, vm, "/holds", &[("idempotency-key", key)], body)
 }
 
@@ -73,7 +73,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Told {
+) -> CallerAnswer {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .timeout_global(Some(Duration::from_secs(10)))
@@ -93,7 +93,7 @@
         header("x-kingcuploft-reason"),
         header("x-kingcuploft-outcome"),
     );
-    Told {
+    CallerAnswer {
         status: response.status().as_u16(),
         reason,
         outcome,
@@ -103,30 +103,31 @@
     }
 }
 
-/// Looks something up through one VM; returns the status.
-pub(crate) fn look(fleet: &Fleet, vm: usize) -> u16 {
+/// Sends a lookup through one VM and returns the status, or 0 if the call fails.
+pub(crate) fn lookup_status(fleet: &Fleet, vm: usize) -> u16 {
     let url = format!("http://{}/itinerary", fleet.addresses()[vm]);
-    let looked = ureq::get(url).header("host", "trip.example").call();
-    looked.map_or(0, |looked| looked.status().as_u16())
+    let response = ureq::get(url).header("host", "trip.example").call();
+    response.map_or(0, |response| response.status().as_u16())
 }
 
-/// Waits until something holds.
-pub(crate) fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + Duration::from_secs(10);
+/// Waits until the condition holds; panics with `what` after 10 seconds.
+pub(crate) fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(10);
     while !holds() {
-        assert!(Instant::now() < end, "{what}");
+        assert!(Instant::now() < deadline, "{what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A VM's claims duty in the hands of a test: it claims, and then does nothing until it is told to.
-pub(crate) struct HandHeld {
-    orders: Sender<ClaimTask>,
-    verdicts: Receiver<Message>,
-    duty: std::thread::JoinHandle<()>,
+/// The claims thread of a further VM, without a dispatcher. It claims and records only what a test asks for, so a test
+/// can hold a claim open as a paused VM does.
+pub(crate) struct ManualClaims {
+    tasks: Sender<ClaimTask>,
+    messages: Receiver<Message>,
+    thread: std::thread::JoinHandle<()>,
 }
 
-impl HandHeld {
+impl ManualClaims {
     pub(crate) fn start(fleet: &Fleet) -> Self {
         let shared = fleet.daemons[0].shared();
         let vm = Vm {
@@ -134,19 +135,19 @@
             availability_zone: "a".into(),
             incarnation: 1,
         };
-        let (to_dispatch, verdicts) = bounded(64);
-        let (orders, ring) = bounded(64);
-        let shared = Shared::new(shared.settings.clone(), vm, to_dispatch);
+        let (message_sender, messages) = bounded(64);
+        let (tasks, task_receiver) = bounded(64);
+        let shared = Shared::new(shared.settings.clone(), vm, message_sender);
         let store = Client::new(&fleet.platform.address().to_string());
-        let duty = std::thread::spawn(move || claims::run(shared, &ring, store));
+        let thread = std::thread::spawn(move || claims::run(shared, &task_receiver, store));
         Self {
-            orders,
-            verdicts,
-            duty,
+            tasks,
+            messages,
+            thread,
         }
     }
 
-    /// Claims a hold as the dispatch duty would.
+    /// Claims a hold as the dispatch thread does.
     pub(crate) fn claim(&self, key: &str, body: &str) -> ClaimResult {
         let parts = RequestParts {
             method: hyper::Method::POST,
@@ -162,14 +163,14 @@
             window: Duration::from_secs(3600),
             record_bytes: 4096,
         };
-        self.orders.send(claim).unwrap();
-        match self.verdicts.recv_timeout(Duration::from_secs(5)).unwrap() {
-            Message::Claimed { result: end, .. } => end,
+        self.tasks.send(claim).unwrap();
+        match self.messages.recv_timeout(Duration::from_secs(5)).unwrap() {
+            Message::Claimed { result, .. } => result,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Records the answer of the claim, with bytes that are no text.
+    /// Records an answer of the claimed hold, whose body need not be text.
     pub(crate) fn acknowledge(&self, body: &'static [u8]) {
         let mut headers = HeaderMap::new();
         headers.insert("content-type", "text/beds".parse().unwrap());
@@ -180,22 +181,26 @@
             body: Bytes::from_static(body),
             rest: None,
         };
-        let order = ClaimTask::Acknowledge {
+        let task = ClaimTask::Acknowledge {
             request: 1,
             answer: Some(Box::new(answer)),
         };
-        self.orders.send(order).unwrap();
+        self.tasks.send(task).unwrap();
     }
 
-    /// Lets the duty write what is left and end.
+    /// Lets the thread write what is pending, and joins it.
     pub(crate) fn stop(self) {
-        drop(self.orders);
-        self.duty.join().unwrap();
+        drop(self.tasks);
+        self.thread.join().unwrap();
     }
 }
 
-/// Runs one call for each VM at the same moment.
-pub(crate) fn at_once(fleet: &Arc<Fleet>, vms: usize, key: &'static str) -> Vec<Told> {
+/// Sends the same hold through each VM at the same moment.
+pub(crate) fn hold_through_all_vms(
+    fleet: &Arc<Fleet>,
+    vms: usize,
+    key: &'static str,
+) -> Vec<CallerAnswer> {
     let calls: Vec<_> = (0..vms)
         .map(|vm| {
             let fleet = Arc::clone(fleet);
--- a/crates/kingcuploft-standins/tests/edges/backend.rs
+++ b/crates/kingcuploft-standins/tests/edges/backend.rs
@@ -1,4 +1,5 @@
-//! The backend edge: sent once, whole, one's own, and cancelled when nobody waits.
+//! The backend edge: a request is sent at most once, its caller receives the complete answer to this request and no
+//! other, and a lookup is cancelled when its caller disconnects.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -10,7 +11,7 @@
 
 use crate::harness::{
     Bench, answer_of, bench, bench_with, connect, exchange, plain_server, read_answer, read_head,
-    until,
+    wait_until,
 };
 
 fn work() -> Work {
@@ -22,7 +23,7 @@
     }
 }
 
-/// A daemon that does not retry by policy, in front of one stand-in.
+/// A daemon whose policy allows no retry, in front of one simulated backend server.
 struct Pair {
     server: BackendServer,
     bench: Bench,
@@ -34,7 +35,7 @@
     let bench = bench_with(&[server.address()], "{}", rule);
     Pair {
         server,
-        bench: bench.with(runtime),
+        bench: bench.with_runtime(runtime),
     }
 }
 
@@ -43,7 +44,7 @@
         self.bench.daemon.address()
     }
 
-    /// Sends one request with a key and returns what came back.
+    /// Sends one request with an idempotency key and a deadline of 400 ms, and returns the answer.
     fn call(&self, method: &str, key: &str) -> String {
         let path = if method == "POST" {
             "/holds"
@@ -57,9 +58,9 @@
     }
 }
 
-/// Guards against a library that sends a hold again which it can not prove unsent.
+/// Guards against an HTTP library that resends a hold although a part of it may have been sent.
 #[test]
-fn however_a_connection_dies_a_request_is_sent_once_and_told_truthfully() {
+fn however_a_connection_fails_a_request_is_sent_once_and_its_outcome_is_true() {
     let faults = [
         AnswerFault::CutRequest,
         AnswerFault::CutBeforeHead,
@@ -88,7 +89,8 @@
                 let answer = pair.call(method, &key);
                 let runs = pair.server.runs(&key);
                 let reached = pair.server.counts().requests > before;
-                // A busy machine may refuse at the door, for want of time: then nothing was sent.
+                // On a busy machine the daemon may refuse the request because its deadline is too near. Then nothing was
+                // sent.
                 let outcome = match answer.contains("outcome: not_run") {
                     true => !reached && runs == 0,
                     false => answer.contains("outcome: unknown"),
@@ -101,7 +103,7 @@
     }
 }
 
-/// Guards against `not_run` for a hold of which something was handed to a connection.
+/// Guards against the outcome `not_run` for a hold of which a part was written to a connection.
 #[test]
 fn not_run_is_said_only_where_it_did_not_run() {
     let pair = pair("");
@@ -110,7 +112,7 @@
     assert!(shed.contains("outcome: not_run"), "{shed}");
     pair.server
         .change(|faults| faults.refuse_connections = true);
-    until("the port closes", || {
+    wait_until("the port closes", || {
         std::net::TcpStream::connect(pair.server.address()).is_err()
     });
     pair.server.close_connections();
@@ -119,9 +121,10 @@
     assert_eq!(pair.server.counts().runs, 0);
 }
 
-/// Guards against a caller that gets another's answer, left over on a kept connection.
+/// Guards against a caller that receives the answer to an earlier request, left unread on a keepalive
+/// connection.
 #[test]
-fn a_connection_with_a_left_over_answer_is_never_used_again() {
+fn a_connection_with_an_unread_answer_is_never_reused() {
     let pair = pair("");
     for fault in [
         AnswerFault::Duplicated,
@@ -139,36 +142,38 @@
     }
 }
 
-/// Guards against slots that are held for work which nobody waits for.
+/// Guards against slots of a backend server that stay in use for work whose caller has disconnected.
 #[test]
-fn a_caller_that_goes_away_cancels_its_lookup_at_the_backend_server() {
+fn a_caller_disconnect_cancels_its_lookup_at_the_backend_server() {
     let pair = pair("");
     let mut stream = connect(pair.address());
     let request = "GET /lookup HTTP/1.1\r\nhost: trip.example\r\nx-work-us: 4000000\r\n\r\n";
     stream.write_all(request.as_bytes()).unwrap();
-    until("it runs", || pair.server.counts().runs == 1);
+    wait_until("the request runs", || pair.server.counts().runs == 1);
     drop(stream);
-    until("it is cancelled", || pair.server.counts().cancelled == 1);
+    wait_until("the lookup is cancelled", || {
+        pair.server.counts().cancelled == 1
+    });
     assert_eq!(pair.server.in_flight(), 0);
     assert!(pair.call("GET", "next").starts_with("HTTP/1.1 200"));
 }
 
-/// A hold's caller hangs up: the hold must run on, once, so that its end can be recorded.
+/// The caller of a hold disconnects: the hold must still run to its end, once, so that its outcome can be recorded.
 #[test]
-fn a_protected_action_is_not_cancelled_when_its_caller_goes_away() {
+fn a_caller_disconnect_does_not_cancel_a_protected_action() {
     let pair = pair("");
     let mut stream = connect(pair.address());
     let request = "POST /holds HTTP/1.1\r\nhost: trip.example\r\nidempotency-key: k\r\nx-work-us: 200000\r\ncontent-length: 0\r\n\r\n";
     stream.write_all(request.as_bytes()).unwrap();
-    until("it runs", || pair.server.runs("k") == 1);
+    wait_until("the request runs", || pair.server.runs("k") == 1);
     drop(stream);
-    until("it ends", || pair.server.in_flight() == 0);
+    wait_until("the hold ends", || pair.server.in_flight() == 0);
     assert_eq!(pair.server.counts().cancelled, 0);
 }
 
-/// Guards against a long answer that is cut and looks whole.
+/// Guards against a long answer that is truncated and looks complete to the caller.
 #[test]
-fn a_long_answer_streams_and_a_cut_one_is_not_taken_for_whole() {
+fn a_long_answer_is_streamed_and_a_truncated_one_is_seen_as_incomplete() {
     let pair = pair(", whole_answer_bytes: 1000");
     for fault in [None, Some(AnswerFault::Chunked)] {
         pair.server.change(|faults| {
@@ -192,12 +197,14 @@
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
         assert_eq!(body, None, "{fault:?}");
     }
-    until("both are counted", || metrics.streams_cut.get() == 2);
+    wait_until("both cut streams are counted", || {
+        metrics.streams_cut.get() == 2
+    });
 }
 
-/// A caller stops reading a streamed answer and goes away: its worker must come free.
+/// A caller stops reading a streamed answer and disconnects: the worker that sends it must become free.
 #[test]
-fn a_streamed_answer_ends_with_its_caller() {
+fn a_streamed_answer_ends_when_its_caller_disconnects() {
     let pair = pair(", whole_answer_bytes: 1000");
     let mut stream = connect(pair.address());
     let request = "GET /list HTTP/1.1\r\nhost: trip.example\r\nx-answer-bytes: 30000000\r\n\r\n";
@@ -205,10 +212,10 @@
     drop(read_head(&mut stream));
     drop(stream);
     let metrics = &pair.bench.daemon.shared().metrics;
-    until("it is cut", || metrics.streams_cut.get() == 1);
+    wait_until("the stream is cut", || metrics.streams_cut.get() == 1);
 }
 
-/// What a backend server sees: end-to-end headers only, one host, one deadline, a fleet-wide id.
+/// A backend server receives only end-to-end headers, one host, one deadline and a request id unique in the fleet.
 #[test]
 fn only_end_to_end_headers_reach_the_backend_server() {
     let seen = Arc::new(Mutex::new(String::new()));
@@ -228,7 +235,7 @@
     assert!(!seen.contains("99999999"), "{seen}");
     assert!(seen.contains(&id), "{seen}");
     assert!(seen.contains("accept: text/plain\r\n"), "{seen}");
-    for gone in [
+    for removed in [
         "x-hop",
         "keep-alive",
         "\r\nte:",
@@ -236,7 +243,7 @@
         "forged",
         "user-agent",
     ] {
-        assert!(!seen.contains(gone), "{gone}: {seen}");
+        assert!(!seen.contains(removed), "{removed}: {seen}");
     }
 }
 
@@ -252,9 +259,9 @@
     address
 }
 
-/// A redirect, a cookie and a coding are the caller's: passed on, not followed, kept or decoded.
+/// Redirects, cookies and content codings are passed on to the caller: the daemon follows, stores and decodes none.
 #[test]
-fn redirects_cookies_and_codings_are_the_callers() {
+fn redirects_cookies_and_codings_are_passed_on_to_the_caller() {
     let pair = pair("");
     pair.server
         .change(|faults| faults.set_answer_fault(AnswerFault::Redirect));
@@ -266,7 +273,7 @@
     assert_eq!(pair.server.counts().requests, 1);
 }
 
-/// Answers without a body are whole without one.
+/// Answers to HEAD requests and with status 204 or 304 are complete without a body.
 #[test]
 fn answers_without_a_body_are_whole() {
     let pair = pair("");
@@ -290,9 +297,9 @@
     }
 }
 
-/// An answer whose head contradicts itself, or would split the caller's answer, is broken.
+/// An answer whose head contradicts itself, or would split the answer to the caller (response splitting), is rejected.
 #[test]
-fn contradictory_and_split_heads_are_broken() {
+fn contradictory_and_split_heads_are_rejected() {
     let heads = [
         "HTTP/1.1 200 OK\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nxx",
         "HTTP/1.1 200 OK\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
@@ -310,12 +317,12 @@
     }
 }
 
-/// Guards against one VM that takes all connections of a backend server.
+/// Guards against one VM that uses up all connections that a backend server allows.
 #[test]
 fn connections_to_a_backend_server_stay_within_this_vms_share() {
     let runtime = Bench::runtime();
     let server = BackendServer::start(&runtime, work()).unwrap();
-    let bench = bench(&[server.address()], "{vms: 220}").with(runtime);
+    let bench = bench(&[server.address()], "{vms: 220}").with_runtime(runtime);
     let address = bench.daemon.address();
     std::thread::scope(|scope| {
         for _ in 0..8 {
--- a/crates/kingcuploft-standins/tests/edges/harness.rs
+++ b/crates/kingcuploft-standins/tests/edges/harness.rs
@@ -1,4 +1,4 @@
-//! A daemon in this process with a manifest in force, and raw callers.
+//! A daemon in this process with a manifest in force, and callers on raw sockets.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,7 +13,7 @@
 use kingcuploftd::settings::Settings;
 use tokio::runtime::Runtime;
 
-/// A daemon with what it needs around it.
+/// A daemon with its platform and the runtimes of its backend servers.
 pub(crate) struct Bench {
     pub(crate) daemon: Daemon,
     _runtimes: Vec<Runtime>,
@@ -26,8 +26,8 @@
         Runtime::new().unwrap()
     }
 
-    /// Keeps the runtime alive as long as the servers and callers on it.
-    pub(crate) fn with(mut self, runtime: Runtime) -> Self {
+    /// Keeps the runtime alive as long as the daemon, so that the backend servers on it stay up.
+    pub(crate) fn with_runtime(mut self, runtime: Runtime) -> Self {
         self._runtimes.push(runtime);
         self
     }
@@ -80,7 +80,7 @@
     serde_saphyr::from_str(&text).unwrap()
 }
 
-/// A raw connection to a daemon.
+/// Opens a raw connection to a daemon, with a read timeout of 10 seconds.
 pub(crate) fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
     stream
@@ -102,16 +102,16 @@
     String::from_utf8_lossy(&head).into_owned()
 }
 
-/// Waits until something holds.
-pub(crate) fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(10);
+/// Waits until the condition holds; panics with `what` after 10 seconds.
+pub(crate) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(10);
     while !holds() {
-        assert!(Instant::now() < end, "{what}");
+        assert!(Instant::now() < deadline, "{what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A backend server that reads one request a connection, waits, then answers with these bytes.
+/// Starts a backend server that reads one request per connection, waits, and answers with these bytes.
 pub(crate) fn plain_server(delay: Duration, answer: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -130,17 +130,17 @@
     address
 }
 
-/// Returns a whole answer with a body of so many bytes.
+/// Returns a complete answer with a body of `bytes` bytes.
 pub(crate) fn answer_of(bytes: usize) -> Vec<u8> {
     let mut answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {bytes}\r\n\r\n").into_bytes();
     answer.resize(answer.len() + bytes, b'x');
     answer
 }
 
-/// A child process that ends with the test.
-pub(crate) struct Ended(pub(crate) Child);
+/// A child process that is killed when the value is dropped.
+pub(crate) struct KillOnDrop(pub(crate) Child);
 
-impl Drop for Ended {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         drop(self.0.kill());
         drop(self.0.wait());
@@ -161,21 +161,22 @@
     listener.local_addr().unwrap().port()
 }
 
-/// Returns a manifest's text with one lookup rule.
+/// Returns the text of a manifest with one backend server.
 pub(crate) fn manifest_text(server: SocketAddr) -> String {
     serde_json::to_string(&manifest(&[server], "")).unwrap()
 }
+
 /// Sends bytes on a new connection and reads until the daemon closes it.
 pub(crate) fn exchange(address: SocketAddr, request: &[u8]) -> String {
     let mut stream = connect(address);
     stream.write_all(request).unwrap();
     let mut answer = Vec::new();
-    // A reset after the answer still leaves the answer that was read.
+    // If the connection is reset after the answer, the bytes read so far are kept.
     drop(stream.read_to_end(&mut answer));
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Reads one answer; its body is `None` where it was cut.
+/// Reads one answer; the body is `None` if the connection closed before its end.
 pub(crate) fn read_answer(stream: &mut TcpStream) -> (String, Option<Vec<u8>>) {
     let head = read_head(stream);
     let length = head.lines().find_map(|line| {
--- a/crates/kingcuploft-standins/tests/edges/main.rs
+++ b/crates/kingcuploft-standins/tests/edges/main.rs
@@ -1,4 +1,5 @@
-//! Failure tests of the edges: real daemons on loopback, raw sockets where bytes matter.
+//! Failure tests of the caller edge and the backend edge: real daemons on loopback, and raw sockets where the exact
+//! bytes matter.
 
 mod backend;
 mod harness;
--- a/crates/kingcuploft-standins/tests/edges/malformed.rs
+++ b/crates/kingcuploft-standins/tests/edges/malformed.rs
@@ -1,4 +1,4 @@
-//! Requests that are malformed, ambiguous, oversized or slow, each on a raw socket.
+//! The caller edge refuses requests that are malformed, ambiguous, oversized or slow, each sent on a raw socket.
 
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -6,17 +6,17 @@
 use kingcuploft_standins::backend_server::{BackendServer, Work};
 
 use crate::harness::{
-    Bench, answer_of, bench, bench_with, connect, exchange, plain_server, read_head, until,
+    Bench, answer_of, bench, bench_with, connect, exchange, plain_server, read_head, wait_until,
 };
 
 const TIMEOUTS: &str = "{header_timeout_ms: 300, body_timeout_ms: 300}";
 
-/// Sends each request on a connection of its own; all must be answered with this status, and no
-/// byte after them be taken for a request.
-fn all_are_refused(status: &str, requests: &[&str]) {
+/// Sends each request on a connection of its own, followed by a second one. Each must be answered with this status, the
+/// connection be closed, and the bytes after it not be read as a request.
+fn assert_all_refused(status: &str, requests: &[&str]) {
     let runtime = Bench::runtime();
     let server = BackendServer::start(&runtime, Work::default()).unwrap();
-    let bench = bench(&[server.address()], TIMEOUTS).with(runtime);
+    let bench = bench(&[server.address()], TIMEOUTS).with_runtime(runtime);
     for request in requests {
         let smuggled = "GET /smuggled HTTP/1.1\r\nhost: trip.example\r\n\r\n";
         let bytes = format!("{request}{smuggled}");
@@ -33,10 +33,11 @@
     assert_eq!(server.counts().requests, 0);
 }
 
-/// Guards against a request smuggled in another, whose end two servers read differently.
+/// Guards against request smuggling: two servers disagree about the end of a body, and so about the start of
+/// the next request.
 #[test]
 fn a_body_with_two_lengths_or_codings_is_refused() {
-    all_are_refused(
+    assert_all_refused(
         "HTTP/1.1 400",
         &[
             "POST /a HTTP/1.1\r\nhost: trip.example\r\ncontent-length: 3\r\ncontent-length: 3\r\n\r\nabc",
@@ -58,7 +59,7 @@
 
 #[test]
 fn lines_and_bytes_that_servers_read_differently_are_refused() {
-    all_are_refused(
+    assert_all_refused(
         "HTTP/1.1 400",
         &[
             "GET /a HTTP/1.1\r\nhost: trip.example\r\nx: a\rb\r\n\r\n",
@@ -76,7 +77,7 @@
 
 #[test]
 fn a_request_with_no_host_two_hosts_or_a_host_in_its_target_is_refused() {
-    all_are_refused(
+    assert_all_refused(
         "HTTP/1.1 400",
         &[
             "GET /a HTTP/1.1\r\n\r\n",
@@ -94,33 +95,41 @@
 
 #[test]
 fn oversized_heads_are_refused_with_431() {
-    let big = format!(
+    let long_header = format!(
         "GET / HTTP/1.1\r\nhost: trip.example\r\nx: {}\r\n\r\n",
         "a".repeat(40_000)
     );
-    let many = format!(
+    let many_headers = format!(
         "GET / HTTP/1.1\r\nhost: trip.example\r\n{}\r\n",
         "x: y\r\n".repeat(200)
     );
-    let long = format!(
+    let long_target = format!(
         "GET /{} HTTP/1.1\r\nhost: trip.example\r\n\r\n",
         "a".repeat(40_000)
     );
-    let many_long = format!(
+    let many_long_headers = format!(
         "GET / HTTP/1.1\r\nhost: trip.example\r\n{}\r\n",
         format!("x: {}\r\n", "y".repeat(1000)).repeat(50)
     );
-    all_are_refused("HTTP/1.1 431", &[&big, &many, &long, &many_long]);
+    assert_all_refused(
+        "HTTP/1.1 431",
+        &[
+            &long_header,
+            &many_headers,
+            &long_target,
+            &many_long_headers,
+        ],
+    );
 }
 
-/// Guards against a long body that is invited, or read whole, before it is refused.
+/// Guards against a body over the limit that is accepted with `100 Continue`, or read to its end, before it is refused.
 #[test]
 fn a_long_body_is_refused_before_it_is_read() {
     let server = plain_server(Duration::ZERO, answer_of(1));
     let bench = bench_with(&[server], TIMEOUTS, ", body_limit_bytes: 10");
     let address = bench.daemon.address();
-    let long = "POST /a HTTP/1.1\r\nhost: trip.example\r\ncontent-length: 11\r\nexpect: 100-continue\r\n\r\n";
-    let answer = exchange(address, long.as_bytes());
+    let long_body = "POST /a HTTP/1.1\r\nhost: trip.example\r\ncontent-length: 11\r\nexpect: 100-continue\r\n\r\n";
+    let answer = exchange(address, long_body.as_bytes());
     assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
     assert!(
         answer.contains("x-kingcuploft-outcome: not_run"),
@@ -137,7 +146,7 @@
     assert!(read_head(&mut stream).starts_with("HTTP/1.1 200"));
 }
 
-/// Guards against connections held by callers that stop in the middle of a request.
+/// Guards against connections that stay open for callers that stop sending in the middle of a request.
 #[test]
 fn slow_heads_and_bodies_end_and_idle_connections_stay() {
     let server = plain_server(Duration::ZERO, answer_of(1));
@@ -167,7 +176,7 @@
     assert!(again.starts_with("HTTP/1.1"), "{again}");
 }
 
-/// Guards against callers above the limit that are closed without a word.
+/// Guards against connections above the limit that are closed without an answer.
 #[test]
 fn a_connection_above_the_limit_is_refused_with_an_answer() {
     let server = plain_server(Duration::ZERO, answer_of(1));
@@ -189,17 +198,18 @@
     assert!(answer.contains("\"outcome\":\"not_run\""), "{answer}");
     assert_eq!(metrics.connections_refused.get(), 1);
     drop(first);
-    until("there is room", || {
+    wait_until("the connection is accepted", || {
         exchange(address, request).starts_with("HTTP/1.1 200")
     });
 }
 
-/// Pipelined and split requests: the inspector must keep the same framing as the HTTP library.
+/// Pipelined requests, and requests split into single bytes: the inspector must find the same request boundaries as the
+/// HTTP library.
 #[test]
 fn well_formed_requests_are_served_however_their_bytes_arrive() {
     let runtime = Bench::runtime();
     let server = BackendServer::start(&runtime, Work::default()).unwrap();
-    let bench = bench(&[server.address()], "{}").with(runtime);
+    let bench = bench(&[server.address()], "{}").with_runtime(runtime);
     let requests = "POST /1 HTTP/1.1\r\nhost: trip.example\r\ncontent-length: 23\r\n\r\nhost: a\r\nhost: b\r\n\r\n\r\n\r\nPOST /2 HTTP/1.1\r\nhost: trip.example\r\ntransfer-encoding: Chunked\r\n\r\n5;a=b\r\nabcde\r\n0\r\nx: y\r\n\r\n\r\nGET /3 HTTP/1.1\r\nhost: trip.example\r\nconnection: close\r\n\r\n";
     let whole = exchange(bench.daemon.address(), requests.as_bytes());
     assert_eq!(whole.matches("HTTP/1.1 200").count(), 3, "{whole}");
--- a/crates/kingcuploft-standins/tests/edges/overdue.rs
+++ b/crates/kingcuploft-standins/tests/edges/overdue.rs
@@ -1,4 +1,4 @@
-//! Calls whose deadline has passed.
+//! Calls whose deadline passes before a worker starts them.
 
 use std::time::{Duration, Instant};
 
@@ -11,26 +11,30 @@
 
 use crate::harness::{Bench, bench};
 
-/// Guards against a call that is sent after its caller was told that its end is not known.
+/// Guards against a call that is sent after its caller was answered with an unknown outcome.
 #[test]
 fn a_call_that_is_overdue_when_the_worker_takes_it_is_not_sent() {
     let runtime = Bench::runtime();
     let server = BackendServer::start(&runtime, Work::default()).unwrap();
     let bench = bench(&[server.address()], "{workers: 1}");
-    let (orders, ring) = bounded(2);
+    let (tasks, task_receiver) = bounded(2);
     let due = Instant::now() + Duration::from_secs(5);
-    orders
-        .send(order(&bench, &server, 1, Instant::now()))
+    tasks
+        .send(call_task(&bench, &server, 1, Instant::now()))
         .unwrap();
-    orders.send(order(&bench, &server, 2, due)).unwrap();
-    drop(orders);
-    backend_edge::run(bench.daemon.shared(), &ring, &backend_edge::agent());
+    tasks.send(call_task(&bench, &server, 2, due)).unwrap();
+    drop(tasks);
+    backend_edge::run(
+        bench.daemon.shared(),
+        &task_receiver,
+        &backend_edge::agent(),
+    );
     assert_eq!(server.call_runs("1"), 0);
     assert_eq!(server.call_runs("2"), 1);
-    drop(bench.with(runtime));
+    drop(bench.with_runtime(runtime));
 }
 
-fn order(bench: &Bench, server: &BackendServer, number: u64, deadline: Instant) -> CallTask {
+fn call_task(bench: &Bench, server: &BackendServer, number: u64, deadline: Instant) -> CallTask {
     let mut headers = http::HeaderMap::new();
     headers.insert("x-call-id", number.to_string().parse().unwrap());
     let parts = RequestParts {
--- a/crates/kingcuploft-standins/tests/edges/stop.rs
+++ b/crates/kingcuploft-standins/tests/edges/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request.
+//! Graceful shutdown: a planned stop interrupts no request.
 
 use std::io::{Read, Write};
 use std::process::Command;
@@ -7,13 +7,13 @@
 use kingcuploft_standins::platform::Platform;
 
 use crate::harness::{
-    Ended, answer_of, bench, bench_with, binary, connect, free_port, manifest_text, plain_server,
-    read_head, until,
+    KillOnDrop, answer_of, bench, bench_with, binary, connect, free_port, manifest_text,
+    plain_server, read_head, wait_until,
 };
 
 const LOOKUP: &[u8] = b"GET /itinerary HTTP/1.1\r\nhost: trip.example\r\n\r\n";
 
-/// Guards against a stop that drops connections which are still writing.
+/// Guards against a shutdown that closes connections whose answers are still being written.
 #[test]
 fn an_answer_that_is_still_being_written_is_not_cut_by_a_stop() {
     const BYTES: usize = 24 * 1024 * 1024;
@@ -30,7 +30,7 @@
     stopped.join().unwrap();
 }
 
-/// Guards against a stop that cuts a request at a slow backend server.
+/// Guards against a shutdown that interrupts a request in flight at a slow backend server.
 #[test]
 fn a_request_in_flight_is_answered_and_its_connection_closed() {
     let server = plain_server(Duration::from_millis(300), answer_of(10));
@@ -47,7 +47,7 @@
     stopped.join().unwrap();
 }
 
-/// Guards against connections that are turned away before the balancer knows of the stop.
+/// Guards against connections that are refused before the load balancer in front of the VM sees that the VM stops.
 #[test]
 fn the_not_ready_time_serves_new_connections_and_ends_idle_ones() {
     let server = plain_server(Duration::ZERO, answer_of(3));
@@ -58,9 +58,9 @@
     let mut fresh = connect(address);
     idle.write_all(LOOKUP).unwrap();
     assert!(read_head(&mut idle).starts_with("HTTP/1.1 200"));
-    let began = Instant::now();
+    let started_at = Instant::now();
     let stopped = std::thread::spawn(move || bench.daemon.stop());
-    until("not ready", || {
+    wait_until("the daemon reports not ready", || {
         let mut ready = connect(admin);
         ready
             .write_all(b"GET /ready HTTP/1.1\r\nhost: a\r\n\r\n")
@@ -70,18 +70,18 @@
     let mut late = connect(address);
     late.write_all(LOOKUP).unwrap();
     assert!(read_head(&mut late).starts_with("HTTP/1.1 200"));
-    assert!(began.elapsed() < Duration::from_millis(400));
+    assert!(started_at.elapsed() < Duration::from_millis(400));
     for stream in [&mut idle, &mut fresh] {
         let mut rest = Vec::new();
         drop(stream.read_to_end(&mut rest));
     }
     stopped.join().unwrap();
-    assert!(began.elapsed() < Duration::from_secs(5));
+    assert!(started_at.elapsed() < Duration::from_secs(5));
 }
 
-/// Guards against a stop that one dead reader keeps from ever ending.
+/// Guards against a shutdown that never ends because one caller does not read its answer.
 #[test]
-fn a_stop_ends_at_its_bound() {
+fn a_stop_ends_at_its_timeout() {
     let server = plain_server(Duration::ZERO, answer_of(24 * 1024 * 1024));
     let bench = bench_with(
         &[server],
@@ -91,13 +91,13 @@
     let mut stream = connect(bench.daemon.address());
     stream.write_all(LOOKUP).unwrap();
     assert!(read_head(&mut stream).starts_with("HTTP/1.1 200"));
-    let began = Instant::now();
+    let started_at = Instant::now();
     bench.daemon.stop();
-    assert!(began.elapsed() >= Duration::from_millis(300));
-    assert!(began.elapsed() < Duration::from_secs(5));
+    assert!(started_at.elapsed() >= Duration::from_millis(300));
+    assert!(started_at.elapsed() < Duration::from_secs(5));
 }
 
-/// Guards against a planned stop that looks like a crash.
+/// Guards against a planned stop that interrupts a request or exits with an error, as a crash does.
 #[test]
 fn sigterm_to_the_process_cuts_nothing_and_ends_with_0() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
@@ -118,9 +118,9 @@
     let applied = apply.args(["manifest", "apply"]).arg(&manifest).output();
     assert!(applied.unwrap().status.success());
     let mut daemon = Command::new(binary("kingcuploftd"));
-    let mut daemon = Ended(daemon.arg("--settings").arg(&settings).spawn().unwrap());
+    let mut daemon = KillOnDrop(daemon.arg("--settings").arg(&settings).spawn().unwrap());
     let admin = std::net::SocketAddr::from(([127, 0, 0, 1], admin));
-    until("ready", || {
+    wait_until("the daemon is ready", || {
         std::net::TcpStream::connect(admin).is_ok_and(|mut ready| {
             drop(ready.write_all(b"GET /ready HTTP/1.1\r\nhost: a\r\n\r\n"));
             read_head(&mut ready).starts_with("HTTP/1.1 200")
--- a/crates/kingcuploft-standins/tests/promises_checker.rs
+++ b/crates/kingcuploft-standins/tests/promises_checker.rs
@@ -1,4 +1,5 @@
-//! The checker of the experiment `promises`, proved with traces in which each promise is broken.
+//! Tests the checker of the experiment `promises` with traces that violate each guarantee once: at most one run of an
+//! action, truthful outcomes, the right and whole answer, and manifest generations that only increase.
 
 use std::time::Duration;
 
@@ -11,19 +12,19 @@
 use kingcuploft_standins::experiments::promises::record::Record;
 use kingcuploft_standins::experiments::promises::run::Protection;
 
-/// Runs of the one action and of each call.
-struct Ran {
-    key: u64,
-    calls: Vec<u64>,
+/// Fixed numbers of executions: of the one action, and of each call.
+struct FixedCounts {
+    of_key: u64,
+    of_calls: Vec<u64>,
 }
 
-impl ExecutionCounts for Ran {
+impl ExecutionCounts for FixedCounts {
     fn executions_of_key(&self, _key: &str) -> u64 {
-        self.key
+        self.of_key
     }
 
     fn executions_of_call(&self, call: usize) -> u64 {
-        self.calls.get(call).copied().unwrap_or_default()
+        self.of_calls.get(call).copied().unwrap_or_default()
     }
 }
 
@@ -54,44 +55,44 @@
     }
 }
 
-fn broken(records: &[Record], key: u64, calls: &[u64]) -> Violations {
-    let ran = Ran {
-        key,
-        calls: calls.to_vec(),
+fn violations_in(records: &[Record], key: u64, calls: &[u64]) -> Violations {
+    let counts = FixedCounts {
+        of_key: key,
+        of_calls: calls.to_vec(),
     };
-    check(records, &ran).0
+    check(records, &counts).0
 }
 
 #[test]
-fn a_replayed_answer_and_a_truthful_refusal_break_nothing() {
+fn a_replayed_answer_and_a_truthful_refusal_are_no_violations() {
     let calls = [
         action(0, answer("POST /holds\n")),
         action(1, answer("POST /holds\n")),
         action(2, refused("unknown")),
         action(3, refused("not_run")),
     ];
-    assert_eq!(broken(&calls, 1, &[1]), Violations::default());
+    assert_eq!(violations_in(&calls, 1, &[1]), Violations::default());
 }
 
 #[test]
 fn a_second_run_is_found() {
-    let found = broken(&[action(0, answer("POST /holds\n"))], 2, &[2]);
-    assert_eq!(found.duplicate_runs, 1);
+    let violations = violations_in(&[action(0, answer("POST /holds\n"))], 2, &[2]);
+    assert_eq!(violations.duplicate_runs, 1);
 }
 
 #[test]
-fn a_call_told_not_run_that_ran_is_found() {
+fn a_call_answered_not_run_that_ran_is_found() {
     let calls = [
         action(0, refused("not_run")),
         action(1, answer("POST /holds\n")),
     ];
-    assert_eq!(broken(&calls, 1, &[1, 0]).false_not_run, 1);
+    assert_eq!(violations_in(&calls, 1, &[1, 0]).false_not_run, 1);
 }
 
 #[test]
-fn an_action_of_which_every_call_is_told_not_run_though_it_ran_is_found() {
+fn an_action_that_ran_though_every_call_was_answered_not_run_is_found() {
     assert_eq!(
-        broken(&[action(0, refused("not_run"))], 1, &[]).false_not_run,
+        violations_in(&[action(0, refused("not_run"))], 1, &[]).false_not_run,
         1
     );
 }
@@ -99,21 +100,24 @@
 #[test]
 fn a_success_without_a_run_is_found() {
     assert_eq!(
-        broken(&[action(0, answer("POST /holds\n"))], 0, &[]).false_ran,
+        violations_in(&[action(0, answer("POST /holds\n"))], 0, &[]).false_ran,
+        1
+    );
+    assert_eq!(
+        violations_in(&[action(0, refused("ran"))], 0, &[]).false_ran,
         1
     );
-    assert_eq!(broken(&[action(0, refused("ran"))], 0, &[]).false_ran, 1);
 }
 
 #[test]
 fn a_crossed_and_a_cut_answer_are_found() {
-    let crossed = broken(&[action(0, answer("GET /another\n"))], 1, &[1]);
+    let crossed = violations_in(&[action(0, answer("GET /another\n"))], 1, &[1]);
     assert_eq!((crossed.wrong_answers, crossed.partial_answers), (1, 0));
-    let cut = broken(&[action(0, answer("POST /ho"))], 1, &[1]);
+    let cut = violations_in(&[action(0, answer("POST /ho"))], 1, &[1]);
     assert_eq!((cut.wrong_answers, cut.partial_answers), (0, 1));
 }
 
-fn reading(daemon_id: usize, ms: u64, generation: u64) -> GenerationSample {
+fn sample(daemon_id: usize, ms: u64, generation: u64) -> GenerationSample {
     GenerationSample {
         daemon_id,
         at: Duration::from_millis(ms),
@@ -122,48 +126,48 @@
 }
 
 #[test]
-fn a_daemon_that_goes_back_to_an_older_generation_is_found() {
-    let forward = [reading(1, 0, 4), reading(2, 1, 3), reading(1, 2, 5)];
-    assert_eq!(count_reverts(&forward), 0);
-    let back = [reading(1, 0, 4), reading(1, 1, 3), reading(1, 2, 4)];
-    assert_eq!(count_reverts(&back), 1);
+fn a_daemon_that_reverts_to_an_older_generation_is_found() {
+    let increasing = [sample(1, 0, 4), sample(2, 1, 3), sample(1, 2, 5)];
+    assert_eq!(count_reverts(&increasing), 0);
+    let decreasing = [sample(1, 0, 4), sample(1, 1, 3), sample(1, 2, 4)];
+    assert_eq!(count_reverts(&decreasing), 1);
 }
 
 #[test]
 fn the_last_daemon_to_have_a_generation_in_force_sets_the_time() {
     let accepted = [(5, Duration::from_millis(100))];
-    let awake = |daemon_id, from, until| ActivePeriod {
+    let active = |daemon_id, from, until| ActivePeriod {
         daemon_id,
         from: Duration::from_millis(from),
         until: Duration::from_millis(until),
     };
-    let readings = [reading(1, 130, 5), reading(2, 150, 4), reading(2, 900, 5)];
-    let spans = [awake(1, 0, 2000), awake(2, 0, 2000)];
-    let longest = longest_until_in_force(&accepted, &spans, &readings);
+    let samples = [sample(1, 130, 5), sample(2, 150, 4), sample(2, 900, 5)];
+    let periods = [active(1, 0, 2000), active(2, 0, 2000)];
+    let longest = longest_until_in_force(&accepted, &periods, &samples);
     assert_eq!(longest, Duration::from_millis(800));
-    let never = longest_until_in_force(&accepted, &[awake(3, 0, 2000)], &readings);
+    let never = longest_until_in_force(&accepted, &[active(3, 0, 2000)], &samples);
     assert_eq!(never, Duration::from_millis(1900));
 }
 
-/// A manager sends a hold again after a broken answer, through another VM. The system does not
-/// see the caller's key, so it claims nothing, and the school is billed twice.
+/// A caller retries a hold through another VM after a broken answer. Its idempotency key does not reach the VMs, so
+/// nothing is claimed and the hold runs twice.
 #[test]
 fn without_claims_the_experiment_finds_duplicate_runs() {
     let figures = promises::run_seed(7, Duration::from_secs(2), Protection::NoClaims).unwrap();
     assert!(figures.violations.duplicate_runs > 0, "{figures:?}");
 }
 
-/// A hold's answer is cut on the way back. The rule wrongly says that it may be retried, so the
-/// VM sends it to another backend server at once, and it runs there too.
+/// The connection breaks while the answer to a hold is sent. The rule wrongly allows retries, so the VM sends the hold
+/// to another backend server at once, and it runs there too.
 #[test]
 fn with_sent_requests_retried_the_experiment_finds_duplicate_runs() {
     let figures = promises::run_seed(7, Duration::from_secs(2), Protection::RetrySent).unwrap();
     assert!(figures.violations.duplicate_runs > 0, "{figures:?}");
 }
 
-/// The same faults with the rule as it should be: nothing runs twice, and nobody is told wrongly.
+/// The same faults with the right rule: nothing runs twice, and every answer states the true outcome.
 #[test]
-fn with_full_protection_the_experiment_finds_nothing_told_wrongly() {
+fn with_full_protection_the_experiment_finds_no_violation() {
     let figures = promises::run_seed(7, Duration::from_secs(2), Protection::Full).unwrap();
     assert_eq!(figures.violations, Violations::default(), "{figures:?}");
     assert_eq!(figures.manifest_reverts, 0);
--- a/crates/kingcuploft-standins/tests/tool.rs
+++ b/crates/kingcuploft-standins/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The operators' tool against a platform and daemons: what it says, and its exit codes.
+//! Output and exit codes of the operators' tool `kingcuploftctl`, run against a platform and real daemons.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,6 +13,7 @@
 use serde_json::Value;
 use tokio::runtime::Runtime;
 
+/// A platform, and a folder for the manifest files.
 struct Bench {
     platform: Platform,
     folder: tempfile::TempDir,
@@ -29,29 +30,29 @@
         }
     }
 
-    /// Runs a command line with the platform's address before it.
-    fn tool(&self, line: &str) -> Outcome {
-        tool(&format!("--platform {} {line}", self.platform.address()))
+    /// Runs a command line of the tool with `--platform` set to the address of the platform.
+    fn run_tool(&self, line: &str) -> Outcome {
+        run_tool(&format!("--platform {} {line}", self.platform.address()))
     }
 
-    /// Writes a manifest whose content shows in its deadline.
+    /// Writes a manifest file; manifests with different deadlines differ in content.
     fn manifest(&self, name: &str, deadline_ms: u64) -> String {
         let path = self.folder.path().join(name);
-        std::fs::write(&path, text(deadline_ms)).unwrap();
+        std::fs::write(&path, manifest_text(deadline_ms)).unwrap();
         path.display().to_string()
     }
 
     fn daemon(&self, name: &str, peers: &[String]) -> Daemon {
-        let text = format!(
+        let settings_text = format!(
             "{{vm: {name}, availability_zone: a, listen: '127.0.0.1:0', admin_listen: '127.0.0.1:0', platform: '{}', limits: {{workers: 1}}, store: {{call_timeout_ms: 300}}, peer: {{listen: '127.0.0.1:0', peers: [{}], membership: {{beat_ms: 100, suspect_ms: 500}}}}}}",
             self.platform.address(),
             peers.join(", ")
         );
-        let settings: Settings = serde_saphyr::from_str(&text).unwrap();
+        let settings: Settings = serde_saphyr::from_str(&settings_text).unwrap();
         Daemon::start(settings).unwrap()
     }
 
-    /// Starts two daemons that know each other, and returns how the tool names them.
+    /// Starts two daemons that are peers, and returns them with the tool's `--vm` option for both.
     fn daemons(&self) -> ([Daemon; 2], String) {
         let first = self.daemon("entry-0", &[]);
         let peer = format!("'{}'", first.peer_address().unwrap());
@@ -61,7 +62,7 @@
     }
 }
 
-fn text(deadline_ms: u64) -> String {
+fn manifest_text(deadline_ms: u64) -> String {
     format!(
         "services:
   - name: trip
@@ -74,19 +75,19 @@
     )
 }
 
-fn tool(line: &str) -> Outcome {
-    let words = line.split_whitespace().map(Into::into);
-    match parse(words) {
+fn run_tool(line: &str) -> Outcome {
+    let arguments = line.split_whitespace().map(Into::into);
+    match parse(arguments) {
         Ok(args) => run(&args),
         Err(error) => Outcome::failure(Code::InvalidInput, error.to_string()),
     }
 }
 
-fn json(ending: &Outcome) -> Value {
-    serde_json::from_str(&ending.out).unwrap_or_else(|error| panic!("{error}: {ending:?}"))
+fn json(outcome: &Outcome) -> Value {
+    serde_json::from_str(&outcome.out).unwrap_or_else(|error| panic!("{error}: {outcome:?}"))
 }
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(10);
     while !holds() {
         assert!(Instant::now() < end, "{what}");
@@ -95,8 +96,8 @@
 }
 
 #[test]
-fn a_wrong_command_line_ends_with_2_and_says_what_is_wrong() {
-    for (line, said) in [
+fn a_wrong_command_line_exits_with_2_and_names_the_error() {
+    for (line, expected) in [
         ("", "a command is needed"),
         ("manifest", "`manifest` is not known"),
         ("frobnicate", "`frobnicate` is not known"),
@@ -120,24 +121,24 @@
             "/nowhere/token",
         ),
     ] {
-        let ending = tool(line);
-        assert_eq!(ending.code, Code::InvalidInput, "{line}: {ending:?}");
-        assert!(ending.err.contains(said), "{line}: {ending:?}");
+        let outcome = run_tool(line);
+        assert_eq!(outcome.code, Code::InvalidInput, "{line}: {outcome:?}");
+        assert!(outcome.err.contains(expected), "{line}: {outcome:?}");
     }
     for line in ["--help", "-h", "status --help"] {
-        assert!(tool(line).out.contains("Exit codes"), "{line}");
+        assert!(run_tool(line).out.contains("Exit codes"), "{line}");
     }
-    assert!(tool("--version").out.starts_with("kingcuploftctl "));
+    assert!(run_tool("--version").out.starts_with("kingcuploftctl "));
 }
 
 #[test]
-fn the_program_ends_with_the_code_of_its_command() {
+fn the_program_exits_with_the_code_of_its_command() {
     let mut path = std::env::current_exe().unwrap();
     path.pop();
     path.pop();
-    let program = |words: &[&str]| {
+    let program = |arguments: &[&str]| {
         let output = std::process::Command::new(path.join("kingcuploftctl"))
-            .args(words)
+            .args(arguments)
             .output();
         output.unwrap().status.code()
     };
@@ -153,7 +154,7 @@
 fn a_manifest_is_checked_applied_shown_and_compared() {
     let bench = Bench::start();
     let first = bench.manifest("first.yaml", 1000);
-    let checked = tool(&format!("manifest check {first}"));
+    let checked = run_tool(&format!("manifest check {first}"));
     assert_eq!(checked.code, Code::Success, "{checked:?}");
     assert!(
         checked
@@ -161,105 +162,105 @@
             .contains("good: 1 services, 1 backend servers, 2 slots, 1 rules")
     );
     let wrong = bench.manifest("wrong.yaml", 0);
-    let checked = tool(&format!("--json manifest check {wrong}"));
+    let checked = run_tool(&format!("--json manifest check {wrong}"));
     assert_eq!(checked.code, Code::InvalidInput);
-    let place = "wrong.yaml:7: services[0].rules[0].deadline_ms: 0 found";
-    assert!(checked.err.contains(place), "{checked:?}");
+    let location = "wrong.yaml:7: services[0].rules[0].deadline_ms: 0 found";
+    assert!(checked.err.contains(location), "{checked:?}");
     assert_eq!(json(&checked)["faults"].as_array().map(Vec::len), Some(1));
 
-    let empty = bench.tool("manifest show");
+    let empty = bench.run_tool("manifest show");
     assert_eq!(empty.code, Code::Failed);
-    let applied = bench.tool(&format!("--json manifest apply {first} --author lin"));
+    let applied = bench.run_tool(&format!("--json manifest apply {first} --author lin"));
     assert_eq!(applied.code, Code::Success, "{applied:?}");
     assert_eq!(json(&applied)["generation"], 1);
-    let same = bench.tool(&format!("manifest diff {first}"));
+    let same = bench.run_tool(&format!("manifest diff {first}"));
     assert_eq!((same.code, same.out.as_str()), (Code::Success, ""));
     let second = bench.manifest("second.yaml", 2000);
-    let differs = bench.tool(&format!("manifest diff {second}"));
+    let differs = bench.run_tool(&format!("manifest diff {second}"));
     assert_eq!(differs.code, Code::Differs);
     assert_eq!(
         differs.out,
         "~ trip.rules.lookup.deadline_ms: 1000 -> 2000\n"
     );
-    let applied = bench.tool(&format!("manifest apply {second} --base 1"));
+    let applied = bench.run_tool(&format!("manifest apply {second} --base 1"));
     assert_eq!(
         (applied.code, applied.out.as_str()),
         (Code::Success, "accepted as generation 2\n")
     );
-    let between = bench.tool("--json manifest diff --from 2 --to 1");
+    let between = bench.run_tool("--json manifest diff --from 2 --to 1");
     assert_eq!(between.code, Code::Differs);
     assert_eq!(
         json(&between)["changes"][0],
         "~ trip.rules.lookup.deadline_ms: 2000 -> 1000"
     );
-    let history = bench.tool("manifest history");
+    let history = bench.run_tool("manifest history");
     let lines: Vec<&str> = history.out.lines().collect();
     assert!(lines[0].starts_with("generation 2"), "{lines:?}");
     assert_eq!(lines[1].trim(), "~ trip");
     assert!(lines[2].starts_with("generation 1 by lin at"), "{lines:?}");
-    // What is shown can be applied again: the text reads back as the same manifest.
-    let shown = bench.tool("manifest show --generation 1");
+    // The output of `manifest show` can be applied again and is read as the same manifest.
+    let shown = bench.run_tool("manifest show --generation 1");
     std::fs::write(bench.folder.path().join("shown.yaml"), &shown.out).unwrap();
     let path = bench.folder.path().join("shown.yaml");
-    let back = bench.tool(&format!("manifest apply {}", path.display()));
-    assert_eq!(back.out, "accepted as generation 3\n", "{back:?}");
-    let none = bench.tool(&format!("manifest diff {first}"));
+    let reapplied = bench.run_tool(&format!("manifest apply {}", path.display()));
+    assert_eq!(reapplied.out, "accepted as generation 3\n", "{reapplied:?}");
+    let none = bench.run_tool(&format!("manifest diff {first}"));
     assert_eq!(none.code, Code::Success, "{none:?}");
 }
 
 #[test]
-fn a_lost_race_and_an_unknown_end_have_codes_of_their_own() {
+fn a_conflict_and_an_unreachable_store_have_exit_codes_of_their_own() {
     let bench = Bench::start();
     let file = bench.manifest("manifest.yaml", 1000);
-    bench.tool(&format!("manifest apply {file}"));
-    let lost = bench.tool(&format!("--json manifest apply {file} --base 0"));
-    assert_eq!(lost.code, Code::Conflict, "{lost:?}");
-    assert_eq!(json(&lost)["outcome"], "lost");
-    // The store accepts writes and none of their answers arrives, nor any read.
+    bench.run_tool(&format!("manifest apply {file}"));
+    let conflict = bench.run_tool(&format!("--json manifest apply {file} --base 0"));
+    assert_eq!(conflict.code, Code::Conflict, "{conflict:?}");
+    assert_eq!(json(&conflict)["outcome"], "lost");
+    // The store applies writes and their answers are lost: the tool finds out by reading the store.
     bench
         .platform
         .change_faults(|faults| faults.lost_answer_share = 1.0);
-    let settled = bench.tool(&format!("manifest apply {file}"));
+    let settled = bench.run_tool(&format!("manifest apply {file}"));
     assert_eq!(settled.code, Code::Success, "{settled:?}");
     assert_eq!(settled.out, "accepted as generation 2\n");
     bench
         .platform
         .change_faults(|faults| faults.outage = Some(Outage::Unavailable));
-    let down = bench.tool(&format!("manifest apply {file}"));
+    let down = bench.run_tool(&format!("manifest apply {file}"));
     assert_eq!(down.code, Code::Failed, "{down:?}");
 }
 
 #[test]
-fn status_list_and_explain_tell_what_the_fleet_does() {
+fn status_list_and_explain_report_the_state_of_the_fleet() {
     let bench = Bench::start();
     let file = bench.manifest("manifest.yaml", 300);
-    bench.tool(&format!("manifest apply {file}"));
+    bench.run_tool(&format!("manifest apply {file}"));
     let (daemons, vms) = bench.daemons();
-    until("ready", || {
-        tool(&format!("{vms} status")).code == Code::Success
+    wait_until("the VMs are ready", || {
+        run_tool(&format!("{vms} status")).code == Code::Success
     });
-    until("members", || {
-        tool(&format!("{vms} --json status"))
+    wait_until("each VM sees both members", || {
+        run_tool(&format!("{vms} --json status"))
             .out
             .matches("\"live_members\":2")
             .count()
             == 2
     });
-    let status = tool(&format!("{vms},127.0.0.1:1 status"));
+    let status = run_tool(&format!("{vms},127.0.0.1:1 status"));
     assert_eq!(
         status.code,
         Code::Differs,
-        "a VM that does not answer is told"
+        "a VM that does not answer changes the exit code"
     );
     assert!(
-        tool(&format!("{vms} status"))
+        run_tool(&format!("{vms} status"))
             .out
             .contains("trip: 0 waiting, 0 of ")
     );
-    let services = json(&bench.tool("--json service list"));
+    let services = json(&bench.run_tool("--json service list"));
     assert_eq!(services[0]["slots"], 2);
-    assert!(bench.tool("service list").out.contains("trip.example"));
-    // Nothing listens behind the service, so the request is refused.
+    assert!(bench.run_tool("service list").out.contains("trip.example"));
+    // Nothing listens at the address of the backend server, so the request is refused.
     let mut stream = TcpStream::connect(daemons[0].address()).unwrap();
     write!(
         stream,
@@ -272,93 +273,97 @@
         .lines()
         .find_map(|line| line.strip_prefix("x-request-id: "));
     let id = id.unwrap_or_else(|| panic!("{answer}"));
-    let why = json(&tool(&format!("{vms} --json explain --request {id}")));
-    let reason = why[0]["decision"]["reason"].as_str();
-    let reason = reason.unwrap_or_else(|| panic!("{answer}\n{why}"));
-    assert!(answer.contains(reason), "{answer}\n{why}");
-    assert_eq!(why[0]["decision"]["service"], "trip");
-    // What the dispatcher saw when it decided stands beside it.
-    let dispatch = why
+    let decisions = json(&run_tool(&format!("{vms} --json explain --request {id}")));
+    let reason = decisions[0]["decision"]["reason"].as_str();
+    let reason = reason.unwrap_or_else(|| panic!("{answer}\n{decisions}"));
+    assert!(answer.contains(reason), "{answer}\n{decisions}");
+    assert_eq!(decisions[0]["decision"]["service"], "trip");
+    // The decision is followed by the load that the dispatcher saw when it made the decision.
+    let dispatch = decisions
         .as_array()
         .unwrap()
         .iter()
         .find_map(|line| line.get("dispatch"));
-    let seen = dispatch.unwrap_or_else(|| panic!("{why}"));
+    let seen = dispatch.unwrap_or_else(|| panic!("{decisions}"));
     assert_eq!(seen["rule"], "lookup");
     assert!(seen["load"]["limit"].is_number(), "{seen}");
-    let text = tool(&format!("{vms} explain --request {id}"));
-    assert!(text.out.contains("ms ago"), "{text:?}");
-    let none = tool(&format!("{vms} explain --service venue"));
+    let explanation = run_tool(&format!("{vms} explain --request {id}"));
+    assert!(explanation.out.contains("ms ago"), "{explanation:?}");
+    let none = run_tool(&format!("{vms} explain --service venue"));
     assert_eq!((none.code, none.out.as_str()), (Code::Success, ""));
     daemons.into_iter().for_each(Daemon::stop);
 }
 
 #[test]
-fn a_drain_is_taken_by_a_vm_while_the_store_is_down_and_by_the_store_without_vms() {
+fn a_drain_is_accepted_by_a_vm_while_the_store_is_down_and_by_the_store_without_vms() {
     let bench = Bench::start();
     let file = bench.manifest("manifest.yaml", 1000);
-    bench.tool(&format!("manifest apply {file}"));
+    bench.run_tool(&format!("manifest apply {file}"));
     let (daemons, vms) = bench.daemons();
-    until("ready", || {
-        tool(&format!("{vms} status")).code == Code::Success
+    wait_until("the VMs are ready", || {
+        run_tool(&format!("{vms} status")).code == Code::Success
     });
     let links = |daemon: &Daemon| daemon.shared().metrics.fleet.peer_links.get();
-    until("linked", || daemons.iter().all(|daemon| links(daemon) > 0));
+    wait_until("the VMs are connected to each other", || {
+        daemons.iter().all(|daemon| links(daemon) > 0)
+    });
     bench
         .platform
         .change_faults(|faults| faults.outage = Some(Outage::Unavailable));
-    let unknown = tool(&format!("{vms} drain trip trip-9"));
+    let unknown = run_tool(&format!("{vms} drain trip trip-9"));
     assert_eq!(unknown.code, Code::Failed, "{unknown:?}");
     let only_first = format!("--vm {}", daemons[0].admin_address());
-    let drained = bench.tool(&format!("{only_first} drain trip trip-1"));
+    let drained = bench.run_tool(&format!("{only_first} drain trip trip-1"));
     assert_eq!(drained.code, Code::Success, "{drained:?}");
     assert!(drained.err.contains("not written to the store"));
     let known = |daemon: &Daemon| daemon.shared().fleet.drains().len() == 1;
-    until("known everywhere", || daemons.iter().all(known));
+    wait_until("every VM knows the drain", || daemons.iter().all(known));
     daemons.into_iter().for_each(Daemon::stop);
 
     bench.platform.change_faults(|faults| faults.outage = None);
-    let listed = json(&bench.tool("--json backend-server list trip"));
+    let listed = json(&bench.run_tool("--json backend-server list trip"));
     assert_eq!(listed[0]["draining"], false);
     for _ in 0..2 {
-        assert_eq!(bench.tool("drain trip trip-1").code, Code::Success);
+        assert_eq!(bench.run_tool("drain trip trip-1").code, Code::Success);
     }
-    let listed = json(&bench.tool("--json backend-server list trip"));
+    let listed = json(&bench.run_tool("--json backend-server list trip"));
     assert_eq!(listed[0]["draining"], true);
-    assert_eq!(bench.tool("drain trip trip-9").code, Code::Failed);
+    assert_eq!(bench.run_tool("drain trip trip-9").code, Code::Failed);
     let late = bench.daemon("entry-2", &[]);
-    until("a later VM knows it", || {
+    wait_until("a VM that starts later knows the drain", || {
         late.shared().fleet.drains().len() == 1
     });
     late.stop();
 }
 
 #[test]
-fn an_accepted_manifest_is_handed_to_vms_before_the_store_dies() {
-    // The store accepts a manifest and dies before any VM has read it. The tool hands it to a VM,
-    // which passes it on.
+fn an_accepted_manifest_is_sent_to_a_vm_before_the_store_fails() {
+    // The store accepts a manifest and fails before any VM has read it. The tool sends the manifest to one VM, which
+    // sends it to its peers.
     let bench = Bench::start();
     let first = bench.manifest("first.yaml", 1000);
-    bench.tool(&format!("manifest apply {first}"));
+    bench.run_tool(&format!("manifest apply {first}"));
     let (daemons, vms) = bench.daemons();
-    until("ready", || {
-        tool(&format!("{vms} status")).code == Code::Success
+    wait_until("the VMs are ready", || {
+        run_tool(&format!("{vms} status")).code == Code::Success
     });
     let links = |daemon: &Daemon| daemon.shared().metrics.fleet.peer_links.get();
-    until("linked", || daemons.iter().all(|daemon| links(daemon) > 0));
+    wait_until("the VMs are connected to each other", || {
+        daemons.iter().all(|daemon| links(daemon) > 0)
+    });
     let second = bench.manifest("second.yaml", 2000);
-    // No watch and no read of a VM succeeds any more, while the tool's writes still do.
+    // The VMs see no change through their watches any more, while the writes of the tool still succeed.
     bench
         .platform
         .change_faults(|faults| faults.stalled_watch = true);
     let only_second = format!("--vm {}", daemons[1].admin_address());
-    let applied = bench.tool(&format!("{only_second} manifest apply {second}"));
+    let applied = bench.run_tool(&format!("{only_second} manifest apply {second}"));
     assert_eq!(applied.code, Code::Success, "{applied:?}");
     bench
         .platform
         .change_faults(|faults| faults.outage = Some(Outage::Silence));
     let generation = |daemon: &Daemon| daemon.shared().accepted.load().generation;
-    until("in force", || {
+    wait_until("the manifest is in force on every VM", || {
         daemons.iter().all(|daemon| generation(daemon) == 2)
     });
     bench.platform.change_faults(|faults| faults.outage = None);
@@ -366,9 +371,9 @@
 }
 
 #[test]
-fn a_claim_that_never_was_is_told_so() {
+fn a_missing_claim_is_reported() {
     let bench = Bench::start();
-    let none = bench.tool("claim show trip squad-7");
+    let none = bench.run_tool("claim show trip squad-7");
     assert_eq!(none.code, Code::Failed);
     assert!(none.err.contains("no claim of this key"), "{none:?}");
 }
--- a/crates/kingcuploft-standins/tests/whole_path.rs
+++ b/crates/kingcuploft-standins/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path: a manifest applied by the tool, a call through a real daemon process.
+//! End-to-end test with real processes: the tool applies a manifest, and a daemon serves calls under it.
 
 use std::io::Write;
 use std::process::{Child, Command, Stdio};
@@ -7,9 +7,10 @@
 use kingcuploft_standins::backend_server::{BackendServer, Work};
 use kingcuploft_standins::platform::Platform;
 
-struct Ended(Child);
+/// A child process that is killed when the value is dropped.
+struct KillOnDrop(Child);
 
-impl Drop for Ended {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         drop(self.0.kill());
         drop(self.0.wait());
@@ -41,7 +42,7 @@
     let server = BackendServer::start(&runtime, work).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let manifest = folder.path().join("manifest.yaml");
-    let text = format!(
+    let yaml = format!(
         "services:
   - name: trip
     hosts: [trip.example]
@@ -53,19 +54,19 @@
 ",
         server.address()
     );
-    std::fs::write(&manifest, text).unwrap();
+    std::fs::write(&manifest, yaml).unwrap();
     let settings = folder.path().join("settings.yaml");
-    let (port, admin) = (free_port(), free_port());
-    let text = format!(
-        "vm: entry-1\navailability_zone: a\nlisten: 127.0.0.1:{port}\nadmin_listen: 127.0.0.1:{admin}\nplatform: {}\n",
+    let (port, admin_port) = (free_port(), free_port());
+    let yaml = format!(
+        "vm: entry-1\navailability_zone: a\nlisten: 127.0.0.1:{port}\nadmin_listen: 127.0.0.1:{admin_port}\nplatform: {}\n",
         platform.address()
     );
     std::fs::File::create(&settings)
         .unwrap()
-        .write_all(text.as_bytes())
+        .write_all(yaml.as_bytes())
         .unwrap();
 
-    let applied = Command::new(binary("kingcuploftctl"))
+    let apply = Command::new(binary("kingcuploftctl"))
         .args([
             "--platform",
             &platform.address().to_string(),
@@ -76,9 +77,9 @@
         .output()
         .unwrap();
     assert!(
-        applied.status.success(),
+        apply.status.success(),
         "{}",
-        String::from_utf8_lossy(&applied.stderr)
+        String::from_utf8_lossy(&apply.stderr)
     );
 
     let daemon = Command::new(binary("kingcuploftd"))
@@ -87,52 +88,54 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let daemon = Ended(daemon);
+    let daemon = KillOnDrop(daemon);
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .build()
         .into();
-    let until = Instant::now() + Duration::from_secs(20);
+    let deadline = Instant::now() + Duration::from_secs(20);
     loop {
-        let ready = agent.get(format!("http://127.0.0.1:{admin}/ready")).call();
+        let ready = agent
+            .get(format!("http://127.0.0.1:{admin_port}/ready"))
+            .call();
         if ready.is_ok_and(|ready| ready.status() == 200) {
             break;
         }
-        assert!(Instant::now() < until, "the daemon is not ready");
+        assert!(Instant::now() < deadline, "the daemon is not ready");
         std::thread::sleep(Duration::from_millis(10));
     }
     let base = format!("http://127.0.0.1:{port}");
-    let mut looked = agent
+    let mut lookup = agent
         .get(format!("{base}/itinerary"))
         .header("host", "trip.example")
         .call()
         .unwrap();
-    assert_eq!(looked.status(), 200);
+    assert_eq!(lookup.status(), 200);
     assert_eq!(
-        looked.body_mut().read_to_string().unwrap(),
+        lookup.body_mut().read_to_string().unwrap(),
         "GET /itinerary\n"
     );
     for _ in 0..2 {
-        let mut held = agent
+        let mut hold = agent
             .post(format!("{base}/holds"))
             .header("host", "trip.example")
             .header("idempotency-key", "squad-7")
             .send("beds")
             .unwrap();
-        assert_eq!(held.status(), 200);
-        assert_eq!(held.body_mut().read_to_string().unwrap(), "POST /holds\n");
+        assert_eq!(hold.status(), 200);
+        assert_eq!(hold.body_mut().read_to_string().unwrap(), "POST /holds\n");
     }
     assert_eq!(server.runs("squad-7"), 1);
 
-    // The store goes down: lookups go on, and a protected action is refused at once, with the
-    // word that nothing is known of earlier requests under its key.
+    // The store goes down: lookups are still served. A protected action is refused at once, and the refusal says that
+    // earlier requests with its key were not checked.
     platform.set_down(true);
-    let looked = agent
+    let lookup = agent
         .get(format!("{base}/itinerary"))
         .header("host", "trip.example")
         .call()
         .unwrap();
-    assert_eq!(looked.status(), 200);
+    assert_eq!(lookup.status(), 200);
     let refused = agent
         .post(format!("{base}/holds"))
         .header("host", "trip.example")
