--- a/crates/kingcuploft-standins/src/experiments/connections.rs
+++ b/crates/kingcuploft-standins/src/experiments/connections.rs
@@ -1,4 +1,8 @@
-//! `connections`: bursts of callers and slow senders, at a bare `rouille` edge and at the daemon.
+//! `connections`: starved callers, threads and latency under a burst of connections, at a plain `rouille` server and at
+//! the daemon.
+//!
+//! Load pattern: callers connect at the same time, alone or next to many slow senders (the Slowloris pattern) that send
+//! a request one byte after another and keep their connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,16 +19,16 @@
 use super::{ExperimentError, Options, Report};
 use crate::fleet::Fleet;
 
-/// A caller without a first answer after this is starved.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// A caller that has no answer within this time counts as starved.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often a slow sender sends one more byte.
-const DRIP: Duration = Duration::from_millis(400);
+/// The interval at which a slow sender sends one byte.
+const SLOW_BYTE_INTERVAL: Duration = Duration::from_millis(400);
 
-const SLOW_SENDERS: usize = 2000;
+const SLOW_SENDER_COUNT: usize = 2000;
 
-/// After how many answers the threads are counted.
-const THREADS_EVERY: usize = 32;
+/// The threads are counted once for this many answers.
+const ANSWERS_PER_THREAD_SAMPLE: usize = 32;
 
 const RULES: &[&str] = &[
     "{name: lookup, path_prefix: /, contract: retry_freely, priority: interactive, deadline_ms: 5000, queue_limit: 8192, caller_share: 1.0}",
@@ -32,18 +36,18 @@
 
 const REQUEST: &[u8] = b"GET /a HTTP/1.1\r\nhost: trip.example\r\nx-work-us: 0\r\n\r\n";
 
-/// What surrounds a burst of callers.
+/// The load that is on the edge besides a burst of callers.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum Beside {
+enum BackgroundLoad {
     Nothing,
     SlowHeaders,
     SlowBodies,
 }
 
-impl Beside {
-    /// What a slow sender sends first; then it adds byte after byte.
-    fn beginning(self) -> Option<&'static [u8]> {
+impl BackgroundLoad {
+    /// Returns what a slow sender sends at once, before it continues byte by byte.
+    fn request_prefix(self) -> Option<&'static [u8]> {
         match self {
             Self::Nothing => None,
             Self::SlowHeaders => Some(b"GET /slow HTTP/1.1\r\nhost: trip.example\r\nx-slow: "),
@@ -59,35 +63,35 @@
 struct Row {
     edge: &'static str,
     callers: usize,
-    beside: Beside,
-    /// Callers without a first answer within 2 s.
+    beside: BackgroundLoad,
+    /// Callers without an answer within 2 s.
     starved: usize,
-    /// Callers that were answered with something else than 200.
+    /// Callers that received another status than 200.
     refused: usize,
-    /// Threads that the edge had at most, without those of the experiment itself.
+    /// The greatest number of threads that the edge had, without those of the experiment itself.
     threads: usize,
     first_answer_p50_ms: f64,
     first_answer_p99_ms: f64,
 }
 
-const BURSTS: &[(usize, Beside)] = &[
-    (256, Beside::Nothing),
-    (2000, Beside::Nothing),
-    (256, Beside::SlowHeaders),
-    (256, Beside::SlowBodies),
+const BURSTS: &[(usize, BackgroundLoad)] = &[
+    (256, BackgroundLoad::Nothing),
+    (2000, BackgroundLoad::Nothing),
+    (256, BackgroundLoad::SlowHeaders),
+    (256, BackgroundLoad::SlowBodies),
 ];
 
 /// Runs the experiment.
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where an edge did not start.
+/// [`ExperimentError`] if an edge did not start.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let mut rows = Vec::new();
     for _ in 0..options.rounds {
         for (callers, beside) in BURSTS {
-            rows.push(at_rouille(*callers, *beside)?);
-            rows.push(at_daemon(options, *callers, *beside)?);
+            rows.push(measure_rouille(*callers, *beside)?);
+            rows.push(measure_daemon(options, *callers, *beside)?);
         }
     }
     let own = rows.iter().filter(|row| row.edge == "kingcuploftd");
@@ -100,16 +104,16 @@
     })
 }
 
-/// A burst at a bare `rouille` server that answers by itself.
-fn at_rouille(callers: usize, beside: Beside) -> Result<Row, ExperimentError> {
+/// Measures a burst at a plain `rouille` server that answers without a backend server.
+fn measure_rouille(callers: usize, beside: BackgroundLoad) -> Result<Row, ExperimentError> {
     let runtime = runtime()?;
-    let before = threads();
+    let before = count_threads();
     let server = rouille::Server::new("127.0.0.1:0", |_request| rouille::Response::text("ok"))
         .map_err(|error| std::io::Error::other(error.to_string()))?;
     let address = server.server_addr();
     let (joined, stop) = server.stoppable();
     let row = burst(&runtime, "rouille", address, callers, beside, &|| {
-        threads().saturating_sub(before)
+        count_threads().saturating_sub(before)
     });
     drop(runtime);
     let _ = stop.send(());
@@ -117,8 +121,12 @@
     Ok(row)
 }
 
-/// A burst at a daemon in front of one backend server.
-fn at_daemon(options: &Options, callers: usize, beside: Beside) -> Result<Row, ExperimentError> {
+/// Measures a burst at a daemon in front of one backend server.
+fn measure_daemon(
+    options: &Options,
+    callers: usize,
+    beside: BackgroundLoad,
+) -> Result<Row, ExperimentError> {
     let runtime = runtime()?;
     let fleet = Fleet::start_single("connections", RULES, options.seed)?;
     let address = fleet.addresses()[0];
@@ -128,7 +136,7 @@
         address,
         callers,
         beside,
-        &daemon_threads,
+        &count_daemon_threads,
     );
     drop(runtime);
     fleet.stop();
@@ -137,26 +145,26 @@
 
 fn runtime() -> std::io::Result<Runtime> {
     let mut builder = tokio::runtime::Builder::new_multi_thread();
-    builder.enable_all().thread_name(OWN_THREAD).build()
+    builder.enable_all().thread_name(CALLER_THREAD_NAME).build()
 }
 
-/// The name of the experiment's own threads.
-const OWN_THREAD: &str = "callers";
+/// The name of the threads on which the experiment's callers run.
+const CALLER_THREAD_NAME: &str = "callers";
 
-/// Returns how many threads this process has.
-fn threads() -> usize {
+/// Returns the number of threads of this process.
+fn count_threads() -> usize {
     std::fs::read_dir("/proc/self/task").map_or(0, Iterator::count)
 }
 
-/// Returns how many threads are the daemon's: it names each after its duty, and the others are
-/// the experiment's, the stand-ins' or left over from `rouille`.
-fn daemon_threads() -> usize {
+/// Returns the number of the daemon's threads. The daemon gives each thread a name of its own; all others belong to the
+/// experiment or the stand-ins, or are left over from `rouille`.
+fn count_daemon_threads() -> usize {
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else {
         return 0;
     };
     let comms = tasks.filter_map(|task| Some(task.ok()?.path().join("comm")));
     let names = comms.filter_map(|comm| std::fs::read_to_string(comm).ok());
-    let others = [OWN_THREAD, "tokio", "kingcuploft-exp"];
+    let others = [CALLER_THREAD_NAME, "tokio", "kingcuploft-exp"];
     let own = |name: &str| !name.trim().is_empty() && !others.iter().any(|o| name.starts_with(o));
     names.filter(|name| own(name)).count()
 }
@@ -166,27 +174,28 @@
     edge: &'static str,
     address: SocketAddr,
     callers: usize,
-    beside: Beside,
+    beside: BackgroundLoad,
     edge_threads: &dyn Fn() -> usize,
 ) -> Row {
     let answered = Arc::new(AtomicUsize::new(0));
     let refused = Arc::new(AtomicUsize::new(0));
     let (us, peak) = runtime.block_on(async {
-        if let Some(beginning) = beside.beginning() {
-            slow_senders(address, beginning).await;
+        if let Some(request_prefix) = beside.request_prefix() {
+            start_slow_senders(address, request_prefix).await;
         }
         let mut tasks = Vec::new();
         for _ in 0..callers {
             let (answered, refused) = (Arc::clone(&answered), Arc::clone(&refused));
             tasks.push(tokio::spawn(async move {
                 let began = Instant::now();
-                let (status, stream) = tokio::time::timeout(PATIENCE, first_answer(address))
-                    .await
-                    .ok()??;
+                let (status, stream) =
+                    tokio::time::timeout(FIRST_ANSWER_TIMEOUT, first_answer(address))
+                        .await
+                        .ok()??;
                 let us = began.elapsed().as_micros() as u64;
                 answered.fetch_add(1, Ordering::Relaxed);
                 refused.fetch_add(usize::from(status != 200), Ordering::Relaxed);
-                // Its connection stays open until all callers have theirs, as a balancer's does.
+                // The connection stays open until all callers have an answer, as connections from a balancer do.
                 Some((us, stream))
             }));
         }
@@ -195,7 +204,7 @@
         let mut open = Vec::new();
         let mut peak = 0;
         for (i, task) in tasks.into_iter().enumerate() {
-            if i % THREADS_EVERY == 0 {
+            if i % ANSWERS_PER_THREAD_SAMPLE == 0 {
                 peak = peak.max(edge_threads());
             }
             match task.await.ok().flatten() {
@@ -203,7 +212,7 @@
                     us.saturating_record(answered_us);
                     open.push(stream);
                 }
-                None => us.saturating_record(PATIENCE.as_micros() as u64),
+                None => us.saturating_record(FIRST_ANSWER_TIMEOUT.as_micros() as u64),
             }
         }
         (us, peak.max(edge_threads()))
@@ -221,27 +230,27 @@
     }
 }
 
-/// Connects the slow senders and leaves them sending byte after byte.
-async fn slow_senders(address: SocketAddr, beginning: &'static [u8]) {
+/// Connects the slow senders, which keep sending one byte after another in the background.
+async fn start_slow_senders(address: SocketAddr, request_prefix: &'static [u8]) {
     let mut connecting = Vec::new();
-    for _ in 0..SLOW_SENDERS {
+    for _ in 0..SLOW_SENDER_COUNT {
         connecting.push(tokio::spawn(async move {
             let mut stream = TcpStream::connect(address).await.ok()?;
-            stream.write_all(beginning).await.ok()?;
+            stream.write_all(request_prefix).await.ok()?;
             tokio::spawn(async move {
                 while stream.write_all(b"a").await.is_ok() {
-                    tokio::time::sleep(DRIP).await;
+                    tokio::time::sleep(SLOW_BYTE_INTERVAL).await;
                 }
             });
             Some(())
         }));
     }
     for sender in connecting {
-        drop(tokio::time::timeout(PATIENCE, sender).await);
+        drop(tokio::time::timeout(FIRST_ANSWER_TIMEOUT, sender).await);
     }
 }
 
-/// Connects, sends a request and reads the beginning of its answer.
+/// Connects, sends a request, and reads its answer up to the end of the headers.
 async fn first_answer(address: SocketAddr) -> Option<(u16, TcpStream)> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(REQUEST).await.ok()?;
--- a/crates/kingcuploft-standins/src/experiments/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/mod.rs
@@ -1,7 +1,8 @@
-//! Experiments: real daemons in one process against stand-ins on loopback.
+//! Experiments that measure real daemons under load, against stand-ins for callers, backend servers and the platform
+//! on loopback.
 //!
-//! One experiment, one file. Each returns its figures as JSON, a table as text, and every promise
-//! it saw broken.
+//! Each module is one experiment. Its `run` function returns a [`Report`]: the figures as JSON, a table as text, and
+//! every guarantee that was violated.
 
 pub mod claims;
 pub mod connections;
@@ -23,20 +24,20 @@
 use crate::plot::PlotError;
 use crate::virtual_fleet::deployment::Place;
 
-/// The options that experiments share.
+/// The command-line options that all experiments share.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The seed of everything drawn.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// How long the load lasts, for each part of the experiment.
+    /// How long load is generated in each part of the experiment.
     pub duration: Duration,
-    /// How often the parts are repeated, interleaved.
+    /// How many times the parts are repeated; the repetitions are interleaved.
     pub rounds: usize,
-    /// The load, as a share of what the slots can do.
+    /// The offered load, as a share of the capacity of all slots.
     pub load: f64,
-    /// Which deployment of the brief.
+    /// Which reference deployment is measured.
     pub deployment: DeploymentName,
-    /// Where to draw a plot, if anywhere.
+    /// The SVG file to draw a plot into, if any.
     pub plot: Option<PathBuf>,
 }
 
@@ -53,7 +54,7 @@
     }
 }
 
-/// A deployment of the brief.
+/// A reference deployment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DeploymentName {
     /// Hsinchu Teamway Travel Lab.
@@ -63,7 +64,7 @@
 }
 
 impl DeploymentName {
-    /// Returns the deployment's twin in the virtual fleet.
+    /// Returns the same deployment as the virtual fleet simulates it.
     pub fn virtual_place(self) -> Place {
         match self {
             Self::Teamway => Place::Teamway,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Returns the plan of the deployment.
+    /// Returns the plan from which a [`crate::fleet::Fleet`] starts the deployment.
     pub fn plan(self) -> Deployment {
         match self {
             Self::Teamway => deployment::teamway(),
@@ -80,46 +81,46 @@
     }
 }
 
-/// What an experiment found.
+/// The result of an experiment.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// The figures.
+    /// The figures, as JSON.
     pub figures: serde_json::Value,
-    /// The same, as a table for a person.
+    /// The figures as a readable table.
     pub text: String,
-    /// The promises that were broken.
+    /// The guarantees that were violated, one message each; not empty means that the experiment failed.
     pub violations: Vec<String>,
 }
 
-/// Why an experiment has no figures.
+/// Why an experiment returned no report.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// The fleet failed.
+    /// The fleet did not start or did not adopt a manifest.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// The system failed.
+    /// An operating system call failed, or a condition was not met in time.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// The plot failed.
+    /// The plot could not be drawn.
     #[error(transparent)]
     Plot(#[from] PlotError),
-    /// The figures can not be written.
+    /// The figures could not be serialized.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// An experiment's entry in the tool.
+/// An experiment as the command line lists and runs it.
 #[derive(Clone, Copy, Debug)]
 pub struct Experiment {
     /// The name on the command line.
     pub name: &'static str,
-    /// What it measures, in one line.
+    /// What it measures, in one line of the help text.
     pub description: &'static str,
-    /// Runs it.
+    /// The function that runs it.
     pub run: fn(&Options) -> Result<Report, ExperimentError>,
 }
 
-/// Every experiment.
+/// All experiments that the command line knows.
 pub const ALL: &[Experiment] = &[
     Experiment {
         name: "connections",
--- a/crates/kingcuploft-standins/src/experiments/overload.rs
+++ b/crates/kingcuploft-standins/src/experiments/overload.rs
@@ -1,4 +1,5 @@
-//! `overload`: what callers receive when more is asked than the slots can do, with one hot caller.
+//! `overload`: goodput, refusals and fairness when the offered load exceeds the capacity of the slots, with and without
+//! one hot caller.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,11 +13,11 @@
 use crate::virtual_fleet::workload::Stream;
 use crate::virtual_fleet::{Deployment, Outcome, Run};
 
-/// The callers that send alike.
-const CALLERS: u32 = 40;
+/// The number of callers that each send the same load.
+const REGULAR_CALLERS: u32 = 40;
 
-/// How many times the others' share the hot caller sends.
-const HOT: f64 = 10.0;
+/// The hot caller's load, as a multiple of a regular caller's.
+const HOT_CALLER_FACTOR: f64 = 10.0;
 
 #[derive(Debug, Serialize)]
 struct Figures {
@@ -39,25 +40,25 @@
     duplicate_runs: u64,
 }
 
-/// How often and how late callers were refused for one reason.
+/// How many calls were refused for one reason, and the 99th percentile of the time to the refusal.
 #[derive(Debug, Serialize)]
 struct ReasonFigures {
     refused: u64,
     p99_ms: f64,
 }
 
-/// Runs the experiment: first without, then with the hot caller, for each round.
+/// Runs the experiment: in each round first without, then with the hot caller.
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where a fleet did not start.
+/// [`ExperimentError`] if a fleet did not start.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let mut report = Report::default();
     let mut all = Vec::new();
     for round in 0..options.rounds as u64 {
         let seed = options.seed + round;
-        let without = outcome(options, seed, 0.0)?;
-        let with = outcome(options, seed, HOT)?;
+        let without = run_load(options, seed, 0.0)?;
+        let with = run_load(options, seed, HOT_CALLER_FACTOR)?;
         let figures = figures(options, &with, &without);
         if figures.duplicate_runs > 0 {
             report.violations.push(format!(
@@ -72,11 +73,11 @@
     Ok(report)
 }
 
-fn outcome(options: &Options, seed: u64, hot: f64) -> Result<Outcome, ExperimentError> {
-    let share = options.load / (f64::from(CALLERS) + HOT);
+fn run_load(options: &Options, seed: u64, hot: f64) -> Result<Outcome, ExperimentError> {
+    let share = options.load / (f64::from(REGULAR_CALLERS) + HOT_CALLER_FACTOR);
     let mut streams = vec![Stream {
-        load: share * f64::from(CALLERS),
-        callers: CALLERS,
+        load: share * f64::from(REGULAR_CALLERS),
+        callers: REGULAR_CALLERS,
         ..Stream::default()
     }];
     if hot > 0.0 {
@@ -120,7 +121,7 @@
     record.caller.starts_with("hot")
 }
 
-/// Returns the share of the kept records that were answered in time.
+/// Returns the share of the selected records that were answered before their deadline.
 fn share(outcome: &Outcome, keep: impl Fn(&Record) -> bool) -> f64 {
     let kept: Vec<&Record> = outcome.records.iter().filter(|r| keep(r)).collect();
     let in_time = kept.iter().filter(|r| r.within_deadline()).count();
--- a/crates/kingcuploft-standins/src/experiments/peer_slope.rs
+++ b/crates/kingcuploft-standins/src/experiments/peer_slope.rs
@@ -1,5 +1,7 @@
-//! `peer_slope`: what the peer links cost a node as the fleet grows, with many light nodes in one
-//! process: each runs the real peer duty, membership and adoption, and nothing else.
+//! `peer_slope`: the bytes, time and CPU that the peer links cost a node as the fleet grows.
+//!
+//! Many light nodes run in one process. Each runs the real peer links, membership and manifest adoption, and nothing
+//! else.
 
 use std::fmt::Write;
 use std::net::{SocketAddr, TcpListener};
@@ -19,28 +21,28 @@
 
 use super::{ExperimentError, Options, Report};
 
-/// The sizes of the fleet.
-const SIZES: [usize; 3] = [14, 50, 200];
+/// The fleet sizes that are measured, in nodes.
+const FLEET_SIZES: [usize; 3] = [14, 50, 200];
 
-/// The services of the manifest, and the backend servers of each: the size in two years.
-const SERVICES: usize = 740;
+/// The number of services in the manifest: the size that the users expect in two years.
+const SERVICE_COUNT: usize = 740;
 
-/// The backend servers of each service.
-const BACKEND_SERVERS: usize = 13;
+/// The number of backend servers of each service.
+const SERVERS_PER_SERVICE: usize = 13;
 
-/// How many changes of one service are sent through the fleet.
-const CHANGES: u64 = 5;
+/// How many manifest changes, each of one service, are sent through the fleet.
+const CHANGE_COUNT: u64 = 5;
 
-/// Changes of configuration in a second, in two years: 17,000 a day.
+/// The rate of configuration changes that the users expect in two years: 17,000 a day.
 const CHANGES_PER_S: f64 = 17_000.0 / 86_400.0;
 
-/// How long a fleet may take for what it is waited for.
-const PATIENCE: Duration = Duration::from_secs(180);
+/// How long the fleet may take to meet each awaited condition.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// The bytes that a node may spend for control in a second.
-const BUDGET_BYTES_PER_S: f64 = 2048.0;
+/// The bandwidth that an idle node may use for control messages, in bytes per second.
+const MAX_IDLE_BYTES_PER_S: f64 = 2048.0;
 
-/// The figures of one size.
+/// The figures of one fleet size.
 #[derive(Clone, Debug, Serialize)]
 struct Row {
     nodes: usize,
@@ -54,12 +56,12 @@
     cpu_share_per_node: f64,
 }
 
-/// A node without callers, backend servers and store.
+/// A node without callers, backend servers and store: only its peer links run.
 struct LightNode {
     shared: Arc<Shared>,
     address: SocketAddr,
-    peers: JoinHandle<()>,
-    sink: JoinHandle<()>,
+    peer_task: JoinHandle<()>,
+    message_sink: JoinHandle<()>,
 }
 
 impl LightNode {
@@ -79,10 +81,10 @@
             availability_zone: zone.into(),
             incarnation: 1,
         };
-        let (dispatch, from_all) = crossbeam_channel::bounded(64);
+        let (dispatch, messages) = crossbeam_channel::bounded(64);
         let shared = Shared::new(settings, vm, dispatch);
         shared.fleet.membership().set_address(address);
-        // There is no store to wait for before a peer's first manifest is taken.
+        // No store will answer, so the node must not wait for one before it adopts a peer's manifest.
         shared
             .manifest
             .update(&shared, "the experiment", |adoption| {
@@ -94,19 +96,19 @@
         let context = Arc::clone(&shared);
         let sink = std::thread::spawn(move || {
             while !context.ended() {
-                let message = from_all.recv_timeout(Duration::from_millis(200));
+                let message = messages.recv_timeout(Duration::from_millis(200));
                 drop::<Result<Message, _>>(message);
             }
         });
         Ok(Self {
             shared,
             address,
-            peers,
-            sink,
+            peer_task: peers,
+            message_sink: sink,
         })
     }
 
-    fn live(&self) -> usize {
+    fn live_members(&self) -> usize {
         let members = self.shared.fleet.members();
         members
             .iter()
@@ -114,7 +116,7 @@
             .count()
     }
 
-    fn bytes(&self) -> u64 {
+    fn peer_bytes(&self) -> u64 {
         self.shared.metrics.fleet.all_peer_bytes()
     }
 
@@ -122,14 +124,14 @@
         self.shared.accepted.load().generation
     }
 
-    /// Teaches this node a manifest as the store would.
-    fn learn(&self, root: &Root, objects: &[ServiceObject]) {
-        let keeper = &self.shared.manifest;
-        keeper.update(&self.shared, "the experiment", |adoption| {
+    /// Hands this node a manifest as if it had read it from the store.
+    fn adopt_manifest(&self, root: &Root, objects: &[ServiceObject]) {
+        let manifest_state = &self.shared.manifest;
+        manifest_state.update(&self.shared, "the experiment", |adoption| {
             adoption.root_text(&root.text())
         });
         for object in objects {
-            keeper.update(&self.shared, "the experiment", |adoption| {
+            manifest_state.update(&self.shared, "the experiment", |adoption| {
                 adoption.service_text(&object.hash, &object.text)
             });
         }
@@ -140,10 +142,10 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError::System`] where ports, threads or patience run out.
+/// None: a fleet size that cannot be measured is reported as a violation.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let (mut rows, mut failed) = (Vec::new(), Vec::new());
-    for size in SIZES {
+    for size in FLEET_SIZES {
         match measure(size, options.duration) {
             Ok(row) => rows.push(row),
             Err(error) => failed.push(error.to_string()),
@@ -151,7 +153,7 @@
     }
     let broken = rows
         .iter()
-        .filter(|row| row.idle_bytes_per_s_max > BUDGET_BYTES_PER_S);
+        .filter(|row| row.idle_bytes_per_s_max > MAX_IDLE_BYTES_PER_S);
     let broken = broken.map(|row| {
         let (nodes, bytes) = (row.nodes, row.idle_bytes_per_s_max);
         format!("a node of {nodes} spends {bytes:.0} bytes a second")
@@ -160,7 +162,7 @@
         violations: broken.chain(failed).collect(),
         text: table(&rows),
         figures: serde_json::json!({
-            "seed": options.seed, "services": SERVICES, "rows": rows,
+            "seed": options.seed, "services": SERVICE_COUNT, "rows": rows,
         }),
     })
 }
@@ -172,45 +174,45 @@
         let seeds: Vec<SocketAddr> = nodes.iter().take(3).map(|node| node.address).collect();
         nodes.push(LightNode::start(index, &seeds)?);
     }
-    wait(size, "members", || {
-        nodes.iter().all(|node| node.live() == size)
+    wait_until(size, "members", || {
+        nodes.iter().all(|node| node.live_members() == size)
     })?;
     let known_after_s = began.elapsed().as_secs_f64();
-    // A first manifest, whole, and time for all to be quiet.
+    // Distributes a first manifest in full, then waits until no gossip is queued.
     let mut objects = services(0);
-    nodes[0].learn(&root(1, &objects), &objects);
-    wait(size, "a manifest", || {
+    nodes[0].adopt_manifest(&root(1, &objects), &objects);
+    wait_until(size, "a manifest", || {
         nodes.iter().all(|node| node.generation() == 1)
     })?;
-    wait(size, "quiet", || {
+    wait_until(size, "quiet", || {
         nodes
             .iter()
             .all(|n| n.shared.fleet.membership().is_gossip_empty())
     })?;
-    let (idle, cpu) = spent(&nodes, || std::thread::sleep(time));
+    let (idle, cpu) = measure_bytes(&nodes, || std::thread::sleep(time));
     let seconds = time.as_secs_f64();
     let mut in_force_ms_max: f64 = 0.0;
     let mut change_bytes = 0.0;
-    for change in 1..=CHANGES {
+    for change in 1..=CHANGE_COUNT {
         let generation = change + 1;
         objects[7] = services(change).swap_remove(7);
         let root = root(generation, &objects);
         let settle = Duration::from_millis(500);
         let mut took = Duration::ZERO;
-        let mut waited = Ok(());
-        let (bytes, _) = spent(&nodes, || {
+        let mut wait_result = Ok(());
+        let (bytes, _) = measure_bytes(&nodes, || {
             let began = Instant::now();
-            nodes[0].learn(&root, std::slice::from_ref(&objects[7]));
-            waited = wait(size, "a change", || {
+            nodes[0].adopt_manifest(&root, std::slice::from_ref(&objects[7]));
+            wait_result = wait_until(size, "a change", || {
                 nodes.iter().all(|n| n.generation() == generation)
             });
             took = began.elapsed();
             std::thread::sleep(settle);
         });
-        waited?;
+        wait_result?;
         in_force_ms_max = in_force_ms_max.max(took.as_secs_f64() * 1000.0);
         let idle_part = mean(&idle) / seconds * (took + settle).as_secs_f64();
-        change_bytes += (mean(&bytes) - idle_part) / CHANGES as f64;
+        change_bytes += (mean(&bytes) - idle_part) / CHANGE_COUNT as f64;
     }
     let links = nodes
         .iter()
@@ -230,27 +232,27 @@
     };
     nodes.iter().for_each(|node| node.shared.end());
     for node in nodes {
-        drop(node.peers.join());
-        drop(node.sink.join());
+        drop(node.peer_task.join());
+        drop(node.message_sink.join());
     }
     Ok(row)
 }
 
-/// Returns the bytes that each node spent while something ran, and the processor time of all, in s.
-fn spent(nodes: &[LightNode], run: impl FnOnce()) -> (Vec<f64>, f64) {
-    let before: Vec<u64> = nodes.iter().map(LightNode::bytes).collect();
-    let cpu = cpu_s();
+/// Runs a function and returns the peer bytes that each node used meanwhile and the process's CPU time, in s.
+fn measure_bytes(nodes: &[LightNode], run: impl FnOnce()) -> (Vec<f64>, f64) {
+    let before: Vec<u64> = nodes.iter().map(LightNode::peer_bytes).collect();
+    let cpu = process_cpu_s();
     run();
-    let cpu = cpu_s() - cpu;
-    let after = nodes.iter().map(LightNode::bytes);
+    let cpu = process_cpu_s() - cpu;
+    let after = nodes.iter().map(LightNode::peer_bytes);
     let bytes = after
         .zip(before)
         .map(|(after, before)| (after - before) as f64);
     (bytes.collect(), cpu)
 }
 
-/// Returns the processor time of this process, in s; 0 where the system does not tell.
-fn cpu_s() -> f64 {
+/// Returns the CPU time of this process, in s; 0 if `/proc` is not available.
+fn process_cpu_s() -> f64 {
     const TICKS_PER_S: f64 = 100.0;
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat
@@ -269,11 +271,11 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-fn wait(nodes: usize, what: &str, holds: impl Fn() -> bool) -> Result<(), ExperimentError> {
-    let end = Instant::now() + PATIENCE;
+fn wait_until(nodes: usize, what: &str, holds: impl Fn() -> bool) -> Result<(), ExperimentError> {
+    let end = Instant::now() + CONDITION_TIMEOUT;
     while !holds() {
         if Instant::now() > end {
-            let why = format!("{nodes} nodes: {what}: not within {PATIENCE:?}");
+            let why = format!("{nodes} nodes: {what}: not within {CONDITION_TIMEOUT:?}");
             return Err(std::io::Error::other(why).into());
         }
         std::thread::sleep(Duration::from_millis(2));
@@ -281,11 +283,11 @@
     Ok(())
 }
 
-/// Returns the service objects of a manifest in which the change shows as a deadline.
+/// Returns the service objects of a manifest; `change` alters the deadline in its rules.
 fn services(change: u64) -> Vec<ServiceObject> {
     let mut text = String::from("services:\n");
-    for i in 0..SERVICES {
-        let servers = (0..BACKEND_SERVERS).map(|j| {
+    for i in 0..SERVICE_COUNT {
+        let servers = (0..SERVERS_PER_SERVICE).map(|j| {
             format!("{{name: s-{j}, address: '10.{}.{}.{j}:80', availability_zone: zone-{}, slots: 4, connections: 220}}", i / 250, i % 250, j % 4)
         });
         let servers: Vec<String> = servers.collect();
--- a/crates/kingcuploft-standins/src/experiments/promises/chaos.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/chaos.rs
@@ -1,47 +1,47 @@
-//! The faults of a run, drawn from the seed.
+//! The schedule of faults of a run, drawn from the seed.
 
 use std::time::Duration;
 
 use crate::backend_server::{AnswerFault, Faults as BackendFaults};
 use crate::platform::Faults as StoreFaults;
 
-/// Something that happens to the deployment.
+/// A fault, or an operation, that is injected into the deployment.
 #[derive(Clone, Debug)]
 pub enum ChaosEvent {
-    /// The platform gets faults.
+    /// Replaces the platform's faults.
     Store(StoreFaults),
-    /// A backend server gets faults.
+    /// Replaces a backend server's faults.
     Backend(usize, BackendFaults),
-    /// A backend server's connections are closed at once.
+    /// Closes all connections of a backend server.
     CloseConnections(usize),
-    /// A VM is paused for a time.
+    /// Pauses a VM's daemon for a time.
     Pause(usize, Duration),
-    /// A VM is killed and replaced.
+    /// Kills a VM's daemon and replaces the VM.
     Kill(usize),
-    /// A VM stops as planned and is replaced.
+    /// Shuts a VM's daemon down gracefully and replaces the VM.
     Stop(usize),
-    /// A VM's link to the platform is cut for a time.
+    /// Cuts a VM's link to the platform for a time.
     CutPlatform(usize, Duration),
-    /// A VM's peer links are cut for a time.
+    /// Cuts the links by which its peers reach a VM for a time.
     CutPeers(usize, Duration),
-    /// Two operators apply a manifest at once.
+    /// Two operators apply a manifest at the same time.
     ConcurrentApplies,
-    /// A backend server leaves, by the manifest.
+    /// Drains a backend server by the manifest.
     DrainByManifest(usize),
-    /// A backend server leaves, by its replies.
+    /// Drains a backend server by its own replies.
     DrainByReply(usize),
 }
 
-/// A step and when it happens.
+/// An event and when it is injected.
 #[derive(Clone, Debug)]
 pub struct ScheduledEvent {
     /// Time from the start of the run.
     pub at: Duration,
-    /// What happens.
+    /// What is injected.
     pub event: ChaosEvent,
 }
 
-/// Draws the steps of a run; the last fifth of the time is left without new faults.
+/// Draws the events of a run; no new event starts in the last fifth of the time.
 pub fn draw_events(
     seed: u64,
     time: Duration,
@@ -50,17 +50,22 @@
 ) -> Vec<ScheduledEvent> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x00c0_ffee);
     let mut at = Duration::from_millis(300);
-    let mut steps = Vec::new();
-    let mut left = 0;
+    let mut events = Vec::new();
+    let mut drains = 0;
     while at < time.mul_f64(0.8) {
-        let step = draw_step(&mut rng, vms, backend_servers, &mut left);
-        steps.push(ScheduledEvent { at, event: step });
+        let event = draw_event(&mut rng, vms, backend_servers, &mut drains);
+        events.push(ScheduledEvent { at, event });
         at += Duration::from_millis(rng.u64(80..500));
     }
-    steps
+    events
 }
 
-fn draw_step(rng: &mut fastrand::Rng, vms: usize, servers: usize, left: &mut usize) -> ChaosEvent {
+fn draw_event(
+    rng: &mut fastrand::Rng,
+    vms: usize,
+    servers: usize,
+    drains: &mut usize,
+) -> ChaosEvent {
     let vm = rng.usize(..vms);
     let server = rng.usize(..servers);
     let pause = Duration::from_millis(rng.u64(50..1200));
@@ -76,8 +81,8 @@
         15 => ChaosEvent::CutPlatform(vm, pause * 2),
         16 => ChaosEvent::CutPeers(vm, pause * 2),
         17..=18 => ChaosEvent::ConcurrentApplies,
-        _ if *left == 0 => {
-            *left += 1;
+        _ if *drains == 0 => {
+            *drains += 1;
             match rng.bool() {
                 true => ChaosEvent::DrainByManifest(server),
                 false => ChaosEvent::DrainByReply(server),
--- a/crates/kingcuploft-standins/src/experiments/promises/entry_vms.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/entry_vms.rs
@@ -1,4 +1,5 @@
-//! The entry VMs of a run: daemon processes that are paused, killed and replaced.
+//! The entry VMs of a run: daemon processes that are paused, killed, shut down and replaced, and the observer that
+//! samples their readiness and generation.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,16 +15,16 @@
 /// How long a new daemon may take to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long a planned stop may take.
+/// How long a graceful shutdown may take.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a stopping daemon says that it is not ready before it refuses.
+/// How long a daemon that shuts down reports that it is not ready before it refuses requests, in ms.
 const NOT_READY_MS: u64 = 150;
 
-/// How often the balancer and the observer look.
-const POLL: Duration = Duration::from_millis(25);
+/// How often the observer, which also stands for the platform's balancer, polls every daemon.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// One place for an entry VM, and the daemon that lives there now.
+/// An entry VM and the daemon process that runs on it now.
 #[derive(Debug)]
 struct VmSlot {
     process: DaemonProcess,
@@ -31,28 +32,28 @@
     ports: Ports,
     in_rotation: bool,
     stopping: bool,
-    awake_since: Option<Duration>,
+    active_since: Option<Duration>,
 }
 
-/// What the observer noted.
+/// The observer's samples, and how daemons were stopped.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// Generations read.
+    /// The sampled generations.
     pub generation_samples: Vec<GenerationSample>,
-    /// Times during which a daemon should follow.
+    /// The periods in which a daemon was ready and not paused.
     pub active_periods: Vec<ActivePeriod>,
-    /// Lives that were asked to stop as planned, and when.
+    /// The daemons that were asked to shut down gracefully, and when.
     pub planned_stops: Vec<(usize, Duration)>,
-    /// Lives that were paused or killed.
+    /// The daemons that were paused or killed.
     pub paused_or_killed: Vec<usize>,
-    /// Planned stops that did not end in time or not with success.
+    /// The number of graceful shutdowns that timed out or ended with an error.
     pub failed_stops: u64,
 }
 
-/// The entry VMs.
+/// The entry VMs of a run and their links.
 #[derive(Debug)]
 pub struct EntryVms {
-    began: Instant,
+    started_at: Instant,
     folder: PathBuf,
     platform_links: Vec<Link>,
     peer_links: Vec<Mutex<Link>>,
@@ -67,15 +68,16 @@
     ///
     /// # Errors
     ///
-    /// The system's error where a port, a file or a process is not to be had.
+    /// The operating system's error if a port, a file or a process is not available, or an error if a daemon does not
+    /// become ready.
     pub fn start(
         runtime: std::sync::Arc<Runtime>,
         platform: SocketAddr,
         folder: PathBuf,
         count: usize,
     ) -> std::io::Result<Self> {
-        let mut entries = Self {
-            began: Instant::now(),
+        let mut entry_vms = Self {
+            started_at: Instant::now(),
             folder,
             platform_links: Vec::new(),
             peer_links: Vec::new(),
@@ -87,53 +89,54 @@
         let mut ports = Vec::new();
         for _ in 0..count {
             let own = Ports::free()?;
-            entries
+            entry_vms
                 .platform_links
-                .push(Link::start(&entries.runtime, platform)?);
-            let link = Link::start(&entries.runtime, own.peers)?;
-            entries.peer_links.push(Mutex::new(link));
+                .push(Link::start(&entry_vms.runtime, platform)?);
+            let link = Link::start(&entry_vms.runtime, own.peers)?;
+            entry_vms.peer_links.push(Mutex::new(link));
             ports.push(own);
         }
         for (vm, ports) in ports.into_iter().enumerate() {
-            let (process, daemon_id) = entries.launch(vm, ports)?;
+            let (process, daemon_id) = entry_vms.start_daemon(vm, ports)?;
             let slot = VmSlot {
                 process,
                 daemon_id,
                 ports,
                 in_rotation: false,
                 stopping: false,
-                awake_since: None,
+                active_since: None,
             };
-            entries.slots.push(Mutex::new(slot));
+            entry_vms.slots.push(Mutex::new(slot));
         }
         for vm in 0..count {
-            let mut slot = lock(&entries.slots[vm]);
+            let mut slot = lock(&entry_vms.slots[vm]);
             if !slot.process.wait_ready(READY_TIMEOUT) {
-                // Another process may have taken one of the free ports before the daemon did.
-                entries.replace(vm, &mut slot);
+                // Another process may have taken one of the free ports before the daemon bound it.
+                entry_vms.replace(vm, &mut slot);
             }
             if slot.process.admin_page("ready").is_none() {
                 return Err(std::io::Error::other("a daemon is not ready"));
             }
             slot.in_rotation = true;
-            slot.awake_since = Some(Duration::ZERO);
+            slot.active_since = Some(Duration::ZERO);
         }
-        entries.began = Instant::now();
-        Ok(entries)
+        entry_vms.started_at = Instant::now();
+        Ok(entry_vms)
     }
 
-    /// Returns when the run began.
+    /// Returns when the run started.
     pub fn started_at(&self) -> Instant {
-        self.began
+        self.started_at
     }
 
-    /// Returns the address and life of a VM that the platform's balancer would choose.
-    pub fn choose_vm(&self, draw: usize) -> (SocketAddr, usize) {
+    /// Returns the address and daemon of a VM that the platform's balancer would choose: the first ready one from the
+    /// given index on.
+    pub fn choose_vm(&self, start_index: usize) -> (SocketAddr, usize) {
         let count = self.slots.len();
-        let order = (0..count).map(|i| (draw + i) % count);
+        let order = (0..count).map(|i| (start_index + i) % count);
         let mut fallback = None;
         for slot in order {
-            // A place whose VM is being replaced is locked for long: the balancer passes it by.
+            // A VM that is being replaced stays locked until its new daemon is ready; the balancer skips it.
             let Ok(slot) = self.slots[slot].try_lock() else {
                 continue;
             };
@@ -146,7 +149,7 @@
         fallback.unwrap_or((SocketAddr::from(([127, 0, 0, 1], 9)), usize::MAX))
     }
 
-    /// Looks at every VM once: readiness for the balancer, the generation for the check.
+    /// Polls every VM once: its readiness for the balancer, its generation for the checker.
     pub fn observe(&self) {
         for slot in &self.slots {
             let Ok(mut slot) = slot.try_lock() else {
@@ -156,60 +159,61 @@
             let Some(generation) = slot.process.generation() else {
                 continue;
             };
-            let reading = GenerationSample {
+            let sample = GenerationSample {
                 daemon_id: slot.daemon_id,
-                at: self.began.elapsed(),
+                at: self.started_at.elapsed(),
                 generation,
             };
-            lock(&self.observed).generation_samples.push(reading);
+            lock(&self.observed).generation_samples.push(sample);
         }
     }
 
-    /// Pauses a VM for a time; whoever looks at it meanwhile passes it by.
+    /// Pauses a VM's daemon for a time and takes the VM out of the balancer's rotation meanwhile.
     pub fn pause(&self, vm: usize, time: Duration) {
         let mut slot = lock(&self.slots[vm]);
-        self.sleep_begins(&mut slot);
+        self.end_active_period(&mut slot);
         lock(&self.observed).paused_or_killed.push(slot.daemon_id);
         slot.process.pause();
         let daemon_id = slot.daemon_id;
         drop(slot);
         std::thread::sleep(time);
         let mut slot = lock(&self.slots[vm]);
-        // Another fault may have replaced the VM meanwhile; the new one was never paused.
+        // Another fault may have replaced the daemon meanwhile; the new one was never paused.
         if slot.daemon_id == daemon_id {
             slot.process.resume();
-            slot.awake_since = Some(self.began.elapsed());
+            slot.active_since = Some(self.started_at.elapsed());
         }
     }
 
-    /// Kills a VM and replaces it.
+    /// Kills a VM's daemon and replaces the VM.
     pub fn kill(&self, vm: usize) {
         let mut slot = lock(&self.slots[vm]);
-        self.sleep_begins(&mut slot);
+        self.end_active_period(&mut slot);
         lock(&self.observed).paused_or_killed.push(slot.daemon_id);
         slot.process.kill();
         self.replace(vm, &mut slot);
     }
 
-    /// Stops a VM as planned and replaces it; the balancer goes on looking meanwhile.
+    /// Shuts a VM's daemon down gracefully and replaces the VM. The observer keeps polling it while it reports that
+    /// it is not ready.
     pub fn stop(&self, vm: usize) {
         let daemon_id = {
             let mut slot = lock(&self.slots[vm]);
-            // A second signal ends a daemon at once, so only one planned stop is asked for.
+            // A second signal ends a daemon immediately, so only one is sent.
             if std::mem::replace(&mut slot.stopping, true) {
                 return;
             }
-            self.sleep_begins(&mut slot);
-            let stopped = (slot.daemon_id, self.began.elapsed());
+            self.end_active_period(&mut slot);
+            let stopped = (slot.daemon_id, self.started_at.elapsed());
             lock(&self.observed).planned_stops.push(stopped);
-            // A paused process can not stop; its pause, which waits for this place, ends here.
+            // A paused process cannot shut down, so this ends a pause that may be in progress.
             slot.process.resume();
             slot.process.terminate();
             slot.daemon_id
         };
         std::thread::sleep(Duration::from_millis(NOT_READY_MS));
         let mut slot = lock(&self.slots[vm]);
-        // Another fault may have killed the VM meanwhile; the new one was not asked to stop.
+        // Another fault may have killed the daemon meanwhile; the new one was not asked to shut down.
         if slot.daemon_id != daemon_id {
             return;
         }
@@ -244,17 +248,17 @@
             .for_each(|link| lock(link).set(LinkState::Open));
     }
 
-    /// Returns what was observed, every daemon awake until now.
+    /// Ends the active period of every daemon and returns the observations.
     pub fn finish(&self) -> Observations {
         for slot in &self.slots {
-            self.sleep_begins(&mut lock(slot));
+            self.end_active_period(&mut lock(slot));
         }
         lock(&self.observed).clone()
     }
 
-    fn sleep_begins(&self, slot: &mut VmSlot) {
-        if let Some(from) = slot.awake_since.take() {
-            let until = self.began.elapsed();
+    fn end_active_period(&self, slot: &mut VmSlot) {
+        if let Some(from) = slot.active_since.take() {
+            let until = self.started_at.elapsed();
             let daemon_id = slot.daemon_id;
             lock(&self.observed).active_periods.push(ActivePeriod {
                 daemon_id,
@@ -266,14 +270,14 @@
     }
 
     fn replace(&self, vm: usize, slot: &mut VmSlot) {
-        // A replaced VM has a new address; its peers learn it from the platform's list.
+        // A replaced VM gets a new address, which its peers learn from the platform's list of VMs.
         let Ok(ports) = Ports::free() else {
             return;
         };
         if let Ok(link) = Link::start(&self.runtime, ports.peers) {
             *lock(&self.peer_links[vm]) = link;
         }
-        let Ok((process, daemon_id)) = self.launch(vm, ports) else {
+        let Ok((process, daemon_id)) = self.start_daemon(vm, ports) else {
             return;
         };
         slot.process = process;
@@ -281,11 +285,11 @@
         slot.daemon_id = daemon_id;
         slot.ports = ports;
         if slot.process.wait_ready(READY_TIMEOUT) {
-            slot.awake_since = Some(self.began.elapsed());
+            slot.active_since = Some(self.started_at.elapsed());
         }
     }
 
-    fn launch(&self, vm: usize, ports: Ports) -> std::io::Result<(DaemonProcess, usize)> {
+    fn start_daemon(&self, vm: usize, ports: Ports) -> std::io::Result<(DaemonProcess, usize)> {
         let mut daemons_started = lock(&self.daemons_started);
         *daemons_started += 1;
         let daemon_id = *daemons_started;
@@ -297,31 +301,31 @@
             .filter(|(other, _)| *other != vm)
             .map(|(_, link)| format!("'{}'", lock(link).address()))
             .collect();
-        let shown = lock(&self.peer_links[vm]).address();
+        let advertised = lock(&self.peer_links[vm]).address();
         let settings = format!(
             "vm: {name}\navailability_zone: zone-{}\nlisten: {}\nadmin_listen: {}\nplatform: {}\n{}limits: {{workers: 32, not_ready_ms: {NOT_READY_MS}}}\n",
             vm % 3,
             ports.callers,
             ports.admin,
             self.platform_links[vm].address(),
-            peer_settings(ports, shown, &peers),
+            peer_settings(ports, advertised, &peers),
         );
         let process = DaemonProcess::start(&self.folder, &name, ports, &settings)?;
         Ok((process, daemon_id))
     }
 }
 
-/// Returns the settings of the peer links: others reach this VM through a link of the run.
-fn peer_settings(ports: Ports, shown: SocketAddr, peers: &[String]) -> String {
+/// Returns the settings of the peer links: peers reach this VM at the address of a link that the run can cut.
+fn peer_settings(ports: Ports, advertised: SocketAddr, peers: &[String]) -> String {
     let (listen, peers) = (ports.peers, peers.join(", "));
-    format!("peer: {{listen: '{listen}', address: '{shown}', peers: [{peers}]}}\n")
+    format!("peer: {{listen: '{listen}', address: '{advertised}', peers: [{peers}]}}\n")
 }
 
-/// Observes until told to end.
-pub fn observe_until(entries: &EntryVms, ended: &std::sync::atomic::AtomicBool) {
+/// Polls the VMs until `ended` is set.
+pub fn observe_until(entry_vms: &EntryVms, ended: &std::sync::atomic::AtomicBool) {
     while !ended.load(std::sync::atomic::Ordering::Relaxed) {
-        entries.observe();
-        std::thread::sleep(POLL);
+        entry_vms.observe();
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/kingcuploft-standins/src/experiments/promises/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/mod.rs
@@ -1,5 +1,8 @@
-//! `promises`: real daemon processes under mixed faults drawn from the seed, every call checked
-//! against the stand-ins' own counts.
+//! `promises`: fault injection into real daemon processes, with every call checked against the executions that the
+//! stand-ins counted.
+//!
+//! The faults are drawn from the seed. The checks cover duplicate and falsely reported executions, wrong and partial
+//! answers, the time until a manifest is in force, drains and graceful shutdown.
 
 pub mod chaos;
 pub mod check;
@@ -17,38 +20,38 @@
 use self::run::{Protection, Trace};
 use super::{ExperimentError, Options, Report};
 
-/// The longest time until an accepted manifest is in force.
-const IN_FORCE: Duration = Duration::from_secs(5);
+/// The time within which an accepted manifest must be in force on every active daemon.
+const MAX_IN_FORCE_TIME: Duration = Duration::from_secs(5);
 
-/// The longest time until a leaving backend server gets no new work.
-const NO_NEW_WORK: Duration = Duration::from_secs(3);
+/// The time after its drain starts within which a backend server must stop receiving new work.
+const MAX_NEW_WORK_AFTER_DRAIN: Duration = Duration::from_secs(3);
 
 /// The figures of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
     /// The seed.
     pub seed: u64,
-    /// What was counted.
+    /// The counts of calls and actions.
     #[serde(flatten)]
     pub call_counts: CallCounts,
-    /// The promises about answers and actions.
+    /// The violated guarantees about answers and actions.
     #[serde(flatten)]
     pub violations: Violations,
-    /// Readings of a generation below an earlier one of the same daemon.
+    /// Samples in which a daemon's generation was below an earlier one of the same daemon.
     pub manifest_reverts: u64,
-    /// The longest time until an accepted manifest was in force on a daemon that was awake.
+    /// The longest time until an accepted manifest was in force on an active daemon.
     pub in_force_ms_max: u64,
-    /// The longest time from a backend server's leaving to the last new work it got.
+    /// The longest time from the start of a backend server's drain to the last new work that it received.
     pub new_work_after_leave_ms_max: u64,
-    /// Calls cut by a planned stop.
+    /// Calls whose connection was cut by a graceful shutdown.
     pub cut_in_flight: u64,
-    /// Planned stops that did not end as planned.
+    /// Graceful shutdowns that timed out or ended with an error.
     pub failed_stops: u64,
-    /// Writes to the store for each protected action.
+    /// Store writes for each protected action.
     pub store_writes_per_action: f64,
 }
 
-/// Runs the experiment, one run for each round, with seeds that follow one another.
+/// Runs the experiment, one run for each round, with consecutive seeds.
 ///
 /// # Errors
 ///
@@ -115,7 +118,7 @@
     }
 }
 
-/// Names the promises that a run broke.
+/// Lists the guarantees that a run violated, each with its count or time.
 pub fn list_violations(figures: &Figures) -> Vec<String> {
     let broken = &figures.violations;
     let counts = [
@@ -133,11 +136,15 @@
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
     let times = [
-        ("in_force_ms_max", figures.in_force_ms_max, IN_FORCE),
+        (
+            "in_force_ms_max",
+            figures.in_force_ms_max,
+            MAX_IN_FORCE_TIME,
+        ),
         (
             "new_work_after_leave_ms_max",
             figures.new_work_after_leave_ms_max,
-            NO_NEW_WORK,
+            MAX_NEW_WORK_AFTER_DRAIN,
         ),
     ];
     let late = times
--- a/crates/kingcuploft-standins/src/experiments/promises/protected.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/protected.rs
@@ -1,16 +1,16 @@
-//! The manifest of a run, with its protected actions as they should be, or wrong.
+//! The manifest of a run, with the rule for protected actions either correct or deliberately wrong.
 
 use crate::backend_server::BackendServer;
 
-/// How the rule of the protected actions is written; the checker is proved with a wrong one.
+/// How the rule for protected actions is written. The wrong ones show that the checker finds violations.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Protection {
-    /// As it should be.
+    /// The correct rule: at most once, by idempotency key.
     #[default]
     Full,
-    /// The system does not see the callers' keys, so it claims nothing.
+    /// The rule names another header for the idempotency key, so the daemons claim nothing.
     NoClaims,
-    /// Requests that were sent are sent again.
+    /// The rule allows retries of requests that have been sent.
     RetrySent,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Writes the manifest of the run.
+/// Returns the manifest of the run, as YAML.
 pub(super) fn manifest(
     servers: &[BackendServer],
     draining: &[bool],
--- a/crates/kingcuploft-standins/src/experiments/promises/record.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/record.rs
@@ -1,38 +1,38 @@
-//! What the callers sent and received, one record for each call.
+//! The records of what callers sent and received, one for each call.
 
 use std::time::Duration;
 
 use crate::callers::CallResult;
 
-/// One call of a caller.
+/// One call and its result.
 #[derive(Clone, Debug)]
 pub struct Record {
     /// The number of the call, sent as `x-call-id`.
     pub call_id: usize,
     /// The idempotency key of a protected action; `None` for a lookup.
     pub key: Option<String>,
-    /// The body of the only right answer.
+    /// The body of the only correct answer.
     pub expected: String,
-    /// The entry VM that was called, by its life.
+    /// The daemon process that was called.
     pub daemon_id: usize,
-    /// When it was sent, from the start of the run.
+    /// When the call was sent, from the start of the run.
     pub sent_at: Duration,
-    /// When its end was known, from the start of the run.
+    /// When the caller received the answer or gave up, from the start of the run.
     pub ended_at: Duration,
-    /// What was received.
+    /// What the caller received.
     pub received: CallResult,
 }
 
-/// What a caller was told about whether its request ran.
+/// What a caller was told about whether its request was executed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportedOutcome {
-    /// A backend server's answer, or the record of one.
+    /// It received a backend server's answer, either directly or replayed from the claim's record.
     Answered,
-    /// It ran.
+    /// It was told that the request ran.
     Ran,
-    /// It did not run.
+    /// It was told that the request did not run.
     NotRun,
-    /// It may have run, or nothing was heard.
+    /// It was told that the request may have run, or it received no answer.
     Unknown,
 }
 
--- a/crates/kingcuploft-standins/src/experiments/promises/run.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/run.rs
@@ -1,4 +1,4 @@
-//! One run: callers, faults and the observer side by side.
+//! One run: callers, fault injection and the observer run concurrently against one deployment.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,43 +24,44 @@
 use crate::load;
 use crate::platform::{Faults as StoreFaults, Platform};
 
-/// How many entry VMs a run has.
-const VMS: usize = 4;
+/// The number of entry VMs.
+const VM_COUNT: usize = 4;
 
-/// How many backend servers a run has.
-const BACKEND_SERVERS: usize = 5;
+/// The number of backend servers.
+const BACKEND_SERVER_COUNT: usize = 5;
 
-/// Calls a second.
-const PER_SECOND: f64 = 150.0;
+/// The mean rate of calls.
+const CALLS_PER_S: f64 = 150.0;
 
 /// The share of protected actions among the calls.
 const ACTION_SHARE: f64 = 0.4;
 
-/// How often a caller sends an action again that it was not told the end of.
-const RESENDS: usize = 3;
+/// How many times a caller sends a protected action again while it does not know that the action ran.
+const MAX_RESENDS: usize = 3;
 
 /// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(4);
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The time without faults at the end.
-const SETTLE: Duration = Duration::from_millis(2500);
+/// How long the deployment runs without faults after the last call.
+const FAULT_FREE_TIME: Duration = Duration::from_millis(2500);
 
-struct World {
+struct Testbed {
     platform: Platform,
     servers: Vec<BackendServer>,
-    entries: EntryVms,
+    entry_vms: EntryVms,
     protection: Protection,
-    /// By backend server: when it left, and when the last new work was seen.
-    left: Mutex<Vec<Option<(Duration, Duration, u64)>>>,
-    accepted: Mutex<Vec<(u64, Duration)>>,
+    /// For each backend server that drains: when the drain started, when the last new work was seen, and the request
+    /// count at that time.
+    drains: Mutex<Vec<Option<(Duration, Duration, u64)>>>,
+    accepted_generations: Mutex<Vec<(u64, Duration)>>,
     draining: Mutex<Vec<bool>>,
 }
 
-/// Runs the deployment under faults for a time.
+/// Runs the deployment under calls and faults for a time.
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where the deployment did not start.
+/// [`ExperimentError`] if the deployment did not start.
 pub fn run(seed: u64, time: Duration, protection: Protection) -> Result<Trace, ExperimentError> {
     let runtime = Arc::new(
         tokio::runtime::Builder::new_multi_thread()
@@ -69,43 +70,43 @@
             .build()?,
     );
     let folder = tempfile::tempdir()?;
-    let world = start(&runtime, folder.path(), seed, protection)?;
+    let testbed = start(&runtime, folder.path(), seed, protection)?;
     let ended = AtomicBool::new(false);
     let records = std::thread::scope(|scope| {
-        scope.spawn(|| entry_vms::observe_until(&world.entries, &ended));
-        scope.spawn(|| watch_leavers(&world, &ended));
-        scope.spawn(|| disturb(&world, seed, time));
-        let records = call(&runtime, &world, seed, time);
-        world.mend();
-        std::thread::sleep(SETTLE);
+        scope.spawn(|| entry_vms::observe_until(&testbed.entry_vms, &ended));
+        scope.spawn(|| watch_drained_servers(&testbed, &ended));
+        scope.spawn(|| inject_events(&testbed, seed, time));
+        let records = call(&runtime, &testbed, seed, time);
+        testbed.clear_faults();
+        std::thread::sleep(FAULT_FREE_TIME);
         ended.store(true, Ordering::Relaxed);
         records
     });
-    let observed = world.entries.finish();
-    let left = world
-        .left
+    let observed = testbed.entry_vms.finish();
+    let drains = testbed
+        .drains
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .clone();
-    let after = left
+    let after = drains
         .iter()
         .flatten()
         .map(|(at, last, _)| last.saturating_sub(*at));
     let trace = Trace {
         records,
         observed,
-        accepted_generations: world
-            .accepted
+        accepted_generations: testbed
+            .accepted_generations
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone(),
         new_work_after_drain: after.max().unwrap_or_default(),
-        store_writes: world.platform.calls().writes(),
-        backend_servers: world.servers,
+        store_writes: testbed.platform.calls().writes(),
+        backend_servers: testbed.servers,
         folder,
         _runtime: runtime,
     };
-    drop(world.entries);
+    drop(testbed.entry_vms);
     Ok(trace)
 }
 
@@ -114,11 +115,11 @@
     folder: &std::path::Path,
     seed: u64,
     protection: Protection,
-) -> Result<World, ExperimentError> {
+) -> Result<Testbed, ExperimentError> {
     let platform = Platform::start(runtime)?;
     platform.set_seed(seed);
     let mut servers = Vec::new();
-    for i in 0..BACKEND_SERVERS as u64 {
+    for i in 0..BACKEND_SERVER_COUNT as u64 {
         let work = Work {
             slots: 3,
             mean: Duration::from_millis(8),
@@ -127,17 +128,22 @@
         };
         servers.push(BackendServer::start(runtime, work)?);
     }
-    let manifest = manifest(&servers, &[false; BACKEND_SERVERS], protection);
+    let manifest = manifest(&servers, &[false; BACKEND_SERVER_COUNT], protection);
     apply(&platform, &manifest, "start");
-    let entries = EntryVms::start(Arc::clone(runtime), platform.address(), folder.into(), VMS)?;
-    Ok(World {
+    let entry_vms = EntryVms::start(
+        Arc::clone(runtime),
+        platform.address(),
+        folder.into(),
+        VM_COUNT,
+    )?;
+    Ok(Testbed {
         platform,
         servers,
-        entries,
+        entry_vms,
         protection,
-        left: Mutex::new(vec![None; BACKEND_SERVERS]),
-        accepted: Mutex::default(),
-        draining: Mutex::new(vec![false; BACKEND_SERVERS]),
+        drains: Mutex::new(vec![None; BACKEND_SERVER_COUNT]),
+        accepted_generations: Mutex::default(),
+        draining: Mutex::new(vec![false; BACKEND_SERVER_COUNT]),
     })
 }
 
@@ -150,12 +156,13 @@
     }
 }
 
-impl World {
+impl Testbed {
     fn now(&self) -> Duration {
-        self.entries.started_at().elapsed()
+        self.entry_vms.started_at().elapsed()
     }
 
-    /// Applies the manifest as it stands and notes the generation where it was accepted.
+    /// Applies the manifest with the current drains, records the generation if the store accepted it, and tells whether
+    /// it did.
     fn apply(&self, id: &str) -> bool {
         let draining = self
             .draining
@@ -167,35 +174,35 @@
             return false;
         };
         let accepted = (generation, self.now());
-        self.accepted
+        self.accepted_generations
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(accepted);
         true
     }
 
-    fn leaves(&self, server: usize) {
+    fn record_drain(&self, server: usize) {
         let now = self.now();
-        let requests = self.new_work(server);
-        let mut left = self.left.lock().unwrap_or_else(PoisonError::into_inner);
-        left[server].get_or_insert((now, now, requests));
+        let requests = self.count_new_work(server);
+        let mut drains = self.drains.lock().unwrap_or_else(PoisonError::into_inner);
+        drains[server].get_or_insert((now, now, requests));
     }
 
-    fn new_work(&self, server: usize) -> u64 {
+    fn count_new_work(&self, server: usize) -> u64 {
         let counts = self.servers[server].counts();
         counts.requests - counts.probes
     }
 
-    fn mend(&self) {
+    fn clear_faults(&self) {
         self.platform.set_faults(StoreFaults::default());
-        self.entries.open_links();
-        let left = self
-            .left
+        self.entry_vms.open_links();
+        let drains = self
+            .drains
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        for (server, left) in self.servers.iter().zip(left) {
-            let draining = left.is_some();
+        for (server, drain) in self.servers.iter().zip(drains) {
+            let draining = drain.is_some();
             server.change(|faults| {
                 *faults = BackendFaults {
                     draining,
@@ -206,15 +213,18 @@
     }
 }
 
-/// Notes new work at backend servers that left.
-fn watch_leavers(world: &World, ended: &AtomicBool) {
+/// Records when drained backend servers last received new work.
+fn watch_drained_servers(testbed: &Testbed, ended: &AtomicBool) {
     while !ended.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_millis(10));
-        let now = world.now();
-        let mut left = world.left.lock().unwrap_or_else(PoisonError::into_inner);
-        for (server, left) in left.iter_mut().enumerate() {
-            let requests = world.new_work(server);
-            if let Some((_, last, seen)) = left
+        let now = testbed.now();
+        let mut drains = testbed
+            .drains
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        for (server, drain) in drains.iter_mut().enumerate() {
+            let requests = testbed.count_new_work(server);
+            if let Some((_, last, seen)) = drain
                 && requests > *seen
             {
                 (*last, *seen) = (now, requests);
@@ -223,68 +233,68 @@
     }
 }
 
-/// Lets the drawn faults happen, each on a thread of its own, since some last.
-fn disturb(world: &World, seed: u64, time: Duration) {
-    let steps = chaos::draw_events(seed, time, VMS, BACKEND_SERVERS);
+/// Injects the events when they are due, each on its own thread because some take a while.
+fn inject_events(testbed: &Testbed, seed: u64, time: Duration) {
+    let events = chaos::draw_events(seed, time, VM_COUNT, BACKEND_SERVER_COUNT);
     std::thread::scope(|scope| {
-        for (i, due) in steps.into_iter().enumerate() {
-            let wait = due.at.saturating_sub(world.now());
+        for (i, scheduled) in events.into_iter().enumerate() {
+            let wait = scheduled.at.saturating_sub(testbed.now());
             std::thread::sleep(wait);
-            scope.spawn(move || happen(world, i, due.event));
+            scope.spawn(move || inject(testbed, i, scheduled.event));
         }
     });
 }
 
-fn happen(world: &World, number: usize, step: ChaosEvent) {
-    match step {
-        ChaosEvent::Store(faults) => world.platform.set_faults(faults),
-        ChaosEvent::Backend(server, faults) => world.servers[server].change(|now| {
+fn inject(testbed: &Testbed, number: usize, event: ChaosEvent) {
+    match event {
+        ChaosEvent::Store(faults) => testbed.platform.set_faults(faults),
+        ChaosEvent::Backend(server, faults) => testbed.servers[server].change(|now| {
             *now = BackendFaults {
                 draining: now.draining,
                 ..faults
             };
         }),
-        ChaosEvent::CloseConnections(server) => world.servers[server].close_connections(),
-        ChaosEvent::Pause(vm, time) => world.entries.pause(vm, time),
-        ChaosEvent::Kill(vm) => world.entries.kill(vm),
-        ChaosEvent::Stop(vm) => world.entries.stop(vm),
-        ChaosEvent::CutPlatform(vm, time) => world.entries.cut_platform(vm, time),
-        ChaosEvent::CutPeers(vm, time) => world.entries.cut_peers(vm, time),
+        ChaosEvent::CloseConnections(server) => testbed.servers[server].close_connections(),
+        ChaosEvent::Pause(vm, time) => testbed.entry_vms.pause(vm, time),
+        ChaosEvent::Kill(vm) => testbed.entry_vms.kill(vm),
+        ChaosEvent::Stop(vm) => testbed.entry_vms.stop(vm),
+        ChaosEvent::CutPlatform(vm, time) => testbed.entry_vms.cut_platform(vm, time),
+        ChaosEvent::CutPeers(vm, time) => testbed.entry_vms.cut_peers(vm, time),
         ChaosEvent::ConcurrentApplies => std::thread::scope(|scope| {
             for operator in 0..2 {
-                scope.spawn(move || world.apply(&format!("{number}-{operator}")));
+                scope.spawn(move || testbed.apply(&format!("{number}-{operator}")));
             }
         }),
         ChaosEvent::DrainByManifest(server) => {
-            world
+            testbed
                 .draining
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)[server] = true;
-            if world.apply(&format!("{number}-leave")) {
-                world.leaves(server);
+            if testbed.apply(&format!("{number}-leave")) {
+                testbed.record_drain(server);
             }
         }
         ChaosEvent::DrainByReply(server) => {
-            world.servers[server].change(|faults| faults.draining = true);
-            world.leaves(server);
+            testbed.servers[server].change(|faults| faults.draining = true);
+            testbed.record_drain(server);
         }
     }
 }
 
-/// Makes the calls of a run, with resends, and returns every record.
+/// Makes the calls of a run, with resends, and returns all records.
 fn call(
     runtime: &tokio::runtime::Runtime,
-    world: &World,
+    testbed: &Testbed,
     seed: u64,
     time: Duration,
 ) -> Vec<Record> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let arrivals = load::arrivals(&mut rng, PER_SECOND, time);
+    let arrivals = load::arrivals(&mut rng, CALLS_PER_S, time);
     let records = Mutex::new(Vec::new());
-    let numbers = AtomicUsize::new(0);
+    let next_call_id = AtomicUsize::new(0);
     let callers = Callers::default();
-    let began = world.entries.started_at();
-    let shared = (&records, &numbers, &callers, world);
+    let began = testbed.entry_vms.started_at();
+    let shared = (&records, &next_call_id, &callers, testbed);
     runtime.block_on(async {
         let mut tasks = FuturesUnordered::new();
         for (i, at) in arrivals.into_iter().enumerate() {
@@ -304,12 +314,12 @@
     &'a Mutex<Vec<Record>>,
     &'a AtomicUsize,
     &'a Callers,
-    &'a World,
+    &'a Testbed,
 );
 
-/// One caller: sends an action again, through any VM, until it is told the end of it.
+/// Runs one caller, which sends an action again through any VM until it learns that the action ran.
 async fn caller(shared: Shared<'_>, i: usize, key: Option<String>, seed: u64) {
-    let (records, numbers, callers, world) = shared;
+    let (records, next_call_id, callers, testbed) = shared;
     let mut rng = fastrand::Rng::with_seed(seed);
     let method = if key.is_some() {
         Method::POST
@@ -321,9 +331,9 @@
     } else {
         format!("/lookup/{i}")
     };
-    let sends = if key.is_some() { 1 + RESENDS } else { 1 };
+    let sends = if key.is_some() { 1 + MAX_RESENDS } else { 1 };
     for _ in 0..sends {
-        let call = numbers.fetch_add(1, Ordering::Relaxed);
+        let call = next_call_id.fetch_add(1, Ordering::Relaxed);
         let mut headers = vec![("x-call-id", call.to_string())];
         headers.extend(key.clone().map(|key| ("idempotency-key", key)));
         let plan = CallPlan {
@@ -337,32 +347,32 @@
                 String::new()
             }),
         };
-        let (address, daemon_id) = world.entries.choose_vm(rng.usize(..));
-        let sent = world.now();
-        let received = callers.call(address, &plan, PATIENCE).await;
+        let (address, daemon_id) = testbed.entry_vms.choose_vm(rng.usize(..));
+        let sent = testbed.now();
+        let received = callers.call(address, &plan, CALL_TIMEOUT).await;
         let record = Record {
             call_id: call,
             key: key.clone(),
             expected: format!("{method} {path}\n"),
             daemon_id,
             sent_at: sent,
-            ended_at: world.now(),
+            ended_at: testbed.now(),
             received,
         };
-        let told = record.reported_outcome();
+        let outcome = record.reported_outcome();
         records
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(record);
-        // One action in eight is sent again although its end is known: a crossed resend.
-        if matches!(told, ReportedOutcome::Answered | ReportedOutcome::Ran) && rng.u8(..8) != 0 {
+        // One action in eight is sent again although it is known to have run, as when a resend overtakes the answer.
+        if matches!(outcome, ReportedOutcome::Answered | ReportedOutcome::Ran) && rng.u8(..8) != 0 {
             return;
         }
         tokio::time::sleep(Duration::from_millis(rng.u64(5..300))).await;
     }
 }
 
-/// Returns the records whose connection was cut though their VM stopped as planned.
+/// Counts the calls that received no answer although their daemon only shut down gracefully.
 pub fn cut_in_flight(trace: &Trace) -> u64 {
     let observed = &trace.observed;
     let cut = trace.records.iter().filter(|record| {
@@ -370,10 +380,10 @@
             .planned_stops
             .iter()
             .any(|(daemon_id, _)| *daemon_id == record.daemon_id);
-        let disturbed = observed.paused_or_killed.contains(&record.daemon_id);
+        let paused_or_killed = observed.paused_or_killed.contains(&record.daemon_id);
         let nothing = record.received == crate::callers::CallResult::NoAnswer;
-        let impatient = record.ended_at.saturating_sub(record.sent_at) >= PATIENCE;
-        stopped && !disturbed && nothing && !impatient
+        let timed_out = record.ended_at.saturating_sub(record.sent_at) >= CALL_TIMEOUT;
+        stopped && !paused_or_killed && nothing && !timed_out
     });
     cut.count() as u64
 }
--- a/crates/kingcuploft-standins/src/experiments/promises/trace.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/trace.rs
@@ -1,4 +1,4 @@
-//! What a run left behind.
+//! The trace of a run: its records, observations and stand-ins, for the checker.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,22 +8,22 @@
 use super::record::Record;
 use crate::backend_server::BackendServer;
 
-/// What a run left behind.
+/// The results of a run, which the checker reads.
 #[derive(Debug)]
 pub struct Trace {
-    /// Every call.
+    /// The records of all calls.
     pub records: Vec<Record>,
-    /// What the observer noted.
+    /// The observer's samples and the daemons' stops.
     pub observed: Observations,
-    /// The generations accepted, and when.
+    /// The generations that the store accepted and when, from the start of the run.
     pub accepted_generations: Vec<(u64, Duration)>,
-    /// The longest time from a backend server's leaving to the last new work it got.
+    /// The longest time from the start of a backend server's drain to the last new work that it received.
     pub new_work_after_drain: Duration,
-    /// Writes of all kinds to the store.
+    /// The number of store writes of all kinds.
     pub store_writes: u64,
-    /// The backend servers, which counted the runs.
+    /// The backend servers, which counted the executions.
     pub backend_servers: Vec<BackendServer>,
-    /// The settings and logs of the daemons.
+    /// The folder with the daemons' settings and logs.
     pub folder: tempfile::TempDir,
     pub(super) _runtime: Arc<tokio::runtime::Runtime>,
 }
--- a/crates/kingcuploft-standins/src/experiments/propagation.rs
+++ b/crates/kingcuploft-standins/src/experiments/propagation.rs
@@ -1,6 +1,7 @@
-//! `propagation`: the time from an accepted manifest until it is in force on every VM, with a store
-//! that lives, dies as soon as one VM has read the manifest, or dies at once with the manifest in
-//! one VM's hands. The three are interleaved.
+//! `propagation`: the time from the acceptance of a manifest until it is in force on every VM.
+//!
+//! The store either stays up, goes down as soon as one VM has read the manifest, or goes down right after it accepted
+//! the manifest while the operator's tool hands it to one VM. The three cases are interleaved.
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -16,21 +17,21 @@
 use crate::fleet::{Fleet, FleetOptions};
 use crate::platform::Outage;
 
-/// How often each case is measured.
-const APPLIES: usize = 20;
+/// How many manifests are applied in each case.
+const APPLIES_PER_CASE: usize = 20;
 
-/// How long a manifest may take until it is in force everywhere.
-const PROMISED: Duration = Duration::from_secs(5);
+/// The time within which a manifest must be in force on every VM.
+const MAX_IN_FORCE_TIME: Duration = Duration::from_secs(5);
 
 /// What happens to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Case {
-    /// It lives.
+    /// It stays up.
     StoreUp,
-    /// It falls silent as soon as one VM has the manifest.
+    /// It goes down as soon as one VM has read the manifest.
     DiesAfterOneRead,
-    /// It falls silent as soon as it has accepted; the tool hands the manifest to one VM.
+    /// It goes down as soon as it has accepted the manifest, which the operator's tool hands to one VM.
     DiesAtOnce,
 }
 
@@ -46,7 +47,7 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where a fleet did not start or a manifest is not in force in 20 s.
+/// [`ExperimentError`] if a fleet did not start or a manifest is not in force within 20 s.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let variant = FleetOptions {
         extra_settings: "peer: {listen: '127.0.0.1:0'}\nlimits: {workers: 2}\n".into(),
@@ -62,10 +63,10 @@
         })
     });
     fleet.platform.set_vms(vms.collect());
-    wait_linked(&fleet)?;
+    wait_for_membership(&fleet)?;
     let cases = [Case::StoreUp, Case::DiesAfterOneRead, Case::DiesAtOnce];
     let mut times: [Vec<Duration>; 3] = Default::default();
-    for round in 0..APPLIES {
+    for round in 0..APPLIES_PER_CASE {
         for (case, times) in cases.into_iter().zip(&mut times) {
             times.push(apply(&fleet, case, round)?);
         }
@@ -77,7 +78,7 @@
     let rows: Vec<Row> = rows.collect();
     let late = rows
         .iter()
-        .filter(|row| row.in_force_ms_max > PROMISED.as_secs_f64() * 1000.0);
+        .filter(|row| row.in_force_ms_max > MAX_IN_FORCE_TIME.as_secs_f64() * 1000.0);
     let broken = late.map(|row| {
         format!(
             "{:?}: {:.0} ms until in force",
@@ -88,14 +89,14 @@
         violations: broken.collect(),
         text: table(&rows),
         figures: serde_json::json!({
-            "seed": options.seed, "vms": fleet.daemons.len(), "applies": APPLIES, "rows": rows,
+            "seed": options.seed, "vms": fleet.daemons.len(), "applies": APPLIES_PER_CASE, "rows": rows,
         }),
     };
     fleet.stop();
     Ok(report)
 }
 
-fn wait_linked(fleet: &Fleet) -> Result<(), ExperimentError> {
+fn wait_for_membership(fleet: &Fleet) -> Result<(), ExperimentError> {
     let end = Instant::now() + Duration::from_secs(30);
     let count = fleet.daemons.len();
     let knows_all = |daemon: &Daemon| daemon.shared().fleet.members().len() >= count;
@@ -108,8 +109,7 @@
     Ok(())
 }
 
-/// Applies a manifest that differs from the last in one service; returns the time until it is in
-/// force everywhere.
+/// Applies a manifest that differs from the last in one service and returns the time until it is in force on every VM.
 fn apply(fleet: &Fleet, case: Case, round: usize) -> Result<Duration, ExperimentError> {
     let changed = format!("deadline_ms: {}", 2001 + round * 3 + case as usize);
     let text = fleet.manifest().replacen("deadline_ms: 2000", &changed, 1);
@@ -122,30 +122,30 @@
             while !fleet.daemons.iter().any(has) {
                 std::thread::yield_now();
             }
-            silence(fleet, true);
+            set_store_down(fleet, true);
         }
         Case::DiesAtOnce => {
-            silence(fleet, true);
-            hand(fleet, &text, round);
+            set_store_down(fleet, true);
+            hand_to_one_vm(fleet, &text, round);
         }
     }
     fleet.wait_in_force(generation)?;
     let took = began.elapsed();
-    silence(fleet, false);
-    // Watches and circuits recover before the next case.
+    set_store_down(fleet, false);
+    // The store watches and circuit breakers recover before the next case.
     std::thread::sleep(Duration::from_millis(700));
     Ok(took)
 }
 
-fn silence(fleet: &Fleet, down: bool) {
+fn set_store_down(fleet: &Fleet, down: bool) {
     let outage = down.then_some(Outage::Unavailable);
     fleet
         .platform
         .change_faults(|faults| faults.outage = outage);
 }
 
-/// Hands the accepted manifest to one VM, as the tool does after an apply.
-fn hand(fleet: &Fleet, text: &str, round: usize) {
+/// Hands the accepted manifest to one VM, as the operator's tool does after an apply.
+fn hand_to_one_vm(fleet: &Fleet, text: &str, round: usize) {
     let root = fleet.platform.object(ROOT_KEY).map(|object| object.value);
     let root = root.and_then(|text| serde_json::from_str::<Root>(&text).ok());
     let (Some(root), Ok(manifest)) = (root, reader::read("experiment", text)) else {
@@ -156,12 +156,12 @@
         .manifest
         .update(shared, "an operator", |a| a.root_text(&root.text()));
     for object in service_objects(&manifest) {
-        let learn = |text: &str| {
+        let add_object = |text: &str| {
             shared.manifest.update(shared, "an operator", |a| {
                 a.service_text(&object.hash, text)
             })
         };
-        learn(&object.text);
+        add_object(&object.text);
     }
 }
 
--- a/crates/kingcuploft-standins/src/experiments/store_outage.rs
+++ b/crates/kingcuploft-standins/src/experiments/store_outage.rs
@@ -1,5 +1,8 @@
-//! `store_outage`: what callers of protected actions are told while the store is down, how soon they
-//! are served after its return, and how many calls come at once then.
+//! `store_outage`: how fast protected actions are refused while the store is down, how soon they are served after it
+//! recovers, and the peak rate of store calls then.
+//!
+//! Failure: the store answers 503, closes connections, or accepts calls and never answers. The peak after recovery shows
+//! whether all VMs call the store at the same time (a thundering herd).
 
 use std::time::{Duration, Instant};
 
@@ -14,19 +17,19 @@
 use crate::platform::{Outage, Platform};
 
 /// The rate, in actions a second over all VMs.
-const RATE: f64 = 100.0;
+const ACTIONS_PER_S: f64 = 100.0;
 
-/// Time before the outage and after it.
-const AROUND: Duration = Duration::from_secs(2);
+/// How long the store is up before and after the outage.
+const STORE_UP_TIME: Duration = Duration::from_secs(2);
 
 /// The time of one call to the platform.
-const STORE_DELAY: Duration = Duration::from_millis(2);
+const STORE_CALL_TIME: Duration = Duration::from_millis(2);
 
-/// The time over which calls are counted.
-const WINDOW: Duration = Duration::from_millis(100);
+/// The window in which calls are counted for the peak rate.
+const PEAK_WINDOW: Duration = Duration::from_millis(100);
 
-/// The time in which every VM must claim again.
-const BACK_WITHIN_MS: f64 = 1000.0;
+/// The time after the store's recovery within which a claim must be held again, in ms.
+const MAX_RECOVERY_MS: f64 = 1000.0;
 
 /// The figures of one kind of outage.
 #[derive(Debug, Serialize)]
@@ -50,7 +53,7 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where a stand-in did not start.
+/// [`ExperimentError`] if a stand-in did not start.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let outages = [
         ("answers 503", Outage::Unavailable),
@@ -61,7 +64,9 @@
     for (name, outage) in outages {
         rows.push(measure(options, name, outage)?);
     }
-    let late = rows.iter().filter(|row| row.first_held_ms > BACK_WITHIN_MS);
+    let late = rows
+        .iter()
+        .filter(|row| row.first_held_ms > MAX_RECOVERY_MS);
     Ok(Report {
         text: format!("{rows:#?}"),
         figures: serde_json::to_value(&rows)?,
@@ -76,28 +81,28 @@
     })
 }
 
-/// The calls that the platform counted by then.
+/// A time and the number of calls that the platform had counted by then.
 type Sample = (Instant, u64);
 
 fn measure(options: &Options, name: &'static str, outage: Outage) -> Result<Row, ExperimentError> {
     let runtime = Runtime::new()?;
     let platform = Platform::start(&runtime)?;
-    platform.change_faults(|faults| faults.delay = STORE_DELAY);
+    platform.change_faults(|faults| faults.delay = STORE_CALL_TIME);
     let settings = settings(&platform, ClaimSettings::default())?;
     let vm = |i| LedgerVm::start(settings.clone(), i);
     let vms: Vec<LedgerVm> = (0..VM_COUNT).map(vm).collect();
     std::thread::sleep(Duration::from_millis(300));
     let began = Instant::now();
-    let down = began + AROUND;
+    let down = began + STORE_UP_TIME;
     let back = down + options.duration;
     let mut samples = Vec::new();
-    drive(options, &platform, &vms, outage, &mut samples);
+    run_load(options, &platform, &vms, outage, &mut samples);
     let decided: Vec<Vec<DecidedClaim>> = vms.into_iter().map(|vm| vm.finish().decided).collect();
     Ok(figures(name, &decided, &samples, down, back))
 }
 
-/// Claims at a steady rate, while the store is up, down and up again.
-fn drive(
+/// Claims actions at a steady mean rate while the store is up, down and up again.
+fn run_load(
     options: &Options,
     platform: &Platform,
     vms: &[LedgerVm],
@@ -106,17 +111,21 @@
 ) {
     let mut rng = fastrand::Rng::with_seed(options.seed);
     let began = Instant::now();
-    let down = began + AROUND;
+    let down = began + STORE_UP_TIME;
     let back = down + options.duration;
     let mut is_down = false;
-    let due = arrivals(&mut rng, RATE, AROUND * 2 + options.duration);
+    let due = arrivals(
+        &mut rng,
+        ACTIONS_PER_S,
+        STORE_UP_TIME * 2 + options.duration,
+    );
     for (action, at) in due.iter().enumerate() {
         let at = began + *at;
         while Instant::now() < at {
             let now = Instant::now();
-            let wanted = now >= down && now < back;
-            if wanted != is_down {
-                is_down = wanted;
+            let should_be_down = now >= down && now < back;
+            if should_be_down != is_down {
+                is_down = should_be_down;
                 platform.change_faults(|faults| faults.outage = is_down.then_some(outage));
             }
             samples.push((now, platform.calls().all()));
@@ -153,7 +162,7 @@
         Some((after - back).as_secs_f64() * 1000.0)
     });
     let first_held: Vec<f64> = first_held.collect();
-    let settled = back + AROUND;
+    let after_end = back + STORE_UP_TIME;
     Row {
         outage,
         seconds: (back - down).as_secs_f64(),
@@ -162,9 +171,9 @@
         refusal_p50_ms: at(0.5),
         refusal_p99_ms: at(0.99),
         refusal_max_ms: at(1.0),
-        calls_per_s_before: rate(samples, down - AROUND, down),
+        calls_per_s_before: rate(samples, down - STORE_UP_TIME, down),
         calls_per_s_in_outage: rate(samples, down + Duration::from_secs(1), back),
-        calls_per_s_after: rate(samples, back, settled),
+        calls_per_s_after: rate(samples, back, after_end),
         peak_calls_per_s_after: peak(samples, back),
         first_held_ms: first_held.iter().copied().fold(f64::MAX, f64::min),
         last_vm_held_ms: first_held.iter().copied().fold(0.0, f64::max),
@@ -182,12 +191,12 @@
     }
 }
 
-/// Returns the most calls in any window after the store's return, as a rate.
+/// Returns the greatest number of calls in any window after the store's recovery, as a rate.
 fn peak(samples: &[Sample], back: Instant) -> f64 {
     let after: Vec<&Sample> = samples.iter().filter(|(at, _)| *at >= back).collect();
     let peaks = after.iter().map(|(at, calls)| {
-        let end = after.iter().rfind(|(end, _)| *end <= *at + WINDOW);
+        let end = after.iter().rfind(|(end, _)| *end <= *at + PEAK_WINDOW);
         end.map_or(0, |(_, later)| later - calls)
     });
-    peaks.max().unwrap_or_default() as f64 / WINDOW.as_secs_f64()
+    peaks.max().unwrap_or_default() as f64 / PEAK_WINDOW.as_secs_f64()
 }
