--- a/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
@@ -1,4 +1,4 @@
-//! One VM's claims duty, driven as the dispatch duty drives it.
+//! One VM's claims task of the daemon, driven as the dispatcher drives it.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,20 +20,20 @@
 
 use super::{ACTION_TIME, ClaimResults};
 
-/// How long a claim may take here.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// The deadline of a claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The length of a recorded answer, in bytes.
+/// The length of the answer that is recorded for each action.
 const ANSWER_BYTES: usize = 200;
 
-type Began = Arc<Mutex<HashMap<u64, Instant>>>;
+type ClaimStarts = Arc<Mutex<HashMap<u64, Instant>>>;
 
-/// A VM whose claims go to the ledger.
+/// A VM that writes its claims to the ledger.
 #[derive(Debug)]
 pub(in crate::experiments) struct LedgerVm {
-    orders: Sender<ClaimTask>,
-    began: Began,
-    duty: JoinHandle<()>,
+    tasks: Sender<ClaimTask>,
+    began: ClaimStarts,
+    claims_thread: JoinHandle<()>,
     actions: JoinHandle<ClaimResults>,
 }
 
@@ -50,17 +50,18 @@
             availability_zone: "a".into(),
             incarnation: 1,
         };
-        let (to_dispatch, verdicts) = bounded(4096);
-        let (orders, ring) = bounded(4096);
+        let (to_dispatch, messages) = bounded(4096);
+        let (tasks, task_queue) = bounded(4096);
         let shared = Shared::new(settings, vm, to_dispatch);
-        let duty = std::thread::spawn(move || claims::run(shared, &ring, store));
-        let began = Began::default();
-        let (started, ends) = (Arc::clone(&began), orders.clone());
-        let actions = std::thread::spawn(move || run_actions(&verdicts, &started, ends));
+        let claims_thread = std::thread::spawn(move || claims::run(shared, &task_queue, store));
+        let began = ClaimStarts::default();
+        let (started, acknowledgements) = (Arc::clone(&began), tasks.clone());
+        let actions =
+            std::thread::spawn(move || run_actions(&messages, &started, acknowledgements));
         Self {
-            orders,
+            tasks,
             began,
-            duty,
+            claims_thread,
             actions,
         }
     }
@@ -73,47 +74,47 @@
             request: action,
             key: KeyHash::from(action),
             fingerprint: 1,
-            deadline: now + PATIENCE,
+            deadline: now + CLAIM_TIMEOUT,
             window: Duration::from_secs(3600),
             record_bytes: 4096,
         };
-        drop(self.orders.send(claim));
+        drop(self.tasks.send(claim));
     }
 
     pub(in crate::experiments) fn finish(self) -> ClaimResults {
-        // The actions' thread ends once nobody else can add a claim.
+        // The thread that runs the actions ends when it holds the only reference to the claim start times.
         drop(self.began);
         let claimed = self.actions.join();
-        drop(self.orders);
-        drop(self.duty.join());
+        drop(self.tasks);
+        drop(self.claims_thread.join());
         claimed.unwrap_or_default()
     }
 }
 
-/// Runs the held actions, each for its time, until there has been none for a while.
+/// Runs each held action for its work time and acknowledges it, until no claim has been decided for a while.
 fn run_actions(
-    verdicts: &Receiver<Message>,
-    began: &Began,
-    ends: Sender<ClaimTask>,
+    messages: &Receiver<Message>,
+    began: &ClaimStarts,
+    acknowledgements: Sender<ClaimTask>,
 ) -> ClaimResults {
     let mut claimed = ClaimResults::default();
     let mut running: VecDeque<(Instant, u64)> = VecDeque::new();
-    let mut last = Instant::now();
+    let mut last_decision = Instant::now();
     loop {
         while let Some((_, action)) = running.pop_front_if(|(end, _)| *end <= Instant::now()) {
             let answer = Some(Box::new(answer()));
-            drop(ends.send(ClaimTask::Acknowledge {
+            drop(acknowledgements.send(ClaimTask::Acknowledge {
                 request: action,
                 answer,
             }));
         }
-        match verdicts.recv_timeout(Duration::from_millis(1)) {
+        match messages.recv_timeout(Duration::from_millis(1)) {
             Ok(Message::Claimed {
                 request,
                 result: end,
                 ..
             }) => {
-                last = Instant::now();
+                last_decision = Instant::now();
                 let mut began = began.lock().unwrap_or_else(PoisonError::into_inner);
                 if let Some(at) = began.remove(&request) {
                     claimed.add(at, end == ClaimResult::Held);
@@ -124,9 +125,9 @@
             }
             Ok(_) => {}
             Err(RecvTimeoutError::Timeout) => {
-                let waits = began.lock().unwrap_or_else(PoisonError::into_inner).len();
-                let quiet = last.elapsed() > PATIENCE / 5;
-                if quiet && waits == 0 && running.is_empty() && Arc::strong_count(began) == 1 {
+                let pending = began.lock().unwrap_or_else(PoisonError::into_inner).len();
+                let idle = last_decision.elapsed() > CLAIM_TIMEOUT / 5;
+                if idle && pending == 0 && running.is_empty() && Arc::strong_count(began) == 1 {
                     return claimed;
                 }
             }
--- a/crates/kingcuploft-standins/src/experiments/claims/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/mod.rs
@@ -1,8 +1,8 @@
-//! `claims`: what a protected action costs the store and its caller, by ledger and by rate.
+//! `claims`: the store writes and the added latency of a protected action, by ledger layout and by rate.
 //!
-//! Each VM is a real claims duty with a platform client of its own over loopback HTTP; orders are
-//! handed to it as the dispatch duty would. The action itself takes 10 ms. The baseline writes an
-//! object for each action, two writes each, with sixteen calls side by side on each VM.
+//! Each VM runs the daemon's real claims task with a platform client of its own over loopback HTTP, and receives claims
+//! as the dispatcher would send them. The action itself takes 10 ms. The baseline writes an object for each action, two
+//! writes each, with sixteen concurrent calls on each VM.
 
 pub(super) mod ledger_vm;
 mod per_action;
@@ -21,73 +21,85 @@
 use crate::load::arrivals;
 use crate::platform::Platform;
 
-/// How many VMs claim.
+/// The number of VMs that claim actions.
 pub(super) const VM_COUNT: usize = 14;
 
-/// The rates, in actions a second over all VMs.
-const RATES: [f64; 4] = [10.0, 100.0, 400.0, 1000.0];
+/// The mean rates that are measured, over all VMs.
+const ACTIONS_PER_S: [f64; 4] = [10.0, 100.0, 400.0, 1000.0];
 
 /// The time of one call to the platform.
-const STORE_DELAY: Duration = Duration::from_millis(2);
+const STORE_CALL_TIME: Duration = Duration::from_millis(2);
 
-/// Time of the same load before anything is counted.
-const WARM_UP: Duration = Duration::from_secs(3);
+/// How long the load runs before the measurement starts.
+const WARM_UP_TIME: Duration = Duration::from_secs(3);
 
-/// The time of one action at its backend server.
+/// The work time of one action at its backend server.
 const ACTION_TIME: Duration = Duration::from_millis(10);
 
-/// How claims are written.
+/// Which VM writes a claim, and into what object.
 #[derive(Clone, Copy, Debug)]
-enum Way {
-    /// An object for each action.
+enum WriteStrategy {
+    /// The VM that received the action writes an object for each action.
     PerAction,
-    /// The ledger: any VM writes.
+    /// Any VM writes to the ledger.
     AnyVm {
         partitions: u16,
         linger_ms: u64,
         /// The writes in a second that all VMs aim at.
-        aim: u64,
+        target_writes_per_s: u64,
     },
-    /// The ledger: one VM writes for each partition, as if peers forwarded to it at no cost.
+    /// One VM writes to each partition of the ledger, as if its peers forwarded claims to it at no cost.
     OneWriter {
         partitions: u16,
         linger_ms: u64,
         /// The writes in a second that all VMs aim at.
-        aim: u64,
+        target_writes_per_s: u64,
     },
 }
 
-const WAYS: [(&str, Way); 8] = [
-    ("object per action", Way::PerAction),
-    ("any VM, 16 partitions, no aim", any(16, 3, NO_AIM)),
-    ("any VM, 1 partition, no aim", any(1, 3, NO_AIM)),
-    ("any VM, 1 partition, aim 200 writes/s", any(1, 3, 200)),
-    ("any VM, 1 partition, aim 90 writes/s", any(1, 3, 90)),
-    ("any VM, 1 partition, aim 45 writes/s", any(1, 3, 45)),
-    ("one writer, 1 partition, aim 45 writes/s", one(1, 3, 45)),
-    ("one writer, 4 partitions, aim 45 writes/s", one(4, 3, 45)),
+const STRATEGIES: [(&str, WriteStrategy); 8] = [
+    ("object per action", WriteStrategy::PerAction),
+    (
+        "any VM, 16 partitions, no aim",
+        any_vm(16, 3, UNLIMITED_WRITES),
+    ),
+    (
+        "any VM, 1 partition, no aim",
+        any_vm(1, 3, UNLIMITED_WRITES),
+    ),
+    ("any VM, 1 partition, aim 200 writes/s", any_vm(1, 3, 200)),
+    ("any VM, 1 partition, aim 90 writes/s", any_vm(1, 3, 90)),
+    ("any VM, 1 partition, aim 45 writes/s", any_vm(1, 3, 45)),
+    (
+        "one writer, 1 partition, aim 45 writes/s",
+        one_writer(1, 3, 45),
+    ),
+    (
+        "one writer, 4 partitions, aim 45 writes/s",
+        one_writer(4, 3, 45),
+    ),
 ];
 
-/// An aim that is never met.
-const NO_AIM: u64 = 1_000_000;
+/// A target so high that it never delays a write.
+const UNLIMITED_WRITES: u64 = 1_000_000;
 
-const fn any(partitions: u16, linger_ms: u64, aim: u64) -> Way {
-    Way::AnyVm {
+const fn any_vm(partitions: u16, linger_ms: u64, target_writes_per_s: u64) -> WriteStrategy {
+    WriteStrategy::AnyVm {
         partitions,
         linger_ms,
-        aim,
+        target_writes_per_s,
     }
 }
 
-const fn one(partitions: u16, linger_ms: u64, aim: u64) -> Way {
-    Way::OneWriter {
+const fn one_writer(partitions: u16, linger_ms: u64, target_writes_per_s: u64) -> WriteStrategy {
+    WriteStrategy::OneWriter {
         partitions,
         linger_ms,
-        aim,
+        target_writes_per_s,
     }
 }
 
-/// One decided claim.
+/// One decided claim: when it was made, how long the decision took, and whether it is held.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DecidedClaim {
     pub(super) began: Instant,
@@ -95,7 +107,7 @@
     pub(super) held: bool,
 }
 
-/// What one VM's claims came to.
+/// The decided claims of one VM, and the counts and latencies of those that are measured.
 #[derive(Debug)]
 pub(super) struct ClaimResults {
     latency_us: Histogram<u64>,
@@ -156,11 +168,11 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where a stand-in did not start.
+/// [`ExperimentError`] if a stand-in did not start.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let mut rows = Vec::new();
-    for rate in RATES {
-        for (name, way) in WAYS {
+    for rate in ACTIONS_PER_S {
+        for (name, way) in STRATEGIES {
             rows.push(measure(options, name, way, rate)?);
         }
     }
@@ -171,7 +183,7 @@
     })
 }
 
-/// A VM that claims.
+/// A VM that claims actions by one of the write strategies.
 enum ClaimVm {
     Ledger(LedgerVm),
     PerAction(PerActionVm),
@@ -196,35 +208,38 @@
 fn measure(
     options: &Options,
     name: &'static str,
-    way: Way,
+    way: WriteStrategy,
     rate: f64,
 ) -> Result<Row, ExperimentError> {
     let runtime = Runtime::new()?;
     let platform = Platform::start(&runtime)?;
-    platform.change_faults(|faults| faults.delay = STORE_DELAY);
+    platform.change_faults(|faults| faults.delay = STORE_CALL_TIME);
     let vms = start(&platform, way)?;
     let mut rng = fastrand::Rng::with_seed(options.seed);
     let began = Instant::now();
-    let due = arrivals(&mut rng, rate, WARM_UP + options.duration);
-    let warm = due.iter().filter(|at| **at < WARM_UP).count();
+    let arrival_times = arrivals(&mut rng, rate, WARM_UP_TIME + options.duration);
+    let warm_up_actions = arrival_times
+        .iter()
+        .filter(|at| **at < WARM_UP_TIME)
+        .count();
     let mut before = platform.calls();
-    for (action, at) in due.iter().enumerate() {
+    for (action, at) in arrival_times.iter().enumerate() {
         std::thread::sleep((began + *at).saturating_duration_since(Instant::now()));
-        if action == warm {
+        if action == warm_up_actions {
             before = platform.calls();
         }
-        vms[writer(way, action, &mut rng)].claim(action as u64);
+        vms[writer_index(way, action, &mut rng)].claim(action as u64);
     }
     let after = platform.calls();
-    let measured = began + WARM_UP;
+    let measured_from = began + WARM_UP_TIME;
     let mut all = ClaimResults::default();
     for vm in vms {
         let decided = vm.finish().decided.into_iter();
         decided
-            .filter(|claim| claim.began >= measured)
+            .filter(|claim| claim.began >= measured_from)
             .for_each(|claim| all.count(claim));
     }
-    let actions = (due.len() - warm) as f64;
+    let actions = (arrival_times.len() - warm_up_actions) as f64;
     let seconds = options.duration.as_secs_f64();
     let writes = (after.writes() - before.writes()) as f64;
     let ms = |quantile| all.latency_us.value_at_quantile(quantile) as f64 / 1000.0;
@@ -242,27 +257,27 @@
     })
 }
 
-fn start(platform: &Platform, way: Way) -> Result<Vec<ClaimVm>, ExperimentError> {
-    let (partitions, linger_ms, aim) = match way {
-        Way::PerAction => {
+fn start(platform: &Platform, way: WriteStrategy) -> Result<Vec<ClaimVm>, ExperimentError> {
+    let (partitions, linger_ms, target_writes_per_s) = match way {
+        WriteStrategy::PerAction => {
             let vm = |i| ClaimVm::PerAction(PerActionVm::start(platform, i));
             return Ok((0..VM_COUNT).map(vm).collect());
         }
-        Way::AnyVm {
+        WriteStrategy::AnyVm {
             partitions,
             linger_ms,
-            aim,
+            target_writes_per_s,
         }
-        | Way::OneWriter {
+        | WriteStrategy::OneWriter {
             partitions,
             linger_ms,
-            aim,
-        } => (partitions, linger_ms, aim),
+            target_writes_per_s,
+        } => (partitions, linger_ms, target_writes_per_s),
     };
     let claims = ClaimSettings {
         partitions,
         linger_ms,
-        fleet_writes_per_s: aim,
+        fleet_writes_per_s: target_writes_per_s,
         ..ClaimSettings::default()
     };
     let settings = settings(platform, claims)?;
@@ -283,10 +298,10 @@
     Ok(Settings { claims, ..settings })
 }
 
-/// Returns the VM that writes the claim of an action.
-fn writer(way: Way, action: usize, rng: &mut fastrand::Rng) -> usize {
+/// Returns the index of the VM that writes the claim of an action.
+fn writer_index(way: WriteStrategy, action: usize, rng: &mut fastrand::Rng) -> usize {
     match way {
-        Way::OneWriter { partitions, .. } => action % usize::from(partitions),
+        WriteStrategy::OneWriter { partitions, .. } => action % usize::from(partitions),
         _ => rng.usize(0..VM_COUNT),
     }
 }
--- a/crates/kingcuploft-standins/src/experiments/claims/per_action.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/per_action.rs
@@ -1,4 +1,4 @@
-//! The baseline: an object for each action, written once to claim and once to record.
+//! The baseline for claims: an object for each action, written once to claim it and once to record its answer.
 
 use std::thread::JoinHandle;
 use std::time::Instant;
@@ -10,11 +10,13 @@
 use super::{ACTION_TIME, ClaimResults};
 use crate::platform::Platform;
 
-/// How many calls one VM makes side by side.
-const CALLS: usize = 16;
+/// The number of concurrent store calls of one VM.
+const CONCURRENT_CALLS: usize = 16;
 
-/// The value of a claim and that of a record, in bytes.
+/// The length of a claim's value.
 const CLAIM_BYTES: usize = 160;
+
+/// The length of a record's value.
 const RECORD_BYTES: usize = 460;
 
 /// A VM that writes an object for each action.
@@ -33,19 +35,19 @@
         };
         let address = platform.address().to_string();
         let store = Client::with_settings(&address, settings, index as u64);
-        let (actions, ring) = unbounded();
+        let (actions, queue) = unbounded();
         let thread = || {
-            let (store, ring) = (store.clone(), ring.clone());
-            std::thread::spawn(move || work(&store, &ring))
+            let (store, queue) = (store.clone(), queue.clone());
+            std::thread::spawn(move || run_actions(&store, &queue))
         };
         Self {
             actions,
-            threads: (0..CALLS).map(|_| thread()).collect(),
+            threads: (0..CONCURRENT_CALLS).map(|_| thread()).collect(),
         }
     }
 
     pub(super) fn claim(&self, action: u64) {
-        // The threads end only after this sender is gone.
+        // The receiving threads end only after this sender is dropped.
         let sent = self.actions.send((action, Instant::now()));
         debug_assert!(sent.is_ok());
     }
@@ -61,10 +63,10 @@
     }
 }
 
-fn work(store: &Client, ring: &Receiver<(u64, Instant)>) -> ClaimResults {
+fn run_actions(store: &Client, queue: &Receiver<(u64, Instant)>) -> ClaimResults {
     let mut claimed = ClaimResults::default();
     let (claim, record) = ("x".repeat(CLAIM_BYTES), "x".repeat(RECORD_BYTES));
-    for (action, began) in ring {
+    for (action, began) in queue {
         let key = format!("claims/{action}");
         let put = store.put(&key, &claim, WriteCondition::Absent);
         claimed.add(began, put.is_ok());
--- a/crates/kingcuploft-standins/src/experiments/overhead.rs
+++ b/crates/kingcuploft-standins/src/experiments/overhead.rs
@@ -1,5 +1,7 @@
-//! `overhead`: the same calls over the same kept-alive connections, straight to a backend server
-//! and through one daemon, interleaved in one run.
+//! `overhead`: the latency that one daemon adds to a call.
+//!
+//! The same calls go over keepalive connections straight to a backend server and through one daemon, interleaved in one
+//! run. A closed loop then measures the daemon's greatest throughput.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -12,17 +14,17 @@
 use crate::fleet::Fleet;
 use crate::raw_caller::RawCaller;
 
-/// The connections to each side, a thread each; a thread makes one call at a time.
-const CONNECTIONS: usize = 16;
+/// The number of connections to each side. One thread drives one connection to each and makes one call at a time.
+const CONNECTIONS_PER_SIDE: usize = 16;
 
-/// The pace of each side.
-const CALLS_PER_SECOND: f64 = 2000.0;
+/// The mean rate of calls to each side.
+const CALLS_PER_S_PER_SIDE: f64 = 2000.0;
 
-/// Calls on each connection before the counting begins.
-const WARM_UP: usize = 50;
+/// The number of calls on each connection that are not measured.
+const WARM_UP_CALLS: usize = 50;
 
-/// Calls in flight at once in the closed loop, which tells the most that one daemon does.
-const CLOSED_CONNECTIONS: usize = 32;
+/// The number of calls in flight in the closed loop, which measures the greatest throughput of one daemon.
+const CLOSED_LOOP_CONNECTIONS: usize = 32;
 
 const RULES: &[&str] = &[
     "{name: lookup, path_prefix: /, contract: retry_freely, priority: interactive, deadline_ms: 5000, queue_limit: 1024, caller_share: 1.0}",
@@ -46,17 +48,19 @@
     failed: u64,
 }
 
-/// One side's latencies.
+/// The latencies and failures of the calls to one side.
 #[derive(Debug)]
 struct Side {
-    us: Mutex<Histogram<u64>>,
+    latency_us: Mutex<Histogram<u64>>,
     failed: Mutex<u64>,
 }
 
 impl Side {
     fn new() -> Self {
         Self {
-            us: Mutex::new(Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit")),
+            latency_us: Mutex::new(
+                Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit"),
+            ),
             failed: Mutex::new(0),
         }
     }
@@ -68,17 +72,26 @@
             return;
         }
         let us = began.elapsed().as_micros() as u64;
-        let mut histogram = self.us.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut histogram = self
+            .latency_us
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         histogram.saturating_record(us);
     }
 
     fn ms(&self, quantile: f64) -> f64 {
-        let histogram = self.us.lock().unwrap_or_else(PoisonError::into_inner);
+        let histogram = self
+            .latency_us
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         histogram.value_at_quantile(quantile) as f64 / 1000.0
     }
 
     fn calls(&self) -> u64 {
-        self.us.lock().unwrap_or_else(PoisonError::into_inner).len()
+        self.latency_us
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .len()
     }
 
     fn failed(&self) -> u64 {
@@ -90,7 +103,7 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where the daemon or the backend server did not start.
+/// [`ExperimentError`] if the daemon or the backend server did not start.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let fleet = Fleet::start_single("overhead", RULES, options.seed)?;
     let server = fleet.backend_servers[0][0].address();
@@ -98,13 +111,13 @@
     let (straight, through) = (Side::new(), Side::new());
     let began = Instant::now();
     std::thread::scope(|scope| {
-        for i in 0..CONNECTIONS {
+        for i in 0..CONNECTIONS_PER_SIDE {
             let (straight, through) = (&straight, &through);
-            scope.spawn(move || paced(options, i, (server, straight), (daemon, through)));
+            scope.spawn(move || run_open_loop(options, i, (server, straight), (daemon, through)));
         }
     });
     let took = began.elapsed().as_secs_f64();
-    let closed = closed_loop(daemon, options.duration.min(Duration::from_secs(2)));
+    let closed = run_closed_loop(daemon, options.duration.min(Duration::from_secs(2)));
     fleet.stop();
     let figures = Figures {
         added_p50_ms: through.ms(0.5) - straight.ms(0.5),
@@ -127,8 +140,8 @@
     })
 }
 
-/// Makes one thread's calls at a seeded pace, each straight and through, in a drawn order.
-fn paced(
+/// Makes one thread's calls at Poisson arrivals drawn from the seed, each to both sides in a random order.
+fn run_open_loop(
     options: &Options,
     thread: usize,
     straight: (SocketAddr, &Side),
@@ -137,11 +150,11 @@
     let mut rng = fastrand::Rng::with_seed(options.seed.wrapping_mul(1000) + thread as u64);
     let mut to_server = RawCaller::new(straight.0);
     let mut to_daemon = RawCaller::new(through.0);
-    for _ in 0..WARM_UP {
+    for _ in 0..WARM_UP_CALLS {
         let _ = to_server.call(REQUEST);
         let _ = to_daemon.call(REQUEST);
     }
-    let per_second = CALLS_PER_SECOND / CONNECTIONS as f64;
+    let per_second = CALLS_PER_S_PER_SIDE / CONNECTIONS_PER_SIDE as f64;
     let began = Instant::now();
     let mut due = Duration::ZERO;
     while due < options.duration {
@@ -158,11 +171,11 @@
     }
 }
 
-/// Calls without pause on some connections; returns the calls per second.
-fn closed_loop(daemon: SocketAddr, time: Duration) -> f64 {
+/// Calls without pause on all connections of the closed loop and returns the calls per second.
+fn run_closed_loop(daemon: SocketAddr, time: Duration) -> f64 {
     let began = Instant::now();
     let calls: u64 = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..CLOSED_CONNECTIONS)
+        let threads: Vec<_> = (0..CLOSED_LOOP_CONNECTIONS)
             .map(|_| {
                 scope.spawn(|| {
                     let mut caller = RawCaller::new(daemon);
--- a/crates/kingcuploft-standins/src/experiments/real_run.rs
+++ b/crates/kingcuploft-standins/src/experiments/real_run.rs
@@ -1,5 +1,5 @@
-//! A run of the virtual fleet's work on real daemons: the same arrivals, work times and slow
-//! spells, so that its outcome is read like a virtual one.
+//! Runs the virtual fleet's work on real daemons, with the same arrivals, work times and slow spells, so that both
+//! outcomes can be compared.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,19 +24,22 @@
 /// The mean delay of the links between VMs and backend servers, one way.
 const LINK_DELAY: Duration = Duration::from_micros(800);
 
-/// How often the slow spells are looked at.
-const SPELL_POLL: Duration = Duration::from_millis(2);
+/// How often the stand-ins' speed is set to the current slow spells.
+const SLOW_SPELL_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Runs the work on real daemons under a policy, as YAML in flow style.
+/// Runs the work on real daemons under a policy, given as YAML in flow style.
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where the fleet did not start.
+/// [`ExperimentError`] if the fleet did not start.
 pub fn run(run: &Run, policy: String) -> Result<Outcome, ExperimentError> {
     let variant = FleetOptions {
         policy,
         link_delay: LINK_DELAY,
-        extra_settings: format!("limits: {{workers: 48}}\n{}", claims(run.deployment.place)),
+        extra_settings: format!(
+            "limits: {{workers: 48}}\n{}",
+            claim_settings(run.deployment.place)
+        ),
         seed: run.seed,
         ..FleetOptions::default()
     };
@@ -44,34 +47,41 @@
         deployment::virtual_deployment(run.deployment.place),
         variant,
     )?;
-    let records: Vec<Record> = (0..run.requests.len()).map(|ask| run.record(ask)).collect();
+    let records: Vec<Record> = (0..run.requests.len())
+        .map(|request| run.record(request))
+        .collect();
     let records = Arc::new(Mutex::new(records));
     let ended = AtomicBool::new(false);
     let control_before = control_bytes(&fleet.daemons);
     let began = Instant::now();
     std::thread::scope(|scope| {
-        scope.spawn(|| follow_spells(&fleet.backend_servers[0], &run.servers(), &ended));
+        scope.spawn(|| apply_slow_spells(&fleet.backend_servers[0], &run.servers(), &ended));
         let to = fleet.addresses();
-        let noted = Arc::clone(&records);
+        let shared_records = Arc::clone(&records);
         let address = move |call: &ScheduledCall| to[call.address_index % to.len()];
         load::run_with(
             &fleet.runtime,
             address,
-            calls(run),
+            scheduled_calls(run),
             move |call, received, took| {
-                let mut records = noted.lock().unwrap_or_else(PoisonError::into_inner);
-                records[call.group].end = end(&received);
+                let mut records = shared_records
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
+                records[call.group].end = end_of_call(&received);
                 records[call.group].latency = took;
             },
         );
         ended.store(true, Ordering::Relaxed);
     });
-    let sent_s = began.elapsed().as_secs_f64() / run.duration.as_secs_f64();
+    let sending_time_ratio = began.elapsed().as_secs_f64() / run.duration.as_secs_f64();
     let mut cost = cost(&fleet);
     let control = control_bytes(&fleet.daemons) - control_before;
-    // The rate is taken over the sending time, as the virtual fleet's is.
-    cost.note_bytes = (control as f64 / sent_s) as u64;
-    let keys = run.requests.iter().filter_map(|ask| ask.key.as_ref());
+    // Scales the bytes to the planned duration, over which the virtual fleet computes its rate too.
+    cost.note_bytes = (control as f64 / sending_time_ratio) as u64;
+    let keys = run
+        .requests
+        .iter()
+        .filter_map(|request| request.key.as_ref());
     let double_runs = keys.map(|key| fleet.runs(key).saturating_sub(1)).sum();
     fleet.stop();
     let records = records
@@ -81,36 +91,37 @@
     Ok(run.outcome(records, cost, double_runs))
 }
 
-/// Returns the claims' settings of a deployment, as its example has them: Teamway pays writes for
-/// quick holds, Bern saves them.
-fn claims(place: Place) -> &'static str {
+/// Returns the claim settings of a deployment, as in its example: Teamway spends more store writes for a lower latency of
+/// holds, Bern saves writes.
+fn claim_settings(place: Place) -> &'static str {
     match place {
         Place::Teamway => "claims: {fleet_writes_per_s: 200}\n",
         Place::Bern => "",
     }
 }
 
-fn calls(run: &Run) -> Vec<ScheduledCall> {
+fn scheduled_calls(run: &Run) -> Vec<ScheduledCall> {
     let vms = run.deployment.vms as f64;
-    let asks = run.requests.iter().enumerate();
-    let calls = asks.map(|(i, ask)| {
-        let (method, path) = match ask.rule {
+    let requests = run.requests.iter().enumerate();
+    let calls = requests.map(|(i, request)| {
+        let (method, path) = match request.rule {
             HOLD_RULE => (Method::POST, "hold"),
             SEARCH_RULE => (Method::GET, "search"),
             _ => (Method::GET, "lookup"),
         };
         let mut headers = vec![
-            ("x-work-us", ask.work.as_micros().to_string()),
-            ("x-caller", ask.caller.to_string()),
+            ("x-work-us", request.work.as_micros().to_string()),
+            ("x-caller", request.caller.to_string()),
         ];
         headers.extend(
-            ask.key
+            request
+                .key
                 .as_ref()
                 .map(|key| ("idempotency-key", key.to_string())),
         );
         ScheduledCall {
-            at: ask.at,
-            address_index: (ask.vm * vms) as usize,
+            at: request.at,
+            address_index: (request.vm * vms) as usize,
             plan: CallPlan {
                 method,
                 host: format!("{}.example", run.deployment.service.name),
@@ -118,15 +129,15 @@
                 headers,
                 body: Bytes::new(),
             },
-            deadline: run.deployment.service.rules[ask.rule].deadline(),
+            deadline: run.deployment.service.rules[request.rule].deadline(),
             group: i,
         }
     });
     calls.collect()
 }
 
-/// Makes the stand-ins as slow as the virtual backend servers are at each time.
-fn follow_spells(servers: &[BackendServer], spells: &[FakeServer], ended: &AtomicBool) {
+/// Slows each backend server down as its virtual counterpart is slowed down at the same time.
+fn apply_slow_spells(servers: &[BackendServer], spells: &[FakeServer], ended: &AtomicBool) {
     let began = Instant::now();
     let mut factors = vec![1.0; servers.len()];
     while !ended.load(Ordering::Relaxed) {
@@ -137,11 +148,11 @@
                 server.change(|faults| faults.slow_factor = factor);
             }
         }
-        std::thread::sleep(SPELL_POLL);
+        std::thread::sleep(SLOW_SPELL_POLL_INTERVAL);
     }
 }
 
-fn end(received: &CallResult) -> End {
+fn end_of_call(received: &CallResult) -> End {
     match received {
         CallResult::Answer { status, .. } if *status < 500 => End::Answered,
         CallResult::Answer { .. } => End::Failed,
@@ -171,25 +182,26 @@
         cost.probe_slot_time += Duration::from_micros(counts.probe_us);
         cost.used_slot_time += Duration::from_micros(counts.work_us + counts.probe_us);
     }
-    let sent = |step| move |daemon: &Daemon| labelled(daemon, "kingcuploft_hedges_total", step);
+    let sent =
+        |step| move |daemon: &Daemon| sum_labelled_metric(daemon, "kingcuploft_hedges_total", step);
     let hedges = |step| fleet.daemons.iter().map(sent(step)).sum::<u64>();
     cost.hedges = hedges("sent_slow_spell") + hedges("sent_late");
     cost
 }
 
-/// Returns the bytes that the daemons sent to and received from their peers.
+/// Returns the bytes that the daemons exchanged with their peers.
 fn control_bytes(daemons: &[Daemon]) -> u64 {
-    let bytes = |daemon: &Daemon| metric(daemon, "kingcuploft_peer_bytes_total");
+    let bytes = |daemon: &Daemon| sum_metric(daemon, "kingcuploft_peer_bytes_total");
     daemons.iter().map(bytes).sum()
 }
 
 /// Returns the sum of a counter's samples.
-fn metric(daemon: &Daemon, name: &str) -> u64 {
-    labelled(daemon, name, "")
+fn sum_metric(daemon: &Daemon, name: &str) -> u64 {
+    sum_labelled_metric(daemon, name, "")
 }
 
-/// Returns the sum of a counter's samples that have this word among their labels.
-fn labelled(daemon: &Daemon, name: &str, label: &str) -> u64 {
+/// Returns the sum of a counter's samples whose line contains this label.
+fn sum_labelled_metric(daemon: &Daemon, name: &str, label: &str) -> u64 {
     let text = daemon.shared().metrics.text();
     let samples = text
         .lines()
--- a/crates/kingcuploft-standins/src/experiments/tail.rs
+++ b/crates/kingcuploft-standins/src/experiments/tail.rs
@@ -1,4 +1,4 @@
-//! `tail`: tail latency and the cost of measuring of each policy, interleaved on the same work.
+//! `tail`: tail latency and probe cost of each selection policy, on the same work. The runs are interleaved.
 
 use std::fmt::Write;
 
@@ -11,7 +11,7 @@
 use crate::virtual_fleet::workload::Stream;
 use crate::virtual_fleet::{Deployment, Outcome, Run, ideal};
 
-/// The figures of one policy, each the median over the rounds, with the least and greatest p99.
+/// The figures of one policy: medians over the rounds, the least and greatest p99, and sums of the counts.
 #[derive(Clone, Debug, Serialize)]
 struct Row {
     policy: &'static str,
@@ -33,7 +33,7 @@
     control_bytes_per_second_per_node: f64,
 }
 
-/// The figures of one run: of all requests, and of two priorities apart.
+/// The figures of one run: of all requests, of lookups and of protected actions.
 #[derive(Clone, Debug)]
 struct Summaries {
     all: Summary,
@@ -42,7 +42,7 @@
 }
 
 impl Summaries {
-    fn of(outcome: &Outcome) -> Self {
+    fn from_outcome(outcome: &Outcome) -> Self {
         Self {
             all: outcome.summary(|_| true),
             lookups: outcome.summary(|r| r.priority == Priority::Interactive),
@@ -55,24 +55,24 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where a fleet did not start.
+/// [`ExperimentError`] if a fleet did not start.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let mut summaries: Vec<Vec<Summaries>> = vec![Vec::new(); SelectionPolicy::ALL.len() + 1];
     let mut report = Report::default();
     for round in 0..options.rounds as u64 {
         let seed = options.seed + round;
-        let run = drawn(options, seed);
-        summaries[0].push(Summaries::of(&ideal::run(&run)));
+        let run = build_run(options, seed);
+        summaries[0].push(Summaries::from_outcome(&ideal::run(&run)));
         for (i, policy) in SelectionPolicy::ALL.iter().enumerate() {
             let outcome = real_run::run(
                 &run,
-                yaml(
+                policy_yaml(
                     *policy,
                     run.deployment.service.policy.measuring.budget_share,
                 ),
             )?;
-            note_broken(&mut report, seed, *policy, &outcome);
-            summaries[i + 1].push(Summaries::of(&outcome));
+            record_violations(&mut report, seed, *policy, &outcome);
+            summaries[i + 1].push(Summaries::from_outcome(&outcome));
         }
     }
     let names = std::iter::once("ideal").chain(SelectionPolicy::ALL.iter().map(|p| p.label()));
@@ -85,7 +85,7 @@
     Ok(report)
 }
 
-fn drawn(options: &Options, seed: u64) -> Run {
+fn build_run(options: &Options, seed: u64) -> Run {
     let streams = [Stream {
         load: options.load,
         ..Stream::default()
@@ -94,12 +94,12 @@
     Run::new(deployment, &streams, options.duration, seed)
 }
 
-fn yaml(policy: SelectionPolicy, budget_share: f64) -> String {
+fn policy_yaml(policy: SelectionPolicy, budget_share: f64) -> String {
     let policy = policy.label();
     format!("{{selection: {{policy: {policy}}}, measuring: {{budget_share: {budget_share}}}}}")
 }
 
-fn note_broken(report: &mut Report, seed: u64, policy: SelectionPolicy, outcome: &Outcome) {
+fn record_violations(report: &mut Report, seed: u64, policy: SelectionPolicy, outcome: &Outcome) {
     if outcome.duplicate_runs > 0 {
         let (policy, runs) = (policy.label(), outcome.duplicate_runs);
         let broken = format!("seed {seed}, {policy}: {runs} duplicate runs");
