--- a/crates/kingcuploft-standins/src/callers.rs
+++ b/crates/kingcuploft-standins/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers over HTTP with kept-alive connections, one pool for each address.
+//! An HTTP client for simulated callers, with a pool of keepalive connections for each address.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -17,7 +17,7 @@
 pub struct CallPlan {
     /// The method.
     pub method: Method,
-    /// The host, which chooses the service.
+    /// The value of the `Host` header, which selects the service.
     pub host: String,
     /// The path.
     pub path: String,
@@ -27,39 +27,39 @@
     pub body: Bytes,
 }
 
-/// What a caller received.
+/// The result of a call, as the caller sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallResult {
-    /// A whole answer of a backend server.
+    /// A complete answer of a backend server.
     Answer {
         /// The status.
         status: u16,
         /// The body.
         body: Bytes,
     },
-    /// The system's own answer.
+    /// A refusal by the load balancer.
     Refused {
         /// The status.
         status: u16,
-        /// The reason header.
+        /// The value of the `x-kingcuploft-reason` header.
         reason: String,
-        /// The outcome header.
+        /// The value of the `x-kingcuploft-outcome` header.
         outcome: String,
     },
-    /// No whole answer: the connection ended or the caller gave up.
+    /// No complete answer: the connection failed or the call timed out.
     NoAnswer,
 }
 
-/// The callers' connections.
+/// The idle keepalive connections of all callers.
 #[derive(Debug, Default)]
 pub struct Callers {
     idle: Mutex<FxHashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>>,
 }
 
 impl Callers {
-    /// Calls and reads the whole answer, at most for `patience`.
-    pub async fn call(&self, to: SocketAddr, plan: &CallPlan, patience: Duration) -> CallResult {
-        let called = tokio::time::timeout(patience, self.exchange(to, plan)).await;
+    /// Sends a call and reads the complete answer, both within `timeout`.
+    pub async fn call(&self, to: SocketAddr, plan: &CallPlan, timeout: Duration) -> CallResult {
+        let called = tokio::time::timeout(timeout, self.exchange(to, plan)).await;
         called.ok().flatten().unwrap_or(CallResult::NoAnswer)
     }
 
@@ -77,7 +77,7 @@
         let (head, body) = response.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
         if !head.headers.contains_key("connection") {
-            self.keep(to, connection);
+            self.return_idle(to, connection);
         }
         let status = head.status.as_u16();
         let header = |name| Some(head.headers.get(name)?.to_str().ok()?.to_owned());
@@ -92,7 +92,7 @@
     }
 
     async fn connection(&self, to: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-        while let Some(mut idle) = self.take(to) {
+        while let Some(mut idle) = self.take_idle(to) {
             if idle.ready().await.is_ok() {
                 return Some(idle);
             }
@@ -104,12 +104,12 @@
         Some(sender)
     }
 
-    fn take(&self, to: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
+    fn take_idle(&self, to: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.get_mut(&to)?.pop()
     }
 
-    fn keep(&self, to: SocketAddr, connection: SendRequest<Full<Bytes>>) {
+    fn return_idle(&self, to: SocketAddr, connection: SendRequest<Full<Bytes>>) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.entry(to).or_default().push(connection);
     }
--- a/crates/kingcuploft-standins/src/deployment.rs
+++ b/crates/kingcuploft-standins/src/deployment.rs
@@ -1,15 +1,15 @@
-//! The deployments of the brief, as plans that a [`crate::fleet::Fleet`] starts.
+//! The reference deployments, as plans from which a [`crate::fleet::Fleet`] starts.
 
 use crate::virtual_fleet::deployment::Place;
 
-/// What to start: entry VMs, availability zones and services.
+/// The plan of a deployment: its entry VMs, availability zones and services.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The deployment's name.
     pub name: &'static str,
-    /// How many entry VMs it has.
+    /// The number of entry VMs.
     pub vms: usize,
-    /// The availability zones; VMs and backend servers stand in them by turns.
+    /// The availability zones, to which VMs and backend servers are assigned round-robin.
     pub availability_zones: &'static [&'static str],
     /// The services.
     pub services: Vec<ServicePlan>,
@@ -18,9 +18,9 @@
 /// One service of a deployment.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// The service's name, also its host with `.example` behind it.
+    /// The service's name. Its host is the name followed by `.example`.
     pub name: &'static str,
-    /// How many backend servers it has.
+    /// The number of backend servers.
     pub backend_servers: usize,
     /// The slots of each backend server.
     pub slots: u32,
@@ -50,7 +50,7 @@
 
 const BERN_ZONES: &[&str] = &["be-a", "be-b", "be-c"];
 
-/// Returns Hsinchu Teamway Travel Lab's deployment at the brief's sizes.
+/// Returns Hsinchu Teamway Travel Lab's deployment at its specified size.
 pub fn teamway() -> Deployment {
     Deployment {
         name: "teamway",
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns Bundesstelle für Versionshinweise's deployment at the brief's sizes.
+/// Returns Bundesstelle für Versionshinweise's deployment at its specified size.
 pub fn bern() -> Deployment {
     Deployment {
         name: "bern",
@@ -76,21 +76,21 @@
     }
 }
 
-const RUN_RULES: &[&str] = &[
+const VIRTUAL_FLEET_RULES: &[&str] = &[
     "{name: lookup, methods: [GET], path_prefix: /lookup, contract: retry_freely, priority: interactive, deadline_ms: 1000}",
     "{name: hold, methods: [POST], path_prefix: /hold, contract: at_most_once, priority: protected, deadline_ms: 2000}",
     "{name: search, methods: [GET], path_prefix: /search, contract: retry_freely, priority: background, deadline_ms: 3000}",
 ];
 
-/// Returns the service of the virtual fleet with its rules, at the brief's sizes.
+/// Returns the deployment that the virtual fleet simulates: one service, with the virtual fleet's rules.
 pub fn virtual_deployment(place: Place) -> Deployment {
     match place {
         Place::Teamway => Deployment {
-            services: vec![service("trip", 11, 2, RUN_RULES)],
+            services: vec![service("trip", 11, 2, VIRTUAL_FLEET_RULES)],
             ..teamway()
         },
         Place::Bern => Deployment {
-            services: vec![service("notes", 11, 4, RUN_RULES)],
+            services: vec![service("notes", 11, 4, VIRTUAL_FLEET_RULES)],
             ..bern()
         },
     }
@@ -110,7 +110,7 @@
 }
 
 impl Deployment {
-    /// Keeps the first service only.
+    /// Returns the deployment with its first service only.
     pub fn first_service(mut self) -> Self {
         self.services.truncate(1);
         self
--- a/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/ledger_vm.rs
@@ -82,7 +82,8 @@
     }
 
     pub(in crate::experiments) fn finish(self) -> ClaimResults {
-        // The thread that runs the actions ends when it holds the only reference to the claim start times.
+        // The thread that runs the actions ends when it holds the only reference to the claim start times, because no
+        // claim can be added then.
         drop(self.began);
         let claimed = self.actions.join();
         drop(self.tasks);
--- a/crates/kingcuploft-standins/src/experiments/claims/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/mod.rs
@@ -80,7 +80,7 @@
     ),
 ];
 
-/// A target so high that it never delays a write.
+/// A target that the writes never reach.
 const UNLIMITED_WRITES: u64 = 1_000_000;
 
 const fn any_vm(partitions: u16, linger_ms: u64, target_writes_per_s: u64) -> WriteStrategy {
--- a/crates/kingcuploft-standins/src/experiments/slopes/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/slopes/mod.rs
@@ -1,4 +1,7 @@
-//! `slopes`: what one daemon process costs, as the deployment grows.
+//! `slopes`: how the CPU time, memory, latency and store calls of one daemon process grow with the deployment, the call
+//! rate and the number of callers.
+//!
+//! A straight line is fitted through the points of each.
 
 pub mod fit;
 mod manifests;
@@ -22,22 +25,22 @@
 use crate::platform::Platform;
 use crate::process::{DaemonProcess, Ports};
 
-/// Services and backend servers of each step; the last is the size of the users' aim.
-const SIZES: [(usize, usize); 4] = [(1, 10), (74, 1_000), (370, 5_000), (740, 10_000)];
+/// The services and backend servers of each step. The last one is the size that the users plan for.
+const DEPLOYMENT_SIZES: [(usize, usize); 4] = [(1, 10), (74, 1_000), (370, 5_000), (740, 10_000)];
 
-/// Calls a second of each step.
-const RATES: [f64; 4] = [100.0, 500.0, 1_000.0, 2_000.0];
+/// The call rate of each step.
+const CALL_RATES_PER_S: [f64; 4] = [100.0, 500.0, 1_000.0, 2_000.0];
 
-/// Callers of each step.
-const CALLERS: [usize; 3] = [1, 1_000, 100_000];
+/// The number of callers of each step.
+const CALLER_COUNTS: [usize; 3] = [1, 1_000, 100_000];
 
-/// How many single-service changes each size gets.
-const CHANGES: usize = 10;
+/// How many changes, each of one service, are applied at each size.
+const CHANGE_COUNT: usize = 10;
 
-/// How long a daemon may take to be ready or to follow.
-const TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a daemon may take to become ready or to have a new generation in force.
+const DAEMON_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What one size costs.
+/// The cost of one deployment size.
 #[derive(Clone, Debug, Serialize)]
 struct SizePoint {
     services: usize,
@@ -52,7 +55,7 @@
     change_store_reads: f64,
 }
 
-/// What a rate of calls costs.
+/// The cost of one call rate.
 #[derive(Clone, Debug, Serialize)]
 struct RatePoint {
     calls_per_s: f64,
@@ -61,7 +64,7 @@
     p99_ms: f64,
 }
 
-/// What a number of callers costs.
+/// The cost of one number of callers.
 #[derive(Clone, Debug, Serialize)]
 struct CallersPoint {
     callers: usize,
@@ -86,14 +89,14 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where a daemon did not start or follow.
+/// [`ExperimentError`] if a daemon did not start or did not adopt a manifest in time.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let runtime = Runtime::new()?;
     let mut sizes = Vec::new();
-    for (services, servers) in SIZES {
-        sizes.push(size(&runtime, services, servers, options.duration)?);
+    for (services, servers) in DEPLOYMENT_SIZES {
+        sizes.push(measure_size(&runtime, services, servers, options.duration)?);
     }
-    let (rates, callers) = traffic(&runtime, options)?;
+    let (rates, callers) = measure_traffic(&runtime, options)?;
     let by_server = |figure: fn(&SizePoint) -> f64| {
         let points = sizes.iter().map(|p| (p.backend_servers as f64, figure(p)));
         fit::line(&points.collect::<Vec<_>>())
@@ -119,25 +122,25 @@
         callers,
     };
     Ok(Report {
-        text: text(&figures),
+        text: render(&figures),
         figures: serde_json::to_value(&figures)?,
         violations: Vec::new(),
     })
 }
 
-/// Measures one size: start, idle, and changes of one service each.
-fn size(
+/// Measures one size: the start, the idle load, and changes of one service each.
+fn measure_size(
     runtime: &Runtime,
     services: usize,
     servers: usize,
     idle: Duration,
 ) -> Result<SizePoint, ExperimentError> {
     let platform = Platform::start(runtime)?;
-    let manifest = manifests::sized(services, servers, 0);
+    let manifest = manifests::manifest_of_size(services, servers, 0);
     apply(&platform, &manifest, "start")?;
     let folder = tempfile::tempdir()?;
     let began = Instant::now();
-    let daemon = start(folder.path(), &platform)?;
+    let daemon = start_daemon(folder.path(), &platform)?;
     let ready = began.elapsed();
     std::thread::sleep(Duration::from_millis(500));
     let (cpu, calls) = (daemon.cpu(), platform.calls());
@@ -146,14 +149,14 @@
     let idle_calls = platform.calls().all() - calls.all();
     let (cpu, calls) = (daemon.cpu(), platform.calls());
     let mut in_force = Duration::ZERO;
-    for change in 1..=CHANGES {
+    for change in 1..=CHANGE_COUNT {
         let generation = apply(
             &platform,
-            &manifests::sized(services, servers, change),
+            &manifests::manifest_of_size(services, servers, change),
             "change",
         )?;
         let began = Instant::now();
-        follow(&daemon, generation)?;
+        wait_for_generation(&daemon, generation)?;
         in_force += began.elapsed();
     }
     let change_cpu = daemon.cpu() - cpu;
@@ -167,14 +170,14 @@
         resident_kb: daemon.resident_kb(),
         idle_core_share: idle_cpu.as_secs_f64() / idle.as_secs_f64(),
         idle_store_calls_per_s: idle_calls as f64 / idle.as_secs_f64(),
-        change_in_force_ms: in_force.as_secs_f64() * 1e3 / CHANGES as f64,
-        change_cpu_ms: change_cpu.as_secs_f64() * 1e3 / CHANGES as f64,
-        change_store_reads: reads as f64 / CHANGES as f64,
+        change_in_force_ms: in_force.as_secs_f64() * 1e3 / CHANGE_COUNT as f64,
+        change_cpu_ms: change_cpu.as_secs_f64() * 1e3 / CHANGE_COUNT as f64,
+        change_store_reads: reads as f64 / CHANGE_COUNT as f64,
     })
 }
 
-/// Measures one daemon under calls: by rate, then by the number of callers.
-fn traffic(
+/// Measures one daemon under load: by call rate, then by the number of callers.
+fn measure_traffic(
     runtime: &Runtime,
     options: &Options,
 ) -> Result<(Vec<RatePoint>, Vec<CallersPoint>), ExperimentError> {
@@ -189,15 +192,19 @@
         };
         servers.push(BackendServer::start(runtime, work)?);
     }
-    apply(&platform, &manifests::serving(&servers), "start")?;
+    apply(
+        &platform,
+        &manifests::manifest_of_servers(&servers),
+        "start",
+    )?;
     let folder = tempfile::tempdir()?;
-    let daemon = start(folder.path(), &platform)?;
+    let daemon = start_daemon(folder.path(), &platform)?;
     let mut rates = Vec::new();
-    for rate in RATES {
-        rates.push(at_rate(runtime, &daemon, rate, options));
+    for rate in CALL_RATES_PER_S {
+        rates.push(measure_rate(runtime, &daemon, rate, options));
     }
     let mut callers = Vec::new();
-    for count in CALLERS {
+    for count in CALLER_COUNTS {
         send(runtime, &daemon, 2_000.0, count, options);
         callers.push(CallersPoint {
             callers: count,
@@ -207,7 +214,12 @@
     Ok((rates, callers))
 }
 
-fn at_rate(runtime: &Runtime, daemon: &DaemonProcess, rate: f64, options: &Options) -> RatePoint {
+fn measure_rate(
+    runtime: &Runtime,
+    daemon: &DaemonProcess,
+    rate: f64,
+    options: &Options,
+) -> RatePoint {
     let cpu = daemon.cpu();
     let tally = send(runtime, daemon, rate, 40, options);
     let used = daemon.cpu() - cpu;
@@ -248,7 +260,10 @@
     load::run(runtime, &[daemon.ports().callers], calls, 1).remove(0)
 }
 
-fn start(folder: &std::path::Path, platform: &Platform) -> Result<DaemonProcess, ExperimentError> {
+fn start_daemon(
+    folder: &std::path::Path,
+    platform: &Platform,
+) -> Result<DaemonProcess, ExperimentError> {
     let ports = Ports::free()?;
     let settings = format!(
         "vm: entry-0\navailability_zone: zone-0\nlisten: {}\nadmin_listen: {}\nplatform: {}\n",
@@ -257,14 +272,14 @@
         platform.address()
     );
     let mut daemon = DaemonProcess::start(folder, "entry-0", ports, &settings)?;
-    match daemon.wait_ready(TIMEOUT) {
+    match daemon.wait_ready(DAEMON_TIMEOUT) {
         true => Ok(daemon),
         false => Err(FleetError::NotInForce("the daemon is not ready".into()).into()),
     }
 }
 
-fn follow(daemon: &DaemonProcess, generation: u64) -> Result<(), FleetError> {
-    let until = Instant::now() + TIMEOUT;
+fn wait_for_generation(daemon: &DaemonProcess, generation: u64) -> Result<(), FleetError> {
+    let until = Instant::now() + DAEMON_TIMEOUT;
     while daemon.generation().is_none_or(|found| found < generation) {
         if Instant::now() > until {
             return Err(FleetError::NotInForce("the daemon does not follow".into()));
@@ -277,7 +292,7 @@
 fn apply(platform: &Platform, manifest: &str, id: &str) -> Result<u64, FleetError> {
     let manifest = kingcuploft::manifest::reader::read("plan", manifest)
         .map_err(|faults| FleetError::Plan(format!("{faults:?}")))?;
-    // The operator's budget is not what is measured here.
+    // Lifts the rate limit of the operator's client, which is not measured here.
     let settings = ClientSettings {
         calls_per_s: 1e6,
         calls_burst: 1e6,
@@ -290,7 +305,7 @@
     }
 }
 
-fn text(figures: &Figures) -> String {
+fn render(figures: &Figures) -> String {
     let mut text = String::new();
     let mut line = |line: std::fmt::Arguments<'_>| {
         text.write_fmt(line).expect("a string takes all");
--- a/crates/kingcuploft-standins/src/fleet.rs
+++ b/crates/kingcuploft-standins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A running deployment on loopback: the platform, backend servers and real daemons.
+//! A running deployment on loopback: a stand-in platform, stand-in backend servers, and real daemons in this process.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -16,36 +16,36 @@
 use crate::deployment::{Deployment, ServicePlan};
 use crate::platform::Platform;
 
-/// How long a fleet may take to have a manifest in force.
+/// How long the fleet may take until a manifest is in force on every daemon.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a fleet did not start or a manifest was not taken.
+/// Why a fleet did not start or did not adopt a manifest.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A stand-in got no port.
+    /// A stand-in could not bind a port.
     #[error("a stand-in got no port: {0}")]
     Port(#[from] std::io::Error),
     /// A daemon did not start.
     #[error("a daemon did not start: {0}")]
     Start(#[from] kingcuploftd::daemon::StartError),
-    /// The settings or the manifest that the plan makes are wrong.
+    /// The settings or the manifest built from the plan are invalid.
     #[error("the plan is wrong: {0}")]
     Plan(String),
-    /// A manifest was not accepted or not in force in time.
+    /// A manifest was not accepted, or not in force in time.
     #[error("the manifest is not in force: {0}")]
     NotInForce(String),
 }
 
-/// What differs between fleets of the same deployment.
+/// The options in which fleets of the same deployment differ.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
     /// The policy of every service, as YAML in flow style.
     pub policy: String,
     /// The mean work time of the backend servers.
     pub mean_work_time: Duration,
-    /// The delay of the links to the backend servers, one way.
+    /// The one-way delay of the links to the backend servers.
     pub link_delay: Duration,
-    /// Lines added to every daemon's settings.
+    /// YAML lines that are added to every daemon's settings.
     pub extra_settings: String,
     /// The seed of the work times.
     pub seed: u64,
@@ -66,27 +66,27 @@
 /// A running deployment.
 #[derive(Debug)]
 pub struct Fleet {
-    /// What was planned.
+    /// The plan that it was started from.
     pub deployment: Deployment,
     /// The platform.
     pub platform: Platform,
-    /// The backend servers, by service in the plan's order.
+    /// The backend servers of each service, in the plan's order.
     pub backend_servers: Vec<Vec<BackendServer>>,
-    /// The daemons that run.
+    /// The running daemons.
     pub daemons: Vec<Daemon>,
-    /// The runtime of the stand-ins and callers.
+    /// The async runtime of the stand-ins and callers.
     pub runtime: Arc<Runtime>,
-    variant: FleetOptions,
-    started: usize,
+    options: FleetOptions,
+    daemons_started: usize,
 }
 
 impl Fleet {
-    /// Starts a deployment and waits until its manifest is in force everywhere.
+    /// Starts a deployment and waits until its manifest is in force on every daemon.
     ///
     /// # Errors
     ///
-    /// [`FleetError`]; what had started ends.
-    pub fn start(deployment: Deployment, variant: FleetOptions) -> Result<Self, FleetError> {
+    /// [`FleetError`] if a part did not start or the manifest was not in force in time; the started parts are stopped.
+    pub fn start(deployment: Deployment, options: FleetOptions) -> Result<Self, FleetError> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()?;
@@ -94,7 +94,7 @@
         let platform = Platform::start(&runtime)?;
         let mut backend_servers = Vec::new();
         for plan in &deployment.services {
-            backend_servers.push(start_backend_servers(&runtime, plan, &variant)?);
+            backend_servers.push(start_backend_servers(&runtime, plan, &options)?);
         }
         let mut fleet = Self {
             deployment,
@@ -102,8 +102,8 @@
             backend_servers,
             daemons: Vec::new(),
             runtime,
-            variant,
-            started: 0,
+            options,
+            daemons_started: 0,
         };
         let generation = fleet.apply(&fleet.manifest(), "start")?;
         for _ in 0..fleet.deployment.vms {
@@ -113,11 +113,11 @@
         Ok(fleet)
     }
 
-    /// Starts one daemon in front of one backend server with room for all.
+    /// Starts one daemon in front of one backend server with 64 slots, so that calls do not wait for a slot.
     ///
     /// # Errors
     ///
-    /// As [`Fleet::start`].
+    /// The errors of [`Fleet::start`].
     pub fn start_single(
         name: &'static str,
         rules: &'static [&'static str],
@@ -134,21 +134,21 @@
                 rules,
             }],
         };
-        let variant = FleetOptions {
+        let options = FleetOptions {
             extra_settings: "limits: {vms: 1}\n".into(),
             seed,
             ..FleetOptions::default()
         };
-        Self::start(deployment, variant)
+        Self::start(deployment, options)
     }
 
-    /// Starts one more daemon under a name of its own.
+    /// Starts one more daemon with a new VM name.
     ///
     /// # Errors
     ///
-    /// [`FleetError::Start`] or [`FleetError::Plan`].
+    /// [`FleetError::Start`] if the daemon did not start, [`FleetError::Plan`] if its settings are invalid.
     pub fn add_daemon(&mut self) -> Result<(), FleetError> {
-        let index = self.started;
+        let index = self.daemons_started;
         let peers = self.daemons.iter().filter_map(Daemon::peer_address);
         let peers: Vec<String> = peers.map(|address| format!("'{address}'")).collect();
         let text = format!(
@@ -156,11 +156,11 @@
             self.deployment.zone(index),
             self.platform.address(),
             peers.join(", "),
-            self.variant.extra_settings,
+            self.options.extra_settings,
         );
         let settings: Settings =
             serde_saphyr::from_str(&text).map_err(|error| FleetError::Plan(error.to_string()))?;
-        self.started += 1;
+        self.daemons_started += 1;
         self.daemons.push(Daemon::start(settings)?);
         Ok(())
     }
@@ -176,7 +176,7 @@
 
     fn write_service(&self, text: &mut String, plan: &ServicePlan, servers: &[BackendServer]) {
         let name = plan.name;
-        let policy = &self.variant.policy;
+        let policy = &self.options.policy;
         let mut line = |line: std::fmt::Arguments<'_>| {
             text.write_fmt(line).expect("a string takes all");
             text.push('\n');
@@ -202,7 +202,7 @@
     ///
     /// # Errors
     ///
-    /// [`FleetError::Plan`] where it is wrong, [`FleetError::NotInForce`] where it was not accepted.
+    /// [`FleetError::Plan`] if it is invalid, [`FleetError::NotInForce`] if it was not accepted.
     pub fn apply(&self, text: &str, apply_id: &str) -> Result<u64, FleetError> {
         let manifest =
             reader::read("plan", text).map_err(|faults| FleetError::Plan(format!("{faults:?}")))?;
@@ -220,10 +220,14 @@
     /// [`FleetError::NotInForce`] after 20 s.
     pub fn wait_in_force(&self, generation: u64) -> Result<Duration, FleetError> {
         let began = Instant::now();
-        let behind = |daemon: &Daemon| daemon.shared().accepted.load().generation < generation;
-        while self.daemons.iter().any(behind) {
+        let is_behind = |daemon: &Daemon| daemon.shared().accepted.load().generation < generation;
+        while self.daemons.iter().any(is_behind) {
             if began.elapsed() > IN_FORCE_TIMEOUT {
-                let count = self.daemons.iter().filter(|daemon| behind(daemon)).count();
+                let count = self
+                    .daemons
+                    .iter()
+                    .filter(|daemon| is_behind(daemon))
+                    .count();
                 return Err(FleetError::NotInForce(format!(
                     "{count} daemons are behind"
                 )));
@@ -233,18 +237,18 @@
         Ok(began.elapsed())
     }
 
-    /// Returns where callers connect, a daemon each.
+    /// Returns the addresses where callers connect, one for each daemon.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(Daemon::address).collect()
     }
 
-    /// Returns how often the request with this idempotency key ran, on all backend servers.
+    /// Returns how often the request with this idempotency key was executed, over all backend servers.
     pub fn runs(&self, key: &str) -> u64 {
         let servers = self.backend_servers.iter().flatten();
         servers.map(|server| server.runs(key)).sum()
     }
 
-    /// Stops every daemon as planned, side by side.
+    /// Shuts all daemons down gracefully and concurrently.
     pub fn stop(self) {
         std::thread::scope(|scope| {
             for daemon in self.daemons {
@@ -257,15 +261,15 @@
 fn start_backend_servers(
     runtime: &Runtime,
     plan: &ServicePlan,
-    variant: &FleetOptions,
+    options: &FleetOptions,
 ) -> Result<Vec<BackendServer>, FleetError> {
     let mut servers = Vec::new();
     for i in 0..plan.backend_servers {
         let work = Work {
             slots: plan.slots as usize,
-            mean: variant.mean_work_time,
-            link_delay: variant.link_delay,
-            seed: variant.seed.wrapping_mul(1_000).wrapping_add(i as u64),
+            mean: options.mean_work_time,
+            link_delay: options.link_delay,
+            seed: options.seed.wrapping_mul(1_000).wrapping_add(i as u64),
             ..Work::default()
         };
         servers.push(BackendServer::start(runtime, work)?);
--- a/crates/kingcuploft-standins/src/http.rs
+++ b/crates/kingcuploft-standins/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for the stand-ins: one runtime, ended when dropped.
+//! A small HTTP/1.1 server for the stand-ins. It stops accepting connections when it is dropped.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -13,17 +13,17 @@
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 
-/// A request with its whole body.
+/// A request with its complete body.
 pub type WholeRequest = Request<Bytes>;
 
-/// A response with its whole body.
+/// A response with its complete body.
 pub type WholeResponse = Response<Full<Bytes>>;
 
-/// Marks a response that is not sent: the connection is closed instead.
+/// Marks a response that is not sent; the connection is closed instead.
 #[derive(Clone, Copy, Debug)]
-struct Closed;
+struct CloseMarker;
 
-/// The error that makes the HTTP library close a connection.
+/// The error by which a service makes the HTTP library close the connection.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("closed without an answer")]
 struct ClosedWithoutAnswer;
@@ -31,17 +31,17 @@
 /// Returns the response that closes the connection without an answer.
 pub fn close_without_answer() -> WholeResponse {
     let mut response = Response::new(Full::new(Bytes::new()));
-    response.extensions_mut().insert(Closed);
+    response.extensions_mut().insert(CloseMarker);
     response
 }
 
-/// Answers the requests of a stand-in.
+/// Answers the requests that a stand-in receives.
 pub trait Handler: Send + Sync + 'static {
     /// Answers one request.
     fn handle(&self, request: WholeRequest) -> impl Future<Output = WholeResponse> + Send;
 }
 
-/// A listening stand-in.
+/// A listening HTTP server.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -53,15 +53,17 @@
     ///
     /// # Errors
     ///
-    /// The system's error where no port is to be had.
+    /// The operating system's error if no port is available.
     pub fn start<H: Handler>(runtime: &Runtime, handler: Arc<H>) -> std::io::Result<Self> {
         let listener = runtime.block_on(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))?;
         let address = listener.local_addr()?;
-        let accept = runtime.spawn(accept(listener, handler)).abort_handle();
+        let accept = runtime
+            .spawn(accept_connections(listener, handler))
+            .abort_handle();
         Ok(Self { address, accept })
     }
 
-    /// Returns where it listens.
+    /// Returns the address where it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -73,7 +75,7 @@
     }
 }
 
-async fn accept<H: Handler>(listener: TcpListener, handler: Arc<H>) {
+async fn accept_connections<H: Handler>(listener: TcpListener, handler: Arc<H>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
@@ -98,8 +100,8 @@
         .await
         .map_or_else(|_| Bytes::new(), |body| body.to_bytes());
     let response = handler.handle(Request::from_parts(head, body)).await;
-    match response.extensions().get::<Closed>() {
-        Some(Closed) => Err(ClosedWithoutAnswer),
+    match response.extensions().get::<CloseMarker>() {
+        Some(CloseMarker) => Err(ClosedWithoutAnswer),
         None => Ok(response),
     }
 }
--- a/crates/kingcuploft-standins/src/lib.rs
+++ b/crates/kingcuploft-standins/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what surrounds the system, and the tools that measure it against them.
+//! Stand-ins (test doubles) for the callers, backend servers and platform around the load balancer, and the experiments
+//! and tools that measure it against them.
 
 pub mod backend_server;
 pub mod callers;
--- a/crates/kingcuploft-standins/src/link.rs
+++ b/crates/kingcuploft-standins/src/link.rs
@@ -1,4 +1,4 @@
-//! A link to a server that can be cut, delayed or made to swallow everything.
+//! A TCP proxy in front of a server that injects network faults: delays, stalls and cut connections.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,21 +9,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::Runtime;
 
-/// How a link treats what passes.
+/// What a link does with connections and bytes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LinkState {
-    /// Everything passes.
+    /// Forwards everything.
     #[default]
     Open,
-    /// Everything passes after a delay.
+    /// Forwards everything after a delay.
     Slow(Duration),
-    /// Connections stay open, and nothing passes.
+    /// Keeps connections open but forwards nothing.
     Silent,
-    /// Connections are closed, new ones at once.
+    /// Closes all connections, and new ones immediately.
     Cut,
 }
 
-/// A link to a server.
+/// A proxied link to a server.
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
@@ -36,12 +36,12 @@
     ///
     /// # Errors
     ///
-    /// The system's error where no port is to be had.
+    /// The operating system's error if no port is available.
     pub fn start(runtime: &Runtime, to: SocketAddr) -> std::io::Result<Self> {
         let listener = runtime.block_on(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))?;
         let address = listener.local_addr()?;
         let state = Arc::new(Mutex::new(LinkState::Open));
-        let accept = runtime.spawn(accept(listener, to, Arc::clone(&state)));
+        let accept = runtime.spawn(accept_connections(listener, to, Arc::clone(&state)));
         Ok(Self {
             address,
             state,
@@ -49,12 +49,12 @@
         })
     }
 
-    /// Returns the address that stands for the server.
+    /// Returns the address to which clients connect instead of the server's.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how the link treats what passes from now on.
+    /// Sets the state for new and for open connections.
     pub fn set(&self, state: LinkState) {
         *self.state.lock().unwrap_or_else(PoisonError::into_inner) = state;
     }
@@ -66,16 +66,16 @@
     }
 }
 
-type Shared = Arc<Mutex<LinkState>>;
+type SharedState = Arc<Mutex<LinkState>>;
 
-async fn accept(listener: TcpListener, to: SocketAddr, state: Shared) {
+async fn accept_connections(listener: TcpListener, to: SocketAddr, state: SharedState) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
         let state = Arc::clone(&state);
         tokio::spawn(async move {
-            if now(&state) == LinkState::Cut {
+            if current_state(&state) == LinkState::Cut {
                 return;
             }
             let Ok(server) = TcpStream::connect(to).await else {
@@ -86,22 +86,22 @@
             let (from_client, to_client) = stream.into_split();
             let (from_server, to_server) = server.into_split();
             tokio::select! {
-                () = pass(from_client, to_server, &state) => {}
-                () = pass(from_server, to_client, &state) => {}
-                () = cut(&state) => {}
+                () = forward(from_client, to_server, &state) => {}
+                () = forward(from_server, to_client, &state) => {}
+                () = wait_for_cut(&state) => {}
             }
         });
     }
 }
 
-/// Passes bytes one way until an end closes.
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, state: &Shared) {
+/// Forwards bytes in one direction until either end closes or the link is cut.
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, state: &SharedState) {
     let mut bytes = vec![0; 16 * 1024];
     loop {
         let Ok(amount @ 1..) = from.read(&mut bytes).await else {
             return;
         };
-        match now(state) {
+        match current_state(state) {
             LinkState::Open => {}
             LinkState::Slow(delay) => tokio::time::sleep(delay).await,
             LinkState::Silent => wait_until(state, |state| state != LinkState::Silent).await,
@@ -113,16 +113,16 @@
     }
 }
 
-async fn cut(state: &Shared) {
+async fn wait_for_cut(state: &SharedState) {
     wait_until(state, |state| state == LinkState::Cut).await;
 }
 
-async fn wait_until(state: &Shared, holds: impl Fn(LinkState) -> bool) {
-    while !holds(now(state)) {
+async fn wait_until(state: &SharedState, holds: impl Fn(LinkState) -> bool) {
+    while !holds(current_state(state)) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-fn now(state: &Shared) -> LinkState {
+fn current_state(state: &SharedState) -> LinkState {
     *state.lock().unwrap_or_else(PoisonError::into_inner)
 }
