--- a/crates/kingcuploft-standins/examples/admission_table.rs
+++ b/crates/kingcuploft-standins/examples/admission_table.rs
@@ -1,4 +1,4 @@
-//! Prints what callers receive under overload, with admission's parts switched off in turn.
+//! Prints a table of what callers receive under overload, with each part of admission control switched off in turn.
 //!
 //! `cargo run --release -p kingcuploft-standins --example admission_table [SEED]`
 
@@ -13,7 +13,7 @@
 
 const DURATION: Duration = Duration::from_secs(5);
 
-fn variants() -> Vec<(&'static str, Value)> {
+fn admission_variants() -> Vec<(&'static str, Value)> {
     let off = |part: &str| json!({"admission": {part: false}});
     vec![
         ("all on", Value::Null),
@@ -27,7 +27,7 @@
     ]
 }
 
-fn loads() -> Vec<(&'static str, Vec<Stream>)> {
+fn load_patterns() -> Vec<(&'static str, Vec<Stream>)> {
     let all = |load| Stream {
         load,
         ..Stream::default()
@@ -53,8 +53,8 @@
         "| load | variant | goodput | in time | protected | background | others of hot | late | p50 ms | p99 ms | refusal p99 ms |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|");
-    for (load, streams) in loads() {
-        for (variant, settings) in variants() {
+    for (load, streams) in load_patterns() {
+        for (variant, settings) in admission_variants() {
             let mut deployment = Deployment::teamway();
             let policy = &mut deployment.service.policy;
             *policy = with_changes(policy, &settings);
--- a/crates/kingcuploft-standins/examples/hedge_table.rs
+++ b/crates/kingcuploft-standins/examples/hedge_table.rs
@@ -1,4 +1,4 @@
-//! Prints what hedging does to the time to an answer, at several loads.
+//! Prints a table of the latency and the extra calls without and with hedged requests, at several loads.
 //!
 //! `cargo run --release -p kingcuploft-standins --example hedge_table`
 
--- a/crates/kingcuploft-standins/examples/policies.rs
+++ b/crates/kingcuploft-standins/examples/policies.rs
@@ -1,7 +1,7 @@
-//! Prints the experiment `policies` as means over the seeds:
+//! Compares the selection policies in the virtual fleet and prints their figures as means over the seeds:
 //! `policies [teamway|bern] [load] [seconds] [seeds] [settings as JSON ...]`.
 //!
-//! Each further argument is one more variant, such as `{"notes":{"bytes_per_second":1800}}`.
+//! Each JSON argument adds a variant with these settings, such as `{"notes":{"bytes_per_second":1800}}`.
 
 use std::time::Duration;
 
--- a/crates/kingcuploft-standins/examples/scenarios.rs
+++ b/crates/kingcuploft-standins/examples/scenarios.rs
@@ -1,5 +1,5 @@
-//! Prints what each scenario file measured, as it stands and with its part switched off:
-//! `scenarios FILE...`.
+//! Runs each scenario file as written and with the tested part switched off, and prints the measured figures beside the
+//! expected ranges: `scenarios FILE...`.
 
 use kingcuploft_standins::virtual_fleet::run;
 use kingcuploft_standins::virtual_fleet::scenario::Scenario;
--- a/crates/kingcuploft-standins/src/bin/kingcuploft-experiment.rs
+++ b/crates/kingcuploft-standins/src/bin/kingcuploft-experiment.rs
@@ -1,4 +1,4 @@
-//! The experiment tool's command line.
+//! The command line that runs one experiment and prints its report.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -25,19 +25,19 @@
 Experiments:
 ";
 
-struct Asked {
-    entry: Experiment,
+struct Arguments {
+    experiment: Experiment,
     options: Options,
     json: bool,
 }
 
 fn main() -> ExitCode {
     match parse() {
-        Ok(Some(asked)) => run(&asked),
+        Ok(Some(arguments)) => run(&arguments),
         Ok(None) => {
             print!("{HELP}");
-            for entry in ALL {
-                println!("  {:<16} {}", entry.name, entry.description);
+            for experiment in ALL {
+                println!("  {:<16} {}", experiment.name, experiment.description);
             }
             ExitCode::SUCCESS
         }
@@ -48,7 +48,7 @@
     }
 }
 
-fn parse() -> Result<Option<Asked>, lexopt::Error> {
+fn parse() -> Result<Option<Arguments>, lexopt::Error> {
     let mut options = Options::default();
     let mut name = None;
     let mut json = false;
@@ -70,10 +70,10 @@
     let Some(name) = name else {
         return Ok(None);
     };
-    let entry = ALL.iter().find(|entry| entry.name == name);
-    let entry = *entry.ok_or_else(|| format!("there is no experiment `{name}`"))?;
-    Ok(Some(Asked {
-        entry,
+    let experiment = ALL.iter().find(|experiment| experiment.name == name);
+    let experiment = *experiment.ok_or_else(|| format!("there is no experiment `{name}`"))?;
+    Ok(Some(Arguments {
+        experiment,
         options,
         json,
     }))
@@ -87,21 +87,21 @@
     }
 }
 
-fn run(asked: &Asked) -> ExitCode {
-    let report = match (asked.entry.run)(&asked.options) {
+fn run(arguments: &Arguments) -> ExitCode {
+    let report = match (arguments.experiment.run)(&arguments.options) {
         Ok(report) => report,
         Err(error) => {
             eprintln!("kingcuploft-experiment: {error}");
             return ExitCode::FAILURE;
         }
     };
-    if !asked.json {
+    if !arguments.json {
         println!("{}", report.text);
     }
     for broken in &report.violations {
         eprintln!("broken: {broken}");
     }
-    if asked.json {
+    if arguments.json {
         println!("{}", report.figures);
     }
     match report.violations.is_empty() {
--- a/crates/kingcuploft-standins/src/bin/kingcuploft-quickstart.rs
+++ b/crates/kingcuploft-standins/src/bin/kingcuploft-quickstart.rs
@@ -1,4 +1,5 @@
-//! The quickstart: a whole deployment in one process on loopback, with real traffic.
+//! The quickstart: runs a complete deployment of real daemons in one process on loopback, sends traffic through it, and
+//! prints the results.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -31,10 +32,10 @@
 Exit codes: 0 done, 1 something failed or a promise was broken, 2 wrong usage.
 ";
 
-/// How long traffic is driven where `--for` is not given.
-const TRAFFIC: Duration = Duration::from_secs(5);
+/// How long traffic is sent if `--for` is not given.
+const DEFAULT_TRAFFIC_TIME: Duration = Duration::from_secs(5);
 
-struct Asked {
+struct Arguments {
     time: Option<Duration>,
     per_second: f64,
     seed: u64,
@@ -59,7 +60,7 @@
 
 fn main() -> ExitCode {
     match parse() {
-        Ok(Some(asked)) => match run(&asked) {
+        Ok(Some(arguments)) => match run(&arguments) {
             Ok(code) => code,
             Err(error) => {
                 eprintln!("kingcuploft-quickstart: {error}");
@@ -77,8 +78,8 @@
     }
 }
 
-fn parse() -> Result<Option<Asked>, lexopt::Error> {
-    let mut asked = Asked {
+fn parse() -> Result<Option<Arguments>, lexopt::Error> {
+    let mut arguments = Arguments {
         time: None,
         per_second: 400.0,
         seed: 1,
@@ -88,35 +89,40 @@
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
-            Long("for") => asked.time = Some(Duration::from_secs(parser.value()?.parse()?)),
-            Long("per-second") => asked.per_second = parser.value()?.parse()?,
-            Long("seed") => asked.seed = parser.value()?.parse()?,
-            Long("json") => asked.json = true,
-            Long("plot") => asked.plot = Some(PathBuf::from(parser.value()?)),
+            Long("for") => arguments.time = Some(Duration::from_secs(parser.value()?.parse()?)),
+            Long("per-second") => arguments.per_second = parser.value()?.parse()?,
+            Long("seed") => arguments.seed = parser.value()?.parse()?,
+            Long("json") => arguments.json = true,
+            Long("plot") => arguments.plot = Some(PathBuf::from(parser.value()?)),
             Short('h') | Long("help") => return Ok(None),
             other => return Err(other.unexpected()),
         }
     }
-    Ok(Some(asked))
+    Ok(Some(arguments))
 }
 
-fn run(asked: &Asked) -> Result<ExitCode, Box<dyn std::error::Error>> {
+fn run(arguments: &Arguments) -> Result<ExitCode, Box<dyn std::error::Error>> {
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
     signal_hook::flag::register(SIGINT, Arc::clone(&stop))?;
     signal_hook::flag::register(SIGTERM, Arc::clone(&stop))?;
     let fleet = Fleet::start(deployment::quickstart(), FleetOptions::default())?;
-    introduce(&fleet);
-    let time = asked.time.unwrap_or(TRAFFIC);
-    let traffic = traffic::mixed(&fleet.deployment, asked.per_second, time, asked.seed);
-    let (outcome, tallies) = drive(&fleet, traffic, time);
-    print(&outcome);
-    if let Some(file) = &asked.plot {
-        draw(file, &fleet, &tallies)?;
+    print_addresses(&fleet);
+    let time = arguments.time.unwrap_or(DEFAULT_TRAFFIC_TIME);
+    let traffic = traffic::mixed(
+        &fleet.deployment,
+        arguments.per_second,
+        time,
+        arguments.seed,
+    );
+    let (outcome, tallies) = run_traffic(&fleet, traffic, time);
+    print_outcome(&outcome);
+    if let Some(file) = &arguments.plot {
+        draw_latency(file, &fleet, &tallies)?;
     }
-    if asked.json {
+    if arguments.json {
         println!("{}", serde_json::to_string(&outcome)?);
     }
-    if asked.time.is_none() {
+    if arguments.time.is_none() {
         eprintln!("\nThe daemons stay up; Ctrl-C stops them as planned.");
         while !stop.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(50));
@@ -129,7 +135,7 @@
     }
 }
 
-fn introduce(fleet: &Fleet) {
+fn print_addresses(fleet: &Fleet) {
     eprintln!(
         "platform (object API)   http://{}/v1/objects?prefix=",
         fleet.platform.address()
@@ -155,15 +161,15 @@
     eprintln!("  curl -s http://{admin}/status\n");
 }
 
-fn drive(fleet: &Fleet, traffic: Traffic, time: Duration) -> (Outcome, Vec<Tally>) {
+fn run_traffic(fleet: &Fleet, traffic: Traffic, time: Duration) -> (Outcome, Vec<Tally>) {
     let groups = fleet.deployment.services.len();
     let tallies = Arc::new(Mutex::new(vec![Tally::default(); groups]));
-    let (done, counted) = (Arc::new(AtomicU64::new(0)), Arc::clone(&tallies));
-    let counter = Arc::clone(&done);
+    let (calls_done, shared_tallies) = (Arc::new(AtomicU64::new(0)), Arc::clone(&tallies));
+    let counter = Arc::clone(&calls_done);
     let total = traffic.calls.len();
     let ended = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|scope| {
-        scope.spawn(|| progress(&done, total, time, &ended));
+        scope.spawn(|| print_progress(&calls_done, total, time, &ended));
         let to = fleet.addresses();
         load::run_with(
             &fleet.runtime,
@@ -171,7 +177,9 @@
             traffic.calls,
             move |call, got, latency| {
                 counter.fetch_add(1, Ordering::Relaxed);
-                let mut tallies = counted.lock().unwrap_or_else(PoisonError::into_inner);
+                let mut tallies = shared_tallies
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
                 tallies[call.group].add(&got, latency, call.deadline);
             },
         );
@@ -196,13 +204,18 @@
     (outcome, tallies)
 }
 
-fn progress(done: &AtomicU64, total: usize, time: Duration, ended: &std::sync::atomic::AtomicBool) {
+fn print_progress(
+    calls_done: &AtomicU64,
+    total: usize,
+    time: Duration,
+    ended: &std::sync::atomic::AtomicBool,
+) {
     let began = Instant::now();
     let mut next = Duration::from_secs(1);
     while !ended.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_millis(20));
         if began.elapsed() >= next {
-            let done = done.load(Ordering::Relaxed);
+            let calls_done = calls_done.load(Ordering::Relaxed);
             eprintln!(
                 "{:>3} s of {} s: {done} of {total} calls",
                 next.as_secs(),
@@ -213,7 +226,7 @@
     }
 }
 
-fn print(outcome: &Outcome) {
+fn print_outcome(outcome: &Outcome) {
     println!(
         "\n{:<10} {:>8} {:>9} {:>9} {:>9} {:>10} {:>8}",
         "service", "calls", "answered", "p50 ms", "p99 ms", "p99.9 ms", "refused"
@@ -239,7 +252,11 @@
     println!("store calls: {}", outcome.store_calls);
 }
 
-fn draw(file: &std::path::Path, fleet: &Fleet, tallies: &[Tally]) -> Result<(), plot::PlotError> {
+fn draw_latency(
+    file: &std::path::Path,
+    fleet: &Fleet,
+    tallies: &[Tally],
+) -> Result<(), plot::PlotError> {
     let lines = fleet.deployment.services.iter().zip(tallies);
     let lines: Vec<Line> = lines
         .map(|(plan, tally)| Line {
--- a/crates/kingcuploft-standins/src/load.rs
+++ b/crates/kingcuploft-standins/src/load.rs
@@ -1,4 +1,7 @@
-//! Load at a seeded, open-loop pace: a slow answer does not delay the next call.
+//! An open-loop load generator with seeded Poisson arrivals.
+//!
+//! A slow answer does not delay the next call, and latency counts from the time at which the call was due, so that the
+//! figures do not suffer from coordinated omission.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,17 +19,17 @@
 pub struct ScheduledCall {
     /// Time from the start of the run.
     pub at: Duration,
-    /// The index of the address it goes to.
+    /// The index of the address it goes to, modulo the number of addresses.
     pub address_index: usize,
     /// The call.
     pub plan: CallPlan,
-    /// When its answer is late.
+    /// The latency above which its answer counts as late.
     pub deadline: Duration,
-    /// Which tally counts it.
+    /// The index of the tally that counts it.
     pub group: usize,
 }
 
-/// Draws Poisson arrivals, `per_second` on average, for a time.
+/// Draws Poisson arrivals with a mean rate of `per_second` over a time.
 pub fn arrivals(rng: &mut fastrand::Rng, per_second: f64, time: Duration) -> Vec<Duration> {
     let mut at = 0.0;
     let mut arrivals = Vec::new();
@@ -39,28 +42,30 @@
     }
 }
 
-/// Makes the calls when they are due and counts what callers received, a tally for each group.
+/// Makes the calls when they are due and returns the counted results, one tally for each group.
 pub fn run(
     runtime: &Runtime,
-    to: &[SocketAddr],
+    addresses: &[SocketAddr],
     calls: Vec<ScheduledCall>,
     groups: usize,
 ) -> Vec<Tally> {
     let tallies = vec![Tally::default(); groups];
     let tallies = Arc::new(Mutex::new(tallies));
-    let counted = Arc::clone(&tallies);
-    let to = to.to_vec();
-    let address = move |call: &ScheduledCall| to[call.address_index % to.len()];
+    let shared_tallies = Arc::clone(&tallies);
+    let addresses = addresses.to_vec();
+    let address = move |call: &ScheduledCall| addresses[call.address_index % addresses.len()];
     run_with(runtime, address, calls, move |call, received, latency| {
-        let mut tallies = counted.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut tallies = shared_tallies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         tallies[call.group].add(&received, latency, call.deadline);
     });
     let tallies = tallies.lock().unwrap_or_else(PoisonError::into_inner);
     tallies.clone()
 }
 
-/// Makes the calls when they are due and hands over what each received, with the time from when
-/// it was due; returns when the last one has ended.
+/// Makes the calls when they are due and passes each result to `received`, with the latency from when the call was due.
+/// Returns when the last call has ended.
 pub fn run_with(
     runtime: &Runtime,
     address: impl Fn(&ScheduledCall) -> SocketAddr,
@@ -77,8 +82,8 @@
             let address = address(&call);
             let (callers, received) = (Arc::clone(&callers), Arc::clone(&received));
             tasks.push(tokio::spawn(async move {
-                let patience = call.deadline * 2 + Duration::from_secs(1);
-                let answer = callers.call(address, &call.plan, patience).await;
+                let timeout = call.deadline * 2 + Duration::from_secs(1);
+                let answer = callers.call(address, &call.plan, timeout).await;
                 let due = began + call.at;
                 received(&call, answer, due.elapsed());
             }));
--- a/crates/kingcuploft-standins/src/plot.rs
+++ b/crates/kingcuploft-standins/src/plot.rs
@@ -1,15 +1,15 @@
-//! Plots as SVG.
+//! Line plots as SVG files.
 
 use std::path::Path;
 
 use plotters::prelude::*;
 
-/// A line of a plot.
+/// A named line of a plot.
 #[derive(Clone, Debug)]
 pub struct Line {
     /// The name in the legend.
     pub name: String,
-    /// The points.
+    /// The points, as x and y.
     pub points: Vec<(f64, f64)>,
 }
 
@@ -18,25 +18,25 @@
 #[error("the plot could not be drawn: {0}")]
 pub struct PlotError(String);
 
-/// What a plot says.
+/// The texts of a plot.
 #[derive(Clone, Debug)]
 pub struct Labels<'a> {
     /// The title.
     pub title: &'a str,
-    /// The x axis, with its unit.
+    /// The label of the x axis, with its unit.
     pub x: &'a str,
-    /// The y axis, with its unit.
+    /// The label of the y axis, with its unit.
     pub y: &'a str,
 }
 
-/// Draws lines into an SVG file, from zero upwards.
+/// Draws lines into an SVG file. Both axes start at zero.
 ///
 /// # Errors
 ///
-/// [`PlotError`] where the file can not be written.
+/// [`PlotError`] if the plot cannot be drawn or the file cannot be written.
 pub fn draw_lines(file: &Path, labels: &Labels<'_>, lines: &[Line]) -> Result<(), PlotError> {
     let area = SVGBackend::new(file, (860, 480)).into_drawing_area();
-    area.fill(&WHITE).map_err(fault)?;
+    area.fill(&WHITE).map_err(plot_error)?;
     let points = || lines.iter().flat_map(|line| &line.points);
     let x_max = points()
         .map(|point| point.0)
@@ -50,17 +50,17 @@
         .x_label_area_size(40)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..x_max * 1.02, 0.0..y_max * 1.05)
-        .map_err(fault)?;
+        .map_err(plot_error)?;
     let mut mesh = chart.configure_mesh();
     mesh.x_desc(labels.x)
         .y_desc(labels.y)
         .draw()
-        .map_err(fault)?;
+        .map_err(plot_error)?;
     for (i, line) in lines.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
         let series =
             LineSeries::new(line.points.iter().copied(), color.stroke_width(2)).point_size(3);
-        let drawn = chart.draw_series(series).map_err(fault)?;
+        let drawn = chart.draw_series(series).map_err(plot_error)?;
         drawn
             .label(line.name.clone())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color.stroke_width(2)));
@@ -70,10 +70,10 @@
         .border_style(BLACK)
         .background_style(WHITE.mix(0.8))
         .draw()
-        .map_err(fault)?;
-    area.present().map_err(fault)
+        .map_err(plot_error)?;
+    area.present().map_err(plot_error)
 }
 
-fn fault(error: impl std::fmt::Display) -> PlotError {
+fn plot_error(error: impl std::fmt::Display) -> PlotError {
     PlotError(error.to_string())
 }
--- a/crates/kingcuploft-standins/src/precise_sleep.rs
+++ b/crates/kingcuploft-standins/src/precise_sleep.rs
@@ -1,8 +1,7 @@
-//! Sleeps that end within about 0.1 ms of their time.
+//! Async sleeps that end within about 0.1 ms of their due time.
 //!
-//! The runtime's own timer counts whole milliseconds and rounds up. A stand-in with work of 7 ms
-//! would be busy for 8 ms: at load 0.75 it would really be loaded with 0.83, and queues would be
-//! measured that the work does not cause.
+//! The async runtime's own timer counts whole milliseconds and rounds up. A stand-in with a work time of 7 ms would be
+//! busy for 8 ms, so that an offered load of 0.75 would really be 0.83 and the measured queues would be too long.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,20 +10,20 @@
 
 use tokio::sync::oneshot;
 
-/// The longest wait of the timer's thread without a sleeper.
-const IDLE: Duration = Duration::from_secs(1);
+/// How long the timer's thread waits at a time while nothing sleeps.
+const IDLE_WAIT: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
 struct Timer {
     sleepers: Mutex<Sleepers>,
-    earlier: Condvar,
+    earlier_due: Condvar,
 }
 
 #[derive(Default)]
 struct Sleepers {
     due: BinaryHeap<Reverse<(Instant, u64)>>,
     wakers: rustc_hash::FxHashMap<u64, oneshot::Sender<()>>,
-    last: u64,
+    last_id: u64,
 }
 
 /// Sleeps for a time.
@@ -32,16 +31,16 @@
     sleep_until(Instant::now() + time).await;
 }
 
-/// Sleeps until a time.
+/// Sleeps until a due time.
 pub async fn sleep_until(due: Instant) {
     if due <= Instant::now() {
         return;
     }
-    // The timer's thread lives as long as the process, so the waker is never dropped unused.
+    // The timer's thread runs as long as the process, so the sender is never dropped unused.
     drop(register(due).await);
 }
 
-/// Adds a sleeper; the thread is woken where it is the first one due.
+/// Adds a sleeper, and wakes the timer's thread if the sleeper is the first one due.
 fn register(due: Instant) -> oneshot::Receiver<()> {
     let (waker, woken) = oneshot::channel();
     let timer = timer();
@@ -49,13 +48,13 @@
         .sleepers
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
-    sleepers.last += 1;
-    let number = sleepers.last;
-    sleepers.due.push(Reverse((due, number)));
-    sleepers.wakers.insert(number, waker);
+    sleepers.last_id += 1;
+    let id = sleepers.last_id;
+    sleepers.due.push(Reverse((due, id)));
+    sleepers.wakers.insert(id, waker);
     let first = sleepers.due.peek();
-    if first.is_some_and(|Reverse((_, first))| *first == number) {
-        timer.earlier.notify_one();
+    if first.is_some_and(|Reverse((_, first))| *first == id) {
+        timer.earlier_due.notify_one();
     }
     woken
 }
@@ -64,30 +63,32 @@
     static TIMER: OnceLock<Timer> = OnceLock::new();
     static THREAD: OnceLock<()> = OnceLock::new();
     let timer = TIMER.get_or_init(Timer::default);
-    THREAD.get_or_init(|| drop(std::thread::spawn(|| wake(timer))));
+    THREAD.get_or_init(|| drop(std::thread::spawn(|| run_timer(timer))));
     timer
 }
 
-fn wake(timer: &Timer) {
+fn run_timer(timer: &Timer) {
     let mut sleepers = timer
         .sleepers
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
     loop {
         let now = Instant::now();
-        while let Some(&Reverse((due, number))) = sleepers.due.peek() {
+        while let Some(&Reverse((due, id))) = sleepers.due.peek() {
             if due > now {
                 break;
             }
             sleepers.due.pop();
-            if let Some(waker) = sleepers.wakers.remove(&number) {
-                // A sleeper that was dropped has no use for it.
+            if let Some(waker) = sleepers.wakers.remove(&id) {
+                // Sending fails only if the sleeping future was dropped.
                 let _ = waker.send(());
             }
         }
         let next = sleepers.due.peek().map(|Reverse((due, _))| *due);
-        let wait = next.map_or(IDLE, |due| due.saturating_duration_since(Instant::now()));
-        let waited = timer.earlier.wait_timeout(sleepers, wait);
+        let wait = next.map_or(IDLE_WAIT, |due| {
+            due.saturating_duration_since(Instant::now())
+        });
+        let waited = timer.earlier_due.wait_timeout(sleepers, wait);
         sleepers = waited.map_or_else(|e| e.into_inner().0, |(sleepers, _)| sleepers);
     }
 }
--- a/crates/kingcuploft-standins/src/process.rs
+++ b/crates/kingcuploft-standins/src/process.rs
@@ -1,4 +1,4 @@
-//! A daemon as a process of its own, which can be paused and killed.
+//! A daemon as a separate process, which can be paused, resumed, shut down and killed.
 
 use std::fs::File;
 use std::net::{SocketAddr, TcpListener};
@@ -9,13 +9,13 @@
 use signal_hook::consts::{SIGCONT, SIGSTOP, SIGTERM};
 use ureq::Agent;
 
-/// How often a condition is looked at while waiting for it.
-const POLL: Duration = Duration::from_millis(5);
+/// The interval at which an awaited condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The unit of processor times under `/proc`, in ms.
-const TICK_MS: u64 = 10;
+/// The unit of CPU times under `/proc`, in ms.
+const CPU_TICK_MS: u64 = 10;
 
-/// Where a daemon listens.
+/// The addresses on which a daemon listens.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ports {
     /// Where callers connect.
@@ -27,11 +27,11 @@
 }
 
 impl Ports {
-    /// Finds three free ports of 127.0.0.1; another process may take one before they are used.
+    /// Finds three free ports of 127.0.0.1. Another process may take one before the daemon binds them.
     ///
     /// # Errors
     ///
-    /// The system's error where no port is to be had.
+    /// The operating system's error if no port is available.
     pub fn free() -> std::io::Result<Self> {
         let listeners = [free()?, free()?, free()?];
         Ok(Self {
@@ -46,20 +46,20 @@
     TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0))
 }
 
-/// A daemon process, killed when dropped.
+/// A daemon process, which is killed when dropped.
 #[derive(Debug)]
 pub struct DaemonProcess {
     child: Child,
     ports: Ports,
-    agent: Agent,
+    http_client: Agent,
 }
 
 impl DaemonProcess {
-    /// Starts a daemon with these settings; its log goes to a file beside them.
+    /// Starts a daemon with these settings. The settings file and the log are in `folder`, named after the VM.
     ///
     /// # Errors
     ///
-    /// The system's error where a file can not be written or the process not started.
+    /// The operating system's error if a file cannot be written or the process cannot be started.
     pub fn start(folder: &Path, vm: &str, ports: Ports, settings: &str) -> std::io::Result<Self> {
         let path = folder.join(format!("{vm}.yaml"));
         std::fs::write(&path, settings)?;
@@ -78,23 +78,23 @@
         Ok(Self {
             child,
             ports,
-            agent: config.build().into(),
+            http_client: config.build().into(),
         })
     }
 
-    /// Returns where it listens.
+    /// Returns the addresses on which it listens.
     pub fn ports(&self) -> Ports {
         self.ports
     }
 
-    /// Waits until it is ready; tells whether it was in time and did not end before.
+    /// Waits until it is ready, and returns false if it was not in time or if it ended.
     pub fn wait_ready(&mut self, timeout: Duration) -> bool {
-        let until = Instant::now() + timeout;
-        while Instant::now() < until && !self.has_ended() {
+        let give_up_at = Instant::now() + timeout;
+        while Instant::now() < give_up_at && !self.has_ended() {
             if self.admin_page("ready").is_some() {
                 return true;
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
@@ -103,32 +103,31 @@
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Reads a page of its admin port; `None` where it does not answer 200.
+    /// Reads a page of its admin port, or returns `None` if the status is not 200.
     pub fn admin_page(&self, name: &str) -> Option<String> {
         let url = format!("http://{}/{name}", self.ports.admin);
-        let mut response = self.agent.get(url).call().ok()?;
+        let mut response = self.http_client.get(url).call().ok()?;
         let ok = response.status() == 200;
         ok.then(|| response.body_mut().read_to_string().ok())?
     }
 
-    /// Returns the generation in force, by its status page.
+    /// Returns the generation in force according to its status page.
     pub fn generation(&self) -> Option<u64> {
         let status: serde_json::Value = serde_json::from_str(&self.admin_page("status")?).ok()?;
         status.get("generation")?.as_u64()
     }
 
-    /// Returns the processor time that it used so far.
+    /// Returns the CPU time that it has used so far.
     pub fn cpu(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
         let stat = stat.unwrap_or_default();
-        // The fields after the name in brackets: state is the first, user and system time the
-        // 12th and 13th, in ticks of 10 ms.
+        // Of the fields after the name in parentheses, the 12th and 13th are user and system time, in ticks of 10 ms.
         let fields = stat.rsplit(") ").next().unwrap_or_default().split(' ');
         let ticks = fields
             .skip(11)
             .take(2)
             .filter_map(|field| field.parse::<u64>().ok());
-        Duration::from_millis(ticks.sum::<u64>() * TICK_MS)
+        Duration::from_millis(ticks.sum::<u64>() * CPU_TICK_MS)
     }
 
     /// Returns its resident memory in KB.
@@ -140,34 +139,34 @@
         number.unwrap_or_default()
     }
 
-    /// Pauses it.
+    /// Pauses it with SIGSTOP.
     pub fn pause(&self) {
         self.signal(SIGSTOP);
     }
 
-    /// Lets it go on after a pause.
+    /// Resumes it after a pause, with SIGCONT.
     pub fn resume(&self) {
         self.signal(SIGCONT);
     }
 
-    /// Asks it to stop as planned.
+    /// Asks it to shut down gracefully, with SIGTERM.
     pub fn terminate(&self) {
         self.signal(SIGTERM);
     }
 
-    /// Waits until it ended; `None` where it did not in time.
+    /// Waits until it has ended and returns its exit status, or `None` if it did not end in time.
     pub fn wait_ended(&mut self, timeout: Duration) -> Option<ExitStatus> {
-        let until = Instant::now() + timeout;
-        while Instant::now() < until {
+        let give_up_at = Instant::now() + timeout;
+        while Instant::now() < give_up_at {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status);
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         None
     }
 
-    /// Kills it.
+    /// Kills it and waits for its end.
     pub fn kill(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
@@ -186,7 +185,7 @@
     }
 }
 
-/// Finds the daemon's program beside this one, or one folder up for a test's program.
+/// Finds the daemon's executable next to this one, or one folder up if this is a test's executable.
 fn daemon_path() -> std::io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let folders = own.ancestors().skip(1).take(2);
--- a/crates/kingcuploft-standins/src/raw_caller.rs
+++ b/crates/kingcuploft-standins/src/raw_caller.rs
@@ -1,13 +1,13 @@
-//! A caller on one kept-alive connection and one thread, which adds as little as can be.
+//! A blocking HTTP caller on one keepalive connection, which adds as little latency of its own as possible.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a caller waits.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// How long a caller waits for bytes of an answer.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A caller.
+/// A caller with its own connection.
 #[derive(Debug)]
 pub struct RawCaller {
     to: SocketAddr,
@@ -16,7 +16,7 @@
 }
 
 impl RawCaller {
-    /// Builds a caller that connects with its first call.
+    /// Returns a caller that connects at its first call.
     pub fn new(to: SocketAddr) -> Self {
         Self {
             to,
@@ -25,8 +25,7 @@
         }
     }
 
-    /// Sends a request and reads its whole answer; returns the status, `None` where the answer
-    /// was not whole.
+    /// Sends a request, reads the complete answer and returns its status, or `None` if the answer was not complete.
     pub fn call(&mut self, request: &[u8]) -> Option<u16> {
         let called = self.exchange(request);
         if called.is_none() {
@@ -39,20 +38,20 @@
         if self.stream.is_none() {
             let stream = TcpStream::connect(self.to).ok()?;
             stream.set_nodelay(true).ok()?;
-            stream.set_read_timeout(Some(PATIENCE)).ok()?;
+            stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
             self.stream = Some(stream);
         }
         let stream = self.stream.as_mut()?;
         stream.write_all(request).ok()?;
-        let mut filled = 0;
+        let mut received_bytes = 0;
         loop {
-            let read = stream.read(&mut self.buffer[filled..]).ok()?;
+            let read = stream.read(&mut self.buffer[received_bytes..]).ok()?;
             if read == 0 {
                 return None;
             }
-            filled += read;
-            if let Some((status, length)) = answer(&self.buffer[..filled])
-                && filled >= length
+            received_bytes += read;
+            if let Some((status, length)) = parse_answer(&self.buffer[..received_bytes])
+                && received_bytes >= length
             {
                 return Some(status);
             }
@@ -60,8 +59,8 @@
     }
 }
 
-/// Returns an answer's status and whole length, once its head is there.
-fn answer(bytes: &[u8]) -> Option<(u16, usize)> {
+/// Returns an answer's status and total length, once its headers are complete.
+fn parse_answer(bytes: &[u8]) -> Option<(u16, usize)> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut answer = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(head) = answer.parse(bytes).ok()? else {
--- a/crates/kingcuploft-standins/src/tally.rs
+++ b/crates/kingcuploft-standins/src/tally.rs
@@ -1,4 +1,4 @@
-//! What callers received, counted.
+//! Counts and latency histograms of what callers received.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,49 +8,49 @@
 
 use crate::callers::CallResult;
 
-/// Counts and latencies of one run.
+/// The counts and latencies of one run.
 #[derive(Clone, Debug)]
 pub struct Tally {
     latency_us: Histogram<u64>,
     refusal_us: Histogram<u64>,
     /// Calls made.
     pub calls: u64,
-    /// Whole answers of backend servers with a status below 500.
+    /// Complete answers of backend servers with a status below 500.
     pub answered: u64,
-    /// Answers that came after the deadline.
+    /// Those of `answered` that came after the deadline.
     pub late: u64,
-    /// Answers of backend servers with status 500 or above.
+    /// Complete answers of backend servers with a status of 500 or above.
     pub failed: u64,
-    /// Calls without a whole answer.
+    /// Calls without a complete answer.
     pub nothing: u64,
-    /// Refusals by reason.
+    /// Refusals by the load balancer, by reason.
     pub refused: BTreeMap<String, u64>,
 }
 
-/// A tally's figures, in ms.
+/// A tally's counts and latency percentiles, as they are reported.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
     /// Calls made.
     pub calls: u64,
-    /// Whole answers.
+    /// Complete answers with a status below 500.
     pub answered: u64,
-    /// Answers after their deadline.
+    /// Those of `answered` that came after the deadline.
     pub late_answers: u64,
     /// Refusals of all reasons.
     pub refused: u64,
     /// Refusals by reason.
     pub refused_by_reason: BTreeMap<String, u64>,
-    /// Failed answers of backend servers.
+    /// Complete answers of backend servers with a status of 500 or above.
     pub failed: u64,
-    /// Calls without a whole answer.
+    /// Calls without a complete answer.
     pub nothing: u64,
-    /// Median latency of answers.
+    /// The median latency of the answers in `answered`.
     pub p50_ms: f64,
-    /// 99th percentile of answers.
+    /// The 99th percentile of their latency.
     pub p99_ms: f64,
-    /// 99.9th percentile of answers.
+    /// The 99.9th percentile of their latency.
     pub p999_ms: f64,
-    /// 99th percentile of the time to a refusal.
+    /// The 99th percentile of the time to a refusal.
     pub refusal_p99_ms: f64,
 }
 
@@ -89,11 +89,11 @@
         }
     }
 
-    /// Adds another tally.
+    /// Adds the counts and latencies of another tally.
     ///
     /// # Panics
     ///
-    /// Never: all histograms are built alike.
+    /// Never, because all histograms have the same bounds.
     pub fn merge(&mut self, other: &Self) {
         self.latency_us
             .add(&other.latency_us)
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Returns the latency of answers at a quantile, in ms.
+    /// Returns the latency of the answers in `answered` at a quantile, in ms.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
-        ms(&self.latency_us, quantile)
+        histogram_quantile_ms(&self.latency_us, quantile)
     }
 
-    /// Returns the figures.
+    /// Returns the counts and percentiles.
     pub fn figures(&self) -> Figures {
         Figures {
             calls: self.calls,
@@ -129,7 +129,7 @@
             p50_ms: self.quantile_ms(0.5),
             p99_ms: self.quantile_ms(0.99),
             p999_ms: self.quantile_ms(0.999),
-            refusal_p99_ms: ms(&self.refusal_us, 0.99),
+            refusal_p99_ms: histogram_quantile_ms(&self.refusal_us, 0.99),
         }
     }
 }
@@ -138,6 +138,6 @@
     Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds that fit")
 }
 
-fn ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
+fn histogram_quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1000.0
 }
--- a/crates/kingcuploft-standins/src/traffic.rs
+++ b/crates/kingcuploft-standins/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The mixed traffic of a deployment: lookups and protected actions of all services.
+//! Generates the mixed traffic of a deployment: lookups of all services, and protected actions, some of them sent twice.
 
 use std::time::Duration;
 
@@ -9,31 +9,31 @@
 use crate::deployment::Deployment;
 use crate::load::{self, ScheduledCall};
 
-/// One in this many calls to a service with protected actions is one of them.
-const ACTION_EVERY: usize = 10;
+/// One call in this many is a protected action if it goes to the first service.
+const CALLS_PER_ACTION: usize = 10;
 
-/// One in this many protected actions is sent again under the same key through another VM.
-const RESENT_EVERY: usize = 4;
+/// One protected action in this many is sent again with the same idempotency key, through any VM.
+const ACTIONS_PER_RESEND: usize = 4;
 
-/// How long after the first a protected action is sent again.
-const RESENT_AFTER: Duration = Duration::from_millis(300);
+/// How long after the first send a protected action is sent again.
+const RESEND_DELAY: Duration = Duration::from_millis(300);
 
 /// The deadline of every call.
 const DEADLINE: Duration = Duration::from_secs(2);
 
-/// The names of the callers.
-const CALLERS: [&str; 4] = ["coach", "manager", "office", "desk"];
+/// The names of the callers, sent as `x-caller`.
+const CALLER_NAMES: [&str; 4] = ["coach", "manager", "office", "desk"];
 
 /// The mixed traffic and the idempotency keys in it.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// The calls, by when they are due.
+    /// The calls, sorted by due time.
     pub calls: Vec<ScheduledCall>,
-    /// The idempotency keys.
+    /// The idempotency keys of the protected actions.
     pub keys: Vec<String>,
 }
 
-/// Draws traffic for a time.
+/// Draws the traffic for a time.
 pub fn mixed(deployment: &Deployment, per_second: f64, time: Duration, seed: u64) -> Traffic {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut traffic = Traffic::default();
@@ -43,16 +43,16 @@
     {
         let group = rng.usize(..deployment.services.len());
         let host = format!("{}.example", deployment.services[group].name);
-        let caller = CALLERS[rng.usize(..CALLERS.len())];
+        let caller = CALLER_NAMES[rng.usize(..CALLER_NAMES.len())];
         let mut call = lookup(at, rng.usize(..), host, caller, group, i);
-        if group == 0 && i % ACTION_EVERY == 0 {
+        if group == 0 && i % CALLS_PER_ACTION == 0 {
             let key = format!("{seed}-{i}");
             call.plan.method = Method::POST;
             call.plan.path = format!("{}/{i}", protected_path(deployment));
             call.plan.headers.push(("idempotency-key", key.clone()));
             call.plan.body = Bytes::from(format!("action {i}"));
-            if traffic.keys.len().is_multiple_of(RESENT_EVERY) {
-                traffic.calls.push(resent(&call, &mut rng));
+            if traffic.keys.len().is_multiple_of(ACTIONS_PER_RESEND) {
+                traffic.calls.push(resend(&call, &mut rng));
             }
             traffic.keys.push(key);
         }
@@ -85,11 +85,11 @@
     }
 }
 
-fn resent(call: &ScheduledCall, rng: &mut fastrand::Rng) -> ScheduledCall {
-    let mut again = call.clone();
-    again.at += RESENT_AFTER;
-    again.address_index = rng.usize(..);
-    again
+fn resend(call: &ScheduledCall, rng: &mut fastrand::Rng) -> ScheduledCall {
+    let mut resent = call.clone();
+    resent.at += RESEND_DELAY;
+    resent.address_index = rng.usize(..);
+    resent
 }
 
 /// Returns the path of the protected actions of a deployment's first service.
