--- a/crates/kingcuploft-standins/src/backend_server/answer.rs
+++ b/crates/kingcuploft-standins/src/backend_server/answer.rs
@@ -1,4 +1,4 @@
-//! Answers on the wire, whole or faulty.
+//! Encodes answers as HTTP/1.1 and writes them, complete or with a fault.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use super::faults::{AnswerFault, LoadReporting};
 use super::state::State;
 
-/// Longer answers are not remembered for those that cross.
+/// The size limit of the answers that are remembered for [`AnswerFault::Crossed`].
 const MAX_REMEMBERED_BYTES: usize = 256;
 
-/// An answer before faults.
+/// An answer before any fault is applied.
 #[derive(Debug)]
 pub(super) struct Answer {
     status: u16,
@@ -35,15 +35,15 @@
     }
 }
 
-/// Whether the connection goes on after an answer.
+/// What happens to the connection after an answer.
 pub(super) enum AfterAnswer {
-    /// Another request may come.
+    /// It is kept for further requests.
     KeepAlive,
-    /// The connection ends.
+    /// It is closed.
     Close,
 }
 
-/// Returns the load that the server tells, where it tells any.
+/// Returns the load that the server reports, if any, given its true load.
 pub(super) fn reported_load(state: &State, truth: u32) -> Option<u32> {
     match state.faults.borrow().load {
         LoadReporting::Truthful => Some(truth),
@@ -52,7 +52,7 @@
     }
 }
 
-/// Writes an answer as the fault wants it.
+/// Writes an answer, with the fault applied.
 pub(super) async fn write(
     state: &State,
     stream: &mut TcpStream,
@@ -60,9 +60,9 @@
     answer: Answer,
     fault: Option<AnswerFault>,
 ) -> AfterAnswer {
-    let wire = EncodedAnswer::new(state, request, answer, fault);
-    let whole = wire.bytes();
-    let head = wire.head.len();
+    let encoded = EncodedAnswer::new(state, request, answer, fault);
+    let whole = encoded.bytes();
+    let head = encoded.head.len();
     let (bytes, next) = match fault {
         Some(AnswerFault::Late(late)) => {
             tokio::time::sleep(late).await;
@@ -83,8 +83,8 @@
         ),
         Some(AnswerFault::Dripped(pause)) => return drip(stream, &whole, pause).await,
         Some(AnswerFault::Duplicated) => {
-            let twice = [&whole[..], &whole[..]].concat();
-            return match connection::write(stream, &twice).await {
+            let two_copies = [&whole[..], &whole[..]].concat();
+            return match connection::write(stream, &two_copies).await {
                 true => AfterAnswer::KeepAlive,
                 false => AfterAnswer::Close,
             };
@@ -103,6 +103,7 @@
     }
 }
 
+/// Writes bytes one by one, with a pause after each.
 async fn drip(stream: &mut TcpStream, bytes: &[u8], pause: Duration) -> AfterAnswer {
     for byte in bytes.chunks(1) {
         if !connection::write(stream, byte).await {
@@ -113,7 +114,7 @@
     AfterAnswer::KeepAlive
 }
 
-/// An answer's head and body as they go out.
+/// The head and body of an answer as sent.
 struct EncodedAnswer {
     head: Vec<u8>,
     body: Bytes,
@@ -157,7 +158,7 @@
     }
 }
 
-/// Adds what the server tells about itself.
+/// Adds the load and drain headers that the server reports.
 fn with_signals(state: &State, answer: Answer) -> Answer {
     let answer = match reported_load(state, state.load.now()) {
         Some(load) => answer.header("x-load-in-flight", load.to_string()),
@@ -169,7 +170,7 @@
     }
 }
 
-/// Adds the request's id, or puts other content in as the fault wants it.
+/// Adds the id of the request, or replaces the content as the fault requires.
 fn with_content(
     state: &State,
     request: &Request,
@@ -212,7 +213,7 @@
     }
 }
 
-/// Puts a body into one chunk and the last one.
+/// Encodes a body as one chunk and the final empty one.
 fn chunk(body: &[u8]) -> Bytes {
     let size = format!("{:x}\r\n", body.len());
     [size.as_bytes(), body, b"\r\n0\r\n\r\n"].concat().into()
--- a/crates/kingcuploft-standins/src/backend_server/connection.rs
+++ b/crates/kingcuploft-standins/src/backend_server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: requests in, answers out, one after the other.
+//! Serves one connection: reads requests and writes answers, one after the other.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use super::state::{RequestDraws, State};
 use crate::precise_sleep;
 
-/// The most headers of a request.
+/// The maximum number of headers of a request.
 const MAX_HEADERS: usize = 96;
 
-/// A request whose body was read.
+/// The head of a request.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) method: String,
@@ -42,22 +42,22 @@
     let mut buffer = BytesMut::new();
     while let Some(request) = read_head(&mut stream, &mut buffer).await {
         state.count(|counts| counts.requests += 1);
-        let drawn = state.draw();
-        let fault = state.faults.borrow().pick_answer_fault(drawn.answer);
+        let draws = state.draw();
+        let fault = state.faults.borrow().pick_answer_fault(draws.answer);
         let whole = fault != Some(AnswerFault::CutRequest);
         let bytes = if whole {
             request.length
         } else {
             request.length / 2
         };
-        if !read_to(&mut stream, &mut buffer, bytes).await || !whole {
+        if !read_until_length(&mut stream, &mut buffer, bytes).await || !whole {
             return;
         }
         drop(buffer.split_to(request.length));
         let answer = tokio::select! {
             biased;
-            answer = respond_over_link(state, &request, &drawn) => answer,
-            () = closed(&mut stream, &mut buffer) => {
+            answer = respond_with_link_delay(state, &request, &draws) => answer,
+            () = wait_until_closed(&mut stream, &mut buffer) => {
                 state.count(|counts| counts.cancelled += 1);
                 return;
             }
@@ -69,11 +69,12 @@
     }
 }
 
-/// Waits until the other side closes; that cancels the request.
-async fn closed(stream: &mut TcpStream, buffer: &mut BytesMut) {
+/// Waits until the peer closes the connection, which cancels the request; bytes that arrive are kept in the buffer.
+async fn wait_until_closed(stream: &mut TcpStream, buffer: &mut BytesMut) {
     while stream.read_buf(buffer).await.is_ok_and(|read| read > 0) {}
 }
 
+/// Reads a head; `None` if the connection ends or what arrives is not HTTP.
 async fn read_head(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<Request> {
     loop {
         if let Some((request, length)) = parse(buffer)? {
@@ -86,7 +87,7 @@
     }
 }
 
-/// Parses a head: `None` where it is not HTTP, `Some(None)` where more bytes are needed.
+/// Parses a head and returns it with its length: `None` if it is not HTTP, `Some(None)` if more bytes are needed.
 fn parse(buffer: &[u8]) -> Option<Option<(Request, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -110,7 +111,8 @@
     Some(Some((request, length)))
 }
 
-async fn read_to(stream: &mut TcpStream, buffer: &mut BytesMut, bytes: usize) -> bool {
+/// Reads until the buffer holds so many bytes; returns whether it does.
+async fn read_until_length(stream: &mut TcpStream, buffer: &mut BytesMut, bytes: usize) -> bool {
     while buffer.len() < bytes {
         match stream.read_buf(buffer).await {
             Ok(0) | Err(_) => return false,
@@ -120,27 +122,28 @@
     true
 }
 
-/// Works on a request after the link's delay and lets the answer pass it too.
-async fn respond_over_link(state: &State, request: &Request, drawn: &RequestDraws) -> Answer {
-    pass_link(state).await;
-    let answer = respond(state, request, drawn).await;
-    pass_link(state).await;
+/// Answers a request, with the link delay before and after the work.
+async fn respond_with_link_delay(state: &State, request: &Request, draws: &RequestDraws) -> Answer {
+    wait_link_delay(state).await;
+    let answer = respond(state, request, draws).await;
+    wait_link_delay(state).await;
     answer
 }
 
-async fn pass_link(state: &State) {
+/// Waits for the one-way delay of the link.
+async fn wait_link_delay(state: &State) {
     if !state.work.link_delay.is_zero() {
         precise_sleep::sleep(state.work.link_delay).await;
     }
 }
 
-/// Works on a request.
-async fn respond(state: &State, request: &Request, drawn: &RequestDraws) -> Answer {
+/// Answers a probe or runs a request.
+async fn respond(state: &State, request: &Request, draws: &RequestDraws) -> Answer {
     let path = request.path.split('?').next().unwrap_or_default();
     match path {
         "/health" => health(state),
         "/load" => probe(state).await,
-        _ => work(state, request, drawn).await,
+        _ => work(state, request, draws).await,
     }
 }
 
@@ -152,7 +155,7 @@
     }
 }
 
-/// Tells the load as it was some time ago; the probe itself occupies a slot.
+/// Answers a probe with the load as it was `load_lag` ago; the probe occupies a slot for `probe_cost`.
 async fn probe(state: &State) -> Answer {
     state.count(|counts| counts.probes += 1);
     let _in_flight = state.load.enter();
@@ -160,17 +163,18 @@
     precise_sleep::sleep(state.work.probe_cost).await;
     drop(slot);
     state.count(|counts| counts.probe_us += state.work.probe_cost.as_micros() as u64);
-    let told = answer::reported_load(state, state.load.delayed());
-    let body = told.map_or("{}\n".into(), |n| format!("{{\"in_flight\":{n}}}\n"));
+    let load = answer::reported_load(state, state.load.delayed());
+    let body = load.map_or("{}\n".into(), |n| format!("{{\"in_flight\":{n}}}\n"));
     Answer::new(200, body)
 }
 
-async fn work(state: &State, request: &Request, drawn: &RequestDraws) -> Answer {
+/// Fails, sheds or runs a request.
+async fn work(state: &State, request: &Request, draws: &RequestDraws) -> Answer {
     let (shed, fail) = {
         let faults = state.faults.borrow();
         let full = faults.shed_at.is_some_and(|at| state.load.now() >= at);
-        let shed = full || drawn.shed < faults.shed_share;
-        (shed, drawn.fail < faults.fail_fast_share)
+        let shed = full || draws.shed < faults.shed_share;
+        (shed, draws.fail < faults.fail_fast_share)
     };
     if fail {
         state.count(|counts| counts.failed_fast += 1);
@@ -185,16 +189,17 @@
         .and_then(|ms| ms.parse().ok());
     let deadline = deadline.map(|ms| Instant::now() + Duration::from_millis(ms));
     let in_flight = state.load.enter();
-    let answer = run(state, request, drawn, deadline).await;
+    let answer = run(state, request, draws, deadline).await;
     drop(in_flight);
     answer
 }
 
-/// Waits for a slot and works, until the deadline at most.
+/// Waits for a slot and works, at most until the deadline. A request whose deadline passes in the queue has not run; one
+/// whose deadline passes during the work has.
 async fn run(
     state: &State,
     request: &Request,
-    drawn: &RequestDraws,
+    draws: &RequestDraws,
     deadline: Option<Instant>,
 ) -> Answer {
     let expired = || state.count(|counts| counts.expired += 1);
@@ -206,15 +211,15 @@
         request.header("idempotency-key"),
         request.header("x-call-id"),
     );
-    let asked = request.header("x-work-us").and_then(|us| us.parse().ok());
-    let time = state.scale_work_time(asked.map_or(drawn.time, Duration::from_micros));
-    let began = Instant::now();
+    let requested = request.header("x-work-us").and_then(|us| us.parse().ok());
+    let time = state.scale_work_time(requested.map_or(draws.work_time, Duration::from_micros));
+    let started_at = Instant::now();
     let done = match time.is_zero() {
         true => Ok(()),
         false => run_until_deadline(deadline, precise_sleep::sleep(time)).await,
     };
     drop(slot);
-    state.count(|counts| counts.work_us += began.elapsed().as_micros() as u64);
+    state.count(|counts| counts.work_us += started_at.elapsed().as_micros() as u64);
     if done.is_err() {
         expired();
         return Answer::new(504, "the deadline passed\n");
@@ -232,6 +237,7 @@
     }
 }
 
+/// Runs a future until its end or the deadline, if there is one.
 async fn run_until_deadline<T>(
     deadline: Option<Instant>,
     work: impl Future<Output = T>,
@@ -242,7 +248,7 @@
     }
 }
 
-/// Writes bytes; tells whether the connection still stands.
+/// Writes bytes and returns whether that succeeded.
 pub(super) async fn write(stream: &mut TcpStream, bytes: &[u8]) -> bool {
     stream.write_all(bytes).await.is_ok()
 }
--- a/crates/kingcuploft-standins/src/backend_server/faults.rs
+++ b/crates/kingcuploft-standins/src/backend_server/faults.rs
@@ -1,29 +1,29 @@
-//! What goes wrong at a backend server; a test may change it while the server runs.
+//! The faults of a backend server; a test can change them while the server runs.
 
 use std::time::Duration;
 
 /// The faults of a backend server.
 #[derive(Clone, Debug)]
 pub struct Faults {
-    /// The factor of every work time.
+    /// The factor by which every work time is multiplied.
     pub slow_factor: f64,
-    /// Slow spells by schedule.
+    /// Periodic slow spells, if any.
     pub slow_spells: Option<SlowSpells>,
-    /// What the load header and `/load` tell.
+    /// What the load header and `/load` report.
     pub load: LoadReporting,
-    /// What `/health` tells.
+    /// Whether `/health` reports the server as healthy.
     pub healthy: bool,
-    /// Whether replies carry the drain header.
+    /// Whether answers carry the drain header.
     pub draining: bool,
-    /// The number in flight at which requests are shed: 503 with `x-not-run`.
+    /// The number of requests in flight from which on a new one is shed: 503 with `x-not-run`.
     pub shed_at: Option<u32>,
-    /// The share of requests shed at any load.
+    /// The share of the requests that are shed at any load.
     pub shed_share: f64,
-    /// The share of requests that fail at once with 500, without having run.
+    /// The share of the requests that fail at once with 500, without having run.
     pub fail_fast_share: f64,
-    /// Whether connections are refused: the port is closed.
+    /// Whether connections are refused because the port is closed.
     pub refuse_connections: bool,
-    /// Faulty answers, each with the share of requests it befalls.
+    /// The faults of answers, each with the share of the requests that have it.
     pub answers: Vec<(AnswerFault, f64)>,
 }
 
@@ -45,12 +45,12 @@
 }
 
 impl Faults {
-    /// Makes one fault befall every answer.
+    /// Gives every answer this fault.
     pub fn set_answer_fault(&mut self, fault: AnswerFault) {
         self.answers = vec![(fault, 1.0)];
     }
 
-    /// Returns the fault that a draw between 0 and 1 falls on.
+    /// Returns the answer fault for a draw in `0.0..1.0`, if any.
     pub(super) fn pick_answer_fault(&self, draw: f64) -> Option<AnswerFault> {
         let mut sum = 0.0;
         let fault = self.answers.iter().find(|(_, share)| {
@@ -60,7 +60,7 @@
         fault.map(|(fault, _)| *fault)
     }
 
-    /// Returns the factor of work times at a time since the start.
+    /// Returns the factor of work times at this time since the start.
     pub(super) fn factor_at(&self, since_start: Duration) -> f64 {
         let spells = self.slow_spells.as_ref();
         let spell = spells.filter(|spells| spells.slow_at(since_start));
@@ -68,16 +68,16 @@
     }
 }
 
-/// Slow spells that come again and again.
+/// Periodic slow spells.
 #[derive(Clone, Debug)]
 pub struct SlowSpells {
-    /// The time from the start until the first one.
+    /// The time from the start of the server until the first spell.
     pub first: Duration,
-    /// The time from the beginning of one to the beginning of the next.
+    /// The time from the start of one spell to the start of the next.
     pub every: Duration,
-    /// How long each lasts.
+    /// The duration of each spell.
     pub lasts: Duration,
-    /// The factor of work times within one.
+    /// The factor of work times during a spell.
     pub factor: f64,
 }
 
@@ -91,48 +91,48 @@
     }
 }
 
-/// What a backend server tells about its load.
+/// What a backend server reports as its load.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LoadReporting {
-    /// The truth.
+    /// Its true load.
     Truthful,
-    /// Always this figure: frozen where it was true once, misleading where it never was.
+    /// Always this number: a frozen value if it was true once, a misleading one if it never was.
     Always(u32),
-    /// Nothing.
+    /// No load.
     Silent,
 }
 
-/// How an answer goes wrong after the request ran.
+/// A fault of an answer. The request has run unless stated otherwise.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AnswerFault {
-    /// The connection closes when half of the request's body was read; the request does not run.
+    /// The connection closes after half of the request's body was read; the request does not run.
     CutRequest,
-    /// The answer comes this much later than the work ended.
+    /// The answer is sent this long after the end of the work.
     Late(Duration),
-    /// No answer comes, and the connection stays open.
+    /// No answer is sent, and the connection stays open.
     Never,
-    /// Another request's answer comes, with its id.
+    /// The answer of another request is sent, with that request's id.
     Crossed,
-    /// The connection closes before any byte.
+    /// The connection closes before any byte of the answer.
     CutBeforeHead,
     /// The connection closes in the middle of the head.
     CutInHead,
     /// The connection closes in the middle of the body.
     CutInBody,
-    /// The answer comes twice.
+    /// The answer is sent twice.
     Duplicated,
-    /// The answer comes byte by byte with this pause.
+    /// The answer is sent byte by byte, with this pause after each.
     Dripped(Duration),
     /// The body has this many bytes.
     Oversized(usize),
-    /// The body has neither a length nor chunks; only the connection's end ends it.
+    /// The body has neither a length nor chunks; it ends when the connection closes.
     NoLength,
-    /// The body comes in chunks and the last one is missing.
+    /// The body is chunked, and the final empty chunk is missing.
     CutInChunks,
-    /// The body comes in chunks, whole.
+    /// The body is chunked and complete.
     Chunked,
-    /// What comes is not HTTP.
+    /// The bytes sent are not HTTP.
     Garbage,
-    /// The answer is a redirect with a cookie and says that its body is compressed.
+    /// The answer is a redirect with a cookie and a header that claims a compressed body.
     Redirect,
 }
--- a/crates/kingcuploft-standins/src/backend_server/listener.rs
+++ b/crates/kingcuploft-standins/src/backend_server/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, up to the limit and unless they are refused.
+//! Accepts connections up to the limit, and closes the port while the faults refuse connections.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use super::connection;
 use super::state::State;
 
-/// Accepts connections until the server ends.
+/// Accepts connections until the server stops.
 pub(super) async fn accept(state: Arc<State>, listener: TcpListener) {
     let Ok(address) = listener.local_addr() else {
         return;
@@ -42,6 +42,7 @@
     }
 }
 
+/// Serves a connection in a task of its own; beyond the limit of open connections, closes it at once.
 fn serve_connection(state: &Arc<State>, stream: TcpStream) {
     let limit = state.work.connections as u64;
     let full = state.counts().open_connections >= limit;
--- a/crates/kingcuploft-standins/src/backend_server/load.rs
+++ b/crates/kingcuploft-standins/src/backend_server/load.rs
@@ -1,10 +1,10 @@
-//! The load of a backend server, now and as its lagging endpoint tells it.
+//! The load of a backend server, current and as its delayed `/load` endpoint reports it.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Requests that occupy or wait for a slot.
+/// Counts the requests that occupy or wait for a slot.
 #[derive(Debug)]
 pub(super) struct Load {
     lag: Duration,
@@ -14,11 +14,11 @@
 #[derive(Debug)]
 struct LoadState {
     in_flight: u32,
-    /// Changes younger than the lag, and the last one older than it.
+    /// The changes within the last `lag`, after the newest one before that.
     changes: VecDeque<(Instant, u32)>,
 }
 
-/// One request in flight, until dropped.
+/// A request in flight; it ends when dropped.
 #[derive(Debug)]
 pub(super) struct InFlight<'a>(&'a Load);
 
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Returns the load now.
+    /// Returns the current load.
     pub(super) fn now(&self) -> u32 {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.in_flight
     }
 
-    /// Returns the load as it was the lag ago.
+    /// Returns the load as it was `lag` ago.
     pub(super) fn delayed(&self) -> u32 {
         self.change(|in_flight| in_flight);
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -53,12 +53,13 @@
         oldest.map_or(0, |(_, in_flight)| *in_flight)
     }
 
-    /// Counts one more in flight.
+    /// Counts one more request in flight until the result is dropped.
     pub(super) fn enter(&self) -> InFlight<'_> {
         self.change(|in_flight| in_flight + 1);
         InFlight(self)
     }
 
+    /// Changes the load, and drops changes that are no longer needed for the delayed one.
     fn change(&self, change: impl FnOnce(u32) -> u32) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
--- a/crates/kingcuploft-standins/src/backend_server/mod.rs
+++ b/crates/kingcuploft-standins/src/backend_server/mod.rs
@@ -1,4 +1,4 @@
-//! A backend server with slots, a work time, faults and a count of runs per idempotency key.
+//! A backend server for tests and experiments, with slots, work times, faults and a count of runs per idempotency key.
 //!
 //! It speaks HTTP/1.1 on raw connections, so that a fault can end an answer at any byte.
 
@@ -23,7 +23,7 @@
 
 use state::State;
 
-/// A running backend server stand-in; it ends when dropped.
+/// A running backend server; it stops when dropped.
 #[derive(Debug)]
 pub struct BackendServer {
     state: Arc<State>,
@@ -32,11 +32,11 @@
 }
 
 impl BackendServer {
-    /// Starts a backend server.
+    /// Starts a backend server on a free port of the loopback address.
     ///
     /// # Errors
     ///
-    /// The system's error where no port is to be had.
+    /// Returns the operating system's error if no port can be opened.
     pub fn start(runtime: &Runtime, work: Work) -> std::io::Result<Self> {
         let listener = runtime.block_on(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))?;
         let address = listener.local_addr()?;
@@ -49,17 +49,17 @@
         })
     }
 
-    /// Returns where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how often the request with this idempotency key ran: its work began.
+    /// Returns how often work for this idempotency key began.
     pub fn runs(&self, key: &str) -> u64 {
         self.state.runs(key)
     }
 
-    /// Returns how often the call with this `x-call-id` ran.
+    /// Returns how often work for the call with this `x-call-id` began.
     pub fn call_runs(&self, call: &str) -> u64 {
         self.state.call_runs(call)
     }
@@ -74,12 +74,12 @@
         self.state.faults.send_modify(change);
     }
 
-    /// Returns how many requests occupy or wait for a slot, probes included.
+    /// Returns the number of requests that occupy or wait for a slot, probes included.
     pub fn in_flight(&self) -> u32 {
         self.state.load.now()
     }
 
-    /// Begins the cold start anew, as after a replacement.
+    /// Restarts the cold start, as if the server had been replaced.
     pub fn restart(&self) {
         self.state.restart();
     }
--- a/crates/kingcuploft-standins/src/backend_server/state.rs
+++ b/crates/kingcuploft-standins/src/backend_server/state.rs
@@ -1,4 +1,4 @@
-//! What the connections of one backend server share.
+//! The state that the connections of one backend server share: faults, load, counts and random draws.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -10,30 +10,30 @@
 use super::load::Load;
 use super::work::Work;
 
-/// What a backend server counted.
+/// The counts of a backend server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
-    /// Connections accepted, those closed at the limit included.
+    /// Connections accepted, including those closed at the limit.
     pub connections: u64,
-    /// Connections open now.
+    /// Connections that are open now.
     pub open_connections: u64,
-    /// The most connections open at once.
+    /// The maximum number of connections open at once.
     pub peak_connections: u64,
-    /// Connections closed at the limit.
+    /// Connections closed because the limit was reached.
     pub refused_connections: u64,
-    /// Requests whose head was read, probes included.
+    /// Requests whose head was read, including probes.
     pub requests: u64,
     /// Requests whose work began.
     pub runs: u64,
     /// Probes of `/load` and `/health`.
     pub probes: u64,
-    /// Requests shed.
+    /// Requests that were shed.
     pub shed: u64,
-    /// Requests that failed at once.
+    /// Requests that failed at once with status 500.
     pub failed_fast: u64,
-    /// Requests cancelled by closing.
+    /// Requests cancelled because the peer closed the connection.
     pub cancelled: u64,
-    /// Requests whose deadline passed here.
+    /// Requests whose deadline passed in the queue or during the work.
     pub expired: u64,
     /// Work time used by requests, in µs.
     pub work_us: u64,
@@ -41,11 +41,12 @@
     pub probe_us: u64,
 }
 
-/// What the connections share.
+/// The state that the connections share.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) work: Work,
     pub(super) faults: watch::Sender<Faults>,
+    /// Changes when all open connections have to close.
     pub(super) closing: watch::Sender<u64>,
     pub(super) slots: Semaphore,
     pub(super) load: Load,
@@ -62,17 +63,17 @@
     last_answer: Option<(String, String)>,
 }
 
-/// What was drawn for one request.
+/// The random draws for one request.
 #[derive(Debug)]
 pub(super) struct RequestDraws {
-    /// Picks the faulty answer.
+    /// Picks the answer fault, if any.
     pub(super) answer: f64,
-    /// Picks the requests that are shed.
+    /// Decides whether the request is shed.
     pub(super) shed: f64,
-    /// Picks the requests that fail at once.
+    /// Decides whether the request fails at once.
     pub(super) fail: f64,
     /// The work time without faults.
-    pub(super) time: Duration,
+    pub(super) work_time: Duration,
 }
 
 impl State {
@@ -114,26 +115,26 @@
         self.lock().started = Instant::now();
     }
 
-    /// Draws what befalls a request; every request draws alike, so that faults switched on or
-    /// off do not change the draws of others.
+    /// Makes the draws for a request. Every request makes the same draws, so that switching a fault on or off does not
+    /// change the draws of other requests.
     pub(super) fn draw(&self) -> RequestDraws {
         let mut inner = self.lock();
         RequestDraws {
             answer: inner.rng.f64(),
             shed: inner.rng.f64(),
             fail: inner.rng.f64(),
-            time: self.work.draw(&mut inner.rng),
+            work_time: self.work.draw(&mut inner.rng),
         }
     }
 
-    /// Returns the work time with the slowness of this moment.
+    /// Multiplies a work time by the current factors of the cold start and the faults.
     pub(super) fn scale_work_time(&self, time: Duration) -> Duration {
         let age = self.lock().started.elapsed();
         let factor = self.work.cold_factor_at(age) * self.faults.borrow().factor_at(age);
         time.mul_f64(factor)
     }
 
-    /// Counts a run, for its idempotency key and for the one call: the work begins.
+    /// Counts a request whose work begins, by its idempotency key and its call id.
     pub(super) fn record_run(&self, key: Option<&str>, call: Option<&str>) {
         let mut inner = self.lock();
         inner.counts.runs += 1;
@@ -149,12 +150,12 @@
         self.lock().call_runs.get(call).copied().unwrap_or_default()
     }
 
-    /// Remembers an answer, for those that cross.
+    /// Remembers the last answer and its request id, for [`AnswerFault::Crossed`](super::faults::AnswerFault::Crossed).
     pub(super) fn remember(&self, id: &str, body: &str) {
         self.lock().last_answer = Some((id.into(), body.into()));
     }
 
-    /// Returns an earlier answer with its id.
+    /// Returns the request id and the body of the last answer, or made-up ones if there is none.
     pub(super) fn last_answer(&self) -> (String, String) {
         let last = self.lock().last_answer.clone();
         last.unwrap_or_else(|| ("another-1".into(), "GET /another\n".into()))
--- a/crates/kingcuploft-standins/src/backend_server/work.rs
+++ b/crates/kingcuploft-standins/src/backend_server/work.rs
@@ -1,33 +1,33 @@
-//! How long work takes.
+//! The capacity and work times of a backend server.
 
 use std::time::Duration;
 
-/// How a backend server works.
+/// The slots, work times, delays and connection limit of a backend server.
 #[derive(Clone, Debug)]
 pub struct Work {
-    /// How many requests it works on at once.
+    /// The number of requests that run at once.
     pub slots: usize,
-    /// The mean of the work time; the times are exponential.
+    /// The mean of the exponential work times.
     pub mean: Duration,
-    /// The seed of everything that is drawn.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// The share of long jobs.
+    /// The share of the requests that are long jobs.
     pub long_share: f64,
-    /// The mean of a long job's work time.
+    /// The mean of the exponential work times of long jobs.
     pub long_mean: Duration,
-    /// The delay of the link to the entry VMs, one way.
+    /// The one-way delay of the link to the entry VMs.
     pub link_delay: Duration,
-    /// How many connections it keeps open at once; more are closed at once.
+    /// The maximum number of open connections; further ones are closed immediately.
     pub connections: usize,
     /// The time until a new connection's first request is read.
     pub connect_cost: Duration,
     /// The time for which a probe of `/load` occupies a slot.
     pub probe_cost: Duration,
-    /// How old the load is that `/load` tells.
+    /// The age of the load that `/load` reports.
     pub load_lag: Duration,
-    /// How long after its start the server is slower than usual.
+    /// The duration of the cold start, during which work takes longer.
     pub cold_start: Duration,
-    /// The factor of the work time just after the start; it falls to 1 over the cold start.
+    /// The factor of the work time at the start; it falls linearly to 1 over the cold start.
     pub cold_factor: f64,
 }
 
@@ -59,12 +59,12 @@
         mean.mul_f64(-uniform.ln())
     }
 
-    /// Returns the factor of the work time at an age.
+    /// Returns the factor of the work time at this time since the start.
     pub(super) fn cold_factor_at(&self, age: Duration) -> f64 {
         if age >= self.cold_start {
             return 1.0;
         }
-        let left = 1.0 - age.as_secs_f64() / self.cold_start.as_secs_f64();
-        1.0 + (self.cold_factor - 1.0) * left
+        let remaining = 1.0 - age.as_secs_f64() / self.cold_start.as_secs_f64();
+        1.0 + (self.cold_factor - 1.0) * remaining
     }
 }
--- a/crates/kingcuploft-standins/src/platform/faults.rs
+++ b/crates/kingcuploft-standins/src/platform/faults.rs
@@ -1,62 +1,62 @@
-//! The faults of the platform stand-in, scripted by a test or drawn from a seed.
+//! The faults of the simulated platform store, scripted by a test or drawn from a seed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How an outage shows.
+/// What callers see during an outage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outage {
     /// Each call is answered 503.
     Unavailable,
     /// Each connection is closed without an answer.
     Closed,
-    /// No call is ever answered.
+    /// No call is answered.
     Silence,
 }
 
-/// What happens to one write.
+/// A fault of one write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteFault {
-    /// It takes effect and its answer is lost.
+    /// The write takes effect and its answer is lost.
     LostAnswer,
-    /// It does not take effect and its connection is closed.
+    /// The write does not take effect and its connection is closed.
     LostRequest,
-    /// It is applied after this time; its connection is closed at once.
+    /// The write is applied after this time, and its connection is closed at once.
     Delayed(Duration),
-    /// It waits for this time before it is applied and answered.
+    /// The write is applied and answered after this time.
     Slow(Duration),
 }
 
-/// The faults in force; a test replaces them while it runs.
+/// The current faults; a test can replace them at any time.
 #[derive(Clone, Debug)]
 pub struct Faults {
     /// An outage of the object API and the VM list.
     pub outage: Option<Outage>,
-    /// Time that each call takes.
+    /// A delay before each call is handled.
     pub delay: Duration,
-    /// Share of the writes that take effect and whose answer is lost.
+    /// The share of the writes that take effect and whose answer is lost.
     pub lost_answer_share: f64,
-    /// Share of the writes that are applied only after `delayed_by`, without an answer.
+    /// The share of the writes that are applied only after `delayed_by`, without an answer.
     pub delayed_write_share: f64,
-    /// How late a delayed write is applied.
+    /// The time after which a delayed write is applied.
     pub delayed_by: Duration,
-    /// Share of the reads of one object that return an earlier revision.
+    /// The share of the reads of one object that return an earlier revision.
     pub stale_read_share: f64,
-    /// How many revisions of its object a stale read is late.
+    /// How many revisions of its object a stale read lags behind.
     pub stale_by: usize,
-    /// Whether no watch is ever answered.
+    /// Whether watches are never answered.
     pub stalled_watch: bool,
-    /// Whether each watch is told that its revision is too old.
+    /// Whether every watch fails because its revision is too old.
     pub expired_watch: bool,
-    /// How many changes are kept; an older watch lapses.
+    /// The number of changes that are kept; a watch from an earlier revision fails.
     pub history: usize,
-    /// How far the VM list lags.
+    /// The age of the VM list that is returned.
     pub vms_lag: Duration,
-    /// The most writes in a second, the rest is answered 429.
+    /// The maximum number of writes per second; further ones are answered 429.
     pub writes_per_s: Option<u32>,
-    /// The most reads in a second, the rest is answered 429.
+    /// The maximum number of reads per second; further ones are answered 429.
     pub reads_per_s: Option<u32>,
-    /// Faults of the next writes, one each, whose key begins with the prefix.
+    /// The scripted faults of the next writes, in order, each with the prefix that the key of its write must have.
     pub next_writes: VecDeque<(String, WriteFault)>,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl Faults {
-    /// Draws a mix of faults: one time in three an outage, else shares of single faults.
+    /// Draws random faults: an outage one time in three, and delays, stale data and shares of faulty writes.
     pub fn random(rng: &mut fastrand::Rng) -> Self {
         let outages = [Outage::Unavailable, Outage::Closed, Outage::Silence];
         let outage = (rng.u8(0..3) == 0).then(|| outages[rng.usize(0..outages.len())]);
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes the fault of a write to this key: a scripted one first, else a drawn one.
+    /// Returns the fault of a write to this key, if any: the next scripted one if its prefix matches, else a random one.
     pub(super) fn write_fault(&mut self, key: &str, rng: &mut fastrand::Rng) -> Option<WriteFault> {
         let scripted = self.next_writes.front();
         if scripted.is_some_and(|(prefix, _)| key.starts_with(prefix.as_str())) {
--- a/crates/kingcuploft-standins/src/platform/mod.rs
+++ b/crates/kingcuploft-standins/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's object API and VM list, in memory, with scripted faults.
+//! The platform's object store API and VM list, in memory, with scripted or random faults.
 
 mod faults;
 mod state;
@@ -19,10 +19,10 @@
 use self::state::{Condition, State};
 use crate::http::{Handler, Server, WholeRequest, WholeResponse, closed};
 
-/// The longest value, in bytes.
+/// The maximum length of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// How long a silent call holds its connection.
+/// How long a call that is not answered keeps its connection open.
 const SILENT_CALL_TIME: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Default)]
@@ -31,7 +31,7 @@
     changed: Notify,
 }
 
-/// A running platform stand-in.
+/// A running platform store.
 #[derive(Debug)]
 pub struct Platform {
     store: Arc<Store>,
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// The system's error where no port is to be had.
+    /// Returns the operating system's error if no port can be opened.
     pub fn start(runtime: &Runtime) -> std::io::Result<Self> {
         let store = Arc::new(Store::default());
         store.lock().rng = fastrand::Rng::with_seed(0);
@@ -51,43 +51,43 @@
         Ok(Self { store, server })
     }
 
-    /// Returns where the API listens.
+    /// Returns the address on which the API listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns the calls counted so far.
+    /// Returns the counts of the calls so far.
     pub fn calls(&self) -> Calls {
         self.store.lock().calls
     }
 
-    /// Begins or ends an outage: every call is answered 503.
+    /// Starts or ends an outage in which every call is answered 503.
     pub fn set_down(&self, down: bool) {
         self.change_faults(|faults| faults.outage = down.then_some(Outage::Unavailable));
     }
 
-    /// Replaces the faults in force.
+    /// Replaces the current faults.
     pub fn set_faults(&self, faults: Faults) {
-        self.change_faults(|found| *found = faults);
+        self.change_faults(|current| *current = faults);
     }
 
-    /// Changes some of the faults in force.
+    /// Changes some of the current faults.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.store.lock().faults);
         self.store.changed.notify_waiters();
     }
 
-    /// Sets the seed from which the faults' shares are drawn.
+    /// Sets the seed of the random faults.
     pub fn set_seed(&self, seed: u64) {
         self.store.lock().rng = fastrand::Rng::with_seed(seed);
     }
 
-    /// Replaces the VM list; readers see it after the lag.
+    /// Replaces the VM list; callers see it after `vms_lag`.
     pub fn set_vms(&self, vms: Vec<ListedVm>) {
         self.store.lock().set_vms(vms);
     }
 
-    /// Returns an object as it stands, without a call.
+    /// Returns the current revision of an object, without a call.
     pub fn object(&self, key: &str) -> Option<Object> {
         self.store.lock().objects.get(key).cloned()
     }
@@ -99,7 +99,7 @@
         keys.cloned().collect()
     }
 
-    /// Overwrites an object behind every condition, as an operator's mistake would.
+    /// Overwrites an object without a condition, as an operator's mistake would.
     pub fn overwrite(&self, key: &str, value: &str) -> Version {
         let version = self.store.lock().change(key, Some(value.into()));
         self.store.changed.notify_waiters();
@@ -107,7 +107,7 @@
     }
 }
 
-/// The API's side of the store.
+/// The HTTP handler of the store.
 #[derive(Debug)]
 struct Api(Arc<Store>);
 
@@ -141,26 +141,27 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies outage, slowness and rate limits to a call before it begins.
+    /// Applies the delay, the outage and the rate limits to a call; returns the answer if it must not go on.
     async fn admit(&self, write: bool) -> Option<WholeResponse> {
         let delay = self.lock().faults.delay;
         if delay > Duration::ZERO {
             tokio::time::sleep(delay).await;
         }
-        let (outage, fits) = {
+        let (outage, admitted) = {
             let mut state = self.lock();
-            let fits = state.try_admit(write);
+            let admitted = state.try_admit(write);
             let outage = state.faults.outage;
-            state.calls.refused += u64::from(outage.is_some() || !fits);
-            (outage, fits)
+            state.calls.refused += u64::from(outage.is_some() || !admitted);
+            (outage, admitted)
         };
         match outage {
             Some(outage) => Some(self.answer_outage(outage).await),
-            None if !fits => Some(json(StatusCode::TOO_MANY_REQUESTS, &"too many calls")),
+            None if !admitted => Some(json(StatusCode::TOO_MANY_REQUESTS, &"too many calls")),
             None => None,
         }
     }
 
+    /// Answers a call as the outage requires.
     async fn answer_outage(&self, outage: Outage) -> WholeResponse {
         match outage {
             Outage::Unavailable => json(StatusCode::SERVICE_UNAVAILABLE, &"down"),
@@ -193,7 +194,7 @@
         json(StatusCode::OK, &state.list(&query.prefix))
     }
 
-    /// Applies a write with the fault that the script or the seed gives it.
+    /// Handles a write, with its scripted or random fault.
     async fn write(store: &Arc<Self>, key: &str, request: &WholeRequest) -> WholeResponse {
         let Some(condition) = condition(request) else {
             return json(StatusCode::BAD_REQUEST, &"one condition is needed");
@@ -234,6 +235,7 @@
         }
     }
 
+    /// Applies a write or deletion if its condition holds.
     fn apply(&self, key: &str, value: Option<String>, condition: Condition) -> WholeResponse {
         let mut state = self.lock();
         match value {
@@ -250,37 +252,39 @@
         json(StatusCode::OK, &serde_json::json!({ "version": version }))
     }
 
+    /// Answers with the changes after a revision, or with none if the waiting time ends first.
     async fn watch(&self, query: &Query) -> WholeResponse {
         self.lock().calls.watches += 1;
         let deadline = tokio::time::Instant::now() + query.wait;
         loop {
             let changed = self.changed.notified();
-            let (seen, outage, stalled) = {
+            let (changes, outage, stalled) = {
                 let state = self.lock();
-                let seen = state.since(&query.prefix, query.after);
-                (seen, state.faults.outage, state.faults.stalled_watch)
+                let changes = state.since(&query.prefix, query.after);
+                (changes, state.faults.outage, state.faults.stalled_watch)
             };
             if let Some(outage) = outage {
                 return self.answer_outage(outage).await;
             }
             if stalled {
-                // Ends only when the caller gives up or the fault is lifted.
+                // Ends only when the caller disconnects or the fault is removed.
                 changed.await;
                 continue;
             }
-            let Some(seen) = seen else {
+            let Some(changes) = changes else {
                 return json(StatusCode::GONE, &"the revision is too old");
             };
-            if !seen.changes.is_empty() {
-                return json(StatusCode::OK, &seen);
+            if !changes.changes.is_empty() {
+                return json(StatusCode::OK, &changes);
             }
             if tokio::time::timeout_at(deadline, changed).await.is_err() {
-                return json(StatusCode::OK, &seen);
+                return json(StatusCode::OK, &changes);
             }
         }
     }
 }
 
+/// Parses the condition of a write; a write must have exactly one.
 fn condition(request: &WholeRequest) -> Option<Condition> {
     let header = |name| request.headers().get(name)?.to_str().ok();
     match (header("if-none-match"), header("if-match")) {
@@ -290,6 +294,7 @@
     }
 }
 
+/// The parameters of a listing or watch.
 #[derive(Debug, Default)]
 struct Query {
     prefix: String,
--- a/crates/kingcuploft-standins/src/platform/state.rs
+++ b/crates/kingcuploft-standins/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! The objects, their history and the call counters of the platform stand-in.
+//! The state of the simulated platform store: objects with their revisions, recent changes, VM lists and call counts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
@@ -7,29 +7,29 @@
 
 use super::faults::Faults;
 
-/// How often each kind of call was made; a waiting watch counts as one.
+/// The number of calls of each kind; a waiting watch counts as one.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Calls {
     /// Reads of one object.
     pub gets: u64,
-    /// Conditional writes, those that lost included.
+    /// Conditional writes, including those whose condition did not hold.
     pub puts: u64,
-    /// Conditional deletions, those that lost included.
+    /// Conditional deletions, including those whose condition did not hold.
     pub deletes: u64,
     /// Listings.
     pub lists: u64,
     /// Watches.
     pub watches: u64,
-    /// Readings of the VM list.
+    /// Reads of the VM list.
     pub vms: u64,
-    /// Writes whose condition did not hold, counted in `puts` or `deletes` too.
+    /// Writes and deletions whose condition did not hold, also counted in `puts` or `deletes`.
     pub conflicts: u64,
-    /// Calls that met an outage or a rate limit, not counted elsewhere.
+    /// Calls refused by an outage or a rate limit, not counted elsewhere.
     pub refused: u64,
 }
 
 impl Calls {
-    /// Returns the writes of all kinds, those that lost included.
+    /// Returns the writes and deletions, including those whose condition did not hold.
     pub fn writes(&self) -> u64 {
         self.puts + self.deletes
     }
@@ -47,7 +47,7 @@
     Version(Version),
 }
 
-/// Calls in the current second, for the rate limits.
+/// The calls in the current second, for the rate limits.
 #[derive(Debug, Default)]
 pub(super) struct Rate {
     second: Option<Instant>,
@@ -60,10 +60,10 @@
 pub(super) struct State {
     pub(super) revision: Version,
     pub(super) objects: BTreeMap<String, Object>,
-    /// Earlier revisions of each object, newest last, for stale reads.
+    /// The earlier revisions of each object, newest last, for stale reads.
     earlier: BTreeMap<String, Vec<Option<Object>>>,
     history: VecDeque<Change>,
-    /// The greatest revision that is not in the history any more.
+    /// The greatest revision that is no longer in the history.
     compacted_until: Version,
     vms: VecDeque<(Instant, Vec<ListedVm>)>,
     pub(super) calls: Calls,
@@ -72,11 +72,11 @@
     rate: Rate,
 }
 
-/// How many earlier revisions of an object are kept for stale reads.
+/// The number of earlier revisions of an object that are kept for stale reads.
 const MAX_EARLIER_REVISIONS: usize = 8;
 
 impl State {
-    /// Tells whether the condition of a write holds; else returns what was found.
+    /// Checks the condition of a write; if it does not hold, returns the current version of the object, if any.
     pub(super) fn check(&self, key: &str, condition: Condition) -> Result<(), Option<Version>> {
         let found = self.objects.get(key).map(|object| object.version);
         match condition {
@@ -115,14 +115,15 @@
         version
     }
 
+    /// Drops the changes beyond the history limit.
     fn trim(&mut self) {
         while self.history.len() > self.faults.history {
-            let forgotten = self.history.pop_front();
-            self.compacted_until = forgotten.map_or(self.compacted_until, |change| change.version);
+            let removed = self.history.pop_front();
+            self.compacted_until = removed.map_or(self.compacted_until, |change| change.version);
         }
     }
 
-    /// Reads an object, with the chance of a stale revision that the faults give.
+    /// Reads an object; with probability `stale_read_share`, returns an earlier revision.
     pub(super) fn read(&mut self, key: &str) -> Option<Object> {
         let stale =
             self.faults.stale_read_share > 0.0 && self.rng.f64() < self.faults.stale_read_share;
@@ -148,15 +149,15 @@
         }
     }
 
-    /// Returns the changes after a revision; `None` where they are forgotten.
+    /// Returns the changes after a revision; `None` if the history no longer holds them all.
     pub(super) fn since(&self, prefix: &str, after: Version) -> Option<Changes> {
         if after < self.compacted_until || self.faults.expired_watch {
             return None;
         }
         let newer = self.history.iter().rev();
         let newer = newer.take_while(|change| change.version > after);
-        let fitting = newer.filter(|change| change.key.starts_with(prefix));
-        let mut changes: Vec<Change> = fitting.cloned().collect();
+        let matching = newer.filter(|change| change.key.starts_with(prefix));
+        let mut changes: Vec<Change> = matching.cloned().collect();
         changes.reverse();
         Some(Changes {
             version: self.revision,
@@ -169,14 +170,14 @@
         self.vms.push_back((Instant::now(), vms));
     }
 
-    /// Returns the VM list as it stood before the lag.
+    /// Returns the VM list as it was `vms_lag` ago.
     pub(super) fn vms(&self) -> Vec<ListedVm> {
         let lag = self.faults.vms_lag;
         let old_enough = self.vms.iter().rev().find(|(at, _)| at.elapsed() >= lag);
         old_enough.map(|(_, vms)| vms.clone()).unwrap_or_default()
     }
 
-    /// Counts a call against the rate limits; tells whether it fits.
+    /// Counts a call against the rate limit and returns whether it is within the limit.
     pub(super) fn try_admit(&mut self, write: bool) -> bool {
         let now = Instant::now();
         let over = |at: Instant| now.duration_since(at).as_secs() >= 1;
