--- a/crates/kingcuploft-standins/src/platform/mod.rs
+++ b/crates/kingcuploft-standins/src/platform/mod.rs
@@ -17,7 +17,7 @@
 pub use self::faults::{Faults, Outage, WriteFault};
 pub use self::state::Calls;
 use self::state::{Condition, State};
-use crate::http::{Handler, Server, WholeRequest, WholeResponse, closed};
+use crate::http::{Handler, Server, WholeRequest, WholeResponse, close_without_answer};
 
 /// The maximum length of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
@@ -165,10 +165,10 @@
     async fn answer_outage(&self, outage: Outage) -> WholeResponse {
         match outage {
             Outage::Unavailable => json(StatusCode::SERVICE_UNAVAILABLE, &"down"),
-            Outage::Closed => closed(),
+            Outage::Closed => close_without_answer(),
             Outage::Silence => {
                 tokio::time::sleep(SILENT_CALL_TIME).await;
-                closed()
+                close_without_answer()
             }
         }
     }
@@ -215,10 +215,10 @@
         };
         match fault {
             None => store.apply(key, value, condition),
-            Some(WriteFault::LostRequest) => closed(),
+            Some(WriteFault::LostRequest) => close_without_answer(),
             Some(WriteFault::LostAnswer) => {
                 drop(store.apply(key, value, condition));
-                closed()
+                close_without_answer()
             }
             Some(WriteFault::Slow(time)) => {
                 tokio::time::sleep(time).await;
@@ -230,7 +230,7 @@
                     tokio::time::sleep(time).await;
                     drop(store.apply(&key, value, condition));
                 });
-                closed()
+                close_without_answer()
             }
         }
     }
