--- a/crates/kingcuploft-standins/src/backend_server/connection.rs
+++ b/crates/kingcuploft-standins/src/backend_server/connection.rs
@@ -194,8 +194,8 @@
     answer
 }
 
-/// Waits for a slot and works, at most until the deadline. A request whose deadline passes in the queue has not run; one
-/// whose deadline passes during the work has.
+/// Waits for a slot and works, at most until the deadline. A request whose deadline passes in the queue has not run;
+/// one whose deadline passes during the work has.
 async fn run(
     state: &State,
     request: &Request,
--- a/crates/kingcuploft-standins/src/platform/faults.rs
+++ b/crates/kingcuploft-standins/src/platform/faults.rs
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Returns the fault of a write to this key, if any: the next scripted one if its prefix matches, else a random one.
+    /// Returns the fault of a write to this key, if any: the next scripted one if its prefix matches, else a random
+    /// one.
     pub(super) fn write_fault(&mut self, key: &str, rng: &mut fastrand::Rng) -> Option<WriteFault> {
         let scripted = self.next_writes.front();
         if scripted.is_some_and(|(prefix, _)| key.starts_with(prefix.as_str())) {
--- a/crates/kingcuploft-standins/src/virtual_fleet/fleet.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/fleet.rs
@@ -349,8 +349,8 @@
         self.schedule(at, FleetEvent::Claimed(node, request, end));
     }
 
-    /// Hands a claim's result to the dispatcher. A request that must not be sent is answered here, as the daemon's claim
-    /// task does.
+    /// Hands a claim's result to the dispatcher. A request that must not be sent is answered here, as the daemon's
+    /// claim task does.
     fn handle_claim_result(&mut self, node: usize, request: RequestId, end: ClaimResult) {
         match end {
             ClaimResult::Held => {}
--- a/crates/kingcuploft-standins/src/virtual_fleet/probes.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/probes.rs
@@ -20,8 +20,8 @@
         self.schedule(at, FleetEvent::ProbeArrived(node, server, job));
     }
 
-    /// Handles the arrival of a probe at its server. A server that does not work counts as unhealthy and reports no load;
-    /// one that sheds the probe reports its load at once.
+    /// Handles the arrival of a probe at its server. A server that does not work counts as unhealthy and reports no
+    /// load; one that sheds the probe reports its load at once.
     pub(super) fn receive_probe(&mut self, node: usize, server: usize, id: JobId) {
         if self.servers[server].health != Health::Working {
             return self.end_probe(node, server);
--- a/crates/kingcuploft-standins/src/virtual_fleet/server.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/server.rs
@@ -125,8 +125,8 @@
         JobAdmission::Started(self.start(now, job))
     }
 
-    /// Finishes a job and returns the queued job that starts in its slot, if any, with its end. Returns `None` if the job
-    /// was cancelled before.
+    /// Finishes a job and returns the queued job that starts in its slot, if any, with its end. Returns `None` if the
+    /// job was cancelled before.
     pub fn finish(&mut self, now: Duration, id: JobId) -> Option<Option<(JobId, Duration)>> {
         let started_at = self.running.remove(&id)?;
         self.busy += now.saturating_sub(started_at);
