--- a/crates/kingcuploft-standins/src/bin/kingcuploft-quickstart.rs
+++ b/crates/kingcuploft-standins/src/bin/kingcuploft-quickstart.rs
@@ -217,7 +217,7 @@
         if began.elapsed() >= next {
             let calls_done = calls_done.load(Ordering::Relaxed);
             eprintln!(
-                "{:>3} s of {} s: {done} of {total} calls",
+                "{:>3} s of {} s: {calls_done} of {total} calls",
                 next.as_secs(),
                 time.as_secs()
             );
