--- a/crates/kingcuploft-standins/src/experiments/claims/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/mod.rs
@@ -172,8 +172,8 @@
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let mut rows = Vec::new();
     for rate in ACTIONS_PER_S {
-        for (name, way) in STRATEGIES {
-            rows.push(measure(options, name, way, rate)?);
+        for (name, strategy) in STRATEGIES {
+            rows.push(measure(options, name, strategy, rate)?);
         }
     }
     Ok(Report {
@@ -208,13 +208,13 @@
 fn measure(
     options: &Options,
     name: &'static str,
-    way: WriteStrategy,
+    strategy: WriteStrategy,
     rate: f64,
 ) -> Result<Row, ExperimentError> {
     let runtime = Runtime::new()?;
     let platform = Platform::start(&runtime)?;
     platform.change_faults(|faults| faults.delay = STORE_CALL_TIME);
-    let vms = start(&platform, way)?;
+    let vms = start(&platform, strategy)?;
     let mut rng = fastrand::Rng::with_seed(options.seed);
     let began = Instant::now();
     let arrival_times = arrivals(&mut rng, rate, WARM_UP_TIME + options.duration);
@@ -228,7 +228,7 @@
         if action == warm_up_actions {
             before = platform.calls();
         }
-        vms[writer_index(way, action, &mut rng)].claim(action as u64);
+        vms[writer_index(strategy, action, &mut rng)].claim(action as u64);
     }
     let after = platform.calls();
     let measured_from = began + WARM_UP_TIME;
@@ -257,8 +257,8 @@
     })
 }
 
-fn start(platform: &Platform, way: WriteStrategy) -> Result<Vec<ClaimVm>, ExperimentError> {
-    let (partitions, linger_ms, target_writes_per_s) = match way {
+fn start(platform: &Platform, strategy: WriteStrategy) -> Result<Vec<ClaimVm>, ExperimentError> {
+    let (partitions, linger_ms, target_writes_per_s) = match strategy {
         WriteStrategy::PerAction => {
             let vm = |i| ClaimVm::PerAction(PerActionVm::start(platform, i));
             return Ok((0..VM_COUNT).map(vm).collect());
@@ -299,8 +299,8 @@
 }
 
 /// Returns the index of the VM that writes the claim of an action.
-fn writer_index(way: WriteStrategy, action: usize, rng: &mut fastrand::Rng) -> usize {
-    match way {
+fn writer_index(strategy: WriteStrategy, action: usize, rng: &mut fastrand::Rng) -> usize {
+    match strategy {
         WriteStrategy::OneWriter { partitions, .. } => action % usize::from(partitions),
         _ => rng.usize(0..VM_COUNT),
     }
--- a/crates/kingcuploft-standins/src/experiments/connections.rs
+++ b/crates/kingcuploft-standins/src/experiments/connections.rs
@@ -89,9 +89,9 @@
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let mut rows = Vec::new();
     for _ in 0..options.rounds {
-        for (callers, beside) in BURSTS {
-            rows.push(measure_rouille(*callers, *beside)?);
-            rows.push(measure_daemon(options, *callers, *beside)?);
+        for (callers, background) in BURSTS {
+            rows.push(measure_rouille(*callers, *background)?);
+            rows.push(measure_daemon(options, *callers, *background)?);
         }
     }
     let own = rows.iter().filter(|row| row.edge == "kingcuploftd");
@@ -105,14 +105,14 @@
 }
 
 /// Measures a burst at a plain `rouille` server that answers without a backend server.
-fn measure_rouille(callers: usize, beside: BackgroundLoad) -> Result<Row, ExperimentError> {
+fn measure_rouille(callers: usize, background: BackgroundLoad) -> Result<Row, ExperimentError> {
     let runtime = runtime()?;
     let before = count_threads();
     let server = rouille::Server::new("127.0.0.1:0", |_request| rouille::Response::text("ok"))
         .map_err(|error| std::io::Error::other(error.to_string()))?;
     let address = server.server_addr();
     let (joined, stop) = server.stoppable();
-    let row = burst(&runtime, "rouille", address, callers, beside, &|| {
+    let row = burst(&runtime, "rouille", address, callers, background, &|| {
         count_threads().saturating_sub(before)
     });
     drop(runtime);
@@ -125,7 +125,7 @@
 fn measure_daemon(
     options: &Options,
     callers: usize,
-    beside: BackgroundLoad,
+    background: BackgroundLoad,
 ) -> Result<Row, ExperimentError> {
     let runtime = runtime()?;
     let fleet = Fleet::start_single("connections", RULES, options.seed)?;
@@ -135,7 +135,7 @@
         "kingcuploftd",
         address,
         callers,
-        beside,
+        background,
         &count_daemon_threads,
     );
     drop(runtime);
@@ -174,13 +174,13 @@
     edge: &'static str,
     address: SocketAddr,
     callers: usize,
-    beside: BackgroundLoad,
+    background: BackgroundLoad,
     edge_threads: &dyn Fn() -> usize,
 ) -> Row {
     let answered = Arc::new(AtomicUsize::new(0));
     let refused = Arc::new(AtomicUsize::new(0));
-    let (us, peak) = runtime.block_on(async {
-        if let Some(request_prefix) = beside.request_prefix() {
+    let (latency_us, peak_threads) = runtime.block_on(async {
+        if let Some(request_prefix) = background.request_prefix() {
             start_slow_senders(address, request_prefix).await;
         }
         let mut tasks = Vec::new();
@@ -192,39 +192,39 @@
                     tokio::time::timeout(FIRST_ANSWER_TIMEOUT, first_answer(address))
                         .await
                         .ok()??;
-                let us = began.elapsed().as_micros() as u64;
+                let latency_us = began.elapsed().as_micros() as u64;
                 answered.fetch_add(1, Ordering::Relaxed);
                 refused.fetch_add(usize::from(status != 200), Ordering::Relaxed);
                 // The connection stays open until all callers have an answer, as connections from a balancer do.
-                Some((us, stream))
+                Some((latency_us, stream))
             }));
         }
-        let us = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3);
-        let mut us = us.expect("bounds that fit");
+        let latency_us = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3);
+        let mut latency_us = latency_us.expect("bounds that fit");
         let mut open = Vec::new();
-        let mut peak = 0;
+        let mut peak_threads = 0;
         for (i, task) in tasks.into_iter().enumerate() {
             if i % ANSWERS_PER_THREAD_SAMPLE == 0 {
-                peak = peak.max(edge_threads());
+                peak_threads = peak_threads.max(edge_threads());
             }
             match task.await.ok().flatten() {
                 Some((answered_us, stream)) => {
-                    us.saturating_record(answered_us);
+                    latency_us.saturating_record(answered_us);
                     open.push(stream);
                 }
-                None => us.saturating_record(FIRST_ANSWER_TIMEOUT.as_micros() as u64),
+                None => latency_us.saturating_record(FIRST_ANSWER_TIMEOUT.as_micros() as u64),
             }
         }
-        (us, peak.max(edge_threads()))
+        (latency_us, peak_threads.max(edge_threads()))
     });
-    let ms = |quantile| us.value_at_quantile(quantile) as f64 / 1000.0;
+    let ms = |quantile| latency_us.value_at_quantile(quantile) as f64 / 1000.0;
     Row {
         edge,
         callers,
-        beside,
+        beside: background,
         starved: callers - answered.load(Ordering::Relaxed),
         refused: refused.load(Ordering::Relaxed),
-        threads: peak,
+        threads: peak_threads,
         first_answer_p50_ms: ms(0.5),
         first_answer_p99_ms: ms(0.99),
     }
--- a/crates/kingcuploft-standins/src/experiments/overhead.rs
+++ b/crates/kingcuploft-standins/src/experiments/overhead.rs
@@ -50,12 +50,12 @@
 
 /// The latencies and failures of the calls to one side.
 #[derive(Debug)]
-struct Side {
+struct CallStatistics {
     latency_us: Mutex<Histogram<u64>>,
     failed: Mutex<u64>,
 }
 
-impl Side {
+impl CallStatistics {
     fn new() -> Self {
         Self {
             latency_us: Mutex::new(
@@ -108,7 +108,7 @@
     let fleet = Fleet::start_single("overhead", RULES, options.seed)?;
     let server = fleet.backend_servers[0][0].address();
     let daemon = fleet.daemons[0].address();
-    let (straight, through) = (Side::new(), Side::new());
+    let (straight, through) = (CallStatistics::new(), CallStatistics::new());
     let began = Instant::now();
     std::thread::scope(|scope| {
         for i in 0..CONNECTIONS_PER_SIDE {
@@ -144,8 +144,8 @@
 fn run_open_loop(
     options: &Options,
     thread: usize,
-    straight: (SocketAddr, &Side),
-    through: (SocketAddr, &Side),
+    straight: (SocketAddr, &CallStatistics),
+    through: (SocketAddr, &CallStatistics),
 ) {
     let mut rng = fastrand::Rng::with_seed(options.seed.wrapping_mul(1000) + thread as u64);
     let mut to_server = RawCaller::new(straight.0);
--- a/crates/kingcuploft-standins/src/experiments/promises/entry_vms.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/entry_vms.rs
@@ -58,7 +58,7 @@
     platform_links: Vec<Link>,
     peer_links: Vec<Mutex<Link>>,
     slots: Vec<Mutex<VmSlot>>,
-    observed: Mutex<Observations>,
+    observations: Mutex<Observations>,
     daemons_started: Mutex<usize>,
     runtime: std::sync::Arc<Runtime>,
 }
@@ -82,7 +82,7 @@
             platform_links: Vec::new(),
             peer_links: Vec::new(),
             slots: Vec::new(),
-            observed: Mutex::default(),
+            observations: Mutex::default(),
             daemons_started: Mutex::new(0),
             runtime,
         };
@@ -164,7 +164,7 @@
                 at: self.started_at.elapsed(),
                 generation,
             };
-            lock(&self.observed).generation_samples.push(sample);
+            lock(&self.observations).generation_samples.push(sample);
         }
     }
 
@@ -172,7 +172,9 @@
     pub fn pause(&self, vm: usize, time: Duration) {
         let mut slot = lock(&self.slots[vm]);
         self.end_active_period(&mut slot);
-        lock(&self.observed).paused_or_killed.push(slot.daemon_id);
+        lock(&self.observations)
+            .paused_or_killed
+            .push(slot.daemon_id);
         slot.process.pause();
         let daemon_id = slot.daemon_id;
         drop(slot);
@@ -189,7 +191,9 @@
     pub fn kill(&self, vm: usize) {
         let mut slot = lock(&self.slots[vm]);
         self.end_active_period(&mut slot);
-        lock(&self.observed).paused_or_killed.push(slot.daemon_id);
+        lock(&self.observations)
+            .paused_or_killed
+            .push(slot.daemon_id);
         slot.process.kill();
         self.replace(vm, &mut slot);
     }
@@ -205,7 +209,7 @@
             }
             self.end_active_period(&mut slot);
             let stopped = (slot.daemon_id, self.started_at.elapsed());
-            lock(&self.observed).planned_stops.push(stopped);
+            lock(&self.observations).planned_stops.push(stopped);
             // A paused process cannot shut down, so this ends a pause that may be in progress.
             slot.process.resume();
             slot.process.terminate();
@@ -219,7 +223,7 @@
         }
         let ended = slot.process.wait_ended(STOP_TIMEOUT);
         if !ended.is_some_and(|status| status.success()) {
-            lock(&self.observed).failed_stops += 1;
+            lock(&self.observations).failed_stops += 1;
         }
         self.replace(vm, &mut slot);
     }
@@ -253,14 +257,14 @@
         for slot in &self.slots {
             self.end_active_period(&mut lock(slot));
         }
-        lock(&self.observed).clone()
+        lock(&self.observations).clone()
     }
 
     fn end_active_period(&self, slot: &mut VmSlot) {
         if let Some(from) = slot.active_since.take() {
             let until = self.started_at.elapsed();
             let daemon_id = slot.daemon_id;
-            lock(&self.observed).active_periods.push(ActivePeriod {
+            lock(&self.observations).active_periods.push(ActivePeriod {
                 daemon_id,
                 from,
                 until,
--- a/crates/kingcuploft-standins/src/experiments/promises/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/mod.rs
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where a deployment did not start.
+/// [`ExperimentError`] if a deployment did not start.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let mut report = Report::default();
     let mut all = Vec::new();
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where the deployment did not start.
+/// [`ExperimentError`] if the deployment did not start.
 pub fn run_seed(
     seed: u64,
     time: Duration,
@@ -98,21 +98,21 @@
 
 fn figures(seed: u64, trace: &Trace) -> Figures {
     let (broken, counted) = check::check(&trace.records, trace);
-    let observed = &trace.observed;
+    let observations = &trace.observations;
     let in_force = check::longest_until_in_force(
         &trace.accepted_generations,
-        &observed.active_periods,
-        &observed.generation_samples,
+        &observations.active_periods,
+        &observations.generation_samples,
     );
     let actions = counted.actions.max(1) as f64;
     Figures {
         seed,
         violations: broken,
-        manifest_reverts: check::count_reverts(&observed.generation_samples),
+        manifest_reverts: check::count_reverts(&observations.generation_samples),
         in_force_ms_max: in_force.as_millis() as u64,
         new_work_after_leave_ms_max: trace.new_work_after_drain.as_millis() as u64,
         cut_in_flight: run::cut_in_flight(trace),
-        failed_stops: observed.failed_stops,
+        failed_stops: observations.failed_stops,
         store_writes_per_action: trace.store_writes as f64 / actions,
         call_counts: counted,
     }
--- a/crates/kingcuploft-standins/src/experiments/promises/run.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/run.rs
@@ -82,7 +82,7 @@
         ended.store(true, Ordering::Relaxed);
         records
     });
-    let observed = testbed.entry_vms.finish();
+    let observations = testbed.entry_vms.finish();
     let drains = testbed
         .drains
         .lock()
@@ -94,7 +94,7 @@
         .map(|(at, last, _)| last.saturating_sub(*at));
     let trace = Trace {
         records,
-        observed,
+        observations,
         accepted_generations: testbed
             .accepted_generations
             .lock()
@@ -310,7 +310,7 @@
     records.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-type Shared<'a> = (
+type CallContext<'a> = (
     &'a Mutex<Vec<Record>>,
     &'a AtomicUsize,
     &'a Callers,
@@ -318,7 +318,7 @@
 );
 
 /// Runs one caller, which sends an action again through any VM until it learns that the action ran.
-async fn caller(shared: Shared<'_>, i: usize, key: Option<String>, seed: u64) {
+async fn caller(shared: CallContext<'_>, i: usize, key: Option<String>, seed: u64) {
     let (records, next_call_id, callers, testbed) = shared;
     let mut rng = fastrand::Rng::with_seed(seed);
     let method = if key.is_some() {
@@ -374,13 +374,13 @@
 
 /// Counts the calls that received no answer although their daemon only shut down gracefully.
 pub fn cut_in_flight(trace: &Trace) -> u64 {
-    let observed = &trace.observed;
+    let observations = &trace.observations;
     let cut = trace.records.iter().filter(|record| {
-        let stopped = observed
+        let stopped = observations
             .planned_stops
             .iter()
             .any(|(daemon_id, _)| *daemon_id == record.daemon_id);
-        let paused_or_killed = observed.paused_or_killed.contains(&record.daemon_id);
+        let paused_or_killed = observations.paused_or_killed.contains(&record.daemon_id);
         let nothing = record.received == crate::callers::CallResult::NoAnswer;
         let timed_out = record.ended_at.saturating_sub(record.sent_at) >= CALL_TIMEOUT;
         stopped && !paused_or_killed && nothing && !timed_out
--- a/crates/kingcuploft-standins/src/experiments/promises/trace.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/trace.rs
@@ -14,7 +14,7 @@
     /// The records of all calls.
     pub records: Vec<Record>,
     /// The observer's samples and the daemons' stops.
-    pub observed: Observations,
+    pub observations: Observations,
     /// The generations that the store accepted and when, from the start of the run.
     pub accepted_generations: Vec<(u64, Duration)>,
     /// The longest time from the start of a backend server's drain to the last new work that it received.
--- a/crates/kingcuploft-standins/src/experiments/propagation.rs
+++ b/crates/kingcuploft-standins/src/experiments/propagation.rs
@@ -49,11 +49,11 @@
 ///
 /// [`ExperimentError`] if a fleet did not start or a manifest is not in force within 20 s.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
-    let variant = FleetOptions {
+    let fleet_options = FleetOptions {
         extra_settings: "peer: {listen: '127.0.0.1:0'}\nlimits: {workers: 2}\n".into(),
         ..FleetOptions::default()
     };
-    let fleet = Fleet::start(options.deployment.plan(), variant)?;
+    let fleet = Fleet::start(options.deployment.plan(), fleet_options)?;
     let vms = fleet.daemons.iter().filter_map(|daemon| {
         Some(ListedVm {
             name: daemon.shared().vm.name.to_string(),
--- a/crates/kingcuploft-standins/src/experiments/real_run.rs
+++ b/crates/kingcuploft-standins/src/experiments/real_run.rs
@@ -33,7 +33,7 @@
 ///
 /// [`ExperimentError`] if the fleet did not start.
 pub fn run(run: &Run, policy: String) -> Result<Outcome, ExperimentError> {
-    let variant = FleetOptions {
+    let fleet_options = FleetOptions {
         policy,
         link_delay: LINK_DELAY,
         extra_settings: format!(
@@ -45,7 +45,7 @@
     };
     let fleet = Fleet::start(
         deployment::virtual_deployment(run.deployment.place),
-        variant,
+        fleet_options,
     )?;
     let records: Vec<Record> = (0..run.requests.len())
         .map(|request| run.record(request))
--- a/crates/kingcuploft-standins/src/experiments/store_outage.rs
+++ b/crates/kingcuploft-standins/src/experiments/store_outage.rs
@@ -81,7 +81,7 @@
     })
 }
 
-/// A time and the number of calls that the platform had counted by then.
+/// A time, and the number of calls that the platform had counted by then.
 type Sample = (Instant, u64);
 
 fn measure(options: &Options, name: &'static str, outage: Outage) -> Result<Row, ExperimentError> {
--- a/crates/kingcuploft-standins/src/load.rs
+++ b/crates/kingcuploft-standins/src/load.rs
@@ -25,7 +25,7 @@
     pub plan: CallPlan,
     /// The latency above which its answer counts as late.
     pub deadline: Duration,
-    /// The index of the tally that counts it.
+    /// The index of the tally, or of another record, that takes its result.
     pub group: usize,
 }
 
@@ -54,38 +54,38 @@
     let shared_tallies = Arc::clone(&tallies);
     let addresses = addresses.to_vec();
     let address = move |call: &ScheduledCall| addresses[call.address_index % addresses.len()];
-    run_with(runtime, address, calls, move |call, received, latency| {
+    run_with(runtime, address, calls, move |call, result, latency| {
         let mut tallies = shared_tallies
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        tallies[call.group].add(&received, latency, call.deadline);
+        tallies[call.group].add(&result, latency, call.deadline);
     });
     let tallies = tallies.lock().unwrap_or_else(PoisonError::into_inner);
     tallies.clone()
 }
 
-/// Makes the calls when they are due and passes each result to `received`, with the latency from when the call was due.
+/// Makes the calls when they are due and passes each result to `on_result`, with the latency from when the call was due.
 /// Returns when the last call has ended.
 pub fn run_with(
     runtime: &Runtime,
     address: impl Fn(&ScheduledCall) -> SocketAddr,
     calls: Vec<ScheduledCall>,
-    received: impl Fn(&ScheduledCall, CallResult, Duration) + Send + Sync + 'static,
+    on_result: impl Fn(&ScheduledCall, CallResult, Duration) + Send + Sync + 'static,
 ) {
     let callers = Arc::new(Callers::default());
-    let received = Arc::new(received);
+    let on_result = Arc::new(on_result);
     runtime.block_on(async {
         let began = Instant::now();
         let mut tasks = Vec::with_capacity(calls.len());
         for call in calls {
             precise_sleep::sleep_until(began + call.at).await;
             let address = address(&call);
-            let (callers, received) = (Arc::clone(&callers), Arc::clone(&received));
+            let (callers, on_result) = (Arc::clone(&callers), Arc::clone(&on_result));
             tasks.push(tokio::spawn(async move {
                 let timeout = call.deadline * 2 + Duration::from_secs(1);
                 let answer = callers.call(address, &call.plan, timeout).await;
                 let due = began + call.at;
-                received(&call, answer, due.elapsed());
+                on_result(&call, answer, due.elapsed());
             }));
         }
         for task in tasks {
--- a/crates/kingcuploft-standins/src/precise_sleep.rs
+++ b/crates/kingcuploft-standins/src/precise_sleep.rs
@@ -13,12 +13,14 @@
 /// How long the timer's thread waits at a time while nothing sleeps.
 const IDLE_WAIT: Duration = Duration::from_secs(1);
 
+/// The state shared by the sleepers and the timer's thread.
 #[derive(Default)]
 struct Timer {
     sleepers: Mutex<Sleepers>,
     earlier_due: Condvar,
 }
 
+/// The pending sleeps by due time, and the channel that wakes each.
 #[derive(Default)]
 struct Sleepers {
     due: BinaryHeap<Reverse<(Instant, u64)>>,
