--- a/crates/kingcuploftctl/src/admin_client.rs
+++ b/crates/kingcuploftctl/src/admin_client.rs
@@ -11,18 +11,18 @@
 /// The longest answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 32 * 1024 * 1024;
 
-/// Why a VM did not answer as asked.
+/// Why a VM did not answer a request as expected.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum AdminError {
-    /// No whole answer came.
+    /// There was no complete answer.
     #[error("no answer: {0}")]
     Unreachable(String),
-    /// The VM refused.
+    /// The VM refused the request, or its answer is not readable.
     #[error("refused with status {status}: {why}")]
     Refused {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// What it said.
+        /// The VM's message.
         why: String,
     },
 }
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// [`AdminError`].
+    /// Returns [`AdminError`] if the VM does not answer or refuses.
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, AdminError> {
         let request = self.agent.get(format!("http://{}{path}", self.address));
         let request = match &self.token {
@@ -70,11 +70,11 @@
         read(request.call())
     }
 
-    /// Hands something in.
+    /// Posts a body to a page.
     ///
     /// # Errors
     ///
-    /// [`AdminError`].
+    /// Returns [`AdminError`] if the VM does not answer or refuses.
     pub fn post<T: DeserializeOwned>(&self, path: &str, body: &str) -> Result<T, AdminError> {
         let request = self.agent.post(format!("http://{}{path}", self.address));
         let request = match &self.token {
--- a/crates/kingcuploftctl/src/apply.rs
+++ b/crates/kingcuploftctl/src/apply.rs
@@ -1,4 +1,7 @@
-//! `manifest apply`: the accepted generation, or truthfully that it is not known.
+//! `manifest apply`: checks a manifest file and writes it to the store.
+//!
+//! Failure: the store does not answer a write. The command then reports that the outcome is unknown and how to find
+//! out, and never claims a success or failure that it cannot prove.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -12,14 +15,14 @@
 use crate::exit::{Code, Outcome};
 use crate::manifest;
 
-/// How many VMs are handed an accepted manifest; they pass it on.
+/// How many VMs an accepted manifest is uploaded to; they pass it on to the others.
 const MAX_UPLOAD_VMS: usize = 3;
 
 /// Checks and applies a manifest file.
 ///
 /// # Errors
 ///
-/// An ending that tells why it is not in force.
+/// Returns an outcome that says why the manifest was not accepted.
 pub fn apply(context: &Context<'_>, args: &ApplyArgs) -> Result<Outcome, Outcome> {
     let checked = manifest::read(context, &args.file)?;
     let store = context.store()?;
@@ -36,18 +39,18 @@
         ApplyError::TooLarge { .. } => Outcome::failure(Code::InvalidInput, error.to_string()),
         other => manifest::failed(other),
     })?;
-    let mut ending = outcome(context, &apply.apply_id, &applied);
+    let mut outcome = describe_outcome(context, &apply.apply_id, &applied);
     if let ApplyOutcome::Accepted(_) = applied {
-        ending.err += &upload_to_vms(context, &store, &apply.manifest);
+        outcome.err += &upload_to_vms(context, &store, &apply.manifest);
     }
     for warning in checked.warnings {
-        ending.err += &format!("warning: {warning}\n");
+        outcome.err += &format!("warning: {warning}\n");
     }
-    Ok(ending)
+    Ok(outcome)
 }
 
-/// Says how an apply ended.
-pub fn outcome(context: &Context<'_>, apply_id: &str, applied: &ApplyOutcome) -> Outcome {
+/// Builds the command's outcome, in text or JSON, from the result of an apply.
+pub fn describe_outcome(context: &Context<'_>, apply_id: &str, applied: &ApplyOutcome) -> Outcome {
     let (code, text, json) = match applied {
         ApplyOutcome::Accepted(generation) => (
             Code::Success,
@@ -93,26 +96,26 @@
             serde_json::json!({ "outcome": "unknown", "why": why }),
         ),
     };
-    let mut ending = Outcome::with_code(code, format!("{text}\n"));
+    let mut outcome = Outcome::with_code(code, format!("{text}\n"));
     if context.json() {
         let mut json = json;
         json["apply_id"] = apply_id.into();
-        ending.out = format!("{json}\n");
+        outcome.out = format!("{json}\n");
     } else if code != Code::Success {
-        ending.err = std::mem::take(&mut ending.out);
+        outcome.err = std::mem::take(&mut outcome.out);
     }
-    ending
+    outcome
 }
 
-/// Hands the accepted manifest to a few VMs, where VMs were named: should the store go down before
-/// any VM has read it, they pass it on. Returns what is worth saying.
+/// Uploads the accepted manifest to a few VMs, if VMs were named: if the store goes down before any VM has read it,
+/// these VMs pass it on. Returns a warning if no VM received it.
 fn upload_to_vms(context: &Context<'_>, store: &dyn ObjectStore, manifest: &Manifest) -> String {
     if !context.has_vms() {
         return String::new();
     }
     let vms = match context.vms() {
         Ok(vms) => vms,
-        Err(ending) => return format!("not handed to a VM: {}\n", ending.err),
+        Err(outcome) => return format!("not handed to a VM: {}\n", outcome.err),
     };
     let root = match manifest_root::read_root(store) {
         Ok(Some((_, root))) => root,
--- a/crates/kingcuploftctl/src/args.rs
+++ b/crates/kingcuploftctl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -6,24 +6,24 @@
 use kingcuploft::world::ids::Generation;
 use lexopt::prelude::*;
 
-/// What to do, and where.
+/// A parsed command line.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Args {
-    /// The platform's object API.
+    /// The address of the platform's object API.
     pub platform: Option<String>,
-    /// The admin ports of VMs.
+    /// The addresses of VMs' admin ports.
     pub vms: Vec<String>,
-    /// The admin port of every VM of the platform's list.
+    /// The admin port number of every VM in the platform's list.
     pub admin_port: Option<u16>,
     /// The file with the bearer token.
     pub token: Option<PathBuf>,
     /// Whether to print JSON.
     pub json: bool,
-    /// What to do.
+    /// The command.
     pub command: Command,
 }
 
-/// What to do.
+/// A command.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub enum Command {
     /// Print the help.
@@ -37,7 +37,7 @@
     Apply(ApplyArgs),
     /// Print a manifest: the accepted one, or an earlier generation.
     Show(Option<Generation>),
-    /// Print who applied what.
+    /// Print the history of applied manifests.
     History,
     /// Compare the accepted manifest with a file.
     DiffFile(PathBuf),
@@ -45,17 +45,17 @@
     Diff(Generation, Generation),
     /// Print the state of each VM.
     Status,
-    /// Print the last decisions that fit.
+    /// Print the latest matching decisions.
     Explain(ExplainArgs),
     /// Print the services.
     Services,
     /// Print the backend servers, of one service or all.
     BackendServers(Option<String>),
-    /// Give a backend server no new work.
+    /// Stop new requests to a backend server.
     Drain(String, String),
-    /// Print what is known of a protected action.
+    /// Print the ledger's entry of a protected action.
     Claim(String, String),
-    /// Print a request's way, from log files or the standard input.
+    /// Print a request's history, from log files or standard input.
     Trace(String, Vec<PathBuf>),
 }
 
@@ -66,9 +66,9 @@
     pub file: PathBuf,
     /// The generation that must be the accepted one.
     pub base: Option<Generation>,
-    /// The generation to count on from.
+    /// The generation above which to number, after the store was reset.
     pub above: Generation,
-    /// Whether to mend unchanged service objects.
+    /// Whether to repair unchanged service objects too.
     pub verify: bool,
     /// Who applies it.
     pub author: Option<String>,
@@ -85,7 +85,7 @@
     pub request: Option<String>,
 }
 
-/// The options that only some commands know.
+/// The options that only some commands accept.
 #[derive(Default)]
 struct CommandOptions {
     apply: ApplyArgs,
@@ -96,11 +96,11 @@
     given: Vec<&'static str>,
 }
 
-/// Reads the command line, without the program's name.
+/// Parses the command line, without the program's name.
 ///
 /// # Errors
 ///
-/// What is wrong with it.
+/// Returns what is wrong with it.
 pub fn parse(words: impl IntoIterator<Item = OsString>) -> Result<Args, lexopt::Error> {
     let mut args = Args::default();
     let mut options = CommandOptions::default();
@@ -187,7 +187,7 @@
         Ok(())
     }
 
-    /// Returns the command, and refuses an option that it does not know.
+    /// Returns the command; rejects options that the command does not accept.
     fn command(mut self, words: &[&str]) -> Result<Command, lexopt::Error> {
         let (command, known): (_, &[&str]) = match *words {
             ["manifest", "check", file] => (Command::Check(file.into()), &[]),
--- a/crates/kingcuploftctl/src/claim.rs
+++ b/crates/kingcuploftctl/src/claim.rs
@@ -1,4 +1,4 @@
-//! `claim show`: what is known of a protected action.
+//! `claim show`: the ledger's entry of a protected action.
 
 use kingcuploft::decisions::claim::ledger::EntryState;
 use kingcuploft_platform::claim_lookup;
@@ -6,11 +6,11 @@
 use crate::context::Context;
 use crate::exit::{Code, Outcome};
 
-/// Prints what the ledger knows of an idempotency key.
+/// Prints the ledger's entry of an idempotency key.
 ///
 /// # Errors
 ///
-/// An ending with code 1 where the store does not answer or knows no such key.
+/// Returns an outcome with code 1 if the store does not answer or the ledger has no such key.
 pub fn show(context: &Context<'_>, service: &str, key: &str) -> Result<Outcome, Outcome> {
     let store = context.store()?;
     let found = claim_lookup::look_up(&store, &service.into(), key)
--- a/crates/kingcuploftctl/src/context.rs
+++ b/crates/kingcuploftctl/src/context.rs
@@ -1,4 +1,4 @@
-//! Where a command finds the platform and the VMs.
+//! The clients of the platform and the VMs that a command uses, from its command line.
 
 use kingcuploft_platform::ObjectStore;
 use kingcuploft_platform::client::{Client, ClientSettings};
@@ -7,10 +7,10 @@
 use crate::args::Args;
 use crate::exit::{Code, Outcome};
 
-/// The seed of the client's pauses; one command makes few calls.
+/// The seed of the client's random delays. It may be constant because one command makes few calls.
 const SEED: u64 = 1;
 
-/// Where a command finds the platform and the VMs.
+/// Builds the clients of the platform and the VMs for one command.
 #[derive(Debug)]
 pub struct Context<'a> {
     args: &'a Args,
@@ -22,22 +22,22 @@
         Self { args }
     }
 
-    /// Tells whether to print JSON.
+    /// Returns whether to print JSON.
     pub fn json(&self) -> bool {
         self.args.json
     }
 
-    /// Returns the client of the platform.
+    /// Returns the client of the platform's object API.
     ///
     /// # Errors
     ///
-    /// An ending with code 2 where no address was given.
+    /// Returns an outcome with code 2 if no address was given.
     pub fn store(&self) -> Result<Client, Outcome> {
         let Some(platform) = &self.args.platform else {
             let why = "--platform HOST:PORT is needed for this command";
             return Err(Outcome::failure(Code::InvalidInput, why));
         };
-        // A person waits: longer than a VM would, and no circuit between the tries.
+        // An operator waits for the answer: the timeout is longer than a VM's, and no circuit breaker rejects retries.
         let settings = ClientSettings {
             call_timeout_ms: 5000,
             failures_to_open: u32::MAX,
@@ -47,7 +47,7 @@
         Ok(Client::with_settings(platform, settings, SEED))
     }
 
-    /// Tells whether VMs were named.
+    /// Returns whether VMs were named.
     pub fn has_vms(&self) -> bool {
         !self.args.vms.is_empty() || self.args.admin_port.is_some()
     }
@@ -56,8 +56,8 @@
     ///
     /// # Errors
     ///
-    /// An ending where none was named, the token can not be read or the VM list is needed and the
-    /// platform does not answer.
+    /// Returns an outcome if no VM was named, the token cannot be read, or the VM list is needed and the platform does
+    /// not answer.
     pub fn vms(&self) -> Result<Vec<AdminClient>, Outcome> {
         let mut addresses = self.args.vms.clone();
         if let Some(port) = self.args.admin_port {
--- a/crates/kingcuploftctl/src/diff.rs
+++ b/crates/kingcuploftctl/src/diff.rs
@@ -1,4 +1,4 @@
-//! `manifest diff`: what differs between two manifests, down to the field.
+//! `manifest diff`: the differences between two manifests, field by field.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// An ending where either is not to be had.
+/// Returns an outcome if either cannot be read.
 pub fn with_file(context: &Context<'_>, file: &Path) -> Result<Outcome, Outcome> {
     let checked = manifest::read(context, file)?;
     let store = context.store()?;
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// An ending where either is not to be had.
+/// Returns an outcome if either cannot be read.
 pub fn between(
     context: &Context<'_>,
     from: Generation,
@@ -77,7 +77,7 @@
     lines
 }
 
-/// Returns every field of a manifest by its path; parts of lists go by their names.
+/// Returns every field of a manifest by its path; list items appear in the path by their names.
 fn fields(manifest: &Manifest) -> BTreeMap<String, String> {
     let mut fields = BTreeMap::new();
     let value = serde_json::to_value(manifest).unwrap_or_default();
--- a/crates/kingcuploftctl/src/drain.rs
+++ b/crates/kingcuploftctl/src/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: a backend server gets no new work, also while the store is down.
+//! `drain`: stops new requests to a backend server, also while the store is down.
 
 use kingcuploft_platform::{ObjectStore, StoreError, WriteCondition, manifest_root};
 use serde_json::Value;
@@ -8,42 +8,42 @@
 use crate::exit::{Code, Outcome};
 use crate::manifest;
 
-/// How many VMs are told; they tell the others.
+/// How many VMs receive the drain directly; they pass it on to the others.
 const MAX_TOLD_VMS: usize = 2;
 
-/// How often a write without an answer is sent again.
+/// How often a conflicting or unanswered write is retried.
 const MAX_RETRIES: usize = 2;
 
-/// Drains a backend server: through the store, so that it lasts, and through VMs, so that it does
-/// not wait for the store. Either is enough.
+/// Drains a backend server: through the store, so that the drain persists, and through VMs, so that it does not depend
+/// on the store. Either suffices.
 ///
 /// # Errors
 ///
-/// An ending with code 1 where neither took it.
+/// Returns an outcome with code 1 if neither accepted the drain.
 pub fn drain(context: &Context<'_>, service: &str, server: &str) -> Result<Outcome, Outcome> {
     let mut told = Vec::new();
     let mut errors = Vec::new();
     if context.has_vms() {
         match context.vms() {
             Ok(vms) => drain_through_vms(&vms, service, server, &mut told, &mut errors),
-            Err(ending) => errors.push(ending.err),
+            Err(outcome) => errors.push(outcome.err),
         }
     }
     let stored = match context.store() {
         Ok(store) => match write(&store, service, server) {
             Ok(()) => true,
-            Err(ending) => {
-                errors.push(ending.err);
+            Err(outcome) => {
+                errors.push(outcome.err);
                 false
             }
         },
-        Err(ending) if !context.has_vms() => return Err(ending),
+        Err(outcome) if !context.has_vms() => return Err(outcome),
         Err(_) => false,
     };
     if told.is_empty() && !stored {
         return Err(Outcome::failure(Code::Failed, errors.join("\n")));
     }
-    let mut ending = Outcome::success(match context.json() {
+    let mut outcome = Outcome::success(match context.json() {
         true => format!(
             "{}\n",
             serde_json::json!({ "told": told, "stored": stored })
@@ -51,10 +51,10 @@
         false => format!("{server} of {service} gets no new work\n"),
     });
     if !stored {
-        ending.err =
+        outcome.err =
             "not written to the store: VMs that all start anew at once will not know it".to_owned();
     }
-    Ok(ending)
+    Ok(outcome)
 }
 
 fn drain_through_vms(
@@ -76,7 +76,7 @@
     }
 }
 
-/// Writes the drain's object, at the place where the accepted manifest has the backend server.
+/// Writes the drain object, with the backend server's address in the accepted manifest.
 fn write(store: &dyn ObjectStore, service: &str, server: &str) -> Result<(), Outcome> {
     let root = manifest::root(store, None)?;
     let accepted = manifest_root::read_manifest(store, &root).map_err(manifest::failed)?;
@@ -97,7 +97,7 @@
     .map_err(|error| Outcome::failure(Code::Failed, format!("the store: {error}")))
 }
 
-/// Writes an object whatever is there: of two drains of one backend server either may stand.
+/// Writes an object over any existing one: of two concurrent drains of one backend server, either may remain.
 fn put(store: &dyn ObjectStore, key: &str, value: &str) -> Result<(), StoreError> {
     let mut expect = WriteCondition::Absent;
     let mut tries = 0;
--- a/crates/kingcuploftctl/src/exit.rs
+++ b/crates/kingcuploftctl/src/exit.rs
@@ -1,35 +1,35 @@
-//! How a command ends: its exit code and what it prints.
+//! The outcome of a command: its exit code and what it prints.
 
 /// The exit codes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Code {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
-    /// Not done: the store or a VM refused or was not reached.
+    /// The store or a VM refused or was not reached, and nothing was done.
     Failed = 1,
-    /// The command line or the manifest is wrong.
+    /// The command line or the manifest is invalid.
     InvalidInput = 2,
-    /// Another operator's apply came first.
+    /// Another operator's apply was accepted first.
     Conflict = 3,
-    /// Whether it was done is not known.
+    /// Whether the command took effect is unknown.
     Unknown = 4,
-    /// What was compared differs: two manifests, or the VMs of a fleet.
+    /// The compared manifests, or the VMs of the fleet, differ.
     Differs = 5,
 }
 
-/// How a command ended.
+/// The outcome of a command.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Outcome {
     /// The exit code.
     pub code: Code,
-    /// For the standard output, in text or JSON.
+    /// The text for standard output, plain or JSON.
     pub out: String,
-    /// For the standard error.
+    /// The text for standard error.
     pub err: String,
 }
 
 impl Outcome {
-    /// Ends well with an output.
+    /// Builds a success with an output.
     pub fn success(out: impl Into<String>) -> Self {
         Self {
             code: Code::Success,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Ends badly with a reason.
+    /// Builds a failure with a code and an error text.
     pub fn failure(code: Code, err: impl Into<String>) -> Self {
         Self {
             code,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Ends with a code and an output.
+    /// Builds an outcome with a code and an output.
     pub fn with_code(code: Code, out: impl Into<String>) -> Self {
         Self {
             code,
--- a/crates/kingcuploftctl/src/explain.rs
+++ b/crates/kingcuploftctl/src/explain.rs
@@ -7,11 +7,11 @@
 use crate::context::Context;
 use crate::exit::{Code, Outcome};
 
-/// Prints the last decisions of the VMs that fit, newest first.
+/// Prints the latest matching decisions of the VMs, newest first.
 ///
 /// # Errors
 ///
-/// An ending with code 1 where no VM answers.
+/// Returns an outcome with code 1 if no VM answers.
 pub fn explain(context: &Context<'_>, wanted: &ExplainArgs) -> Result<Outcome, Outcome> {
     let fields = [
         ("service", &wanted.service),
@@ -20,20 +20,20 @@
     ];
     let path = format!("/fleet/decisions?{}", query(&fields));
     let mut found = Vec::new();
-    let mut why = Vec::new();
+    let mut errors = Vec::new();
     let vms = context.vms()?;
     for vm in &vms {
         match vm.get::<Vec<Value>>(&path) {
             Ok(decisions) => found.extend(decisions.into_iter().map(|d| (vm.address(), d))),
-            Err(error) => why.push(format!("{}: {error}", vm.address())),
+            Err(error) => errors.push(format!("{}: {error}", vm.address())),
         }
     }
-    if why.len() == vms.len() {
-        return Err(Outcome::failure(Code::Failed, why.join("\n")));
+    if errors.len() == vms.len() {
+        return Err(Outcome::failure(Code::Failed, errors.join("\n")));
     }
     found.sort_by_key(|(_, decision)| std::cmp::Reverse(decision["at_ms"].as_u64()));
     let inputs = inputs(&vms, wanted);
-    let mut ending = Outcome::success(match context.json() {
+    let mut outcome = Outcome::success(match context.json() {
         true => {
             let decisions = found.iter();
             let decisions = decisions.map(|(vm, d)| serde_json::json!({ "vm": vm, "decision": d }));
@@ -49,11 +49,11 @@
             decisions.chain(inputs).collect()
         }
     });
-    ending.err = why.join("\n");
-    Ok(ending)
+    outcome.err = errors.join("\n");
+    Ok(outcome)
 }
 
-/// Returns the query of the fields that were given.
+/// Builds the URL query from the fields that are set.
 fn query(fields: &[(&str, &Option<String>)]) -> String {
     let given = fields
         .iter()
@@ -61,7 +61,7 @@
     given.collect::<Vec<_>>().join("&")
 }
 
-/// Returns what the dispatchers decided and saw: the queue, the limit, the expected wait.
+/// Returns the dispatchers' decisions with their inputs: the queue, the concurrency limit, the expected wait.
 fn inputs<'a>(vms: &'a [AdminClient], wanted: &ExplainArgs) -> Vec<(&'a str, Value)> {
     if wanted.reason.is_some() {
         return Vec::new();
@@ -70,7 +70,7 @@
     let path = format!("/explain?{}", query(&fields));
     let mut found = Vec::new();
     for vm in vms {
-        // A VM that did not make the request refuses its id: it has nothing to say of it.
+        // A VM rejects the id of a request that another VM received, and has no decisions about it.
         let decisions = vm.get::<Vec<Value>>(&path).unwrap_or_default();
         found.extend(
             decisions
--- a/crates/kingcuploftctl/src/help.rs
+++ b/crates/kingcuploftctl/src/help.rs
@@ -1,4 +1,4 @@
-//! The help texts.
+//! The help text of the tool.
 
 /// The tool's help.
 pub const HELP: &str = "\
--- a/crates/kingcuploftctl/src/lib.rs
+++ b/crates/kingcuploftctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The command-line tool's commands, for its `main` and for tests.
+//! The commands of the operators' command-line tool, for its `main` and for tests.
 
 pub mod admin_client;
 pub mod apply;
--- a/crates/kingcuploftctl/src/list.rs
+++ b/crates/kingcuploftctl/src/list.rs
@@ -1,4 +1,4 @@
-//! `service list` and `backend-server list`.
+//! `service list` and `backend-server list`: the services and backend servers of the accepted manifest.
 
 use kingcuploft::manifest::{Manifest, Service};
 use kingcuploft_platform::{ObjectStore, manifest_root};
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// An ending with code 1 where the store does not answer.
+/// Returns an outcome with code 1 if the store does not answer.
 pub fn services(context: &Context<'_>) -> Result<Outcome, Outcome> {
     let accepted = accepted(context)?;
     if context.json() {
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// An ending with code 1 where the store does not answer or has no such service.
+/// Returns an outcome with code 1 if the store does not answer or the manifest has no such service.
 pub fn backend_servers(context: &Context<'_>, wanted: Option<&str>) -> Result<Outcome, Outcome> {
     let accepted = accepted(context)?;
     let drains = drains(context)?;
@@ -97,7 +97,7 @@
     }))
 }
 
-/// Returns the drains in the store, as service, name and address.
+/// Returns the drains in the store, each as `SERVICE/NAME/ADDRESS`.
 fn drains(context: &Context<'_>) -> Result<Vec<String>, Outcome> {
     let listed = context.store()?.list("drains/");
     let listed = listed.map_err(|error| Outcome::failure(Code::Failed, error.to_string()))?;
--- a/crates/kingcuploftctl/src/main.rs
+++ b/crates/kingcuploftctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the tool.
+//! The operators' command-line tool: parses the command line, runs the command, prints its outcome.
 
 use std::io::Write;
 use std::process::ExitCode;
@@ -7,17 +7,17 @@
 use kingcuploftctl::{args, run};
 
 fn main() -> ExitCode {
-    let ending = match args::parse(std::env::args_os().skip(1)) {
+    let outcome = match args::parse(std::env::args_os().skip(1)) {
         Ok(args) => run::run(&args),
         Err(error) => Outcome::failure(
             Code::InvalidInput,
             format!("kingcuploftctl: {error}; see kingcuploftctl --help"),
         ),
     };
-    // A reader that closes early, such as `head`, is not a failure.
-    drop(std::io::stdout().write_all(ending.out.as_bytes()));
-    if !ending.err.is_empty() {
-        eprintln!("{}", ending.err.trim_end());
+    // A reader that closes the pipe early, such as `head`, is not an error.
+    drop(std::io::stdout().write_all(outcome.out.as_bytes()));
+    if !outcome.err.is_empty() {
+        eprintln!("{}", outcome.err.trim_end());
     }
-    ExitCode::from(ending.code as u8)
+    ExitCode::from(outcome.code as u8)
 }
--- a/crates/kingcuploftctl/src/manifest.rs
+++ b/crates/kingcuploftctl/src/manifest.rs
@@ -1,4 +1,4 @@
-//! `manifest check`, `show` and `history`.
+//! `manifest check`, `show` and `history`: checks a manifest file, prints stored manifests and their history.
 
 use std::path::Path;
 
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// An ending with code 2 that tells every fault.
+/// Returns an outcome with code 2 that lists every fault.
 pub fn check(context: &Context<'_>, file: &Path) -> Result<Outcome, Outcome> {
     let checked = read(context, file)?;
     let figures = ManifestSize::of(&checked.manifest);
@@ -44,18 +44,18 @@
 ///
 /// # Errors
 ///
-/// An ending with code 2.
+/// Returns an outcome with code 2 that lists every fault.
 pub fn read(context: &Context<'_>, file: &Path) -> Result<CheckedManifest, Outcome> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file)
         .map_err(|error| Outcome::failure(Code::InvalidInput, format!("{name}: {error}")))?;
     reader::read_checked(&name, &text).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        let mut ending = Outcome::failure(Code::InvalidInput, lines.join("\n"));
+        let mut outcome = Outcome::failure(Code::InvalidInput, lines.join("\n"));
         if context.json() {
-            ending.out = format!("{}\n", serde_json::json!({ "faults": lines }));
+            outcome.out = format!("{}\n", serde_json::json!({ "faults": lines }));
         }
-        ending
+        outcome
     })
 }
 
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 ///
-/// An ending with code 1 where it is not to be had.
+/// Returns an outcome with code 1 if it cannot be read.
 pub fn show(context: &Context<'_>, generation: Option<Generation>) -> Result<Outcome, Outcome> {
     let store = context.store()?;
     let root = root(&store, generation)?;
@@ -82,11 +82,11 @@
         .map_err(|error| Outcome::failure(Code::Failed, error.to_string()))
 }
 
-/// Prints who applied what, newest first.
+/// Prints the history of applied manifests, newest first.
 ///
 /// # Errors
 ///
-/// An ending with code 1 where the store does not answer.
+/// Returns an outcome with code 1 if the store does not answer.
 pub fn history(context: &Context<'_>) -> Result<Outcome, Outcome> {
     let store = context.store()?;
     let roots = roots(&store)?;
@@ -116,7 +116,7 @@
     Ok(Outcome::success(out))
 }
 
-/// Returns a line about a root.
+/// Returns a line that summarizes a root.
 pub fn title(root: &Root) -> String {
     let mut title = format!("generation {}", root.generation);
     if !root.author.is_empty() {
@@ -133,11 +133,11 @@
     title
 }
 
-/// Returns the root of a generation, or the accepted one.
+/// Returns the root of a generation, or the accepted root.
 ///
 /// # Errors
 ///
-/// An ending with code 1 where it is not to be had.
+/// Returns an outcome with code 1 if it cannot be read.
 pub fn root(store: &dyn ObjectStore, generation: Option<Generation>) -> Result<Root, Outcome> {
     let mut roots = roots(store)?.into_iter();
     let found = match generation {
@@ -150,7 +150,7 @@
     })
 }
 
-/// Returns the roots that the store has, newest first.
+/// Returns the roots in the store, newest first.
 fn roots(store: &dyn ObjectStore) -> Result<Vec<Root>, Outcome> {
     let accepted = manifest_root::read_root(store).map_err(failed)?;
     let mut roots = manifest_root::read_history(store).map_err(failed)?;
@@ -160,7 +160,7 @@
     Ok(roots)
 }
 
-/// Turns an error of the store into an ending.
+/// Converts an error of the store into an outcome with code 1.
 pub fn failed(error: ApplyError) -> Outcome {
     Outcome::failure(Code::Failed, error.to_string())
 }
--- a/crates/kingcuploftctl/src/run.rs
+++ b/crates/kingcuploftctl/src/run.rs
@@ -1,11 +1,11 @@
-//! Runs a command.
+//! Runs the command of a parsed command line.
 
 use crate::args::{Args, Command};
 use crate::context::Context;
 use crate::exit::Outcome;
 use crate::{apply, claim, diff, drain, explain, help, list, manifest, status, trace};
 
-/// Runs the command of a command line.
+/// Runs a command and returns its outcome.
 pub fn run(args: &Args) -> Outcome {
     let context = Context::new(args);
     let ended = match &args.command {
@@ -28,5 +28,5 @@
         Command::Claim(service, key) => claim::show(&context, service, key),
         Command::Trace(request, files) => trace::trace(request, files),
     };
-    ended.unwrap_or_else(|ending| ending)
+    ended.unwrap_or_else(|outcome| outcome)
 }
--- a/crates/kingcuploftctl/src/status.rs
+++ b/crates/kingcuploftctl/src/status.rs
@@ -1,16 +1,16 @@
-//! `status`: each VM's manifest, readiness, drains and refusals, and whether they agree.
+//! `status`: each VM's generation, readiness, drains and refusals, and whether the VMs agree.
 
 use serde_json::Value;
 
 use crate::context::Context;
 use crate::exit::{Code, Outcome};
 
-/// Prints the state of each VM; the code tells whether all answer, are ready and have the same
-/// generation in force.
+/// Prints the state of each VM. The exit code says whether all VMs answer, are ready and have the same active
+/// generation.
 ///
 /// # Errors
 ///
-/// An ending where no VM was named.
+/// Returns an outcome if no VM was named, or the clients of the VMs cannot be built.
 pub fn status(context: &Context<'_>) -> Result<Outcome, Outcome> {
     let vms = context.vms()?;
     let read = vms
--- a/crates/kingcuploftctl/src/trace.rs
+++ b/crates/kingcuploftctl/src/trace.rs
@@ -1,7 +1,7 @@
-//! `trace`: a request's way, from the logs of entry VMs.
+//! `trace`: the history of one request, from the logs of entry VMs.
 //!
-//! Reads the JSON lines that `kingcuploft-front` writes, of one VM or of several merged; whatever
-//! stands before the `{` of a line, such as a collector's VM name, is kept as the line's origin.
+//! Reads the JSON log lines of `kingcuploft-front`, from one VM or several. The text before the `{` of a line, such as
+//! a log collector's VM name, is kept as the line's origin.
 
 use std::io::Read;
 use std::path::PathBuf;
@@ -10,18 +10,18 @@
 
 use crate::exit::{Code, Outcome};
 
-/// One log line that has to do with the request.
+/// One log line about the request.
 struct Line {
     timestamp: String,
     origin: String,
     fields: Value,
 }
 
-/// Prints the way of a request, from these files, or from the standard input if there are none.
+/// Prints the history of a request from log files, or from standard input if there are none.
 ///
 /// # Errors
 ///
-/// Returns an ending that says which file can't be read.
+/// Returns an outcome that names the file that cannot be read.
 pub fn trace(request: &str, files: &[PathBuf]) -> Result<Outcome, Outcome> {
     let mut texts = Vec::new();
     for file in files {
@@ -41,7 +41,7 @@
     Outcome::failure(Code::Failed, format!("kingcuploftctl: {name}: {error}"))
 }
 
-/// Prints the way of a request from logs, each with its name.
+/// Prints the history of a request from the texts of logs, each with its name.
 pub fn trace_texts(request: &str, logs: &[(String, Vec<u8>)]) -> Outcome {
     let (mut lines, mut left_out) = (Vec::new(), 0);
     for (name, bytes) in logs {
--- a/crates/kingcuploftctl/tests/trace.rs
+++ b/crates/kingcuploftctl/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A request's way, from the logs of entry VMs.
+//! `trace`: a request's history from the logs of entry VMs.
 
 use kingcuploftctl::args::{Command, parse};
 use kingcuploftctl::exit::Code;
@@ -14,51 +14,52 @@
         .collect()
 }
 
-/// A school asks why its confirmation failed. Its request's lines lie in the log of one VM among
-/// others', out of order, behind a collector's prefix.
+/// Guards against lines of a failed request that are missed or printed out of order. They stand among other requests'
+/// lines, out of order, and behind a log collector's prefix.
 #[test]
-fn a_lost_confirmation_is_told_in_order_with_what_decided_it() {
+fn lines_of_a_failed_request_are_printed_in_order_with_their_reasons() {
     let (prefixed, noise) = (format!("0.74 front-c-3 {GAVE_UP}"), "not a log line {");
     let logs = logs(&[("a.log", &[OTHER, noise]), ("b.log", &[&prefixed, LOST])]);
-    let ending = trace_texts("0d16", &logs);
-    assert_eq!(ending.code, Code::Success);
-    let lines: Vec<&str> = ending.out.lines().collect();
-    assert_eq!(lines.len(), 2, "{}", ending.out);
+    let outcome = trace_texts("0d16", &logs);
+    assert_eq!(outcome.code, Code::Success);
+    let lines: Vec<&str> = outcome.out.lines().collect();
+    assert_eq!(lines.len(), 2, "{}", outcome.out);
     assert!(lines[0].contains("b.log  sent to i-16 after 1 ms, its reading 8 ms old"));
     assert!(lines[0].ends_with("lost after 6 ms: connection failed"));
     assert!(lines[1].contains("0.74 front-c-3  answered 502 after 7 ms and 1 attempts"));
 }
 
-/// A lookup was sent to a second server, which answered; the first send was cancelled a moment later. Its line
-/// is the last one, and does not hide how the request ended. Alone, it says that nobody waited any more.
+/// Guards against a cancelled attempt that hides the answer. A hedged lookup was answered by the second server, and the
+/// first attempt was cancelled a moment later, so that its line is the last one. A cancelled attempt without another
+/// one means that nobody waited for the answer any more.
 #[test]
 fn a_cancelled_send_does_not_hide_the_answer() {
     let cancelled = LOST.replace("\"lost\"", "\"cancelled\"");
     let cancelled = cancelled.replace("40.748383", "41.900000");
     let succeeded = LOST.replace("\"lost\"", "\"succeeded\"");
-    let ending = trace_texts("0d16", &logs(&[("a.log", &[&succeeded, &cancelled])]));
-    assert!(ending.out.contains("The server's answer was passed on."));
-    let ending = trace_texts("0d16", &logs(&[("a.log", &[&cancelled])]));
-    assert!(ending.out.contains("The only send was cancelled"));
+    let outcome = trace_texts("0d16", &logs(&[("a.log", &[&succeeded, &cancelled])]));
+    assert!(outcome.out.contains("The server's answer was passed on."));
+    let outcome = trace_texts("0d16", &logs(&[("a.log", &[&cancelled])]));
+    assert!(outcome.out.contains("The only send was cancelled"));
 }
 
 #[test]
-fn a_request_without_lines_is_said_to_have_none() {
-    let ending = trace_texts("none", &logs(&[("a.log", &[OTHER])]));
-    assert_eq!(ending.code, Code::Failed);
-    assert!(ending.out.contains("No line has this id"));
+fn a_request_without_lines_is_reported() {
+    let outcome = trace_texts("none", &logs(&[("a.log", &[OTHER])]));
+    assert_eq!(outcome.code, Code::Failed);
+    assert!(outcome.out.contains("No line has this id"));
 }
 
 #[test]
-fn a_missing_end_and_lines_left_out_are_told() {
+fn a_missing_end_and_dropped_lines_are_reported() {
     let left_out = r#"{"event":"lines_left_out","count":3}"#;
-    let ending = trace_texts("0d16", &logs(&[("a.log", &[LOST, left_out])]));
-    assert!(ending.out.contains("No final line"));
-    assert!(ending.out.contains("Some lines were left out"));
+    let outcome = trace_texts("0d16", &logs(&[("a.log", &[LOST, left_out])]));
+    assert!(outcome.out.contains("No final line"));
+    assert!(outcome.out.contains("Some lines were left out"));
 }
 
 #[test]
-fn the_command_line_names_a_request_and_logs() {
+fn the_command_line_takes_a_request_and_log_files() {
     let args = parse(["trace", "0d16", "a.log", "b.log"].map(Into::into)).unwrap();
     let files = vec!["a.log".into(), "b.log".into()];
     assert_eq!(args.command, Command::Trace("0d16".into(), files));
--- a/crates/kingcuploftd/src/daemon.rs
+++ b/crates/kingcuploftd/src/daemon.rs
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// Returns [`StartError`] if a port cannot be opened, the peer settings are not usable or a thread cannot be
-    /// started.
+    /// started. A port that cannot be opened is reported before any thread starts.
     pub fn start(settings: Settings) -> Result<Self, StartError> {
         let callers = listen(settings.listen)?;
         let admins = listen(settings.admin_listen)?;
--- a/crates/kingcuploftd/tests/admin.rs
+++ b/crates/kingcuploftd/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin port: what needs the token, and a token that changes.
+//! The admin port: which pages need the token, and how a changed token takes effect.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -21,9 +21,9 @@
     answer[9..12].parse().unwrap()
 }
 
-/// Somebody on the network reads which bookings are refused, or drains a backend server.
-/// Without the token only the balancer's two pages may answer; a token that is replaced in its file
-/// is in force without a restart, and the old one no longer.
+/// Guards against access without the token: anyone on the network could read the refusals of bookings or drain a
+/// backend server. Only the balancer's two pages answer without the token. A token that is replaced in its file becomes
+/// valid without a restart, and the old one invalid.
 #[test]
 fn only_the_balancers_pages_need_no_token_and_a_new_token_needs_no_restart() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/kingcuploftd/tests/inspector.rs
+++ b/crates/kingcuploftd/tests/inspector.rs
@@ -1,10 +1,10 @@
-//! The inspector of request heads.
+//! The inspector of raw request heads.
 
 use kingcuploftd::caller_edge::inspector::{Inspector, Verdict};
 
-/// The inspector's verdicts do not depend on how the bytes are cut, and no bytes make it panic.
+/// Guards against verdicts that depend on how the bytes are split into reads, and against bytes that cause a panic.
 #[test]
-fn the_inspector_judges_alike_however_bytes_are_cut() {
+fn verdicts_do_not_depend_on_how_bytes_are_split() {
     /// The bytes that each seed draws from; `arbtest` takes them from the seed's lower half.
     const BYTES: u64 = 256;
     const PIECES: &[&str] = &[
--- a/crates/kingcuploftd/tests/metrics_page.rs
+++ b/crates/kingcuploftd/tests/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The page of metrics against the code.
+//! Compares the documentation page of metrics with the code.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn every_metric_of_the_source_stands_on_its_page_and_nothing_else_does() {
+fn the_page_lists_exactly_the_metrics_of_the_source() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut names = BTreeSet::new();
     registered(&source, &mut names);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn every_metric_of_a_new_daemon_stands_on_its_page() {
+fn the_page_lists_every_metric_of_a_new_daemon() {
     let text = Metrics::default().text();
     let helps = text
         .lines()
--- a/crates/kingcuploftd/tests/peer_messages.rs
+++ b/crates/kingcuploftd/tests/peer_messages.rs
@@ -1,4 +1,4 @@
-//! The reader of peer messages: no bytes panic it, whatever passes the framing.
+//! The reader of peer messages: whatever bytes pass the framing, it returns an error and never panics.
 
 use arbtest::arbtest;
 use capnp::message::{Builder, ReaderOptions};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_heartbeat_is_read_as_it_was_written() {
+fn a_heartbeat_round_trips() {
     let beat = Heartbeat {
         generation: 12,
         root_hash: 34,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn no_bytes_panic_the_reader() {
+fn no_bytes_make_the_reader_panic() {
     let good = message(&Heartbeat {
         gossip: vec![member("entry-1"), member("entry-2")],
         ..Heartbeat::default()
--- a/crates/kingcuploftd/tests/settings.rs
+++ b/crates/kingcuploftd/tests/settings.rs
@@ -11,7 +11,7 @@
     parse("s.yaml", text).expect_err(text)
 }
 
-/// Returns the good settings with other lines.
+/// Returns the good settings with some lines replaced or added.
 fn with(lines: &str) -> String {
     let name = |line: &str| line.split(':').next().unwrap_or_default().to_owned();
     let replaced: Vec<String> = lines.lines().map(name).collect();
@@ -28,7 +28,8 @@
     assert!(parse("s.yaml", &token).is_ok());
 }
 
-/// An operator mistypes one thing; each must be told by line and field, not only "invalid".
+/// Guards against a fault that is reported without its place: an operator mistypes one value and must see its line and
+/// field, not only "invalid".
 #[test]
 fn each_wrong_field_is_named_with_its_line() {
     let cases = [
@@ -113,9 +114,9 @@
     }
 }
 
-/// A file that is wrong in many places is reported at once, in the order of its lines.
+/// Guards against faults that show only one at a time: a file with many faults is reported in one run, in line order.
 #[test]
-fn all_faults_of_a_file_are_told_at_once() {
+fn all_faults_of_a_file_are_reported_at_once() {
     let text = "vm: ''\navailability_zone: a\nlisten: here\nadmin_listen: 127.0.0.1:0\nplattform: x\nlimits:\n  workers: 0\n  ring: x\n  rings: 1\nlog_format: xml\n";
     let found = faults(text);
     let told: Vec<(usize, &str)> = found.iter().map(|f| (f.line, f.field.as_str())).collect();
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn texts_that_are_no_settings_are_told_with_a_line() {
+fn texts_that_are_not_settings_are_reported_with_a_line() {
     let bomb = format!("a: &a [x]\n{}", "b: [*a, *a, *a]\n".repeat(2000));
     let deep = format!("{}{}", "[".repeat(5000), "]".repeat(5000));
     for text in [
@@ -155,7 +156,7 @@
     }
 }
 
-/// No text makes the reader panic or run away.
+/// Guards against a text that makes the reader panic or never end.
 #[test]
 fn no_text_panics() {
     /// The bytes that each seed draws from; `arbtest` takes them from the seed's lower half.
@@ -210,14 +211,15 @@
     }
 }
 
-/// A wrong file must end the daemon before it opens a port, with the exit code for settings.
+/// Guards against a daemon that opens a port with wrong settings: a faulty file must end it with the exit code for
+/// settings before it opens any port.
 #[test]
-fn a_wrong_file_ends_the_daemon_with_2_and_no_port() {
+fn a_faulty_file_ends_the_daemon_with_exit_code_2_before_it_opens_a_port() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("settings.yaml");
     let holder = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let taken = holder.local_addr().unwrap();
-    // A port that is taken would give exit code 1 if the daemon tried to open it.
+    // The port is in use, so the daemon would end with exit code 1 if it tried to open it.
     std::fs::write(
         &file,
         with(&format!("listen: {taken}\nlimits: {{workers: 0}}")),
@@ -273,7 +275,7 @@
     "peer.tls",
 ];
 
-/// Returns the names that a section knows, from the reader's own error.
+/// Returns the option names of a section, from the reader's error about an unknown name.
 fn names(section: &str) -> Vec<String> {
     let mut lines = String::new();
     for (depth, step) in section.split('.').filter(|s| !s.is_empty()).enumerate() {
--- a/crates/kingcuploftd/tests/settings_peer.rs
+++ b/crates/kingcuploftd/tests/settings_peer.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn links_without_tls_off_the_loopback_are_refused_unless_allowed() {
+fn links_without_tls_on_other_than_loopback_addresses_are_refused_unless_allowed() {
     assert_eq!(fault("{listen: '127.0.0.1:7400'}"), "");
     assert_eq!(fault("{listen: '10.0.0.1:7400', plain: true}"), "");
     let tls = "tls: {certificate: a, key: b, ca: c}";
@@ -43,13 +43,13 @@
 }
 
 #[test]
-fn each_option_stands_in_the_documentation() {
+fn each_option_is_documented() {
     let page = |name: &str| {
         let path = workspace().join("docs/features").join(name);
         std::fs::read_to_string(path).unwrap()
     };
     let (links, membership) = (page("peer_link.md"), page("membership.md"));
-    // The reader itself names every option of a part when it meets an unknown one.
+    // The reader's error about an unknown option lists every option of the section.
     let options = |text: &str| {
         let error = serde_saphyr::from_str::<PeerSettings>(text).unwrap_err();
         let error = error.to_string();
