--- a/crates/kingcuploft-standins/tests/backend_server.rs
+++ b/crates/kingcuploft-standins/tests/backend_server.rs
@@ -1,4 +1,4 @@
-//! The backend server stand-in: what it counts and how its faults show.
+//! Checks the simulated backend server: its counts, and how each fault appears on the wire.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -18,7 +18,8 @@
     BackendServer::start(runtime, work).unwrap()
 }
 
-/// Sends a request that closes its write side; returns all that comes back.
+/// Sends a request on a new connection and returns all bytes that arrive until the connection closes or nothing arrives
+/// for 300 ms.
 fn call(server: &BackendServer, request: &str) -> String {
     let mut stream = TcpStream::connect(server.address()).unwrap();
     let timeout = Some(Duration::from_millis(300));
@@ -29,6 +30,7 @@
     String::from_utf8(answer).unwrap_or_default()
 }
 
+/// Waits until a condition holds.
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(10);
     while !holds() {
@@ -38,7 +40,7 @@
 }
 
 #[test]
-fn a_whole_answer_tells_load_and_id_and_its_run_is_counted() {
+fn an_answer_carries_load_and_request_id_and_its_run_is_counted() {
     let runtime = Runtime::new().unwrap();
     let server = start(&runtime);
     let answer = call(&server, HOLD);
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn each_fault_shows_on_the_wire_and_in_the_runs() {
+fn each_answer_fault_shows_on_the_wire_and_in_the_run_count() {
     let runtime = Runtime::new().unwrap();
     let server = start(&runtime);
     let cases = [
@@ -85,7 +87,7 @@
 }
 
 #[test]
-fn refusals_of_every_kind_do_not_run() {
+fn shed_failed_and_refused_requests_do_not_run() {
     let runtime = Runtime::new().unwrap();
     let server = start(&runtime);
     server.change(|faults| faults.shed_at = Some(0));
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn closing_cancels_and_frees_the_slot_and_a_deadline_ends_work() {
+fn a_closed_connection_cancels_the_work_and_a_deadline_ends_it() {
     let runtime = Runtime::new().unwrap();
     let server = start(&runtime);
     let long = "GET /long HTTP/1.1\r\nhost: a\r\nx-work-us: 60000000\r\n\r\n";
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn a_probe_occupies_a_slot_and_tells_an_old_load() {
+fn a_probe_takes_slot_time_and_reports_the_delayed_load() {
     let runtime = Runtime::new().unwrap();
     let server = start(&runtime);
     let probe = "GET /load HTTP/1.1\r\nhost: a\r\n\r\n";
--- a/crates/kingcuploft-standins/tests/fleet/harness.rs
+++ b/crates/kingcuploft-standins/tests/fleet/harness.rs
@@ -1,4 +1,4 @@
-//! Several daemons in this process with fast heartbeats, and a platform.
+//! Runs several daemons with fast heartbeats and a platform store in the test process.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,33 +11,34 @@
 use kingcuploftd::settings::Settings;
 use tokio::runtime::Runtime;
 
-/// How long anything may take that has to be in force everywhere.
-pub(crate) const IN_FORCE: Duration = Duration::from_secs(5);
+/// The time limit for a change to reach every daemon.
+pub(crate) const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(5);
 
-pub(crate) struct Bench {
+/// A platform store and the daemons that use it.
+pub(crate) struct Fleet {
     pub(crate) platform: Platform,
     pub(crate) daemons: Vec<Daemon>,
     _runtime: Runtime,
     started: usize,
 }
 
-impl Bench {
-    /// Starts a platform and daemons that stand in two zones by turns.
+impl Fleet {
+    /// Starts a platform store and daemons, alternating between two zones.
     pub(crate) fn start(daemons: usize) -> Self {
         let runtime = Runtime::new().unwrap();
-        let mut bench = Self {
+        let mut fleet = Self {
             platform: Platform::start(&runtime).unwrap(),
             daemons: Vec::new(),
             _runtime: runtime,
             started: 0,
         };
         for _ in 0..daemons {
-            bench.add();
+            fleet.add();
         }
-        bench
+        fleet
     }
 
-    /// Starts one more daemon that knows the others' addresses as first peers.
+    /// Starts one more daemon with the addresses of all others as its initial peers.
     pub(crate) fn add(&mut self) -> usize {
         let peers: Vec<String> = self
             .peers()
@@ -47,7 +48,7 @@
         self.add_with(&format!("peers: [{}]", peers.join(", ")))
     }
 
-    /// Starts one more daemon with more lines for its peer settings, in flow style.
+    /// Starts one more daemon with additional peer settings in YAML flow style; returns its index.
     pub(crate) fn add_with(&mut self, peer: &str) -> usize {
         let index = self.started;
         let zone = ["a", "b"][index % 2];
@@ -57,11 +58,13 @@
         self.daemons.len() - 1
     }
 
+    /// Returns the peer addresses of the daemons.
     pub(crate) fn peers(&self) -> Vec<SocketAddr> {
         let daemons = self.daemons.iter();
         daemons.filter_map(Daemon::peer_address).collect()
     }
 
+    /// Returns a store client that does not give up on faults early.
     pub(crate) fn client(&self) -> Client {
         let settings = ClientSettings {
             failures_to_open: 1000,
@@ -70,9 +73,10 @@
         Client::with_settings(&self.platform.address().to_string(), settings, 1)
     }
 
-    /// Applies a manifest of services, each with a deadline that tells its content.
+    /// Applies a manifest of services and returns its generation; the deadline of each service distinguishes its
+    /// content.
     pub(crate) fn apply(&self, services: &[(&str, u64)]) -> u64 {
-        let manifest = reader::read("test", &text(services)).unwrap();
+        let manifest = reader::read("test", &manifest_text(services)).unwrap();
         let id = format!("{services:?}");
         match manifest_root::apply(&self.client(), manifest, &id).unwrap() {
             ApplyOutcome::Accepted(generation) => generation,
@@ -80,36 +84,37 @@
         }
     }
 
+    /// Returns the manifest generation that each daemon has in force.
     pub(crate) fn generations(&self) -> Vec<u64> {
         self.daemons.iter().map(generation).collect()
     }
 
-    /// Waits until every daemon has this generation in force.
-    pub(crate) fn in_force(&self, generation: u64) {
-        let all = |bench: &Self| bench.generations().iter().all(|g| *g == generation);
-        until(
-            IN_FORCE,
-            || all(self),
-            || format!("{:?}", self.generations()),
-        );
+    /// Waits until every daemon has this manifest generation in force.
+    pub(crate) fn wait_in_force(&self, generation: u64) {
+        let all = || self.generations().iter().all(|g| *g == generation);
+        until(PROPAGATION_TIMEOUT, all, || {
+            format!("{:?}", self.generations())
+        });
     }
 
+    /// Returns the number of peer links of each daemon.
     pub(crate) fn links(&self) -> Vec<i64> {
         let daemons = self.daemons.iter();
         let links = daemons.map(|d| d.shared().metrics.fleet.peer_links.get());
         links.collect()
     }
 
-    /// Waits until every daemon sees so many live members, itself included.
-    pub(crate) fn live(&self, count: usize) {
+    /// Waits until every daemon sees this number of live members, itself included.
+    pub(crate) fn wait_live(&self, count: usize) {
         let live = || self.daemons.iter().map(live_members).collect::<Vec<_>>();
         until(
-            IN_FORCE,
+            PROPAGATION_TIMEOUT,
             || live().iter().all(|n| *n == count),
             || format!("{:?}", live()),
         );
     }
 
+    /// Stops all daemons in parallel.
     pub(crate) fn stop(self) {
         std::thread::scope(|scope| {
             for daemon in self.daemons {
@@ -119,6 +124,7 @@
     }
 }
 
+/// Starts a daemon with fast heartbeats and additional peer settings in YAML flow style.
 pub(crate) fn start_daemon(name: &str, zone: &str, platform: &Platform, peer: &str) -> Daemon {
     let text = format!(
         "{{vm: {name}, availability_zone: {zone}, listen: '127.0.0.1:0', admin_listen: '127.0.0.1:0', platform: '{}', limits: {{workers: 1}}, store: {{call_timeout_ms: 300, failures_to_open: 1000}}, peer: {{listen: '127.0.0.1:0', membership: {{beat_ms: 100, suspect_ms: 500, gone_ms: 1000, forget_ms: 2000}}, {peer}}}}}",
@@ -128,7 +134,8 @@
     Daemon::start(settings).unwrap()
 }
 
-pub(crate) fn text(services: &[(&str, u64)]) -> String {
+/// Returns the YAML text of a manifest of services, each with this deadline.
+pub(crate) fn manifest_text(services: &[(&str, u64)]) -> String {
     let mut text = String::from("services:\n");
     for (i, (name, deadline_ms)) in services.iter().enumerate() {
         text += &format!(
@@ -139,10 +146,12 @@
     text
 }
 
+/// Returns the manifest generation that a daemon has in force.
 pub(crate) fn generation(daemon: &Daemon) -> u64 {
     daemon.shared().accepted.load().generation
 }
 
+/// Returns how many live members a daemon sees.
 pub(crate) fn live_members(daemon: &Daemon) -> usize {
     use kingcuploft::decisions::membership::MemberState;
     let members = daemon.shared().fleet.members();
@@ -152,11 +161,11 @@
         .count()
 }
 
-/// Waits until something holds.
-pub(crate) fn until(most: Duration, mut holds: impl FnMut() -> bool, told: impl Fn() -> String) {
-    let end = Instant::now() + most;
+/// Waits until a condition holds; panics with a description of the state after the time limit.
+pub(crate) fn until(limit: Duration, mut holds: impl FnMut() -> bool, state: impl Fn() -> String) {
+    let end = Instant::now() + limit;
     while !holds() {
-        assert!(Instant::now() < end, "not within {most:?}: {}", told());
+        assert!(Instant::now() < end, "not within {limit:?}: {}", state());
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/kingcuploft-standins/tests/fleet/main.rs
+++ b/crates/kingcuploft-standins/tests/fleet/main.rs
@@ -1,7 +1,8 @@
-//! The fleet through faults: manifests, members and drains across several daemons.
+//! Checks several daemons under faults: manifest propagation, membership, drains, faulty peers and mutual TLS.
 
+mod faulty_peers;
 mod harness;
 mod manifest;
 mod members;
-mod rogue;
+
 mod tls;
--- a/crates/kingcuploft-standins/tests/fleet/manifest.rs
+++ b/crates/kingcuploft-standins/tests/fleet/manifest.rs
@@ -1,4 +1,4 @@
-//! An accepted manifest is in force everywhere within seconds and never reverts.
+//! Checks manifest propagation: an accepted manifest is in force on every VM within seconds and is never reverted.
 
 use std::time::Duration;
 
@@ -10,176 +10,184 @@
 use kingcuploft_platform::{ObjectStore, WriteCondition};
 use kingcuploft_standins::platform::Outage;
 
-use crate::harness::{Bench, IN_FORCE, generation, text, until};
+use crate::harness::{Fleet, PROPAGATION_TIMEOUT, generation, manifest_text, until};
 
 #[test]
-fn a_store_that_dies_right_after_acceptance_does_not_stop_a_manifest() {
-    // Operators are told "accepted" and the store goes down. One VM has read the manifest by then;
-    // were the others to wait for the store, they would serve the old one for the whole outage.
-    let bench = Bench::start(5);
-    bench.in_force(bench.apply(&[("trip", 1)]));
-    bench.live(5);
-    let accepted = bench.apply(&[("trip", 2)]);
-    let first = || bench.generations().contains(&accepted);
-    until(IN_FORCE, first, || "no VM has it".into());
-    bench
+fn a_store_outage_right_after_acceptance_does_not_stop_a_manifest() {
+    // Failure: the store goes down right after it accepted a manifest that only one VM has read. If the others waited
+    // for the store, they would serve the old manifest during the whole outage.
+    let fleet = Fleet::start(5);
+    fleet.wait_in_force(fleet.apply(&[("trip", 1)]));
+    fleet.wait_live(5);
+    let accepted = fleet.apply(&[("trip", 2)]);
+    let first = || fleet.generations().contains(&accepted);
+    until(PROPAGATION_TIMEOUT, first, || "no VM has it".into());
+    fleet
         .platform
         .change_faults(|faults| faults.outage = Some(Outage::Silence));
-    bench.in_force(accepted);
-    bench.platform.change_faults(|faults| faults.outage = None);
-    bench.stop();
+    fleet.wait_in_force(accepted);
+    fleet.platform.change_faults(|faults| faults.outage = None);
+    fleet.stop();
 }
 
 #[test]
 fn a_watch_that_stalls_silently_delays_a_manifest_by_seconds_only() {
-    // The store takes watches and never answers them; reads still work. A VM that trusted its
-    // watch would stay on the old manifest for good.
-    let bench = Bench::start(1);
-    bench.in_force(bench.apply(&[("trip", 1)]));
-    bench
+    // Failure: the store accepts watches and never answers them, while reads work. A VM that relied on its watch alone
+    // would keep the old manifest forever.
+    let fleet = Fleet::start(1);
+    fleet.wait_in_force(fleet.apply(&[("trip", 1)]));
+    fleet
         .platform
         .change_faults(|faults| faults.stalled_watch = true);
-    bench.in_force(bench.apply(&[("trip", 2)]));
-    bench.stop();
+    fleet.wait_in_force(fleet.apply(&[("trip", 2)]));
+    fleet.stop();
 }
 
 #[test]
 fn a_stale_read_reverts_nothing() {
-    // A service that was removed answers again: a VM reads an older root from a lagging replica of
-    // the store after it had the newer one.
-    let bench = Bench::start(2);
-    let old = bench.apply(&[("trip", 1), ("venue", 1)]);
-    bench.in_force(old);
-    let old_root = bench.platform.object(ROOT_KEY).unwrap().value;
-    let new = bench.apply(&[("trip", 2)]);
-    bench.in_force(new);
-    bench.platform.overwrite(ROOT_KEY, &old_root);
+    // Failure: a VM reads an older root from a lagging replica of the store after it had the newer one, and a removed
+    // service answers again.
+    let fleet = Fleet::start(2);
+    let old = fleet.apply(&[("trip", 1), ("venue", 1)]);
+    fleet.wait_in_force(old);
+    let old_root = fleet.platform.object(ROOT_KEY).unwrap().value;
+    let new = fleet.apply(&[("trip", 2)]);
+    fleet.wait_in_force(new);
+    fleet.platform.overwrite(ROOT_KEY, &old_root);
     for _ in 0..20 {
         std::thread::sleep(Duration::from_millis(10));
-        assert_eq!(bench.generations(), [new, new]);
+        assert_eq!(fleet.generations(), [new, new]);
     }
-    bench.stop();
+    fleet.stop();
 }
 
 #[test]
 fn a_zone_whose_peer_links_are_cut_still_follows_the_store() {
-    // A switch fails and a zone's VMs reach the store but no other VM.
-    let mut bench = Bench::start(2);
-    let alone = bench.add_with("peers: []");
-    bench.in_force(bench.apply(&[("trip", 1)]));
-    assert_eq!(bench.links()[alone], 0);
-    bench.in_force(bench.apply(&[("trip", 2)]));
-    bench.stop();
+    // Failure: a switch fails, and the VMs of a zone reach the store but no other VM.
+    let mut fleet = Fleet::start(2);
+    let alone = fleet.add_with("peers: []");
+    fleet.wait_in_force(fleet.apply(&[("trip", 1)]));
+    assert_eq!(fleet.links()[alone], 0);
+    fleet.wait_in_force(fleet.apply(&[("trip", 2)]));
+    fleet.stop();
 }
 
 #[test]
 fn a_vm_that_is_replaced_during_an_outage_starts_from_its_peers() {
-    // The store is down for an hour and VMs go on being replaced. Each new one would stay not
-    // ready until the fleet is empty.
-    let mut bench = Bench::start(3);
-    let accepted = bench.apply(&[("trip", 1), ("venue", 1)]);
-    bench.in_force(accepted);
-    bench.platform.set_down(true);
-    bench.daemons.remove(0).stop();
-    let new = bench.add();
-    bench.in_force(accepted);
-    assert!(bench.daemons[new].shared().ready());
-    bench.stop();
+    // Failure: VMs are replaced while the store is down for an hour. If new VMs needed the store, none would become
+    // ready, and in the end no VM would serve.
+    let mut fleet = Fleet::start(3);
+    let accepted = fleet.apply(&[("trip", 1), ("venue", 1)]);
+    fleet.wait_in_force(accepted);
+    fleet.platform.set_down(true);
+    fleet.daemons.remove(0).stop();
+    let new = fleet.add();
+    fleet.wait_in_force(accepted);
+    assert!(fleet.daemons[new].shared().ready());
+    fleet.stop();
 }
 
 #[test]
-fn a_vm_that_cannot_know_the_manifest_says_not_ready() {
-    let bench = Bench::start(1);
-    bench.platform.set_down(true);
+fn a_vm_without_a_manifest_is_not_ready() {
+    let fleet = Fleet::start(1);
+    fleet.platform.set_down(true);
     std::thread::sleep(Duration::from_millis(100));
-    assert!(!bench.daemons[0].shared().ready());
-    bench.platform.set_down(false);
-    bench.in_force(bench.apply(&[("trip", 1)]));
-    assert!(bench.daemons[0].shared().ready());
-    bench.stop();
+    assert!(!fleet.daemons[0].shared().ready());
+    fleet.platform.set_down(false);
+    fleet.wait_in_force(fleet.apply(&[("trip", 1)]));
+    assert!(fleet.daemons[0].shared().ready());
+    fleet.stop();
 }
 
 #[test]
-fn a_corrupt_service_object_keeps_the_old_manifest_until_it_is_mended() {
-    // One object of a new manifest is damaged in the store. Half of the manifest would send a
-    // service's requests to backend servers of another time.
-    let mut bench = Bench::start(2);
-    let old = bench.apply(&[("trip", 1), ("venue", 1)]);
-    bench.in_force(old);
-    bench.platform.set_down(true);
-    let before = bench.platform.keys(SERVICES_PREFIX);
-    bench.platform.set_down(false);
-    // The daemons can not read while the new manifest is written and damaged.
-    bench
+fn a_manifest_with_a_corrupt_service_object_is_adopted_only_after_its_repair() {
+    // Failure: one object of a new manifest is damaged in the store. Adopting the rest of the manifest would send
+    // requests of that service to outdated backend servers.
+    let mut fleet = Fleet::start(2);
+    let old = fleet.apply(&[("trip", 1), ("venue", 1)]);
+    fleet.wait_in_force(old);
+    fleet.platform.set_down(true);
+    let before = fleet.platform.keys(SERVICES_PREFIX);
+    fleet.platform.set_down(false);
+    // All daemons are stopped, so that none reads the new manifest before it is damaged.
+    fleet
         .platform
         .change_faults(|faults| faults.reads_per_s = None);
-    let stalled: Vec<_> = bench.daemons.drain(..).collect();
-    for daemon in stalled {
+    let stopped: Vec<_> = fleet.daemons.drain(..).collect();
+    for daemon in stopped {
         daemon.stop();
     }
-    let new = bench.apply(&[("trip", 2), ("venue", 1)]);
-    let keys = bench.platform.keys(SERVICES_PREFIX);
+    let new = fleet.apply(&[("trip", 2), ("venue", 1)]);
+    let keys = fleet.platform.keys(SERVICES_PREFIX);
     let key = keys.iter().find(|key| !before.contains(key)).unwrap();
-    let good = bench.platform.object(key).unwrap().value;
-    bench.platform.overwrite(key, "{\"name\": \"trip\"}");
-    let fresh = bench.add();
+    let good = fleet.platform.object(key).unwrap().value;
+    fleet.platform.overwrite(key, "{\"name\": \"trip\"}");
+    let fresh = fleet.add();
     let faults = || {
-        bench.daemons[fresh]
+        fleet.daemons[fresh]
             .shared()
             .metrics
             .fleet
             .manifest_faults
             .get()
     };
-    until(IN_FORCE, || faults() > 0, || "no fault told".into());
-    // The fault may be told before the other, good object is read: that one still comes.
-    let status = || bench.daemons[fresh].shared().manifest.read(|a| a.status());
+    until(
+        PROPAGATION_TIMEOUT,
+        || faults() > 0,
+        || "no fault reported".into(),
+    );
+    // The fault may be counted before the other, valid object is read; that one is still fetched.
+    let status = || fleet.daemons[fresh].shared().manifest.read(|a| a.status());
     let one_missing = || status().missing == 1;
-    until(IN_FORCE, one_missing, || format!("{:?}", status().missing));
-    assert_eq!(bench.generations(), [0]);
-    assert!(!bench.daemons[fresh].shared().ready());
-    // All but the corrupt one is fetched.
-    let status = || bench.daemons[fresh].shared().manifest.read(|a| a.status());
+    until(PROPAGATION_TIMEOUT, one_missing, || {
+        format!("{:?}", status().missing)
+    });
+    assert_eq!(fleet.generations(), [0]);
+    assert!(!fleet.daemons[fresh].shared().ready());
+    // Every object but the corrupt one is fetched.
+    let status = || fleet.daemons[fresh].shared().manifest.read(|a| a.status());
     until(
-        IN_FORCE,
+        PROPAGATION_TIMEOUT,
         || status().missing == 1,
         || format!("{:?}", status()),
     );
     assert_eq!((status().in_force, status().heard), (0, new));
-    bench.platform.overwrite(key, &good);
-    bench.in_force(new);
-    bench.stop();
+    fleet.platform.overwrite(key, &good);
+    fleet.wait_in_force(new);
+    fleet.stop();
 }
 
 #[test]
-fn a_missing_service_object_keeps_the_old_manifest_until_it_is_there() {
-    // The root of a manifest is seen before one of its objects: an operator's cleanup deleted it.
-    let bench = Bench::start(2);
-    let old = bench.apply(&[("trip", 1)]);
-    bench.in_force(old);
-    let (key, good) = apply_without_object(&bench);
-    let told = || {
-        let faults = bench
+fn a_missing_service_object_keeps_the_old_manifest_until_it_is_written() {
+    // Failure: the root of a manifest references an object that an operator's cleanup has deleted.
+    let fleet = Fleet::start(2);
+    let old = fleet.apply(&[("trip", 1)]);
+    fleet.wait_in_force(old);
+    let (key, good) = apply_without_object(&fleet);
+    let all_report_it = || {
+        let faults = fleet
             .daemons
             .iter()
             .map(|d| d.shared().manifest.read(|a| a.status().fault));
         faults.flatten().count() == 2
     };
-    until(IN_FORCE, told, || format!("{:?}", bench.generations()));
-    assert_eq!(bench.generations(), [old, old]);
-    bench
+    until(PROPAGATION_TIMEOUT, all_report_it, || {
+        format!("{:?}", fleet.generations())
+    });
+    assert_eq!(fleet.generations(), [old, old]);
+    fleet
         .client()
         .put(&key, &good, WriteCondition::Absent)
         .unwrap();
-    bench.in_force(old + 1);
-    bench.stop();
+    fleet.wait_in_force(old + 1);
+    fleet.stop();
 }
 
-/// Puts a root in place that names one object which is not there; returns that object.
-fn apply_without_object(bench: &Bench) -> (String, String) {
-    let manifest = reader::read("test", &text(&[("trip", 2)])).unwrap();
+/// Writes a root that references a missing object; returns the key and text of that object.
+fn apply_without_object(fleet: &Fleet) -> (String, String) {
+    let manifest = reader::read("test", &manifest_text(&[("trip", 2)])).unwrap();
     let object = service_objects(&manifest).remove(0);
-    let root = bench.platform.object(ROOT_KEY).unwrap().value;
+    let root = fleet.platform.object(ROOT_KEY).unwrap().value;
     let root: Root = serde_json::from_str(&root).unwrap();
     let part = ServiceRef {
         name: object.name.clone(),
@@ -190,25 +198,25 @@
         services: vec![part],
         ..root
     };
-    bench.platform.overwrite(ROOT_KEY, &next.text());
+    fleet.platform.overwrite(ROOT_KEY, &next.text());
     (service_key(&object.hash), object.text)
 }
 
 #[test]
-fn two_operators_racing_leave_one_manifest_everywhere() {
-    // Two pipelines apply at once, again and again. Were both to win, half of the VMs could hold
-    // one content of a generation and half the other.
-    let bench = Bench::start(3);
-    bench.in_force(bench.apply(&[("trip", 1)]));
-    let won: usize = std::thread::scope(|scope| {
+fn concurrent_applies_leave_the_same_manifest_on_every_vm() {
+    // Failure: two pipelines apply at once, repeatedly. If both were accepted with the same generation, VMs could hold
+    // different contents of it.
+    let fleet = Fleet::start(3);
+    fleet.wait_in_force(fleet.apply(&[("trip", 1)]));
+    let accepted: usize = std::thread::scope(|scope| {
         let operators = (0..2).map(|operator| {
-            let bench = &bench;
+            let fleet = &fleet;
             scope.spawn(move || {
                 let tries = (0..10).map(|i| {
-                    let text = text(&[("trip", 10 + operator * 100 + i)]);
+                    let text = manifest_text(&[("trip", 10 + operator * 100 + i)]);
                     let manifest = reader::read("test", &text).unwrap();
                     let id = format!("{operator}-{i}");
-                    let applied = apply(&bench.client(), manifest, &id).unwrap();
+                    let applied = apply(&fleet.client(), manifest, &id).unwrap();
                     usize::from(matches!(
                         applied,
                         ApplyOutcome::Accepted(_) | ApplyOutcome::Superseded { .. }
@@ -220,14 +228,14 @@
         let operators: Vec<_> = operators.collect();
         operators.into_iter().map(|o| o.join().unwrap()).sum()
     });
-    bench.in_force(1 + won as u64);
+    fleet.wait_in_force(1 + accepted as u64);
     let hash = |d: &kingcuploftd::daemon::Daemon| {
         d.shared()
             .manifest
             .read(|a| a.root_hash().map(ToString::to_string))
     };
-    let first = hash(&bench.daemons[0]);
-    assert!(bench.daemons.iter().all(|daemon| hash(daemon) == first));
-    assert!(generation(&bench.daemons[0]) > 10);
-    bench.stop();
+    let first = hash(&fleet.daemons[0]);
+    assert!(fleet.daemons.iter().all(|daemon| hash(daemon) == first));
+    assert!(generation(&fleet.daemons[0]) > 10);
+    fleet.stop();
 }
--- a/crates/kingcuploft-standins/tests/fleet/tls.rs
+++ b/crates/kingcuploft-standins/tests/fleet/tls.rs
@@ -1,12 +1,14 @@
-//! Mutual TLS between VMs: only the fleet's own may link, and keys change without a restart.
+//! Checks mutual TLS between VMs: only VMs with a certificate of the fleet link, and keys are reloaded without a
+//! restart.
 
 use std::path::Path;
 use std::time::Duration;
 
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
-use crate::harness::{Bench, IN_FORCE, until};
+use crate::harness::{Fleet, PROPAGATION_TIMEOUT, until};
 
+/// A certificate authority.
 struct Authority {
     issuer: Issuer<'static, KeyPair>,
     pem: String,
@@ -24,7 +26,7 @@
         }
     }
 
-    /// Writes a VM's files and returns the settings that name them.
+    /// Writes the key, certificate and authority files of a VM and returns the peer settings that refer to them.
     fn write(&self, folder: &Path) -> String {
         let key = KeyPair::generate().unwrap();
         let params = CertificateParams::new(vec!["127.0.0.1".to_owned()]).unwrap();
@@ -41,29 +43,29 @@
 }
 
 #[test]
-fn only_vms_of_the_fleet_may_link_and_keys_are_read_again() {
-    let fleet = Authority::new();
+fn only_vms_with_a_fleet_certificate_link_and_keys_are_reloaded() {
+    let authority = Authority::new();
     let folders: Vec<_> = (0..3).map(|_| tempfile::tempdir().unwrap()).collect();
-    let mut bench = Bench::start(0);
-    let first = fleet.write(folders[0].path());
-    bench.add_with(&first);
-    let seed = bench.peers()[0];
-    let second = fleet.write(folders[1].path());
-    bench.add_with(&format!("peers: ['{seed}'], {second}"));
-    bench.live(2);
-    // A VM with another authority's certificate, and one without TLS.
-    let stranger = Authority::new().write(folders[2].path());
-    let stranger = bench.add_with(&format!("peers: ['{seed}'], {stranger}"));
-    let plain = bench.add_with(&format!("peers: ['{seed}']"));
+    let mut fleet = Fleet::start(0);
+    let first = authority.write(folders[0].path());
+    fleet.add_with(&first);
+    let seed = fleet.peers()[0];
+    let second = authority.write(folders[1].path());
+    fleet.add_with(&format!("peers: ['{seed}'], {second}"));
+    fleet.wait_live(2);
+    // A VM with a certificate of another authority, and one without TLS.
+    let untrusted = Authority::new().write(folders[2].path());
+    let untrusted = fleet.add_with(&format!("peers: ['{seed}'], {untrusted}"));
+    let plain = fleet.add_with(&format!("peers: ['{seed}']"));
     std::thread::sleep(Duration::from_millis(800));
-    assert_eq!(bench.links()[stranger], 0);
-    assert_eq!(bench.links()[plain], 0);
-    // The stranger gets a certificate of the fleet and links without a restart.
-    fleet.write(folders[2].path());
+    assert_eq!(fleet.links()[untrusted], 0);
+    assert_eq!(fleet.links()[plain], 0);
+    // The untrusted VM gets a certificate of the fleet and links without a restart.
+    authority.write(folders[2].path());
     until(
-        IN_FORCE * 2,
-        || bench.links()[stranger] > 0,
-        || format!("{:?}", bench.links()),
+        PROPAGATION_TIMEOUT * 2,
+        || fleet.links()[untrusted] > 0,
+        || format!("{:?}", fleet.links()),
     );
-    bench.stop();
+    fleet.stop();
 }
--- a/crates/kingcuploft-standins/tests/manifest_store.rs
+++ b/crates/kingcuploft-standins/tests/manifest_store.rs
@@ -1,4 +1,5 @@
-//! The manifest in the store: one winner, lost answers settled, nothing written twice.
+//! Checks how a manifest is applied to the store: one of two concurrent applies is accepted, lost answers are resolved,
+//! and only changed objects are written.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -16,13 +17,14 @@
 use kingcuploft_standins::platform::{Outage, Platform, WriteFault};
 use tokio::runtime::Runtime;
 
-struct Bench {
+/// A platform store and a client that does not give up on faults early.
+struct Fixture {
     platform: Platform,
     store: Client,
     _runtime: Runtime,
 }
 
-fn bench() -> Bench {
+fn start() -> Fixture {
     let runtime = Runtime::new().unwrap();
     let platform = Platform::start(&runtime).unwrap();
     let settings = ClientSettings {
@@ -32,14 +34,14 @@
         ..ClientSettings::default()
     };
     let store = Client::with_settings(&platform.address().to_string(), settings, 1);
-    Bench {
+    Fixture {
         platform,
         store,
         _runtime: runtime,
     }
 }
 
-/// A manifest of services, each with a deadline that tells its content.
+/// Builds a manifest of services; the deadline of each distinguishes its content.
 fn manifest(services: &[(&str, u64)]) -> Manifest {
     let mut text = String::from("services:\n");
     for (name, deadline_ms) in services {
@@ -50,6 +52,7 @@
     reader::read("test", &text).unwrap()
 }
 
+/// Builds an apply by an operator, without conditions on the generation.
 fn request(manifest: Manifest, apply_id: &str) -> ApplyRequest {
     ApplyRequest {
         manifest,
@@ -63,101 +66,108 @@
 }
 
 #[test]
-fn only_what_changed_is_written() {
-    let bench = bench();
+fn only_changed_objects_are_written() {
+    let fixture = start();
     let all: Vec<String> = (0..40).map(|i| format!("service-{i}")).collect();
     let mut services: Vec<(&str, u64)> = all.iter().map(|name| (name.as_str(), 1)).collect();
-    let first = apply(&bench.store, manifest(&services), "first").unwrap();
+    let first = apply(&fixture.store, manifest(&services), "first").unwrap();
     assert_eq!(first, ApplyOutcome::Accepted(1));
-    let before = bench.platform.calls();
+    let before = fixture.platform.calls();
     services[7].1 = 2;
-    let second = apply(&bench.store, manifest(&services), "second").unwrap();
+    let second = apply(&fixture.store, manifest(&services), "second").unwrap();
     assert_eq!(second, ApplyOutcome::Accepted(2));
-    let after = bench.platform.calls();
-    // The earlier root's history, one service object and the root.
+    let after = fixture.platform.calls();
+    // The previous root into the history, one service object and the new root.
     assert_eq!(after.puts - before.puts, 3);
     assert_eq!(after.gets - before.gets, 1);
-    let (_, root) = read_root(&bench.store).unwrap().unwrap();
-    let read = read_manifest(&bench.store, &root).unwrap();
+    let (_, root) = read_root(&fixture.store).unwrap().unwrap();
+    let read = read_manifest(&fixture.store, &root).unwrap();
     assert_eq!(read, manifest(&services));
-    let history = read_history(&bench.store).unwrap();
+    let history = read_history(&fixture.store).unwrap();
     assert_eq!(history.len(), 1);
     let changed = vec![ServiceChange::Changed("service-7".into())];
     assert_eq!(root.changes_since(&history[0].services), changed);
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_the_id() {
-    // An operator's pipeline would report a failure although the manifest is in force: the root's
-    // write takes effect and its answer is lost.
-    let bench = bench();
+fn a_lost_answer_is_resolved_by_the_apply_id() {
+    // Failure: the write of the root takes effect and its answer is lost; the operator's pipeline then reports a
+    // failure although the manifest is in force.
+    let fixture = start();
     let lost = (ROOT_KEY.to_owned(), WriteFault::LostAnswer);
-    bench
+    fixture
         .platform
         .change_faults(|faults| faults.next_writes.push_back(lost));
-    let applied = apply(&bench.store, manifest(&[("trip", 1)]), "a").unwrap();
+    let applied = apply(&fixture.store, manifest(&[("trip", 1)]), "a").unwrap();
     assert_eq!(applied, ApplyOutcome::Accepted(1));
     let lost = (ROOT_KEY.to_owned(), WriteFault::LostRequest);
-    bench
+    fixture
         .platform
         .change_faults(|faults| faults.next_writes.push_back(lost));
-    let applied = apply(&bench.store, manifest(&[("trip", 2)]), "b").unwrap();
+    let applied = apply(&fixture.store, manifest(&[("trip", 2)]), "b").unwrap();
     assert_eq!(applied, ApplyOutcome::Accepted(2));
 }
 
 #[test]
 fn a_delayed_write_takes_effect_once() {
-    // The root's write is held up on its way and its connection dies; the tool sends it again.
-    // When the first one arrives at last, it must not put an older manifest back.
-    let bench = bench();
+    // Failure: the write of the root is delayed in the network and its connection breaks, so that the tool sends it
+    // again. When the first write arrives later, it must not restore an older manifest.
+    let fixture = start();
     let late = WriteFault::Delayed(Duration::from_millis(80));
     let late = (ROOT_KEY.to_owned(), late);
-    bench
+    fixture
         .platform
         .change_faults(|faults| faults.next_writes.push_back(late));
-    let applied = apply(&bench.store, manifest(&[("trip", 1)]), "a").unwrap();
+    let applied = apply(&fixture.store, manifest(&[("trip", 1)]), "a").unwrap();
     assert_eq!(applied, ApplyOutcome::Accepted(1));
     assert_eq!(
-        apply(&bench.store, manifest(&[("trip", 2)]), "b").unwrap(),
+        apply(&fixture.store, manifest(&[("trip", 2)]), "b").unwrap(),
         ApplyOutcome::Accepted(2)
     );
     std::thread::sleep(Duration::from_millis(150));
-    let (_, root) = read_root(&bench.store).unwrap().unwrap();
+    let (_, root) = read_root(&fixture.store).unwrap().unwrap();
     assert_eq!((root.generation, root.apply_id.as_str()), (2, "b"));
 }
 
 #[test]
-fn silence_to_the_end_is_told_as_unknown() {
-    // The store takes the write and then falls silent for long: "accepted" and "not accepted" would
-    // both be guesses.
-    let bench = bench();
-    apply(&bench.store, manifest(&[("trip", 1)]), "a").unwrap();
-    let silent = Silencing {
-        inner: &bench.store,
-        platform: &bench.platform,
+fn an_apply_without_any_answer_is_reported_as_unknown() {
+    // Failure: the store applies the write and then stops answering. Neither "accepted" nor "not accepted" would be
+    // certain.
+    let fixture = start();
+    apply(&fixture.store, manifest(&[("trip", 1)]), "a").unwrap();
+    let silent = SilentAfterWrite {
+        inner: &fixture.store,
+        platform: &fixture.platform,
     };
     let applied = apply(&silent, manifest(&[("trip", 2)]), "b").unwrap();
     assert!(matches!(applied, ApplyOutcome::Unknown(_)), "{applied:?}");
-    bench.platform.change_faults(|faults| faults.outage = None);
-    let (_, root) = read_root(&bench.store).unwrap().unwrap();
-    let before = read_history(&bench.store).unwrap().remove(0);
+    fixture
+        .platform
+        .change_faults(|faults| faults.outage = None);
+    let (_, root) = read_root(&fixture.store).unwrap().unwrap();
+    let before = read_history(&fixture.store).unwrap().remove(0);
     let settled = request(manifest(&[("trip", 2)]), "b").outcome_from(&root, &before);
     assert_eq!(settled, ApplyOutcome::Accepted(2));
 }
 
-/// A store that goes down just after the root was written.
-struct Silencing<'a> {
+/// A store whose answer to the write of the root is lost, and which then closes every connection without an answer.
+struct SilentAfterWrite<'a> {
     inner: &'a Client,
     platform: &'a Platform,
 }
 
-impl ObjectStore for Silencing<'_> {
+impl ObjectStore for SilentAfterWrite<'_> {
     fn get(&self, key: &str) -> Result<Option<Object>, StoreError> {
         self.inner.get(key)
     }
 
-    fn put(&self, key: &str, value: &str, expect: WriteCondition) -> Result<Version, StoreError> {
-        let written = self.inner.put(key, value, expect)?;
+    fn put(
+        &self,
+        key: &str,
+        value: &str,
+        condition: WriteCondition,
+    ) -> Result<Version, StoreError> {
+        let written = self.inner.put(key, value, condition)?;
         if key != ROOT_KEY {
             return Ok(written);
         }
@@ -184,14 +194,18 @@
 }
 
 #[test]
-fn of_two_operators_one_wins_and_the_other_learns_what_changed() {
-    // Two pipelines deploy at once. Were both told "accepted", one team's change would be gone
-    // without anyone knowing.
-    let bench = bench();
-    apply(&bench.store, manifest(&[("trip", 1), ("venue", 1)]), "base").unwrap();
-    let racing = Racing {
-        inner: &bench.store,
-        raced: AtomicBool::new(false),
+fn the_losing_one_of_two_concurrent_applies_is_told_what_changed() {
+    // Failure: two pipelines deploy at once and both are told "accepted"; the change of one team is lost unnoticed.
+    let fixture = start();
+    apply(
+        &fixture.store,
+        manifest(&[("trip", 1), ("venue", 1)]),
+        "base",
+    )
+    .unwrap();
+    let racing = ConcurrentApply {
+        inner: &fixture.store,
+        has_raced: AtomicBool::new(false),
     };
     let lost = request(manifest(&[("trip", 2), ("venue", 1)]), "loser").run(&racing);
     let expected = ApplyOutcome::Conflicting {
@@ -218,29 +232,34 @@
         other => other,
     };
     assert_eq!(sorted(lost.unwrap()), expected);
-    let (_, root) = read_root(&bench.store).unwrap().unwrap();
+    let (_, root) = read_root(&fixture.store).unwrap().unwrap();
     assert_eq!(root.apply_id, "winner");
 }
 
-/// A store on which another operator wins just before this one's root is written.
-struct Racing<'a> {
+/// A store in which another operator's manifest is accepted right before the first write of the root.
+struct ConcurrentApply<'a> {
     inner: &'a Client,
-    raced: AtomicBool,
+    has_raced: AtomicBool,
 }
 
-impl ObjectStore for Racing<'_> {
+impl ObjectStore for ConcurrentApply<'_> {
     fn get(&self, key: &str) -> Result<Option<Object>, StoreError> {
         self.inner.get(key)
     }
 
-    fn put(&self, key: &str, value: &str, expect: WriteCondition) -> Result<Version, StoreError> {
-        let first = key == ROOT_KEY && !self.raced.swap(true, Ordering::Relaxed);
+    fn put(
+        &self,
+        key: &str,
+        value: &str,
+        condition: WriteCondition,
+    ) -> Result<Version, StoreError> {
+        let first = key == ROOT_KEY && !self.has_raced.swap(true, Ordering::Relaxed);
         if first {
             let other = manifest(&[("trip", 1), ("venue", 9), ("archive", 1)]);
             let won = request(other, "winner").run(self.inner).unwrap();
             assert_eq!(won, ApplyOutcome::Accepted(2));
         }
-        self.inner.put(key, value, expect)
+        self.inner.put(key, value, condition)
     }
 
     fn delete(&self, key: &str, version: Version) -> Result<(), StoreError> {
@@ -261,81 +280,84 @@
 }
 
 #[test]
-fn an_apply_that_won_and_was_replaced_is_told_so() {
-    let bench = bench();
+fn an_accepted_manifest_that_was_replaced_is_reported_as_superseded() {
+    let fixture = start();
     let first = request(manifest(&[("trip", 1)]), "first");
-    first.run(&bench.store).unwrap();
+    first.run(&fixture.store).unwrap();
     request(manifest(&[("trip", 2)]), "second")
-        .run(&bench.store)
+        .run(&fixture.store)
         .unwrap();
-    let (_, root) = read_root(&bench.store).unwrap().unwrap();
-    let told = first.outcome_from(&root, &kingcuploft::manifest::root::Root::default());
+    let (_, root) = read_root(&fixture.store).unwrap().unwrap();
+    let outcome = first.outcome_from(&root, &kingcuploft::manifest::root::Root::default());
     let expected = ApplyOutcome::Superseded {
         generation: 1,
         by: 2,
     };
-    assert_eq!(told, expected);
+    assert_eq!(outcome, expected);
 }
 
 #[test]
-fn a_pipeline_can_insist_on_the_generation_it_was_made_from() {
-    let bench = bench();
+fn an_apply_can_require_the_generation_on_which_it_is_based() {
+    let fixture = start();
     request(manifest(&[("trip", 1)]), "a")
-        .run(&bench.store)
+        .run(&fixture.store)
         .unwrap();
-    let mut insists = request(manifest(&[("trip", 2)]), "b");
-    insists.base_generation = Some(0);
-    let applied = insists.run(&bench.store).unwrap();
+    let mut based = request(manifest(&[("trip", 2)]), "b");
+    based.base_generation = Some(0);
+    let applied = based.run(&fixture.store).unwrap();
     assert!(matches!(
         applied,
         ApplyOutcome::Conflicting { generation: 1, .. }
     ));
-    insists.base_generation = Some(1);
+    based.base_generation = Some(1);
     assert_eq!(
-        insists.run(&bench.store).unwrap(),
+        based.run(&fixture.store).unwrap(),
         ApplyOutcome::Accepted(2)
     );
 }
 
 #[test]
-fn history_is_bounded_and_what_it_names_is_kept() {
-    let bench = bench();
+fn history_is_bounded_and_the_objects_that_it_references_are_kept() {
+    let fixture = start();
     for i in 1..=96 {
-        // Every third apply goes back to an old content, so that its object is named again.
+        // Every third apply restores the first content, so that its object is referenced again.
         let deadline_ms = if i % 3 == 0 { 1 } else { i };
         let applied = apply(
-            &bench.store,
+            &fixture.store,
             manifest(&[("trip", deadline_ms)]),
             &format!("{i}"),
         );
         assert_eq!(applied.unwrap(), ApplyOutcome::Accepted(i));
     }
-    let history = read_history(&bench.store).unwrap();
+    let history = read_history(&fixture.store).unwrap();
     assert!(
         history.len() as u64 <= MAX_HISTORY_ROOTS + 16,
         "{}",
         history.len()
     );
-    assert_eq!(bench.platform.keys(HISTORY_PREFIX).len(), history.len());
-    let objects = bench.platform.keys(SERVICES_PREFIX).len();
+    assert_eq!(fixture.platform.keys(HISTORY_PREFIX).len(), history.len());
+    let objects = fixture.platform.keys(SERVICES_PREFIX).len();
     assert!(objects <= history.len() + 1, "{objects}");
-    let (_, root) = read_root(&bench.store).unwrap().unwrap();
+    let (_, root) = read_root(&fixture.store).unwrap().unwrap();
     for root in history.iter().chain([&root]) {
-        read_manifest(&bench.store, root).unwrap();
+        read_manifest(&fixture.store, root).unwrap();
     }
 }
 
 #[test]
-fn a_corrupt_object_is_mended_by_an_apply_that_verifies() {
-    let bench = bench();
-    apply(&bench.store, manifest(&[("trip", 1), ("venue", 1)]), "a").unwrap();
-    let key = bench.platform.keys(SERVICES_PREFIX).remove(0);
-    let good = bench.platform.object(&key).unwrap().value;
-    bench.platform.overwrite(&key, "{");
-    let (_, root) = read_root(&bench.store).unwrap().unwrap();
-    assert!(read_manifest(&bench.store, &root).is_err());
-    let mut mends = request(manifest(&[("trip", 1), ("venue", 1)]), "b");
-    mends.verify = true;
-    assert_eq!(mends.run(&bench.store).unwrap(), ApplyOutcome::Accepted(2));
-    assert_eq!(bench.platform.object(&key).unwrap().value, good);
+fn an_apply_that_verifies_repairs_a_corrupt_object() {
+    let fixture = start();
+    apply(&fixture.store, manifest(&[("trip", 1), ("venue", 1)]), "a").unwrap();
+    let key = fixture.platform.keys(SERVICES_PREFIX).remove(0);
+    let good = fixture.platform.object(&key).unwrap().value;
+    fixture.platform.overwrite(&key, "{");
+    let (_, root) = read_root(&fixture.store).unwrap().unwrap();
+    assert!(read_manifest(&fixture.store, &root).is_err());
+    let mut verifying = request(manifest(&[("trip", 1), ("venue", 1)]), "b");
+    verifying.verify = true;
+    assert_eq!(
+        verifying.run(&fixture.store).unwrap(),
+        ApplyOutcome::Accepted(2)
+    );
+    assert_eq!(fixture.platform.object(&key).unwrap().value, good);
 }
--- a/crates/kingcuploft-standins/tests/platform.rs
+++ b/crates/kingcuploft-standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in does what its faults say.
+//! Checks that the simulated platform store shows the faults that a test sets.
 
 use std::time::Duration;
 
@@ -14,12 +14,13 @@
     (runtime, platform, client)
 }
 
+/// Scripts a fault for the next write.
 fn next_write(platform: &Platform, fault: WriteFault) {
     platform.change_faults(|faults| faults.next_writes.push_back((String::new(), fault)));
 }
 
 #[test]
-fn a_lost_answer_and_a_lost_request_look_alike_and_only_one_took_effect() {
+fn only_the_write_with_a_lost_answer_takes_effect_though_both_errors_are_the_same() {
     let (_runtime, platform, client) = start();
     next_write(&platform, WriteFault::LostAnswer);
     next_write(&platform, WriteFault::LostRequest);
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn a_delayed_write_arrives_after_its_caller_gave_up_and_is_fenced_by_a_newer_version() {
+fn a_delayed_write_is_applied_after_its_call_failed_and_is_fenced_by_a_newer_version() {
     let (_runtime, platform, client) = start();
     let late = WriteFault::Delayed(Duration::from_millis(60));
     next_write(&platform, late);
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn stale_reads_lapsed_watches_lagging_vms_and_big_values_are_told_apart() {
+fn stale_reads_expired_watches_lagging_vm_lists_and_large_values_each_show_their_own_error() {
     let (_runtime, platform, client) = start();
     let first = client.put("a", "1", WriteCondition::Absent).unwrap();
     client
--- a/crates/kingcuploft-standins/tests/platform_client.rs
+++ b/crates/kingcuploft-standins/tests/platform_client.rs
@@ -1,4 +1,5 @@
-//! The platform client is bounded: timeouts, budget, circuit, and errors that tell what is known.
+//! Checks the limits of the platform client: timeouts, call budget, circuit breaker, backoff, and errors that state
+//! whether a write may have taken effect.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn only_an_error_that_proves_it_says_that_nothing_was_written() {
+fn only_errors_that_prove_it_state_that_nothing_was_written() {
     let runtime = Runtime::new().unwrap();
     let platform = Platform::start(&runtime).unwrap();
     let settings = ClientSettings {
@@ -32,9 +33,9 @@
     assert!(put("closed").may_have_taken_effect());
     platform.set_down(true);
     assert!(!put("down").may_have_taken_effect());
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = nobody.local_addr().unwrap().to_string();
-    drop(nobody);
+    let closed_port = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = closed_port.local_addr().unwrap().to_string();
+    drop(closed_port);
     let unreachable = Client::with_settings(&address, settings, 7);
     let put = unreachable
         .put("a", "1", WriteCondition::Absent)
@@ -43,9 +44,10 @@
     assert!(!put.may_have_taken_effect());
 }
 
-/// Guards against callers that each wait for a silent store until its timeout.
+/// Failure: the store accepts calls and never answers. Without the circuit breaker, every caller waits until the call
+/// timeout.
 #[test]
-fn a_silent_store_is_called_by_few_and_its_return_is_noticed() {
+fn the_circuit_breaker_limits_calls_to_a_silent_store_and_notices_its_return() {
     let runtime = Runtime::new().unwrap();
     let platform = Platform::start(&runtime).unwrap();
     let settings = ClientSettings {
@@ -74,27 +76,33 @@
 }
 
 #[test]
-fn the_circuit_probes_once_per_interval_and_two_vms_do_not_return_together() {
+fn the_circuit_breaker_probes_once_per_interval_with_jitter_between_vms() {
     let start = Instant::now();
     let interval = Duration::from_millis(300);
     let mut probes = Vec::new();
     for seed in 0..14 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut circuit = CircuitBreaker::new(2, interval);
-        circuit.record_failure(start, &mut rng);
-        assert_eq!(circuit.permit(start, &mut rng), CallPermission::Allowed);
-        circuit.record_failure(start, &mut rng);
-        let CallPermission::Blocked(wait) = circuit.permit(start, &mut rng) else {
-            panic!("the circuit is closed");
+        let mut circuit_breaker = CircuitBreaker::new(2, interval);
+        circuit_breaker.record_failure(start, &mut rng);
+        assert_eq!(
+            circuit_breaker.permit(start, &mut rng),
+            CallPermission::Allowed
+        );
+        circuit_breaker.record_failure(start, &mut rng);
+        let CallPermission::Blocked(wait) = circuit_breaker.permit(start, &mut rng) else {
+            panic!("the circuit breaker is closed");
         };
         let due = start + wait;
-        assert_eq!(circuit.permit(due, &mut rng), CallPermission::Probe);
+        assert_eq!(circuit_breaker.permit(due, &mut rng), CallPermission::Probe);
         assert!(matches!(
-            circuit.permit(due, &mut rng),
+            circuit_breaker.permit(due, &mut rng),
             CallPermission::Blocked(_)
         ));
-        circuit.record_success();
-        assert_eq!(circuit.permit(due, &mut rng), CallPermission::Allowed);
+        circuit_breaker.record_success();
+        assert_eq!(
+            circuit_breaker.permit(due, &mut rng),
+            CallPermission::Allowed
+        );
         probes.push(wait);
     }
     probes.sort();
@@ -103,15 +111,15 @@
 }
 
 #[test]
-fn the_budget_allows_its_burst_and_then_its_rate() {
+fn the_call_budget_allows_its_burst_and_then_its_rate() {
     let start = Instant::now();
     let mut budget = CallBudget::new(10.0, 5.0);
     let mut taken = |ms| budget.try_take(start + Duration::from_millis(ms)).is_ok();
     assert_eq!((0..20).filter(|_| taken(0)).count(), 5);
     let in_a_second = (1..=1000).filter(|&ms| taken(ms)).count();
     assert!((9..=10).contains(&in_a_second), "{in_a_second}");
-    let mut nothing = CallBudget::new(0.0, 0.0);
-    assert_eq!(nothing.try_take(start), Err(Duration::from_secs(60)));
+    let mut empty = CallBudget::new(0.0, 0.0);
+    assert_eq!(empty.try_take(start), Err(Duration::from_secs(60)));
     let runtime = Runtime::new().unwrap();
     let platform = Platform::start(&runtime).unwrap();
     let settings = ClientSettings {
@@ -126,13 +134,13 @@
 }
 
 #[test]
-fn backoff_doubles_its_bound_up_to_the_longest() {
+fn backoff_doubles_its_upper_bound_up_to_the_longest_delay() {
     let mut rng = fastrand::Rng::with_seed(3);
     let longest = Duration::from_millis(50);
     let mut backoff = Backoff::new(Duration::from_millis(2), longest);
     for (i, bound_ms) in [2, 4, 8, 16, 32, 50, 50].into_iter().enumerate() {
-        let pause = backoff.next_delay(&mut rng);
-        assert!(pause <= Duration::from_millis(bound_ms), "{i}: {pause:?}");
+        let delay = backoff.next_delay(&mut rng);
+        assert!(delay <= Duration::from_millis(bound_ms), "{i}: {delay:?}");
     }
     backoff.reset();
     assert!(backoff.next_delay(&mut rng) <= Duration::from_millis(2));
--- a/crates/kingcuploft-standins/tests/virtual_fleet.rs
+++ b/crates/kingcuploft-standins/tests/virtual_fleet.rs
@@ -1,4 +1,4 @@
-//! The virtual fleet itself: it is fair to every policy, and gives the same figures every time.
+//! Checks the simulated fleet: it is deterministic, and its ideal queue is an upper bound for every policy.
 
 use std::time::Duration;
 
@@ -8,8 +8,10 @@
 use kingcuploft_standins::virtual_fleet::workload::Stream;
 use kingcuploft_standins::virtual_fleet::{Deployment, Run, ideal, run};
 
+/// How long callers send requests.
 const DURATION: Duration = Duration::from_secs(3);
 
+/// Draws a run of Teamway's deployment at this offered load.
 fn at_load(load: f64) -> Run {
     let streams = [Stream {
         load,
@@ -19,7 +21,7 @@
 }
 
 #[test]
-fn every_request_ends_and_none_runs_twice() {
+fn every_request_ends_and_no_key_runs_twice() {
     let outcome = run(&at_load(0.6));
     assert!(outcome.records.len() > 3000);
     assert!(outcome.records.iter().all(|r| r.end != End::Lost));
@@ -27,15 +29,18 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_figures() {
-    let took = |outcome: kingcuploft_standins::virtual_fleet::Outcome| {
+fn the_same_seed_gives_the_same_latencies() {
+    let total_latency = |outcome: kingcuploft_standins::virtual_fleet::Outcome| {
         outcome.records.iter().map(|r| r.latency).sum::<Duration>()
     };
-    assert_eq!(took(run(&at_load(0.75))), took(run(&at_load(0.75))));
+    assert_eq!(
+        total_latency(run(&at_load(0.75))),
+        total_latency(run(&at_load(0.75)))
+    );
 }
 
 #[test]
-fn no_policy_beats_the_central_queue() {
+fn the_ideal_queue_beats_adaptive_and_adaptive_beats_random() {
     let rows = compare_policies(Place::Teamway, 0.75, DURATION, &[5]);
     let p99_ms = |policy| {
         let row = rows.iter().find(|row| row.policy == policy);
@@ -46,7 +51,7 @@
 }
 
 #[test]
-fn the_ideal_never_starts_more_jobs_than_slots() {
+fn the_ideal_queue_never_works_more_than_its_slots_allow() {
     let outcome = ideal::run(&at_load(0.9));
     let work: Duration = outcome.records.iter().map(|r| r.work).sum();
     let last = outcome.records.iter().map(|r| r.at + r.latency).max();
