--- a/crates/kingcuploftctl/src/apply.rs
+++ b/crates/kingcuploftctl/src/apply.rs
@@ -126,17 +126,17 @@
         .map(|o| o.text)
         .collect();
     let body = serde_json::json!({ "root": root.text(), "services": services }).to_string();
-    let mut handed = 0;
+    let mut uploaded = 0;
     for vm in &vms {
-        handed += usize::from(
+        uploaded += usize::from(
             vm.post::<serde_json::Value>("/fleet/manifest", &body)
                 .is_ok(),
         );
-        if handed == MAX_UPLOAD_VMS {
+        if uploaded == MAX_UPLOAD_VMS {
             break;
         }
     }
-    match handed {
+    match uploaded {
         0 => "not handed to a VM: none took it; the VMs read it from the store\n".into(),
         _ => String::new(),
     }
--- a/crates/kingcuploftctl/src/drain.rs
+++ b/crates/kingcuploftctl/src/drain.rs
@@ -9,7 +9,7 @@
 use crate::manifest;
 
 /// How many VMs receive the drain directly; they pass it on to the others.
-const MAX_TOLD_VMS: usize = 2;
+const MAX_NOTIFIED_VMS: usize = 2;
 
 /// How often a conflicting or unanswered write is retried.
 const MAX_RETRIES: usize = 2;
@@ -21,11 +21,11 @@
 ///
 /// Returns an outcome with code 1 if neither accepted the drain.
 pub fn drain(context: &Context<'_>, service: &str, server: &str) -> Result<Outcome, Outcome> {
-    let mut told = Vec::new();
+    let mut notified = Vec::new();
     let mut errors = Vec::new();
     if context.has_vms() {
         match context.vms() {
-            Ok(vms) => drain_through_vms(&vms, service, server, &mut told, &mut errors),
+            Ok(vms) => drain_through_vms(&vms, service, server, &mut notified, &mut errors),
             Err(outcome) => errors.push(outcome.err),
         }
     }
@@ -40,13 +40,13 @@
         Err(outcome) if !context.has_vms() => return Err(outcome),
         Err(_) => false,
     };
-    if told.is_empty() && !stored {
+    if notified.is_empty() && !stored {
         return Err(Outcome::failure(Code::Failed, errors.join("\n")));
     }
     let mut outcome = Outcome::success(match context.json() {
         true => format!(
             "{}\n",
-            serde_json::json!({ "told": told, "stored": stored })
+            serde_json::json!({ "told": notified, "stored": stored })
         ),
         false => format!("{server} of {service} gets no new work\n"),
     });
@@ -61,16 +61,16 @@
     vms: &[AdminClient],
     service: &str,
     server: &str,
-    told: &mut Vec<String>,
+    notified: &mut Vec<String>,
     errors: &mut Vec<String>,
 ) {
     for vm in vms {
         let path = format!("/fleet/drain/{service}/{server}");
         match vm.post::<Value>(&path, "") {
-            Ok(_) => told.push(vm.address().to_owned()),
+            Ok(_) => notified.push(vm.address().to_owned()),
             Err(error) => errors.push(format!("{}: {error}", vm.address())),
         }
-        if told.len() == MAX_TOLD_VMS {
+        if notified.len() == MAX_NOTIFIED_VMS {
             return;
         }
     }
--- a/crates/kingcuploftd/src/backend_edge/exchange.rs
+++ b/crates/kingcuploftd/src/backend_edge/exchange.rs
@@ -34,10 +34,10 @@
     #[error(transparent)]
     Http(#[from] ureq::Error),
     /// The body ended too early.
-    #[error("the body was cut: {0}")]
+    #[error("the body ended early: {0}")]
     Body(#[from] std::io::Error),
     /// The answer cannot be proved complete.
-    #[error("the answer does not tell where it ends")]
+    #[error("the answer cannot be proved complete")]
     Incomplete,
 }
 
@@ -62,7 +62,7 @@
     #[error("the backend server ended it: {0}")]
     Backend(#[from] ExchangeError),
     /// The caller did not read it.
-    #[error("the caller did not take it: {0:?}")]
+    #[error("the caller did not read it: {0:?}")]
     Caller(BodySendError),
 }
 
--- a/crates/kingcuploftd/src/caller_edge/reply_body.rs
+++ b/crates/kingcuploftd/src/caller_edge/reply_body.rs
@@ -12,7 +12,7 @@
 /// The error of a streamed answer that ended early. The HTTP library then closes the caller's connection, so that the
 /// caller cannot mistake the part it has for the complete body.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the backend server cut its answer")]
+#[error("the backend server ended its answer early")]
 pub(super) struct TruncatedAnswer;
 
 /// A reply's body.
--- a/crates/kingcuploftd/src/manifest_state.rs
+++ b/crates/kingcuploftd/src/manifest_state.rs
@@ -26,8 +26,8 @@
 
 impl ManifestState {
     /// Returns the result of a read-only closure over the adoption.
-    pub fn read<T>(&self, look: impl FnOnce(&Adoption) -> T) -> T {
-        look(&self.lock())
+    pub fn read<T>(&self, inspect: impl FnOnce(&Adoption) -> T) -> T {
+        inspect(&self.lock())
     }
 
     /// Applies a change from a source to the adoption, and activates the manifest if it is now complete; returns
@@ -39,15 +39,15 @@
         &self,
         shared: &Shared,
         source: &str,
-        teach: impl FnOnce(&mut Adoption) -> Result<AdoptionStep, AdoptionError>,
+        apply: impl FnOnce(&mut Adoption) -> Result<AdoptionStep, AdoptionError>,
     ) -> bool {
         let mut adoption = self.lock();
-        let taught = teach(&mut adoption);
-        let learnt = match taught {
-            Ok(AdoptionStep::InForce(accepted)) => {
-                let generation = accepted.generation;
+        let result = apply(&mut adoption);
+        let accepted = match result {
+            Ok(AdoptionStep::InForce(manifest)) => {
+                let generation = manifest.generation;
                 tracing::info!("manifest: generation {generation} is in force, from {source}.");
-                shared.activate_manifest(accepted);
+                shared.activate_manifest(manifest);
                 self.in_force.send_replace(generation);
                 true
             }
@@ -62,7 +62,7 @@
         let metrics = &shared.metrics.fleet;
         metrics.manifest_heard.set(status.heard.cast_signed());
         metrics.manifest_missing.set(status.missing as i64);
-        learnt
+        accepted
     }
 
     /// Returns a watch on the active generation.
--- a/crates/kingcuploftd/src/manifest_watch.rs
+++ b/crates/kingcuploftd/src/manifest_watch.rs
@@ -204,11 +204,11 @@
         let manifest = &self.shared.manifest;
         match self.store.get(&service_key(hash)) {
             Ok(Some(object)) => {
-                let taken = manifest.update(self.shared, "the store", |adoption| {
+                let accepted = manifest.update(self.shared, "the store", |adoption| {
                     adoption.service_text(hash, &object.value)
                 });
                 let corrupt = || format!("service object {hash} is corrupt in the store");
-                taken
+                accepted
                     .then_some(())
                     .ok_or_else(|| FetchError::Object(corrupt()))
             }
--- a/crates/kingcuploftd/tests/settings.rs
+++ b/crates/kingcuploftd/tests/settings.rs
@@ -119,7 +119,7 @@
 fn all_faults_of_a_file_are_reported_at_once() {
     let text = "vm: ''\navailability_zone: a\nlisten: here\nadmin_listen: 127.0.0.1:0\nplattform: x\nlimits:\n  workers: 0\n  ring: x\n  rings: 1\nlog_format: xml\n";
     let found = faults(text);
-    let told: Vec<(usize, &str)> = found.iter().map(|f| (f.line, f.field.as_str())).collect();
+    let reported: Vec<(usize, &str)> = found.iter().map(|f| (f.line, f.field.as_str())).collect();
     let expected = [
         (1, "vm"),
         (1, "platform"),
@@ -131,10 +131,10 @@
         (10, "log_format"),
     ];
     for place in expected {
-        assert!(told.contains(&place), "{place:?} in {told:?}");
+        assert!(reported.contains(&place), "{place:?} in {reported:?}");
     }
-    assert_eq!(told.len(), expected.len(), "{told:?}");
-    assert!(told.is_sorted_by_key(|(line, _)| *line));
+    assert_eq!(reported.len(), expected.len(), "{reported:?}");
+    assert!(reported.is_sorted_by_key(|(line, _)| *line));
 }
 
 #[test]
@@ -235,7 +235,7 @@
         )),
     )
     .unwrap();
-    for (path, told) in [
+    for (path, message) in [
         (
             &file,
             "settings.yaml:6: limits.workers: 0 found, expected 1 to 4096",
@@ -247,7 +247,7 @@
             let output = daemon(path, check);
             let errors = String::from_utf8_lossy(&output.stderr).into_owned();
             assert_eq!(output.status.code(), Some(2), "{errors}");
-            assert!(errors.contains(told), "{errors}");
+            assert!(errors.contains(message), "{errors}");
         }
     }
     std::fs::write(&file, GOOD).unwrap();
@@ -284,8 +284,8 @@
     let depth = section.split('.').filter(|s| !s.is_empty()).count();
     let text = with(&format!("{lines}{}no_such_name: 1", "  ".repeat(depth)));
     let found = faults(&text);
-    let told = found.iter().find(|f| f.expected.contains("no_such_name"));
-    let expected = told
+    let fault = found.iter().find(|f| f.expected.contains("no_such_name"));
+    let expected = fault
         .unwrap()
         .expected
         .split("expected")
--- a/crates/kingcuploftd/tests/settings_peer.rs
+++ b/crates/kingcuploftd/tests/settings_peer.rs
@@ -1,4 +1,4 @@
-//! The peer settings: unsafe links are refused, and each option stands in the documentation.
+//! The peer settings: unsafe links are refused, and each option is documented.
 
 use std::path::{Path, PathBuf};
 
