--- a/crates/kingcuploft-standins/tests/fleet/main.rs
+++ b/crates/kingcuploft-standins/tests/fleet/main.rs
@@ -4,5 +4,4 @@
 mod harness;
 mod manifest;
 mod members;
-
 mod tls;
