--- a/crates/kingcuploft-standins/examples/admission_table.rs
+++ b/crates/kingcuploft-standins/examples/admission_table.rs
@@ -75,7 +75,8 @@
     let refused = refused.filter(|r| matches!(r.end, End::Refused(..)));
     let refused = latency(refused.map(|r| r.latency));
     let in_run = outcome.records.iter();
-    let in_run = in_run.filter(|r| r.within_deadline() && r.at + r.latency <= outcome.duration);
+    let in_run =
+        in_run.filter(|r| r.within_deadline() && r.arrived_at + r.latency <= outcome.duration);
     let work: Duration = in_run.map(|r| r.work).sum();
     let figures = [
         work.as_secs_f64() / (outcome.duration.as_secs_f64() * f64::from(outcome.slots)),
--- a/crates/kingcuploft-standins/examples/policies.rs
+++ b/crates/kingcuploft-standins/examples/policies.rs
@@ -5,9 +5,11 @@
 
 use std::time::Duration;
 
-use kingcuploft_standins::virtual_fleet::deployment::Place;
+use kingcuploft_standins::virtual_fleet::deployment::DeploymentKind;
 use kingcuploft_standins::virtual_fleet::outcome::Summary;
-use kingcuploft_standins::virtual_fleet::policies::{Row, Trial, Variant, compare_variants};
+use kingcuploft_standins::virtual_fleet::policies::{
+    ComparisonSettings, Row, Variant, compare_variants,
+};
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -15,10 +17,10 @@
         let arg = args.get(i);
         arg.and_then(|arg| arg.parse().ok()).unwrap_or(default)
     };
-    let trial = Trial {
-        place: match args.first().map(String::as_str) {
-            Some("bern") => Place::Bern,
-            _ => Place::Teamway,
+    let trial = ComparisonSettings {
+        kind: match args.first().map(String::as_str) {
+            Some("bern") => DeploymentKind::Bern,
+            _ => DeploymentKind::Teamway,
         },
         load: number(1, 0.75),
         duration: Duration::from_secs_f64(number(2, 20.0)),
--- a/crates/kingcuploft-standins/src/backend_server/faults.rs
+++ b/crates/kingcuploft-standins/src/backend_server/faults.rs
@@ -74,9 +74,9 @@
     /// The time from the start of the server until the first spell.
     pub first: Duration,
     /// The time from the start of one spell to the start of the next.
-    pub every: Duration,
+    pub period: Duration,
     /// The duration of each spell.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// The factor of work times during a spell.
     pub factor: f64,
 }
@@ -86,8 +86,8 @@
         let Some(since_first) = since_start.checked_sub(self.first) else {
             return false;
         };
-        let every_us = self.every.as_micros().max(1);
-        since_first.as_micros() % every_us < self.lasts.as_micros()
+        let every_us = self.period.as_micros().max(1);
+        since_first.as_micros() % every_us < self.duration.as_micros()
     }
 }
 
--- a/crates/kingcuploft-standins/src/deployment.rs
+++ b/crates/kingcuploft-standins/src/deployment.rs
@@ -1,6 +1,6 @@
 //! The reference deployments, as plans from which a [`crate::fleet::Fleet`] starts.
 
-use crate::virtual_fleet::deployment::Place;
+use crate::virtual_fleet::deployment::DeploymentKind;
 
 /// The plan of a deployment: its entry VMs, availability zones and services.
 #[derive(Clone, Debug)]
@@ -83,13 +83,13 @@
 ];
 
 /// Returns the deployment that the virtual fleet simulates: one service, with the virtual fleet's rules.
-pub fn virtual_deployment(place: Place) -> Deployment {
+pub fn virtual_deployment(place: DeploymentKind) -> Deployment {
     match place {
-        Place::Teamway => Deployment {
+        DeploymentKind::Teamway => Deployment {
             services: vec![service("trip", 11, 2, VIRTUAL_FLEET_RULES)],
             ..teamway()
         },
-        Place::Bern => Deployment {
+        DeploymentKind::Bern => Deployment {
             services: vec![service("notes", 11, 4, VIRTUAL_FLEET_RULES)],
             ..bern()
         },
--- a/crates/kingcuploft-standins/src/experiments/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/mod.rs
@@ -22,7 +22,7 @@
 use crate::deployment::{self, Deployment};
 use crate::fleet::FleetError;
 use crate::plot::PlotError;
-use crate::virtual_fleet::deployment::Place;
+use crate::virtual_fleet::deployment::DeploymentKind;
 
 /// The command-line options that all experiments share.
 #[derive(Clone, Debug)]
@@ -65,10 +65,10 @@
 
 impl DeploymentName {
     /// Returns the same deployment as the virtual fleet simulates it.
-    pub fn virtual_place(self) -> Place {
+    pub fn virtual_place(self) -> DeploymentKind {
         match self {
-            Self::Teamway => Place::Teamway,
-            Self::Bern => Place::Bern,
+            Self::Teamway => DeploymentKind::Teamway,
+            Self::Bern => DeploymentKind::Bern,
         }
     }
 
--- a/crates/kingcuploft-standins/src/experiments/real_run.rs
+++ b/crates/kingcuploft-standins/src/experiments/real_run.rs
@@ -16,7 +16,7 @@
 use crate::deployment;
 use crate::fleet::{Fleet, FleetOptions};
 use crate::load::{self, ScheduledCall};
-use crate::virtual_fleet::deployment::{HOLD_RULE, Place, SEARCH_RULE};
+use crate::virtual_fleet::deployment::{DeploymentKind, HOLD_RULE, SEARCH_RULE};
 use crate::virtual_fleet::outcome::{Cost, End, Record};
 use crate::virtual_fleet::server::FakeServer;
 use crate::virtual_fleet::{Outcome, Run};
@@ -38,15 +38,12 @@
         link_delay: LINK_DELAY,
         extra_settings: format!(
             "limits: {{workers: 48}}\n{}",
-            claim_settings(run.deployment.place)
+            claim_settings(run.deployment.kind)
         ),
         seed: run.seed,
         ..FleetOptions::default()
     };
-    let fleet = Fleet::start(
-        deployment::virtual_deployment(run.deployment.place),
-        variant,
-    )?;
+    let fleet = Fleet::start(deployment::virtual_deployment(run.deployment.kind), variant)?;
     let records: Vec<Record> = (0..run.requests.len())
         .map(|request| run.record(request))
         .collect();
@@ -93,15 +90,15 @@
 
 /// Returns the claim settings of a deployment, as in its example: Teamway spends more store writes for a lower latency of
 /// holds, Bern saves writes.
-fn claim_settings(place: Place) -> &'static str {
+fn claim_settings(place: DeploymentKind) -> &'static str {
     match place {
-        Place::Teamway => "claims: {fleet_writes_per_s: 200}\n",
-        Place::Bern => "",
+        DeploymentKind::Teamway => "claims: {fleet_writes_per_s: 200}\n",
+        DeploymentKind::Bern => "",
     }
 }
 
 fn scheduled_calls(run: &Run) -> Vec<ScheduledCall> {
-    let vms = run.deployment.vms as f64;
+    let vms = run.deployment.vm_count as f64;
     let requests = run.requests.iter().enumerate();
     let calls = requests.map(|(i, request)| {
         let (method, path) = match request.rule {
@@ -120,8 +117,8 @@
                 .map(|key| ("idempotency-key", key.to_string())),
         );
         ScheduledCall {
-            at: request.at,
-            address_index: (request.vm * vms) as usize,
+            at: request.arrives_at,
+            address_index: (request.vm_draw * vms) as usize,
             plan: CallPlan {
                 method,
                 host: format!("{}.example", run.deployment.service.name),
--- a/crates/kingcuploft-standins/src/virtual_fleet/calls.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/calls.rs
@@ -82,9 +82,9 @@
             self.cost.hedges += 1;
         }
         *in_flight += 1;
-        self.records[request_index].sent += 1;
+        self.records[request_index].call_count += 1;
         self.cost.calls += 1;
-        self.cost.sent.push((self.now, server));
+        self.cost.sent_calls.push((self.now, server));
     }
 
     /// Returns the delay of the link between a VM and a backend server.
--- a/crates/kingcuploft-standins/src/virtual_fleet/deployment.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/deployment.rs
@@ -13,7 +13,7 @@
 /// Names a reference deployment.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Place {
+pub enum DeploymentKind {
     /// The trip service of Hsinchu Teamway Travel Lab.
     Teamway,
     /// The notes portal of the Bundesstelle für Versionshinweise.
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SlowSpells {
     /// The mean of the time from the end of one spell to the start of the next, which is exponential.
-    pub every: Duration,
+    pub mean_interval: Duration,
     /// The shortest and longest duration of a spell; durations are uniform between them.
-    pub lasting: (Duration, Duration),
+    pub duration_range: (Duration, Duration),
     /// How many times longer work takes during a spell.
     pub factor: f64,
 }
@@ -50,11 +50,11 @@
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Which reference deployment it is.
-    pub place: Place,
+    pub kind: DeploymentKind,
     /// The availability zones.
     pub zones: Vec<AvailabilityZone>,
     /// The number of entry VMs.
-    pub vms: usize,
+    pub vm_count: usize,
     /// The service under test.
     pub service: Service,
     /// The delays and losses of the links.
@@ -62,34 +62,34 @@
     /// The slow spells; `None` if the servers have none.
     pub slow_spells: Option<SlowSpells>,
     /// The time for which a probe occupies a slot of its backend server.
-    pub probe: Duration,
+    pub probe_slot_time: Duration,
     /// The time that claiming an idempotency key takes.
-    pub claim: Duration,
+    pub claim_time: Duration,
 }
 
 impl Deployment {
     /// Builds a reference deployment.
-    pub fn new(place: Place) -> Self {
+    pub fn new(place: DeploymentKind) -> Self {
         match place {
-            Place::Teamway => Self::teamway(),
-            Place::Bern => Self::bern(),
+            DeploymentKind::Teamway => Self::teamway(),
+            DeploymentKind::Bern => Self::bern(),
         }
     }
 
     /// Builds Teamway's trip service: 11 backend servers of 2 slots behind 14 VMs in 4 zones.
     pub fn teamway() -> Self {
-        Self::sized(Place::Teamway, "trip", (4, 14, 11, 2), 0.01)
+        Self::sized(DeploymentKind::Teamway, "trip", (4, 14, 11, 2), 0.01)
     }
 
     /// Builds Bern's notes portal: 11 backend servers of 4 slots behind 13 VMs in 3 zones.
     pub fn bern() -> Self {
-        Self::sized(Place::Bern, "notes", (3, 13, 11, 4), 0.005)
+        Self::sized(DeploymentKind::Bern, "notes", (3, 13, 11, 4), 0.005)
     }
 
     /// Builds a deployment with a number of zones, VMs, backend servers and slots per backend server, and the share of
     /// the slot time that probes may use.
     fn sized(
-        place: Place,
+        place: DeploymentKind,
         service: &str,
         (zones, vms, servers, slots): (usize, usize, usize, u32),
         budget_share: f64,
@@ -107,7 +107,7 @@
         let mut policy = Policy::default();
         policy.measuring.budget_share = budget_share;
         Self {
-            place,
+            kind: place,
             service: Service {
                 name: service.into(),
                 hosts: vec![format!("{service}.test")],
@@ -118,7 +118,7 @@
                 policy,
             },
             zones,
-            vms,
+            vm_count: vms,
             links: Links {
                 within_zone: Duration::from_micros(150),
                 between_zones: Duration::from_millis(1),
@@ -127,12 +127,12 @@
                 peer_loss_share: 0.0,
             },
             slow_spells: Some(SlowSpells {
-                every: Duration::from_secs(4),
-                lasting: (Duration::from_millis(50), Duration::from_millis(300)),
+                mean_interval: Duration::from_secs(4),
+                duration_range: (Duration::from_millis(50), Duration::from_millis(300)),
                 factor: 10.0,
             }),
-            probe: Duration::from_millis(6),
-            claim: Duration::from_millis(4),
+            probe_slot_time: Duration::from_millis(6),
+            claim_time: Duration::from_millis(4),
         }
     }
 
--- a/crates/kingcuploft-standins/src/virtual_fleet/fleet.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/fleet.rs
@@ -122,7 +122,7 @@
     let mut fleet = Fleet::new(run);
     let mut arrivals = (0..run.requests.len()).peekable();
     loop {
-        let arrival = arrivals.peek().map(|&index| run.requests[index].at);
+        let arrival = arrivals.peek().map(|&index| run.requests[index].arrives_at);
         let due = fleet.heap.peek().map(|Reverse(due)| due.at);
         match (arrival, due) {
             (None, None) => break,
@@ -172,7 +172,7 @@
             runs_by_key: HashMap::default(),
             rng: fastrand::Rng::with_seed(run.seed ^ 0x5eed),
         };
-        for _ in 0..run.deployment.vms {
+        for _ in 0..run.deployment.vm_count {
             fleet.start_vm();
         }
         fleet.broadcast_membership();
@@ -218,7 +218,10 @@
             generation: self.generation,
             manifest: Arc::clone(&self.manifest),
         };
-        self.dispatch(node, Event::LiveVmCount(self.run.deployment.vms as u32));
+        self.dispatch(
+            node,
+            Event::LiveVmCount(self.run.deployment.vm_count as u32),
+        );
         self.dispatch(node, Event::ManifestAdopted(accepted));
     }
 
@@ -231,7 +234,7 @@
         if accepting.is_empty() {
             return;
         }
-        let node = accepting[(planned.vm * accepting.len() as f64) as usize % accepting.len()];
+        let node = accepting[(planned.vm_draw * accepting.len() as f64) as usize % accepting.len()];
         let service = Arc::clone(&self.manifest.services[0]);
         let request = index as RequestId + 1;
         let arrived = self.started_at + self.now;
@@ -345,7 +348,7 @@
             return;
         };
         let end = self.claims.claim(&key);
-        let at = self.now + self.run.deployment.claim;
+        let at = self.now + self.run.deployment.claim_time;
         self.schedule(at, FleetEvent::Claimed(node, request, end));
     }
 
@@ -370,7 +373,7 @@
         let record = &mut self.records[index];
         if record.end == End::Lost {
             record.end = end;
-            record.latency = self.now - record.at;
+            record.latency = self.now - record.arrived_at;
         }
     }
 }
--- a/crates/kingcuploft-standins/src/virtual_fleet/ideal.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/ideal.rs
@@ -37,7 +37,7 @@
             };
             free[server] += 1;
             records[index].end = End::Answered;
-            records[index].latency = now - run.requests[index].at;
+            records[index].latency = now - run.requests[index].arrives_at;
         } else if let Some((_, index)) = arrivals.next() {
             queue.push_back(index);
         }
@@ -57,8 +57,8 @@
 fn ready_at(run: &Run, index: usize) -> Duration {
     let request = &run.requests[index];
     match request.rule {
-        HOLD_RULE => request.at + run.deployment.claim,
-        _ => request.at,
+        HOLD_RULE => request.arrives_at + run.deployment.claim_time,
+        _ => request.arrives_at,
     }
 }
 
--- a/crates/kingcuploft-standins/src/virtual_fleet/outcome.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/outcome.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Record {
     /// When it arrived, since the start of the run.
-    pub at: Duration,
+    pub arrived_at: Duration,
     /// The caller.
     pub caller: Caller,
     /// The priority of its rule.
@@ -40,7 +40,7 @@
     /// The time from arrival to its end.
     pub latency: Duration,
     /// The number of calls to backend servers for it.
-    pub sent: u32,
+    pub call_count: u32,
 }
 
 impl Record {
@@ -68,7 +68,7 @@
     /// The bytes of the messages between VMs.
     pub note_bytes: u64,
     /// The time of each call and the index of its backend server.
-    pub sent: Vec<(Duration, usize)>,
+    pub sent_calls: Vec<(Duration, usize)>,
 }
 
 /// The records of a run and its cost.
@@ -83,7 +83,7 @@
     /// The slots of all backend servers.
     pub slots: u32,
     /// The number of entry VMs.
-    pub vms: usize,
+    pub vm_count: usize,
     /// The runs of idempotency keys beyond the first of each key.
     pub duplicate_runs: u64,
 }
@@ -137,7 +137,7 @@
         let in_time = kept.iter().filter(|r| r.within_deadline());
         let useful: Duration = in_time.map(|r| r.work).sum();
         let capacity = self.duration.as_secs_f64() * f64::from(self.slots);
-        let node_seconds = self.duration.as_secs_f64() * self.vms as f64;
+        let node_seconds = self.duration.as_secs_f64() * self.vm_count as f64;
         Summary {
             p50_ms: quantile_ms(0.5),
             p99_ms: quantile_ms(0.99),
--- a/crates/kingcuploft-standins/src/virtual_fleet/policies.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/policies.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use super::deployment::{Deployment, Place};
+use super::deployment::{Deployment, DeploymentKind};
 use super::outcome::Summary;
 use super::run::Run;
 use super::scenario::with_changes;
@@ -50,9 +50,9 @@
 
 /// The deployment, offered load and duration of a comparison.
 #[derive(Clone, Copy, Debug)]
-pub struct Trial {
+pub struct ComparisonSettings {
     /// The deployment.
-    pub place: Place,
+    pub kind: DeploymentKind,
     /// The offered load: the requested work over the total slot time.
     pub load: f64,
     /// How long callers send requests.
@@ -60,9 +60,14 @@
 }
 
 /// Runs every selection policy and the ideal queue on the same workload, for each seed.
-pub fn compare_policies(place: Place, load: f64, duration: Duration, seeds: &[u64]) -> Vec<Row> {
-    let trial = Trial {
-        place,
+pub fn compare_policies(
+    place: DeploymentKind,
+    load: f64,
+    duration: Duration,
+    seeds: &[u64],
+) -> Vec<Row> {
+    let trial = ComparisonSettings {
+        kind: place,
         load,
         duration,
     };
@@ -74,7 +79,11 @@
 /// # Panics
 ///
 /// Panics if a variant's settings name a field that does not exist.
-pub fn compare_variants(trial: Trial, variants: &[Variant], seeds: &[u64]) -> Vec<Row> {
+pub fn compare_variants(
+    trial: ComparisonSettings,
+    variants: &[Variant],
+    seeds: &[u64],
+) -> Vec<Row> {
     std::thread::scope(|scope| {
         let spawn_run = |&seed: &u64| scope.spawn(move || seed_rows(trial, variants, seed));
         let runs: Vec<_> = seeds.iter().map(spawn_run).collect();
@@ -84,12 +93,12 @@
     })
 }
 
-fn seed_rows(trial: Trial, variants: &[Variant], seed: u64) -> Vec<Row> {
+fn seed_rows(trial: ComparisonSettings, variants: &[Variant], seed: u64) -> Vec<Row> {
     let streams = [Stream {
         load: trial.load,
         ..Stream::default()
     }];
-    let deployment = Deployment::new(trial.place);
+    let deployment = Deployment::new(trial.kind);
     let base = deployment.service.policy.clone();
     let mut run = Run::new(deployment, &streams, trial.duration, seed);
     let rows = variants.iter().map(|variant| {
--- a/crates/kingcuploft-standins/src/virtual_fleet/probes.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/probes.rs
@@ -26,7 +26,7 @@
         if self.servers[server].health != Health::Working {
             return self.end_probe(node, server);
         }
-        let work = self.run.deployment.probe;
+        let work = self.run.deployment.probe_slot_time;
         self.cost.probe_slot_time += work;
         match self.servers[server].accept(self.now, Job { id, work }) {
             JobAdmission::Started(until) => self.schedule(until, FleetEvent::Finish(server, id)),
--- a/crates/kingcuploft-standins/src/virtual_fleet/run.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/run.rs
@@ -56,14 +56,14 @@
         let request = &self.requests[index];
         let rule = &self.deployment.service.rules[request.rule];
         Record {
-            at: request.at,
+            arrived_at: request.arrives_at,
             caller: request.caller.clone(),
             priority: rule.priority,
             work: request.work,
             deadline: rule.deadline(),
             end: End::Lost,
             latency: Duration::ZERO,
-            sent: 0,
+            call_count: 0,
         }
     }
 
@@ -74,7 +74,7 @@
             cost,
             duration: self.duration,
             slots: self.deployment.slots(),
-            vms: self.deployment.vms,
+            vm_count: self.deployment.vm_count,
             duplicate_runs,
         }
     }
--- a/crates/kingcuploft-standins/src/virtual_fleet/scenario.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/scenario.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use super::change::Step;
-use super::deployment::{Deployment, Place};
+use super::deployment::{Deployment, DeploymentKind};
 use super::outcome::{End, Outcome, Record};
 use super::run::Run;
 use super::workload::Stream;
@@ -20,7 +20,7 @@
     /// What a user would see, the order of events, and the cause.
     pub story: String,
     /// The deployment.
-    pub deployment: Place,
+    pub deployment: DeploymentKind,
     /// The seed.
     pub seed: u64,
     /// How long callers send requests, in ms.
@@ -145,7 +145,7 @@
         *policy = with_changes(policy, settings);
         deployment.links.peer_loss_share = self.peer_loss_share;
         if let Some(claim_ms) = self.claim_ms {
-            deployment.claim = Duration::from_millis(claim_ms);
+            deployment.claim_time = Duration::from_millis(claim_ms);
         }
         let duration = Duration::from_millis(self.duration_ms);
         let mut run = Run::new(deployment, &self.streams, duration, self.seed);
@@ -196,11 +196,13 @@
                 times.value_at_quantile(0.99) as f64 / 1000.0
             }
             Figure::GoodputShare => summary.goodput_share,
-            Figure::CallsPerRequest => share(matching.iter().map(|r| u64::from(r.sent)).sum()),
+            Figure::CallsPerRequest => {
+                share(matching.iter().map(|r| u64::from(r.call_count)).sum())
+            }
             Figure::ProbeShare => summary.probe_share,
             Figure::DoubleRuns => outcome.duplicate_runs as f64,
             Figure::CallsTo(server) => {
-                let calls = outcome.cost.sent.iter();
+                let calls = outcome.cost.sent_calls.iter();
                 calls
                     .filter(|&&(at, to)| to == server && self.covers(at))
                     .count() as f64
@@ -215,7 +217,7 @@
             && self
                 .priority
                 .is_none_or(|priority| record.priority == priority)
-            && self.covers(record.at)
+            && self.covers(record.arrived_at)
     }
 
     /// Returns whether a time lies within the limits of the expectation.
--- a/crates/kingcuploft-standins/src/virtual_fleet/server.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/server.rs
@@ -200,11 +200,11 @@
     let mut drawn = Vec::new();
     let mut from = Duration::ZERO;
     loop {
-        from += spells.every.mul_f64(-(1.0 - rng.f64()).ln());
+        from += spells.mean_interval.mul_f64(-(1.0 - rng.f64()).ln());
         if from >= duration {
             return drawn;
         }
-        let (shortest, longest) = spells.lasting;
+        let (shortest, longest) = spells.duration_range;
         let until = from + shortest + (longest - shortest).mul_f64(rng.f64());
         drawn.push(SlowSpell {
             from,
--- a/crates/kingcuploft-standins/src/virtual_fleet/workload.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/workload.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct PlannedRequest {
     /// When it arrives at an entry VM, since the start of the run.
-    pub at: Duration,
+    pub arrives_at: Duration,
     /// The caller.
     pub caller: Caller,
     /// The index of the rule that it falls under.
@@ -21,7 +21,7 @@
     /// The slot time that it takes without slow spells.
     pub work: Duration,
     /// The draw that picks its VM: a number in `0.0..1.0`, scaled to the VMs that accept callers when it arrives.
-    pub vm: f64,
+    pub vm_draw: f64,
 }
 
 /// The distribution of the work times of a stream: exponential short jobs, and a share of uniform long jobs.
@@ -151,12 +151,12 @@
         let own_key = || format!("key-{stream_index}-{request_index}");
         let key = (rule == HOLD_RULE).then(|| self.key.clone().unwrap_or_else(own_key));
         PlannedRequest {
-            at: Duration::from_secs_f64(at_ms / 1000.0),
+            arrives_at: Duration::from_secs_f64(at_ms / 1000.0),
             caller: format!("{}-{}", self.caller, rng.u32(0..self.callers.max(1))).into(),
             rule,
             key: key.map(Into::into),
             work: self.work.draw(rng),
-            vm: rng.f64(),
+            vm_draw: rng.f64(),
         }
     }
 }
@@ -171,6 +171,6 @@
     let streams = streams.iter().enumerate();
     let requests = streams.flat_map(|(i, stream)| stream.draw(deployment, duration, i, seed));
     let mut requests: Vec<PlannedRequest> = requests.collect();
-    requests.sort_by_key(|request| request.at);
+    requests.sort_by_key(|request| request.arrives_at);
     requests
 }
--- a/crates/kingcuploft-standins/tests/virtual_fleet.rs
+++ b/crates/kingcuploft-standins/tests/virtual_fleet.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcuploft_standins::virtual_fleet::deployment::Place;
+use kingcuploft_standins::virtual_fleet::deployment::DeploymentKind;
 use kingcuploft_standins::virtual_fleet::outcome::End;
 use kingcuploft_standins::virtual_fleet::policies::compare_policies;
 use kingcuploft_standins::virtual_fleet::workload::Stream;
@@ -41,7 +41,7 @@
 
 #[test]
 fn the_ideal_queue_beats_adaptive_and_adaptive_beats_random() {
-    let rows = compare_policies(Place::Teamway, 0.75, DURATION, &[5]);
+    let rows = compare_policies(DeploymentKind::Teamway, 0.75, DURATION, &[5]);
     let p99_ms = |policy| {
         let row = rows.iter().find(|row| row.policy == policy);
         row.map(|row| row.summary.p99_ms).expect("The policy ran.")
@@ -54,7 +54,11 @@
 fn the_ideal_queue_never_works_more_than_its_slots_allow() {
     let outcome = ideal::run(&at_load(0.9));
     let work: Duration = outcome.records.iter().map(|r| r.work).sum();
-    let last = outcome.records.iter().map(|r| r.at + r.latency).max();
+    let last = outcome
+        .records
+        .iter()
+        .map(|r| r.arrived_at + r.latency)
+        .max();
     let last = last.expect("There are requests.").as_secs_f64();
     assert!(work.as_secs_f64() <= last * f64::from(outcome.slots));
 }
