--- a/crates/kingcuploft-standins/src/backend_server/faults.rs
+++ b/crates/kingcuploft-standins/src/backend_server/faults.rs
@@ -86,8 +86,8 @@
         let Some(since_first) = since_start.checked_sub(self.first) else {
             return false;
         };
-        let every_us = self.period.as_micros().max(1);
-        since_first.as_micros() % every_us < self.duration.as_micros()
+        let period_us = self.period.as_micros().max(1);
+        since_first.as_micros() % period_us < self.duration.as_micros()
     }
 }
 
--- a/crates/kingcuploft-standins/src/virtual_fleet/deployment.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/deployment.rs
@@ -69,8 +69,8 @@
 
 impl Deployment {
     /// Builds a reference deployment.
-    pub fn new(place: DeploymentKind) -> Self {
-        match place {
+    pub fn new(kind: DeploymentKind) -> Self {
+        match kind {
             DeploymentKind::Teamway => Self::teamway(),
             DeploymentKind::Bern => Self::bern(),
         }
@@ -89,9 +89,9 @@
     /// Builds a deployment with a number of zones, VMs, backend servers and slots per backend server, and the share of
     /// the slot time that probes may use.
     fn sized(
-        place: DeploymentKind,
+        kind: DeploymentKind,
         service: &str,
-        (zones, vms, servers, slots): (usize, usize, usize, u32),
+        (zones, vm_count, servers, slots): (usize, usize, usize, u32),
         budget_share: f64,
     ) -> Self {
         let zones: Vec<AvailabilityZone> =
@@ -107,7 +107,7 @@
         let mut policy = Policy::default();
         policy.measuring.budget_share = budget_share;
         Self {
-            kind: place,
+            kind,
             service: Service {
                 name: service.into(),
                 hosts: vec![format!("{service}.test")],
@@ -118,7 +118,7 @@
                 policy,
             },
             zones,
-            vm_count: vms,
+            vm_count,
             links: Links {
                 within_zone: Duration::from_micros(150),
                 between_zones: Duration::from_millis(1),
--- a/crates/kingcuploft-standins/src/virtual_fleet/policies.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/policies.rs
@@ -61,17 +61,17 @@
 
 /// Runs every selection policy and the ideal queue on the same workload, for each seed.
 pub fn compare_policies(
-    place: DeploymentKind,
+    kind: DeploymentKind,
     load: f64,
     duration: Duration,
     seeds: &[u64],
 ) -> Vec<Row> {
-    let trial = ComparisonSettings {
-        kind: place,
+    let comparison = ComparisonSettings {
+        kind,
         load,
         duration,
     };
-    compare_variants(trial, &Variant::policies(), seeds)
+    compare_variants(comparison, &Variant::policies(), seeds)
 }
 
 /// Runs variants on the same workload, for each seed; the seeds run in parallel.
@@ -80,12 +80,12 @@
 ///
 /// Panics if a variant's settings name a field that does not exist.
 pub fn compare_variants(
-    trial: ComparisonSettings,
+    comparison: ComparisonSettings,
     variants: &[Variant],
     seeds: &[u64],
 ) -> Vec<Row> {
     std::thread::scope(|scope| {
-        let spawn_run = |&seed: &u64| scope.spawn(move || seed_rows(trial, variants, seed));
+        let spawn_run = |&seed: &u64| scope.spawn(move || seed_rows(comparison, variants, seed));
         let runs: Vec<_> = seeds.iter().map(spawn_run).collect();
         let runs = runs.into_iter();
         runs.flat_map(|run| run.join().expect("A run ends."))
@@ -93,14 +93,14 @@
     })
 }
 
-fn seed_rows(trial: ComparisonSettings, variants: &[Variant], seed: u64) -> Vec<Row> {
+fn seed_rows(comparison: ComparisonSettings, variants: &[Variant], seed: u64) -> Vec<Row> {
     let streams = [Stream {
-        load: trial.load,
+        load: comparison.load,
         ..Stream::default()
     }];
-    let deployment = Deployment::new(trial.kind);
+    let deployment = Deployment::new(comparison.kind);
     let base = deployment.service.policy.clone();
-    let mut run = Run::new(deployment, &streams, trial.duration, seed);
+    let mut run = Run::new(deployment, &streams, comparison.duration, seed);
     let rows = variants.iter().map(|variant| {
         let outcome = match &variant.settings {
             None => super::ideal::run(&run),
