--- a/crates/kingcuploft-standins/src/experiments/connections.rs
+++ b/crates/kingcuploft-standins/src/experiments/connections.rs
@@ -2,7 +2,7 @@
 //! the daemon.
 //!
 //! Load pattern: callers connect at the same time, alone or next to many slow senders (the Slowloris pattern) that send
-//! a request one byte after another and keep their connections.
+//! a request one byte at a time and hold their connections open.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
