--- a/crates/kingcuploft-standins/src/deployment.rs
+++ b/crates/kingcuploft-standins/src/deployment.rs
@@ -83,8 +83,8 @@
 ];
 
 /// Returns the deployment that the virtual fleet simulates: one service, with the virtual fleet's rules.
-pub fn virtual_deployment(place: DeploymentKind) -> Deployment {
-    match place {
+pub fn virtual_deployment(kind: DeploymentKind) -> Deployment {
+    match kind {
         DeploymentKind::Teamway => Deployment {
             services: vec![service("trip", 11, 2, VIRTUAL_FLEET_RULES)],
             ..teamway()
--- a/crates/kingcuploft-standins/src/experiments/claims/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/mod.rs
@@ -45,14 +45,14 @@
     AnyVm {
         partitions: u16,
         linger_ms: u64,
-        /// The writes in a second that all VMs aim at.
+        /// The write rate that all VMs together aim for.
         target_writes_per_s: u64,
     },
     /// One VM writes to each partition of the ledger, as if its peers forwarded claims to it at no cost.
     OneWriter {
         partitions: u16,
         linger_ms: u64,
-        /// The writes in a second that all VMs aim at.
+        /// The write rate that all VMs together aim for.
         target_writes_per_s: u64,
     },
 }
--- a/crates/kingcuploft-standins/src/experiments/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/mod.rs
@@ -64,8 +64,8 @@
 }
 
 impl DeploymentName {
-    /// Returns the same deployment as the virtual fleet simulates it.
-    pub fn virtual_place(self) -> DeploymentKind {
+    /// Returns the kind under which the virtual fleet simulates this deployment.
+    pub fn kind(self) -> DeploymentKind {
         match self {
             Self::Teamway => DeploymentKind::Teamway,
             Self::Bern => DeploymentKind::Bern,
--- a/crates/kingcuploft-standins/src/experiments/overload.rs
+++ b/crates/kingcuploft-standins/src/experiments/overload.rs
@@ -88,7 +88,7 @@
             ..Stream::default()
         });
     }
-    let deployment = Deployment::new(options.deployment.virtual_place());
+    let deployment = Deployment::new(options.deployment.kind());
     let run = Run::new(deployment, &streams, options.duration, seed);
     real_run::run(&run, "{}".into())
 }
--- a/crates/kingcuploft-standins/src/experiments/real_run.rs
+++ b/crates/kingcuploft-standins/src/experiments/real_run.rs
@@ -93,8 +93,8 @@
 
 /// Returns the claim settings of a deployment, as in its example: Teamway spends more store writes for a lower latency of
 /// holds, Bern saves writes.
-fn claim_settings(place: DeploymentKind) -> &'static str {
-    match place {
+fn claim_settings(kind: DeploymentKind) -> &'static str {
+    match kind {
         DeploymentKind::Teamway => "claims: {fleet_writes_per_s: 200}\n",
         DeploymentKind::Bern => "",
     }
--- a/crates/kingcuploft-standins/src/experiments/tail.rs
+++ b/crates/kingcuploft-standins/src/experiments/tail.rs
@@ -90,7 +90,7 @@
         load: options.load,
         ..Stream::default()
     }];
-    let deployment = Deployment::new(options.deployment.virtual_place());
+    let deployment = Deployment::new(options.deployment.kind());
     Run::new(deployment, &streams, options.duration, seed)
 }
 
