--- a/crates/kingcuploft-platform/src/lib.rs
+++ b/crates/kingcuploft-platform/src/lib.rs
@@ -59,9 +59,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It runs.
+    /// The VM runs and is expected to stay.
     Live,
-    /// It is leaving.
+    /// The VM is being shut down.
     Leaving,
 }
 
@@ -74,7 +74,7 @@
     pub address: String,
     /// The availability zone.
     pub availability_zone: String,
-    /// Whether it is expected to stay.
+    /// Whether the VM is expected to stay.
     pub state: VmState,
 }
 
