--- a/crates/kingcuploft-platform/src/backoff.rs
+++ b/crates/kingcuploft-platform/src/backoff.rs
@@ -1,34 +1,34 @@
-//! Jittered exponential backoff.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
-/// The pauses between tries, each drawn evenly below a bound that doubles.
+/// The delays between attempts, each drawn uniformly below a bound that doubles with each attempt.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    first: Duration,
-    longest: Duration,
+    initial: Duration,
+    max: Duration,
     tries: u32,
 }
 
 impl Backoff {
-    /// Builds the pauses; the first is at most `first`, none is above `longest`.
-    pub fn new(first: Duration, longest: Duration) -> Self {
+    /// Builds a backoff whose first delay is at most `initial`; no delay is above `max`.
+    pub fn new(initial: Duration, max: Duration) -> Self {
         Self {
-            first,
-            longest,
+            initial,
+            max,
             tries: 0,
         }
     }
 
-    /// Returns the next pause.
-    pub fn pause(&mut self, rng: &mut fastrand::Rng) -> Duration {
+    /// Returns the delay before the next attempt.
+    pub fn next_delay(&mut self, rng: &mut fastrand::Rng) -> Duration {
         let factor = 1_u32 << self.tries.min(16);
         self.tries += 1;
-        let bound = self.first.saturating_mul(factor).min(self.longest);
+        let bound = self.initial.saturating_mul(factor).min(self.max);
         bound.mul_f64(rng.f64())
     }
 
-    /// Begins anew after a success.
+    /// Starts again from the initial bound, after a success.
     pub fn reset(&mut self) {
         self.tries = 0;
     }
--- a/crates/kingcuploft-platform/src/client.rs
+++ b/crates/kingcuploft-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP.
+//! An HTTP client of the object API, with a call budget and a circuit breaker.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -7,27 +7,28 @@
 use ureq::http::StatusCode;
 use ureq::{Agent, Timeout};
 
-use crate::budget::CallBudget;
-use crate::circuit::{Circuit, Passage};
-use crate::{Changes, Expect, ListedVm, Object, ObjectStore, StoreError, Version};
+use crate::call_budget::CallBudget;
+use crate::circuit_breaker::{CallPermission, CircuitBreaker};
+use crate::{Changes, ListedVm, Object, ObjectStore, StoreError, Version, WriteCondition};
 
-/// How the platform's object API is called.
+/// Timeouts and limits of the calls to the object API.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientSettings {
-    /// Time to connect, in ms.
+    /// The timeout of connecting, in ms.
     pub connect_timeout_ms: u64,
-    /// Time of one call, a watch's wait apart, in ms.
+    /// The timeout of one call, a watch's wait not counted, in ms.
     pub call_timeout_ms: u64,
-    /// Time of a call that probes a store that was down, in ms.
+    /// The timeout of a call that probes a store that was down, in ms.
     pub probe_timeout_ms: u64,
-    /// Calls of this VM in a second, on average.
+    /// How many calls a second this VM may make on average.
     pub calls_per_s: f64,
-    /// Calls that may go out at once after a quiet time.
+    /// How many calls may be sent at once after an idle time.
     pub calls_burst: f64,
-    /// Calls without an answer in a row, after which the store counts as down.
+    /// After how many consecutive calls without an answer the store counts as down.
     pub failures_to_open: u32,
-    /// Time between probes of a store that is down, halved or raised by half at random, in ms.
+    /// The mean time between probes of a store that is down, in ms; jitter draws each between half of it and half as
+    /// much again.
     pub probe_interval_ms: u64,
 }
 
@@ -45,30 +46,30 @@
     }
 }
 
-/// What bounds the calls of one VM.
+/// Limits the calls of one VM by its call budget and the circuit breaker.
 #[derive(Debug)]
-struct Guard {
+struct CallGuard {
     budget: CallBudget,
-    circuit: Circuit,
+    circuit_breaker: CircuitBreaker,
     rng: fastrand::Rng,
 }
 
-/// A client of the object API; its clones share connections, budget and circuit.
+/// A client of the object API; its clones share connections, call budget and circuit breaker.
 #[derive(Clone, Debug)]
 pub struct Client {
     agent: Agent,
     base: String,
     settings: ClientSettings,
-    guard: Arc<Mutex<Guard>>,
+    guard: Arc<Mutex<CallGuard>>,
 }
 
 impl Client {
-    /// Builds a client of the API at `address`, as `host:port`.
+    /// Builds a client with the default settings; `address` is `host:port`.
     pub fn new(address: &str) -> Self {
         Self::with_settings(address, ClientSettings::default(), fastrand::u64(..))
     }
 
-    /// Builds a client with settings; the seed spreads the probes of several VMs.
+    /// Builds a client with these settings; the seed of the jitter spreads the probes of several VMs.
     pub fn with_settings(address: &str, settings: ClientSettings, seed: u64) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -77,9 +78,9 @@
             .timeout_connect(Some(ms(settings.connect_timeout_ms)))
             .build();
         let interval = ms(settings.probe_interval_ms);
-        let guard = Guard {
+        let guard = CallGuard {
             budget: CallBudget::new(settings.calls_per_s, settings.calls_burst),
-            circuit: Circuit::new(settings.failures_to_open, interval),
+            circuit_breaker: CircuitBreaker::new(settings.failures_to_open, interval),
             rng: fastrand::Rng::with_seed(seed),
         };
         Self {
@@ -90,34 +91,36 @@
         }
     }
 
-    /// Tells for how long the store counts as down at least; `None` while calls go through.
-    pub fn down_for(&self, now: Instant) -> Option<Duration> {
-        let probe = self.guarded(|guard| guard.circuit.next_probe())?;
+    /// Returns the time until the next probe of a store that counts as down; `None` while calls are sent.
+    pub fn retry_after(&self, now: Instant) -> Option<Duration> {
+        let probe = self.with_guard(|guard| guard.circuit_breaker.next_probe_at())?;
         Some(probe.saturating_duration_since(now))
     }
 
-    fn guarded<T>(&self, act: impl FnOnce(&mut Guard) -> T) -> T {
+    fn with_guard<T>(&self, act: impl FnOnce(&mut CallGuard) -> T) -> T {
         act(&mut self.guard.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Makes one call within the budget and past the circuit.
+    /// Makes one call if the call budget and the circuit breaker allow it.
     fn call<T>(
         &self,
         wait: Duration,
         exchange: impl FnOnce(Duration) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
-        let timeout = self.guarded(Guard::enter)?;
+        let timeout = self.with_guard(CallGuard::admit)?;
         let timeout = match timeout {
-            Passage::Probe => ms(self.settings.probe_timeout_ms),
+            CallPermission::Probe => ms(self.settings.probe_timeout_ms),
             _ => ms(self.settings.call_timeout_ms),
         };
         let result = exchange(timeout + wait);
-        // A watch that stalls alone says nothing of the store: it is not counted.
+        // A watch that fails is not counted: a watch may stall while the store serves all other calls.
         let failed = result.as_ref().is_err_and(StoreError::is_outage);
-        self.guarded(|guard| match failed {
-            true if wait.is_zero() => guard.circuit.failed(Instant::now(), &mut guard.rng),
+        self.with_guard(|guard| match failed {
+            true if wait.is_zero() => guard
+                .circuit_breaker
+                .record_failure(Instant::now(), &mut guard.rng),
             true => {}
-            false => guard.circuit.answered(),
+            false => guard.circuit_breaker.record_success(),
         });
         result
     }
@@ -129,27 +132,27 @@
     ) -> Result<T, StoreError> {
         let request = self.agent.get(format!("{}/{path}", self.base)).config();
         let request = request.timeout_global(Some(timeout)).build();
-        let mut response = request.call().map_err(failure)?;
+        let mut response = request.call().map_err(exchange_error)?;
         match response.status() {
             StatusCode::OK => {
-                let body = response.body_mut().with_config().limit(READ_BYTES);
-                body.read_json().map_err(silent)
+                let body = response.body_mut().with_config().limit(MAX_READ_BYTES);
+                body.read_json().map_err(no_answer)
             }
-            StatusCode::GONE => Err(StoreError::Lapsed),
-            status => Err(refused(status)),
+            StatusCode::GONE => Err(StoreError::WatchExpired),
+            status => Err(status_error(status)),
         }
     }
 }
 
-/// The longest answer to a read, in bytes: a listing may hold many values.
-const READ_BYTES: u64 = 64 * 1024 * 1024;
+/// The largest body of an answer to a read: a list may hold many values of 1 MB.
+const MAX_READ_BYTES: u64 = 64 * 1024 * 1024;
 
-impl Guard {
-    fn enter(&mut self) -> Result<Passage, StoreError> {
+impl CallGuard {
+    fn admit(&mut self) -> Result<CallPermission, StoreError> {
         let now = Instant::now();
-        match self.circuit.pass(now, &mut self.rng) {
-            Passage::Blocked(retry_after) => Err(StoreError::Down { retry_after }),
-            passage => match self.budget.take(now) {
+        match self.circuit_breaker.permit(now, &mut self.rng) {
+            CallPermission::Blocked(retry_after) => Err(StoreError::Down { retry_after }),
+            passage => match self.budget.try_take(now) {
                 Ok(()) => Ok(passage),
                 Err(retry_after) => Err(StoreError::OverBudget { retry_after }),
             },
@@ -166,15 +169,15 @@
         })
     }
 
-    fn put(&self, key: &str, value: &str, expect: Expect) -> Result<Version, StoreError> {
+    fn put(&self, key: &str, value: &str, expect: WriteCondition) -> Result<Version, StoreError> {
         self.call(Duration::ZERO, |timeout| {
             let request = self.agent.put(format!("{}/objects/{key}", self.base));
             let request = match expect {
-                Expect::Absent => request.header("if-none-match", "*"),
-                Expect::Version(version) => request.header("if-match", version.to_string()),
+                WriteCondition::Absent => request.header("if-none-match", "*"),
+                WriteCondition::Version(version) => request.header("if-match", version.to_string()),
             };
             let request = request.config().timeout_global(Some(timeout)).build();
-            written(request.send(value).map_err(failure)?)
+            written_version(request.send(value).map_err(exchange_error)?)
         })
     }
 
@@ -183,7 +186,7 @@
             let request = self.agent.delete(format!("{}/objects/{key}", self.base));
             let request = request.header("if-match", version.to_string());
             let request = request.config().timeout_global(Some(timeout)).build();
-            written(request.call().map_err(failure)?).map(|_| ())
+            written_version(request.call().map_err(exchange_error)?).map(|_| ())
         })
     }
 
@@ -203,39 +206,39 @@
     }
 }
 
-/// The answer to a write: the version written, or the version that stood in the way.
+/// The body of an answer to a write: the version written, or the version that the condition met.
 #[derive(Deserialize)]
-struct Written {
+struct WriteReply {
     version: Option<Version>,
 }
 
-fn written(mut response: ureq::http::Response<ureq::Body>) -> Result<Version, StoreError> {
+fn written_version(mut response: ureq::http::Response<ureq::Body>) -> Result<Version, StoreError> {
     let status = response.status();
     match status {
         StatusCode::OK | StatusCode::PRECONDITION_FAILED => {}
-        _ => return Err(refused(status)),
+        _ => return Err(status_error(status)),
     }
-    let written: Written = response.body_mut().read_json().map_err(silent)?;
-    match (status, written.version) {
+    let reply: WriteReply = response.body_mut().read_json().map_err(no_answer)?;
+    match (status, reply.version) {
         (StatusCode::OK, Some(version)) => Ok(version),
-        (StatusCode::OK, None) => Err(StoreError::Silent("no version in the answer".into())),
+        (StatusCode::OK, None) => Err(StoreError::NoAnswer("no version in the answer".into())),
         (_, found) => Err(StoreError::Conflict { found }),
     }
 }
 
-/// Turns a status into an error: one that something between here and the store may have made
-/// says nothing about a write.
-fn refused(status: StatusCode) -> StoreError {
+/// Turns a status into an error. 500, 502 and 504 may come from a proxy on the way to the store, so they do not tell
+/// whether a write took effect.
+fn status_error(status: StatusCode) -> StoreError {
     match status {
         StatusCode::INTERNAL_SERVER_ERROR
         | StatusCode::BAD_GATEWAY
-        | StatusCode::GATEWAY_TIMEOUT => StoreError::Silent(format!("status {status}")),
+        | StatusCode::GATEWAY_TIMEOUT => StoreError::NoAnswer(format!("status {status}")),
         _ => StoreError::Refused(status.as_u16()),
     }
 }
 
-/// Turns a failed exchange into an error: only a failure to connect proves that nothing was sent.
-fn failure(error: ureq::Error) -> StoreError {
+/// Turns a failed exchange into an error. Only a failure to connect proves that nothing was sent.
+fn exchange_error(error: ureq::Error) -> StoreError {
     match &error {
         ureq::Error::HostNotFound
         | ureq::Error::ConnectionFailed
@@ -245,12 +248,12 @@
         ureq::Error::Io(io) if io.kind() == std::io::ErrorKind::ConnectionRefused => {
             StoreError::NotSent(error.to_string())
         }
-        _ => silent(error),
+        _ => no_answer(error),
     }
 }
 
-fn silent(error: ureq::Error) -> StoreError {
-    StoreError::Silent(error.to_string())
+fn no_answer(error: ureq::Error) -> StoreError {
+    StoreError::NoAnswer(error.to_string())
 }
 
 fn ms(ms: u64) -> Duration {
--- a/crates/kingcuploft-platform/src/manifest_root.rs
+++ b/crates/kingcuploft-platform/src/manifest_root.rs
@@ -1,8 +1,8 @@
-//! The manifest in the store: service objects first, then the root by conditional update.
+//! Reads and writes the manifest in the store: first the service objects, then the root by a conditional write.
 //!
-//! Only the swap of the root makes a manifest accepted. It is conditional on the version that was
-//! read, so of two operators one wins, and it can be sent again after a lost answer: either it
-//! takes effect once, or it meets the version that another write, perhaps its own, left behind.
+//! Only the write of the root makes a manifest accepted. It is conditional on the version that was read, so of two
+//! concurrent applies one wins. It is idempotent, so it can be sent again after a lost answer: either it takes effect
+//! once, or it finds the version that another write, perhaps its own, left behind.
 
 use kingcuploft::manifest::root::{
     ContentHash, MAX_PAST_APPLIES, PastApply, Root, ServiceChange, ServiceObject, ServiceRef,
@@ -12,119 +12,119 @@
 use kingcuploft::utils::HashSet;
 use kingcuploft::world::ids::Generation;
 
-use crate::{Expect, Object, ObjectStore, StoreError, Version};
+use crate::{Object, ObjectStore, StoreError, Version, WriteCondition};
 
 /// The key of the root object.
 pub const ROOT_KEY: &str = "manifest/root";
 
-/// Where service objects stand, by hash.
+/// The key prefix of service objects; the content hash follows it.
 pub const SERVICES_PREFIX: &str = "manifest/services/";
 
-/// Where earlier roots stand, by generation.
+/// The key prefix of earlier roots; the generation follows it.
 pub const HISTORY_PREFIX: &str = "manifest/history/";
 
-/// How many earlier roots are kept.
-pub const HISTORY_KEPT: u64 = 32;
+/// How many earlier roots pruning keeps.
+pub const MAX_HISTORY_ROOTS: u64 = 32;
 
-/// After how many generations old roots and unused service objects are deleted.
-const PRUNE_EVERY: u64 = 16;
+/// After how many generations old roots and unused service objects are pruned.
+const PRUNE_INTERVAL_GENERATIONS: u64 = 16;
 
-/// The longest value of an object, in bytes.
-const VALUE_BYTES: usize = 1_000_000;
+/// The largest value of an object that the store accepts.
+const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// How often a write without an answer is sent again.
-const RETRIES: usize = 3;
+/// How often a write without an answer is retried.
+const MAX_RETRIES: usize = 3;
 
-/// What to apply, by whom.
+/// A manifest to apply, and who applies it.
 #[derive(Clone, Debug)]
-pub struct Apply {
+pub struct ApplyRequest {
     /// The manifest.
     pub manifest: Manifest,
-    /// The id of this apply, unique.
+    /// The unique id of this apply.
     pub apply_id: String,
-    /// Who applies it.
+    /// The operator who applies it.
     pub author: String,
-    /// When, in ms since 1970.
+    /// When it is applied, in ms since the Unix epoch.
     pub applied_ms: u64,
-    /// The generation that must be the accepted one; any where absent.
-    pub base: Option<Generation>,
-    /// The generation that the new one must be above, after the store was reset.
-    pub above: Generation,
-    /// Whether unchanged service objects are read and mended too.
+    /// The generation that must be the accepted one; `None` allows any.
+    pub base_generation: Option<Generation>,
+    /// The generation that the new one must exceed; above 0 after the store was reset.
+    pub above_generation: Generation,
+    /// Whether unchanged service objects are written too, which repairs corrupt ones.
     pub verify: bool,
 }
 
-/// How an apply ended.
+/// The outcome of an apply.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Applied {
-    /// Accepted under this generation.
+pub enum ApplyOutcome {
+    /// The manifest was accepted as this generation.
     Accepted(Generation),
-    /// Accepted under this generation, and another apply came after it.
+    /// The manifest was accepted as this generation, and a later apply has replaced it.
     Superseded {
-        /// The generation.
+        /// The generation of this apply.
         generation: Generation,
         /// The newest generation.
         by: Generation,
     },
-    /// Another operator's apply came first; nothing of this one is in force.
-    Lost {
-        /// The generation that stands.
+    /// Another apply was accepted first; nothing of this one is in force.
+    Conflicting {
+        /// The accepted generation.
         generation: Generation,
-        /// Who applied it.
+        /// The operator who applied it.
         author: String,
-        /// What it changed, seen from the generation this apply was based on.
+        /// What it changed, compared with the generation that this apply was based on.
         changes: Vec<ServiceChange>,
     },
-    /// Whether it took effect is not known: the write may still arrive.
+    /// It is not known whether the apply took effect: its write may still reach the store.
     Unknown(String),
 }
 
-/// Why a manifest was not applied; nothing is in force.
+/// Why a manifest was not applied; nothing of it is in force.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ApplyError {
-    /// The store did not do it.
+    /// A call to the store failed.
     #[error("nothing was put in force: {0}")]
     Store(#[from] StoreError),
-    /// An object would be longer than the store holds.
-    #[error("{what} takes {bytes} bytes, expected at most {VALUE_BYTES}")]
+    /// An object is larger than the store accepts.
+    #[error("{what} takes {bytes} bytes, expected at most {MAX_VALUE_BYTES}")]
     TooLarge {
-        /// The service, or the root.
+        /// The service, or the root object.
         what: String,
-        /// The bytes.
+        /// The size of the object.
         bytes: usize,
     },
-    /// The object in the store can not be read.
+    /// The root or a service object in the store can't be used.
     #[error("the root object is corrupt: {0}")]
     CorruptRoot(String),
 }
 
-/// Applies a manifest under an id, by an author without a name.
+/// Applies a manifest under an id, without the name of an author.
 ///
 /// # Errors
 ///
-/// [`ApplyError`] where it is certain that nothing was put in force.
+/// Returns [`ApplyError`] where it is certain that nothing was put in force.
 pub fn apply(
     store: &dyn ObjectStore,
     manifest: Manifest,
     apply_id: &str,
-) -> Result<Applied, ApplyError> {
-    let apply = Apply {
+) -> Result<ApplyOutcome, ApplyError> {
+    let apply = ApplyRequest {
         manifest,
         apply_id: apply_id.into(),
         author: String::new(),
         applied_ms: 0,
-        base: None,
-        above: 0,
+        base_generation: None,
+        above_generation: 0,
         verify: false,
     };
     apply.run(store)
 }
 
-/// Reads the root; `None` where no manifest was ever accepted.
+/// Reads the root and its version; `None` where no manifest was ever accepted.
 ///
 /// # Errors
 ///
-/// [`ApplyError::Store`] or [`ApplyError::CorruptRoot`].
+/// Returns [`ApplyError::Store`] or [`ApplyError::CorruptRoot`].
 pub fn read_root(store: &dyn ObjectStore) -> Result<Option<(Version, Root)>, ApplyError> {
     let Some(object) = store.get(ROOT_KEY)? else {
         return Ok(None);
@@ -133,11 +133,11 @@
     Ok(Some((object.version, root)))
 }
 
-/// Reads the roots before the accepted one, oldest first.
+/// Reads the earlier roots, oldest first; corrupt ones are left out.
 ///
 /// # Errors
 ///
-/// [`ApplyError::Store`]; a corrupt one is left out.
+/// Returns [`ApplyError::Store`] if the list fails.
 pub fn read_history(store: &dyn ObjectStore) -> Result<Vec<Root>, ApplyError> {
     let listed = store.list(HISTORY_PREFIX)?;
     let values = listed.changes.into_iter().filter_map(|change| change.value);
@@ -147,11 +147,11 @@
     Ok(roots)
 }
 
-/// Reads the services of a root.
+/// Reads the manifest of a root from its service objects.
 ///
 /// # Errors
 ///
-/// [`ApplyError::Store`], or [`ApplyError::CorruptRoot`] where an object is missing or corrupt.
+/// Returns [`ApplyError::Store`], or [`ApplyError::CorruptRoot`] where a service object is missing or corrupt.
 pub fn read_manifest(store: &dyn ObjectStore, root: &Root) -> Result<Manifest, ApplyError> {
     let mut manifest = Manifest::default();
     for part in &root.services {
@@ -181,26 +181,29 @@
     serde_json::from_str(&object.value).map_err(|e| ApplyError::CorruptRoot(e.to_string()))
 }
 
-impl Apply {
-    /// Writes the service objects, then swaps the root.
+impl ApplyRequest {
+    /// Writes the service objects, then replaces the root.
     ///
     /// # Errors
     ///
-    /// [`ApplyError`] where it is certain that nothing was put in force.
-    pub fn run(&self, store: &dyn ObjectStore) -> Result<Applied, ApplyError> {
+    /// Returns [`ApplyError`] where it is certain that nothing was put in force.
+    pub fn run(&self, store: &dyn ObjectStore) -> Result<ApplyOutcome, ApplyError> {
         let found = read_root(store)?;
         let (expect, before) = match found {
-            None => (Expect::Absent, Root::default()),
-            Some((version, root)) => (Expect::Version(version), root),
+            None => (WriteCondition::Absent, Root::default()),
+            Some((version, root)) => (WriteCondition::Version(version), root),
         };
-        if self.base.is_some_and(|base| base != before.generation) {
-            return Ok(lost(&before, &[]));
+        if self
+            .base_generation
+            .is_some_and(|base| base != before.generation)
+        {
+            return Ok(conflicting(&before, &[]));
         }
         let objects = service_objects(&self.manifest);
         let root = self.root(&before, &objects);
         let text = root.text();
-        for (what, bytes) in sizes(&objects, &text) {
-            if bytes > VALUE_BYTES {
+        for (what, bytes) in object_sizes(&objects, &text) {
+            if bytes > MAX_VALUE_BYTES {
                 return Err(ApplyError::TooLarge { what, bytes });
             }
         }
@@ -214,8 +217,8 @@
             }
         }
         let applied = self.swap(store, &text, expect, &before)?;
-        if let (Applied::Accepted(generation), true) = (&applied, self.prunes(&root)) {
-            // Pruning is only thrift: a failure leaves objects that the next one deletes.
+        if let (ApplyOutcome::Accepted(generation), true) = (&applied, self.should_prune(&root)) {
+            // Pruning only saves space: where it fails, the next one deletes the objects.
             drop(prune(store, *generation));
         }
         Ok(applied)
@@ -238,7 +241,7 @@
             hash: object.hash.clone(),
         });
         Root {
-            generation: before.generation.max(self.above) + 1,
+            generation: before.generation.max(self.above_generation) + 1,
             apply_id: self.apply_id.clone(),
             author: self.author.clone(),
             applied_ms: self.applied_ms,
@@ -247,128 +250,134 @@
         }
     }
 
-    /// Swaps the root. A write without an answer is sent again under the same condition, so it
+    /// Replaces the root by a conditional write. A write without an answer is retried under the same condition, so it
     /// takes effect at most once however often it arrives.
     fn swap(
         &self,
         store: &dyn ObjectStore,
         text: &str,
-        expect: Expect,
+        expect: WriteCondition,
         before: &Root,
-    ) -> Result<Applied, ApplyError> {
-        let mut silent = None;
-        for _ in 0..=RETRIES {
+    ) -> Result<ApplyOutcome, ApplyError> {
+        let mut no_answer = None;
+        for _ in 0..=MAX_RETRIES {
             match store.put(ROOT_KEY, text, expect) {
-                Ok(_) => return Ok(Applied::Accepted(before.generation.max(self.above) + 1)),
-                Err(StoreError::Conflict { .. }) => return Ok(self.settle(store, before)),
-                Err(StoreError::Silent(why)) => silent = Some(why),
-                // The store refused this try; an earlier one may still arrive.
-                Err(error) => match silent {
+                Ok(_) => {
+                    return Ok(ApplyOutcome::Accepted(
+                        before.generation.max(self.above_generation) + 1,
+                    ));
+                }
+                Err(StoreError::Conflict { .. }) => return Ok(self.read_back(store, before)),
+                Err(StoreError::NoAnswer(why)) => no_answer = Some(why),
+                // The store refused this attempt; an earlier one without an answer may still take effect.
+                Err(error) => match no_answer {
                     None => return Err(error.into()),
-                    Some(why) => return Ok(Applied::Unknown(why)),
+                    Some(why) => return Ok(ApplyOutcome::Unknown(why)),
                 },
             }
         }
-        Ok(self.settle(store, before))
+        Ok(self.read_back(store, before))
     }
 
-    /// Reads back whether this apply took effect; a stale read tells nothing and is done again.
-    fn settle(&self, store: &dyn ObjectStore, before: &Root) -> Applied {
-        let mut last = Applied::Unknown("the write may still arrive".into());
-        for _ in 0..=RETRIES {
+    /// Reads the root back to find out whether this apply took effect. A stale read does not tell and is repeated.
+    fn read_back(&self, store: &dyn ObjectStore, before: &Root) -> ApplyOutcome {
+        let mut last = ApplyOutcome::Unknown("the write may still arrive".into());
+        for _ in 0..=MAX_RETRIES {
             last = match read_root(store) {
-                Ok(Some((_, root))) => self.told_by(&root, before),
-                Ok(None) => Applied::Unknown("the write may still arrive".into()),
-                Err(error) => Applied::Unknown(error.to_string()),
+                Ok(Some((_, root))) => self.outcome_from(&root, before),
+                Ok(None) => ApplyOutcome::Unknown("the write may still arrive".into()),
+                Err(error) => ApplyOutcome::Unknown(error.to_string()),
             };
-            if !matches!(last, Applied::Unknown(_)) {
+            if !matches!(last, ApplyOutcome::Unknown(_)) {
                 break;
             }
         }
         last
     }
 
-    /// Returns what a root read back tells of this apply.
-    pub fn told_by(&self, root: &Root, before: &Root) -> Applied {
+    /// Returns the outcome of this apply, by the root that was read back.
+    pub fn outcome_from(&self, root: &Root, before: &Root) -> ApplyOutcome {
         if root.apply_id == self.apply_id {
-            return Applied::Accepted(root.generation);
+            return ApplyOutcome::Accepted(root.generation);
         }
         let past = root.past.iter().find(|past| past.apply_id == self.apply_id);
         if let Some(past) = past {
-            return Applied::Superseded {
+            return ApplyOutcome::Superseded {
                 generation: past.generation,
                 by: root.generation,
             };
         }
         match root.generation > before.generation {
-            true => lost(root, &before.services),
-            false => Applied::Unknown("the write may still arrive".into()),
+            true => conflicting(root, &before.services),
+            false => ApplyOutcome::Unknown("the write may still arrive".into()),
         }
     }
 
-    fn prunes(&self, root: &Root) -> bool {
-        root.generation.is_multiple_of(PRUNE_EVERY)
+    fn should_prune(&self, root: &Root) -> bool {
+        root.generation.is_multiple_of(PRUNE_INTERVAL_GENERATIONS)
     }
 }
 
-fn lost(root: &Root, before: &[ServiceRef]) -> Applied {
-    Applied::Lost {
+fn conflicting(root: &Root, before: &[ServiceRef]) -> ApplyOutcome {
+    ApplyOutcome::Conflicting {
         generation: root.generation,
         author: root.author.clone(),
         changes: root.changes_since(before),
     }
 }
 
-fn sizes(objects: &[ServiceObject], root: &str) -> Vec<(String, usize)> {
+fn object_sizes(objects: &[ServiceObject], root: &str) -> Vec<(String, usize)> {
     let objects = objects.iter();
     let objects = objects.map(|object| (format!("service {}", object.name), object.text.len()));
     let root = ("the root".into(), root.len());
     objects.chain([root]).collect()
 }
 
-/// Writes a value whose content follows from its key, so that any number of tries is one.
+/// Writes an object whose value follows from its key, so that a conflict means that it is already written.
 fn write_absent(store: &dyn ObjectStore, key: &str, value: &str) -> Result<(), StoreError> {
     let mut last = Ok(());
-    for _ in 0..=RETRIES {
-        match store.put(key, value, Expect::Absent) {
+    for _ in 0..=MAX_RETRIES {
+        match store.put(key, value, WriteCondition::Absent) {
             Ok(_) | Err(StoreError::Conflict { .. }) => return Ok(()),
-            Err(StoreError::Silent(why)) => last = Err(StoreError::Silent(why)),
+            Err(StoreError::NoAnswer(why)) => last = Err(StoreError::NoAnswer(why)),
             Err(error) => return Err(error),
         }
     }
-    stands(store, key, value).or(last)
+    confirm_written(store, key, value).or(last)
 }
 
-/// Tells whether an object stands as it was to be written, though no answer said so.
-fn stands(store: &dyn ObjectStore, key: &str, value: &str) -> Result<(), StoreError> {
+/// Reads an object back after writes without an answer. Succeeds if it holds the value that was to be written.
+fn confirm_written(store: &dyn ObjectStore, key: &str, value: &str) -> Result<(), StoreError> {
     match store.get(key)? {
         Some(object) if object.value == value => Ok(()),
-        _ => Err(StoreError::Silent("the write may still arrive".into())),
+        _ => Err(StoreError::NoAnswer("the write may still arrive".into())),
     }
 }
 
-/// Writes a service object. One that is there already is written again: its new version keeps a
-/// prune that runs beside this apply from deleting it, and a corrupt one is mended.
+/// Writes a service object. One that exists already is written again: its new version keeps a concurrent prune from
+/// deleting it, and a corrupt one is repaired.
 fn write_object(store: &dyn ObjectStore, object: &ServiceObject) -> Result<(), StoreError> {
     let key = service_key(&object.hash);
-    let mut expect = Expect::Absent;
+    let mut expect = WriteCondition::Absent;
     let mut last = Ok(());
-    for _ in 0..=RETRIES {
+    for _ in 0..=MAX_RETRIES {
         match store.put(&key, &object.text, expect) {
             Ok(_) => return Ok(()),
-            Err(StoreError::Conflict { found: Some(found) }) => expect = Expect::Version(found),
-            Err(StoreError::Conflict { found: None }) => expect = Expect::Absent,
-            Err(StoreError::Silent(why)) => last = Err(StoreError::Silent(why)),
+            Err(StoreError::Conflict { found: Some(found) }) => {
+                expect = WriteCondition::Version(found)
+            }
+            Err(StoreError::Conflict { found: None }) => expect = WriteCondition::Absent,
+            Err(StoreError::NoAnswer(why)) => last = Err(StoreError::NoAnswer(why)),
             Err(error) => return Err(error),
         }
     }
-    stands(store, &key, &object.text).or(last)
+    confirm_written(store, &key, &object.text).or(last)
 }
 
-/// Deletes earlier roots beyond those kept, and service objects that no kept root names.
+/// Deletes the earlier roots beyond those kept, and the service objects that no kept root names.
 ///
-/// An apply that runs beside this one writes its objects after it read the root, so an object that
-/// is older than the root and not named by it is not on its way into a newer one.
+/// A concurrent apply writes its objects after it has read the root. So an object that is older than the root and not
+/// named by it does not belong to an apply that is still running.
 fn prune(store: &dyn ObjectStore, generation: Generation) -> Result<(), ApplyError> {
     let Some((version, root)) = read_root(store)? else {
         return Ok(());
@@ -376,7 +385,7 @@
     if root.generation != generation {
         return Ok(());
     }
-    let oldest = history_key(generation.saturating_sub(HISTORY_KEPT));
+    let oldest = history_key(generation.saturating_sub(MAX_HISTORY_ROOTS));
     let history = store.list(HISTORY_PREFIX)?.changes;
     let (dropped, kept): (Vec<_>, Vec<_>) = history.into_iter().partition(|c| c.key < oldest);
     for change in dropped {
--- a/crates/kingcuploft-standins/examples/admission_table.rs
+++ b/crates/kingcuploft-standins/examples/admission_table.rs
@@ -1,4 +1,4 @@
-//! Prints what callers receive under overload, with admission's parts switched off in turn.
+//! Prints a table of what callers receive under overload, with each part of admission control switched off in turn.
 //!
 //! `cargo run --release -p kingcuploft-standins --example admission_table [SEED]`
 
@@ -6,14 +6,14 @@
 
 use kingcuploft::world::contract::Priority;
 use kingcuploft_standins::virtual_fleet::outcome::{End, Outcome, Record, latency};
-use kingcuploft_standins::virtual_fleet::scenario::with;
+use kingcuploft_standins::virtual_fleet::scenario::with_changes;
 use kingcuploft_standins::virtual_fleet::workload::Stream;
 use kingcuploft_standins::virtual_fleet::{Deployment, Run, run};
 use serde_json::{Value, json};
 
 const DURATION: Duration = Duration::from_secs(5);
 
-fn variants() -> Vec<(&'static str, Value)> {
+fn admission_variants() -> Vec<(&'static str, Value)> {
     let off = |part: &str| json!({"admission": {part: false}});
     vec![
         ("all on", Value::Null),
@@ -27,7 +27,7 @@
     ]
 }
 
-fn loads() -> Vec<(&'static str, Vec<Stream>)> {
+fn load_patterns() -> Vec<(&'static str, Vec<Stream>)> {
     let all = |load| Stream {
         load,
         ..Stream::default()
@@ -53,11 +53,11 @@
         "| load | variant | goodput | in time | protected | background | others of hot | late | p50 ms | p99 ms | refusal p99 ms |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|");
-    for (load, streams) in loads() {
-        for (variant, settings) in variants() {
+    for (load, streams) in load_patterns() {
+        for (variant, settings) in admission_variants() {
             let mut deployment = Deployment::teamway();
             let policy = &mut deployment.service.policy;
-            *policy = with(policy, &settings);
+            *policy = with_changes(policy, &settings);
             let outcome = run(&Run::new(deployment, &streams, DURATION, seed));
             println!("| {load} | {variant} | {} |", row(&outcome));
         }
@@ -68,14 +68,15 @@
     let all = outcome.summary(|_| true);
     let share = |keep: &dyn Fn(&Record) -> bool| {
         let kept: Vec<&Record> = outcome.records.iter().filter(|r| keep(r)).collect();
-        let in_time = kept.iter().filter(|r| r.in_time()).count();
+        let in_time = kept.iter().filter(|r| r.within_deadline()).count();
         in_time as f64 / kept.len().max(1) as f64
     };
     let refused = outcome.records.iter();
     let refused = refused.filter(|r| matches!(r.end, End::Refused(..)));
-    let refused = latency(refused.map(|r| r.took));
+    let refused = latency(refused.map(|r| r.latency));
     let in_run = outcome.records.iter();
-    let in_run = in_run.filter(|r| r.in_time() && r.at + r.took <= outcome.duration);
+    let in_run =
+        in_run.filter(|r| r.within_deadline() && r.arrived_at + r.latency <= outcome.duration);
     let work: Duration = in_run.map(|r| r.work).sum();
     let figures = [
         work.as_secs_f64() / (outcome.duration.as_secs_f64() * f64::from(outcome.slots)),
--- a/crates/kingcuploft-standins/examples/policies.rs
+++ b/crates/kingcuploft-standins/examples/policies.rs
@@ -1,13 +1,15 @@
-//! Prints the experiment `policies` as means over the seeds:
+//! Compares the selection policies in the virtual fleet and prints their figures as means over the seeds:
 //! `policies [teamway|bern] [load] [seconds] [seeds] [settings as JSON ...]`.
 //!
-//! Each further argument is one more variant, such as `{"notes":{"bytes_per_second":1800}}`.
+//! Each JSON argument adds a variant with these settings, such as `{"notes":{"bytes_per_second":1800}}`.
 
 use std::time::Duration;
 
-use kingcuploft_standins::virtual_fleet::deployment::Place;
+use kingcuploft_standins::virtual_fleet::deployment::DeploymentKind;
 use kingcuploft_standins::virtual_fleet::outcome::Summary;
-use kingcuploft_standins::virtual_fleet::policies::{Row, Trial, Variant, rows};
+use kingcuploft_standins::virtual_fleet::policies::{
+    ComparisonSettings, Row, Variant, compare_variants,
+};
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -15,10 +17,10 @@
         let arg = args.get(i);
         arg.and_then(|arg| arg.parse().ok()).unwrap_or(default)
     };
-    let trial = Trial {
-        place: match args.first().map(String::as_str) {
-            Some("bern") => Place::Bern,
-            _ => Place::Teamway,
+    let trial = ComparisonSettings {
+        kind: match args.first().map(String::as_str) {
+            Some("bern") => DeploymentKind::Bern,
+            _ => DeploymentKind::Teamway,
         },
         load: number(1, 0.75),
         duration: Duration::from_secs_f64(number(2, 20.0)),
@@ -29,7 +31,7 @@
         name: json.clone(),
         settings: serde_json::from_str(json).ok(),
     }));
-    let rows = rows(trial, &variants, &seeds);
+    let rows = compare_variants(trial, &variants, &seeds);
     println!(
         "  p50_ms   p99_ms  p999_ms answered late failed refused probe_share notes_b/s policy"
     );
--- a/crates/kingcuploft-standins/src/backend_server/answer.rs
+++ b/crates/kingcuploft-standins/src/backend_server/answer.rs
@@ -1,4 +1,4 @@
-//! Answers on the wire, whole or faulty.
+//! Encodes answers as HTTP/1.1 and writes them, complete or with a fault.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use super::faults::{AnswerFault, LoadReporting};
 use super::state::State;
 
-/// Longer answers are not remembered for those that cross.
-const REMEMBERED_BYTES: usize = 256;
+/// The size limit of the answers that are remembered for [`AnswerFault::Crossed`].
+const MAX_REMEMBERED_BYTES: usize = 256;
 
-/// An answer before faults.
+/// An answer before any fault is applied.
 #[derive(Debug)]
 pub(super) struct Answer {
     status: u16,
@@ -35,16 +35,16 @@
     }
 }
 
-/// Whether the connection goes on after an answer.
-pub(super) enum Next {
-    /// Another request may come.
+/// What happens to the connection after an answer.
+pub(super) enum AfterAnswer {
+    /// It is kept for further requests.
     KeepAlive,
-    /// The connection ends.
+    /// It is closed.
     Close,
 }
 
-/// Returns the load that the server tells, where it tells any.
-pub(super) fn told_load(state: &State, truth: u32) -> Option<u32> {
+/// Returns the load that the server reports, if any, given its true load.
+pub(super) fn reported_load(state: &State, truth: u32) -> Option<u32> {
     match state.faults.borrow().load {
         LoadReporting::Truthful => Some(truth),
         LoadReporting::Always(load) => Some(load),
@@ -52,35 +52,41 @@
     }
 }
 
-/// Writes an answer as the fault wants it.
+/// Writes an answer, with the fault applied.
 pub(super) async fn write(
     state: &State,
     stream: &mut TcpStream,
     request: &Request,
     answer: Answer,
     fault: Option<AnswerFault>,
-) -> Next {
-    let wire = Wire::new(state, request, answer, fault);
-    let whole = wire.bytes();
-    let head = wire.head.len();
+) -> AfterAnswer {
+    let encoded = EncodedAnswer::new(state, request, answer, fault);
+    let whole = encoded.bytes();
+    let head = encoded.head.len();
     let (bytes, next) = match fault {
         Some(AnswerFault::Late(late)) => {
             tokio::time::sleep(late).await;
-            (&whole[..], Next::KeepAlive)
+            (&whole[..], AfterAnswer::KeepAlive)
         }
         Some(AnswerFault::Never) => std::future::pending().await,
-        Some(AnswerFault::CutRequest | AnswerFault::CutBeforeHead) => return Next::Close,
-        Some(AnswerFault::CutInHead) => (&whole[..head / 2], Next::Close),
-        Some(AnswerFault::CutInBody) => (&whole[..head + (whole.len() - head) / 2], Next::Close),
-        Some(AnswerFault::CutInChunks) => (&whole[..whole.len() - 5], Next::Close),
-        Some(AnswerFault::NoLength) => (&whole[..], Next::Close),
-        Some(AnswerFault::Garbage) => (&b"\x16\x03\x01\x02\x00garbage\r\n\r\n"[..], Next::Close),
+        Some(AnswerFault::CutRequest | AnswerFault::CutBeforeHead) => return AfterAnswer::Close,
+        Some(AnswerFault::CutInHead) => (&whole[..head / 2], AfterAnswer::Close),
+        Some(AnswerFault::CutInBody) => (
+            &whole[..head + (whole.len() - head) / 2],
+            AfterAnswer::Close,
+        ),
+        Some(AnswerFault::CutInChunks) => (&whole[..whole.len() - 5], AfterAnswer::Close),
+        Some(AnswerFault::NoLength) => (&whole[..], AfterAnswer::Close),
+        Some(AnswerFault::Garbage) => (
+            &b"\x16\x03\x01\x02\x00garbage\r\n\r\n"[..],
+            AfterAnswer::Close,
+        ),
         Some(AnswerFault::Dripped(pause)) => return drip(stream, &whole, pause).await,
         Some(AnswerFault::Duplicated) => {
-            let twice = [&whole[..], &whole[..]].concat();
-            return match connection::write(stream, &twice).await {
-                true => Next::KeepAlive,
-                false => Next::Close,
+            let two_copies = [&whole[..], &whole[..]].concat();
+            return match connection::write(stream, &two_copies).await {
+                true => AfterAnswer::KeepAlive,
+                false => AfterAnswer::Close,
             };
         }
         Some(
@@ -89,31 +95,32 @@
             | AnswerFault::Chunked
             | AnswerFault::Redirect,
         )
-        | None => (&whole[..], Next::KeepAlive),
+        | None => (&whole[..], AfterAnswer::KeepAlive),
     };
     match connection::write(stream, bytes).await {
         true => next,
-        false => Next::Close,
+        false => AfterAnswer::Close,
     }
 }
 
-async fn drip(stream: &mut TcpStream, bytes: &[u8], pause: Duration) -> Next {
+/// Writes bytes one by one, with a pause after each.
+async fn drip(stream: &mut TcpStream, bytes: &[u8], pause: Duration) -> AfterAnswer {
     for byte in bytes.chunks(1) {
         if !connection::write(stream, byte).await {
-            return Next::Close;
+            return AfterAnswer::Close;
         }
         tokio::time::sleep(pause).await;
     }
-    Next::KeepAlive
+    AfterAnswer::KeepAlive
 }
 
-/// An answer's head and body as they go out.
-struct Wire {
+/// The head and body of an answer as sent.
+struct EncodedAnswer {
     head: Vec<u8>,
     body: Bytes,
 }
 
-impl Wire {
+impl EncodedAnswer {
     fn new(state: &State, request: &Request, answer: Answer, fault: Option<AnswerFault>) -> Self {
         let answer = with_signals(state, answer);
         let answer = with_content(state, request, answer, fault);
@@ -151,9 +158,9 @@
     }
 }
 
-/// Adds what the server tells about itself.
+/// Adds the load and drain headers that the server reports.
 fn with_signals(state: &State, answer: Answer) -> Answer {
-    let answer = match told_load(state, state.load.now()) {
+    let answer = match reported_load(state, state.load.now()) {
         Some(load) => answer.header("x-load-in-flight", load.to_string()),
         None => answer,
     };
@@ -163,7 +170,7 @@
     }
 }
 
-/// Adds the request's id, or puts other content in as the fault wants it.
+/// Adds the id of the request, or replaces the content as the fault requires.
 fn with_content(
     state: &State,
     request: &Request,
@@ -180,7 +187,7 @@
                 ..answer
             };
         }
-        None if answer.body.len() < REMEMBERED_BYTES => {
+        None if answer.body.len() < MAX_REMEMBERED_BYTES => {
             let body = String::from_utf8_lossy(&answer.body);
             state.remember(id.unwrap_or_default(), &body);
         }
@@ -206,7 +213,7 @@
     }
 }
 
-/// Puts a body into one chunk and the last one.
+/// Encodes a body as one chunk and the final empty one.
 fn chunk(body: &[u8]) -> Bytes {
     let size = format!("{:x}\r\n", body.len());
     [size.as_bytes(), body, b"\r\n0\r\n\r\n"].concat().into()
--- a/crates/kingcuploft-standins/src/bin/kingcuploft-experiment.rs
+++ b/crates/kingcuploft-standins/src/bin/kingcuploft-experiment.rs
@@ -1,10 +1,10 @@
-//! The experiment tool's command line.
+//! The command line that runs one experiment and prints its report.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-use kingcuploft_standins::experiments::{ALL, DeploymentName, Entry, Options};
+use kingcuploft_standins::experiments::{ALL, DeploymentName, Experiment, Options};
 use lexopt::prelude::*;
 
 const HELP: &str = "\
@@ -25,19 +25,19 @@
 Experiments:
 ";
 
-struct Asked {
-    entry: Entry,
+struct Arguments {
+    experiment: Experiment,
     options: Options,
     json: bool,
 }
 
 fn main() -> ExitCode {
     match parse() {
-        Ok(Some(asked)) => run(&asked),
+        Ok(Some(arguments)) => run(&arguments),
         Ok(None) => {
             print!("{HELP}");
-            for entry in ALL {
-                println!("  {:<16} {}", entry.name, entry.about);
+            for experiment in ALL {
+                println!("  {:<16} {}", experiment.name, experiment.description);
             }
             ExitCode::SUCCESS
         }
@@ -48,7 +48,7 @@
     }
 }
 
-fn parse() -> Result<Option<Asked>, lexopt::Error> {
+fn parse() -> Result<Option<Arguments>, lexopt::Error> {
     let mut options = Options::default();
     let mut name = None;
     let mut json = false;
@@ -56,7 +56,7 @@
     while let Some(arg) = parser.next()? {
         match arg {
             Long("seed") => options.seed = parser.value()?.parse()?,
-            Long("seconds") => options.time = Duration::from_secs(parser.value()?.parse()?),
+            Long("seconds") => options.duration = Duration::from_secs(parser.value()?.parse()?),
             Long("rounds") => options.rounds = parser.value()?.parse()?,
             Long("load") => options.load = parser.value()?.parse()?,
             Long("plot") => options.plot = Some(PathBuf::from(parser.value()?)),
@@ -70,10 +70,10 @@
     let Some(name) = name else {
         return Ok(None);
     };
-    let entry = ALL.iter().find(|entry| entry.name == name);
-    let entry = *entry.ok_or_else(|| format!("there is no experiment `{name}`"))?;
-    Ok(Some(Asked {
-        entry,
+    let experiment = ALL.iter().find(|experiment| experiment.name == name);
+    let experiment = *experiment.ok_or_else(|| format!("there is no experiment `{name}`"))?;
+    Ok(Some(Arguments {
+        experiment,
         options,
         json,
     }))
@@ -87,24 +87,24 @@
     }
 }
 
-fn run(asked: &Asked) -> ExitCode {
-    let report = match (asked.entry.run)(&asked.options) {
+fn run(arguments: &Arguments) -> ExitCode {
+    let report = match (arguments.experiment.run)(&arguments.options) {
         Ok(report) => report,
         Err(error) => {
             eprintln!("kingcuploft-experiment: {error}");
             return ExitCode::FAILURE;
         }
     };
-    if !asked.json {
+    if !arguments.json {
         println!("{}", report.text);
     }
-    for broken in &report.broken {
+    for broken in &report.violations {
         eprintln!("broken: {broken}");
     }
-    if asked.json {
+    if arguments.json {
         println!("{}", report.figures);
     }
-    match report.broken.is_empty() {
+    match report.violations.is_empty() {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
--- a/crates/kingcuploft-standins/src/experiments/claims/per_action.rs
+++ b/crates/kingcuploft-standins/src/experiments/claims/per_action.rs
@@ -1,27 +1,29 @@
-//! The baseline: an object for each action, written once to claim and once to record.
+//! The baseline for claims: an object for each action, written once to claim it and once to record its answer.
 
 use std::thread::JoinHandle;
 use std::time::Instant;
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use kingcuploft_platform::client::{Client, ClientSettings};
-use kingcuploft_platform::{Expect, ObjectStore};
+use kingcuploft_platform::{ObjectStore, WriteCondition};
 
-use super::{Claimed, RUN};
+use super::{ACTION_TIME, ClaimResults};
 use crate::platform::Platform;
 
-/// How many calls one VM makes side by side.
-const CALLS: usize = 16;
+/// The number of concurrent store calls of one VM.
+const CONCURRENT_CALLS: usize = 16;
 
-/// The value of a claim and that of a record, in bytes.
+/// The length of a claim's value.
 const CLAIM_BYTES: usize = 160;
+
+/// The length of a record's value.
 const RECORD_BYTES: usize = 460;
 
 /// A VM that writes an object for each action.
 #[derive(Debug)]
 pub(super) struct PerActionVm {
     actions: Sender<(u64, Instant)>,
-    threads: Vec<JoinHandle<Claimed>>,
+    threads: Vec<JoinHandle<ClaimResults>>,
 }
 
 impl PerActionVm {
@@ -33,26 +35,26 @@
         };
         let address = platform.address().to_string();
         let store = Client::with_settings(&address, settings, index as u64);
-        let (actions, ring) = unbounded();
+        let (actions, queue) = unbounded();
         let thread = || {
-            let (store, ring) = (store.clone(), ring.clone());
-            std::thread::spawn(move || work(&store, &ring))
+            let (store, queue) = (store.clone(), queue.clone());
+            std::thread::spawn(move || run_actions(&store, &queue))
         };
         Self {
             actions,
-            threads: (0..CALLS).map(|_| thread()).collect(),
+            threads: (0..CONCURRENT_CALLS).map(|_| thread()).collect(),
         }
     }
 
     pub(super) fn claim(&self, action: u64) {
-        // The threads end only after this sender is gone.
+        // The receiving threads end only after this sender is dropped.
         let sent = self.actions.send((action, Instant::now()));
         debug_assert!(sent.is_ok());
     }
 
-    pub(super) fn finish(self) -> Claimed {
+    pub(super) fn finish(self) -> ClaimResults {
         drop(self.actions);
-        let mut all = Claimed::default();
+        let mut all = ClaimResults::default();
         for thread in self.threads {
             let claimed = thread.join().unwrap_or_default();
             all.decided.extend(claimed.decided);
@@ -61,16 +63,16 @@
     }
 }
 
-fn work(store: &Client, ring: &Receiver<(u64, Instant)>) -> Claimed {
-    let mut claimed = Claimed::default();
+fn run_actions(store: &Client, queue: &Receiver<(u64, Instant)>) -> ClaimResults {
+    let mut claimed = ClaimResults::default();
     let (claim, record) = ("x".repeat(CLAIM_BYTES), "x".repeat(RECORD_BYTES));
-    for (action, began) in ring {
+    for (action, began) in queue {
         let key = format!("claims/{action}");
-        let put = store.put(&key, &claim, Expect::Absent);
+        let put = store.put(&key, &claim, WriteCondition::Absent);
         claimed.add(began, put.is_ok());
         if let Ok(version) = put {
-            std::thread::sleep(RUN);
-            drop(store.put(&key, &record, Expect::Version(version)));
+            std::thread::sleep(ACTION_TIME);
+            drop(store.put(&key, &record, WriteCondition::Version(version)));
         }
     }
     claimed
--- a/crates/kingcuploft-standins/src/experiments/promises/chaos.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/chaos.rs
@@ -1,84 +1,94 @@
-//! The faults of a run, drawn from the seed.
+//! The schedule of faults of a run, drawn from the seed.
 
 use std::time::Duration;
 
 use crate::backend_server::{AnswerFault, Faults as BackendFaults};
 use crate::platform::Faults as StoreFaults;
 
-/// Something that happens to the deployment.
+/// A fault, or an operation, that is injected into the deployment.
 #[derive(Clone, Debug)]
-pub enum Step {
-    /// The platform gets faults.
+pub enum ChaosEvent {
+    /// Replaces the platform's faults.
     Store(StoreFaults),
-    /// A backend server gets faults.
+    /// Replaces a backend server's faults.
     Backend(usize, BackendFaults),
-    /// A backend server's connections are closed at once.
+    /// Closes all connections of a backend server.
     CloseConnections(usize),
-    /// A VM is paused for a time.
+    /// Pauses a VM's daemon for a time.
     Pause(usize, Duration),
-    /// A VM is killed and replaced.
+    /// Kills a VM's daemon and replaces the VM.
     Kill(usize),
-    /// A VM stops as planned and is replaced.
+    /// Shuts a VM's daemon down gracefully and replaces the VM.
     Stop(usize),
-    /// A VM's link to the platform is cut for a time.
+    /// Cuts a VM's link to the platform for a time.
     CutPlatform(usize, Duration),
-    /// A VM's peer links are cut for a time.
+    /// Cuts the links by which its peers reach a VM for a time.
     CutPeers(usize, Duration),
-    /// Two operators apply a manifest at once.
-    Race,
-    /// A backend server leaves, by the manifest.
-    Leave(usize),
-    /// A backend server leaves, by its replies.
-    LeaveByReply(usize),
+    /// Two operators apply a manifest at the same time.
+    ConcurrentApplies,
+    /// Drains a backend server by the manifest.
+    DrainByManifest(usize),
+    /// Drains a backend server by its own replies.
+    DrainByReply(usize),
 }
 
-/// A step and when it happens.
+/// An event and when it is injected.
 #[derive(Clone, Debug)]
-pub struct DueStep {
+pub struct ScheduledEvent {
     /// Time from the start of the run.
     pub at: Duration,
-    /// What happens.
-    pub step: Step,
+    /// What is injected.
+    pub event: ChaosEvent,
 }
 
-/// Draws the steps of a run; the last fifth of the time is left without new faults.
-pub fn draw(seed: u64, time: Duration, vms: usize, backend_servers: usize) -> Vec<DueStep> {
+/// Draws the events of a run; no new event starts in the last fifth of the time.
+pub fn draw_events(
+    seed: u64,
+    time: Duration,
+    vms: usize,
+    backend_servers: usize,
+) -> Vec<ScheduledEvent> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x00c0_ffee);
     let mut at = Duration::from_millis(300);
-    let mut steps = Vec::new();
-    let mut left = 0;
+    let mut events = Vec::new();
+    let mut drains = 0;
     while at < time.mul_f64(0.8) {
-        let step = draw_step(&mut rng, vms, backend_servers, &mut left);
-        steps.push(DueStep { at, step });
+        let event = draw_event(&mut rng, vms, backend_servers, &mut drains);
+        events.push(ScheduledEvent { at, event });
         at += Duration::from_millis(rng.u64(80..500));
     }
-    steps
+    events
 }
 
-fn draw_step(rng: &mut fastrand::Rng, vms: usize, servers: usize, left: &mut usize) -> Step {
+fn draw_event(
+    rng: &mut fastrand::Rng,
+    vms: usize,
+    servers: usize,
+    drains: &mut usize,
+) -> ChaosEvent {
     let vm = rng.usize(..vms);
     let server = rng.usize(..servers);
     let pause = Duration::from_millis(rng.u64(50..1200));
     match rng.u8(..20) {
-        0..=2 => Step::Store(StoreFaults::drawn(rng)),
-        3..=4 => Step::Store(StoreFaults::default()),
-        5..=9 => Step::Backend(server, backend_faults(rng)),
-        10 => Step::Backend(server, BackendFaults::default()),
-        11 => Step::CloseConnections(server),
-        12 => Step::Pause(vm, pause),
-        13 => Step::Kill(vm),
-        14 => Step::Stop(vm),
-        15 => Step::CutPlatform(vm, pause * 2),
-        16 => Step::CutPeers(vm, pause * 2),
-        17..=18 => Step::Race,
-        _ if *left == 0 => {
-            *left += 1;
+        0..=2 => ChaosEvent::Store(StoreFaults::random(rng)),
+        3..=4 => ChaosEvent::Store(StoreFaults::default()),
+        5..=9 => ChaosEvent::Backend(server, backend_faults(rng)),
+        10 => ChaosEvent::Backend(server, BackendFaults::default()),
+        11 => ChaosEvent::CloseConnections(server),
+        12 => ChaosEvent::Pause(vm, pause),
+        13 => ChaosEvent::Kill(vm),
+        14 => ChaosEvent::Stop(vm),
+        15 => ChaosEvent::CutPlatform(vm, pause * 2),
+        16 => ChaosEvent::CutPeers(vm, pause * 2),
+        17..=18 => ChaosEvent::ConcurrentApplies,
+        _ if *drains == 0 => {
+            *drains += 1;
             match rng.bool() {
-                true => Step::Leave(server),
-                false => Step::LeaveByReply(server),
+                true => ChaosEvent::DrainByManifest(server),
+                false => ChaosEvent::DrainByReply(server),
             }
         }
-        _ => Step::Race,
+        _ => ChaosEvent::ConcurrentApplies,
     }
 }
 
--- a/crates/kingcuploft-standins/src/experiments/promises/mod.rs
+++ b/crates/kingcuploft-standins/src/experiments/promises/mod.rs
@@ -1,9 +1,12 @@
-//! `promises`: real daemon processes under mixed faults drawn from the seed, every call checked
-//! against the stand-ins' own counts.
+//! `promises`: fault injection into real daemon processes, with every call checked against the executions that the
+//! stand-ins counted.
+//!
+//! The faults are drawn from the seed. The checks cover duplicate and falsely reported executions, wrong and partial
+//! answers, the time until a manifest is in force, drains and graceful shutdown.
 
 pub mod chaos;
 pub mod check;
-pub mod entry;
+pub mod entry_vms;
 mod protected;
 pub mod record;
 pub mod run;
@@ -13,54 +16,54 @@
 
 use serde::Serialize;
 
-use self::check::{Broken, Counted};
+use self::check::{CallCounts, Violations};
 use self::run::{Protection, Trace};
 use super::{ExperimentError, Options, Report};
 
-/// The longest time until an accepted manifest is in force.
-const IN_FORCE: Duration = Duration::from_secs(5);
+/// The time within which an accepted manifest must be in force on every active daemon.
+const MAX_IN_FORCE_TIME: Duration = Duration::from_secs(5);
 
-/// The longest time until a leaving backend server gets no new work.
-const NO_NEW_WORK: Duration = Duration::from_secs(3);
+/// The time after its drain starts within which a backend server must stop receiving new work.
+const MAX_NEW_WORK_AFTER_DRAIN: Duration = Duration::from_secs(3);
 
 /// The figures of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
     /// The seed.
     pub seed: u64,
-    /// What was counted.
+    /// The counts of calls and actions.
     #[serde(flatten)]
-    pub counted: Counted,
-    /// The promises about answers and actions.
+    pub call_counts: CallCounts,
+    /// The violated guarantees about answers and actions.
     #[serde(flatten)]
-    pub broken: Broken,
-    /// Readings of a generation below an earlier one of the same daemon.
+    pub violations: Violations,
+    /// Samples in which a daemon's generation was below an earlier one of the same daemon.
     pub manifest_reverts: u64,
-    /// The longest time until an accepted manifest was in force on a daemon that was awake.
+    /// The longest time until an accepted manifest was in force on an active daemon.
     pub in_force_ms_max: u64,
-    /// The longest time from a backend server's leaving to the last new work it got.
+    /// The longest time from the start of a backend server's drain to the last new work that it received.
     pub new_work_after_leave_ms_max: u64,
-    /// Calls cut by a planned stop.
+    /// Calls whose connection was cut by a graceful shutdown.
     pub cut_in_flight: u64,
-    /// Planned stops that did not end as planned.
+    /// Graceful shutdowns that timed out or ended with an error.
     pub failed_stops: u64,
-    /// Writes to the store for each protected action.
+    /// Store writes for each protected action.
     pub store_writes_per_action: f64,
 }
 
-/// Runs the experiment, one run for each round, with seeds that follow one another.
+/// Runs the experiment, one run for each round, with consecutive seeds.
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where a deployment did not start.
+/// [`ExperimentError`] if a deployment did not start.
 pub fn run(options: &Options) -> Result<Report, ExperimentError> {
     let mut report = Report::default();
     let mut all = Vec::new();
     for round in 0..options.rounds as u64 {
         let seed = options.seed + round;
-        let trace = run::run(seed, options.time, Protection::Full)?;
+        let trace = run::run(seed, options.duration, Protection::Full)?;
         let figures = figures(seed, &trace);
-        let faults = faults(&figures);
+        let faults = list_violations(&figures);
         if !faults.is_empty() {
             let logs = trace.folder.keep();
             eprintln!(
@@ -69,7 +72,7 @@
             );
         }
         report
-            .broken
+            .violations
             .extend(faults.iter().map(|fault| format!("seed {seed}: {fault}")));
         report.text += &serde_json::to_string(&figures)?;
         report.text.push('\n');
@@ -83,34 +86,41 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] where the deployment did not start.
-pub fn one(seed: u64, time: Duration, protection: Protection) -> Result<Figures, ExperimentError> {
+/// [`ExperimentError`] if the deployment did not start.
+pub fn run_seed(
+    seed: u64,
+    time: Duration,
+    protection: Protection,
+) -> Result<Figures, ExperimentError> {
     let trace = run::run(seed, time, protection)?;
     Ok(figures(seed, &trace))
 }
 
 fn figures(seed: u64, trace: &Trace) -> Figures {
     let (broken, counted) = check::check(&trace.records, trace);
-    let observed = &trace.observed;
-    let in_force =
-        check::longest_until_in_force(&trace.accepted, &observed.awake, &observed.readings);
+    let observations = &trace.observations;
+    let in_force = check::longest_until_in_force(
+        &trace.accepted_generations,
+        &observations.active_periods,
+        &observations.generation_samples,
+    );
     let actions = counted.actions.max(1) as f64;
     Figures {
         seed,
-        broken,
-        manifest_reverts: check::reverts(&observed.readings),
+        violations: broken,
+        manifest_reverts: check::count_reverts(&observations.generation_samples),
         in_force_ms_max: in_force.as_millis() as u64,
-        new_work_after_leave_ms_max: trace.new_work_after_leave.as_millis() as u64,
+        new_work_after_leave_ms_max: trace.new_work_after_drain.as_millis() as u64,
         cut_in_flight: run::cut_in_flight(trace),
-        failed_stops: observed.failed_stops,
+        failed_stops: observations.failed_stops,
         store_writes_per_action: trace.store_writes as f64 / actions,
-        counted,
+        call_counts: counted,
     }
 }
 
-/// Names the promises that a run broke.
-pub fn faults(figures: &Figures) -> Vec<String> {
-    let broken = &figures.broken;
+/// Lists the guarantees that a run violated, each with its count or time.
+pub fn list_violations(figures: &Figures) -> Vec<String> {
+    let broken = &figures.violations;
     let counts = [
         ("duplicate_runs", broken.duplicate_runs),
         ("false_not_run", broken.false_not_run),
@@ -126,11 +136,15 @@
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
     let times = [
-        ("in_force_ms_max", figures.in_force_ms_max, IN_FORCE),
+        (
+            "in_force_ms_max",
+            figures.in_force_ms_max,
+            MAX_IN_FORCE_TIME,
+        ),
         (
             "new_work_after_leave_ms_max",
             figures.new_work_after_leave_ms_max,
-            NO_NEW_WORK,
+            MAX_NEW_WORK_AFTER_DRAIN,
         ),
     ];
     let late = times
--- a/crates/kingcuploft-standins/src/virtual_fleet/changes.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/changes.rs
@@ -1,4 +1,4 @@
-//! Carries out the changes of a run.
+//! Applies the scheduled changes of a run, and exchanges membership, load notes and drains between VMs.
 
 use std::sync::Arc;
 
@@ -9,17 +9,18 @@
 use kingcuploft::world::ids::{BackendServerName, VmName};
 
 use super::change::Change;
-use super::fleet::{Fleet, Happening};
+use super::fleet::{Fleet, FleetEvent};
 use super::server::Health;
 
-/// The size of a word to a peer that a backend server drains, in bytes, headers included.
+/// The size of a message to a peer that a backend server drains, in bytes, headers included.
 const DRAIN_NOTE_BYTES: u64 = 64;
 
 impl Fleet<'_> {
+    /// Applies the change with this index.
     pub(super) fn change(&mut self, step: usize) {
         let run = self.run;
         match &run.steps[step].change {
-            // The spells were added before the run began.
+            // Its slow spells were added before the run began.
             Change::Slow { .. } => {}
             Change::ColdStart { servers, .. } => {
                 servers.iter().for_each(|&server| self.reset(server));
@@ -49,7 +50,7 @@
                 let node = (0..self.nodes.len()).find(|&n| self.nodes[n].accepts);
                 for &server in servers {
                     node.into_iter()
-                        .for_each(|node| self.drain_heard(node, server));
+                        .for_each(|node| self.receive_drain(node, server));
                 }
             }
             Change::ManifestDraining { servers } => self.adopt_draining(servers),
@@ -58,6 +59,7 @@
         }
     }
 
+    /// Drops the jobs that a server with a new health cannot finish; a refusing server also breaks their calls.
     fn apply_health(&mut self, server: usize) {
         match self.servers[server].health {
             Health::Working | Health::FailsFast => {}
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Drops every job and connection of a server; the VMs see their calls break.
+    /// Drops every job and connection of a server; the VMs see their calls end as broken.
     fn reset(&mut self, server: usize) {
         for job in self.servers[server].drop_all() {
             let Some(call) = self.calls.get(&job) else {
@@ -79,10 +81,11 @@
                 load: None,
                 draining: false,
             };
-            self.push(at, Happening::ReachVm(job, broken));
+            self.schedule(at, FleetEvent::ReachVm(job, broken));
         }
     }
 
+    /// Hands every VM a new manifest in which exactly these backend servers drain.
     fn adopt_draining(&mut self, draining: &[usize]) {
         let mut service = self.run.deployment.service.clone();
         for (i, server) in service.backend_servers.iter_mut().enumerate() {
@@ -95,6 +98,7 @@
         (0..self.nodes.len()).for_each(|node| self.adopt(node));
     }
 
+    /// Replaces a share of the VMs that accept callers by new ones.
     fn replace_vms(&mut self, share: f64) {
         let accepting: Vec<usize> = (0..self.nodes.len())
             .filter(|&n| self.nodes[n].accepts)
@@ -104,20 +108,20 @@
             self.nodes[node].accepts = false;
             self.start_vm();
         }
-        self.tell_membership();
+        self.broadcast_membership();
     }
 
-    /// Tells every VM which VMs are live.
-    pub(super) fn tell_membership(&mut self) {
+    /// Tells every VM which VMs are live, at once: the membership protocol is not simulated.
+    pub(super) fn broadcast_membership(&mut self) {
         let live = self.nodes.iter().filter(|node| node.accepts);
         let live: Vec<VmName> = live.map(|node| node.name.clone()).collect();
         for node in 0..self.nodes.len() {
-            self.tell(node, Event::MembershipChanged(live.clone()));
+            self.dispatch(node, Event::MembershipChanged(live.clone()));
         }
     }
 
-    /// Sends notes to every live peer; the links may lose them.
-    pub(super) fn tell_peers(&mut self, node: usize, notes: &PeerNotes) {
+    /// Sends load notes to every live peer; each link loses `peer_loss_share` of them.
+    pub(super) fn share_notes(&mut self, node: usize, notes: &PeerNotes) {
         let links = self.run.deployment.links;
         for peer in 0..self.nodes.len() {
             if peer == node || !self.nodes[peer].accepts {
@@ -127,18 +131,19 @@
             if self.rng.f64() < links.peer_loss_share {
                 continue;
             }
-            let near = self.nodes[peer].zone == self.nodes[node].zone;
-            let one_way = match near {
+            let same_zone = self.nodes[peer].zone == self.nodes[node].zone;
+            let one_way = match same_zone {
                 true => links.within_zone,
                 false => links.between_zones,
             };
-            self.push(
+            self.schedule(
                 self.now + one_way,
-                Happening::NotesHeard(peer, notes.clone()),
+                FleetEvent::NotesReceived(peer, notes.clone()),
             );
         }
     }
 
+    /// Stops every VM and backend server of a zone.
     fn lose_zone(&mut self, zone: usize) {
         let zone = self.run.deployment.zones[zone].clone();
         for node in self.nodes.iter_mut().filter(|node| node.zone == zone) {
@@ -154,11 +159,11 @@
             self.servers[i].health = Health::Gone;
             self.apply_health(i);
         }
-        self.tell_membership();
+        self.broadcast_membership();
     }
 
-    /// Sends a word to every peer that a backend server drains.
-    pub(super) fn tell_draining(&mut self, node: usize, server: &BackendServerName) {
+    /// Tells every peer that a backend server drains; each link loses `peer_loss_share` of the messages.
+    pub(super) fn share_draining(&mut self, node: usize, server: &BackendServerName) {
         let servers = &self.run.deployment.service.backend_servers;
         let Some(server) = servers.iter().position(|s| s.name == *server) else {
             return;
@@ -168,14 +173,15 @@
             let links = self.run.deployment.links;
             if self.rng.f64() >= links.peer_loss_share {
                 let at = self.now + links.between_zones;
-                self.push(at, Happening::DrainHeard(peer, server));
+                self.schedule(at, FleetEvent::DrainReceived(peer, server));
             }
         }
     }
 
-    pub(super) fn drain_heard(&mut self, node: usize, server: usize) {
+    /// Hands a dispatcher the notice that a backend server drains.
+    pub(super) fn receive_drain(&mut self, node: usize, server: usize) {
         let service = &self.run.deployment.service;
         let server = service.backend_servers[server].name.clone();
-        self.tell(node, Event::ServerDraining(service.name.clone(), server));
+        self.dispatch(node, Event::ServerDraining(service.name.clone(), server));
     }
 }
--- a/crates/kingcuploft-standins/src/virtual_fleet/deployment.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/deployment.rs
@@ -1,4 +1,4 @@
-//! The places and sizes of a deployment, as the users gave them.
+//! The two reference deployments: zones, VMs, backend servers, links and rules, in the sizes that their operators gave.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -10,86 +10,88 @@
 use kingcuploft::world::ids::{AvailabilityZone, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// Which deployment is meant.
+/// Names a reference deployment.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Place {
+pub enum DeploymentKind {
     /// The trip service of Hsinchu Teamway Travel Lab.
     Teamway,
     /// The notes portal of the Bundesstelle für Versionshinweise.
     Bern,
 }
 
-/// Times and losses of the links.
+/// The delays and losses of the links.
 #[derive(Clone, Copy, Debug)]
 pub struct Links {
-    /// One way within an availability zone.
+    /// The one-way delay within an availability zone.
     pub within_zone: Duration,
-    /// One way between availability zones.
+    /// The one-way delay between availability zones.
     pub between_zones: Duration,
-    /// What a new connection to a backend server costs.
+    /// The time to open a connection to a backend server.
     pub connect: Duration,
-    /// How long a connection attempt to a silent address lasts.
+    /// The time after which a connection attempt to an address that does not answer fails.
     pub connect_timeout: Duration,
-    /// The share of the messages between VMs that is lost.
+    /// The share of the messages between VMs that is lost, in `0.0..=1.0`.
     pub peer_loss_share: f64,
 }
 
-/// Slow spells that every backend server has now and then.
+/// Random slow spells that every backend server has.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowSpells {
-    /// The mean time from one spell to the next.
-    pub every: Duration,
-    /// The shortest and longest spell.
-    pub lasting: (Duration, Duration),
-    /// How many times longer work takes in a spell.
+    /// The mean of the time from the end of one spell to the start of the next, which is exponential.
+    pub mean_interval: Duration,
+    /// The shortest and longest duration of a spell; durations are uniform between them.
+    pub duration_range: (Duration, Duration),
+    /// How many times longer work takes during a spell.
     pub factor: f64,
 }
 
 /// A deployment: its service, VMs, zones and links.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Which one.
-    pub place: Place,
+    /// Which reference deployment it is.
+    pub kind: DeploymentKind,
     /// The availability zones.
     pub zones: Vec<AvailabilityZone>,
-    /// How many entry VMs there are.
-    pub vms: usize,
+    /// The number of entry VMs.
+    pub vm_count: usize,
     /// The service under test.
     pub service: Service,
-    /// The links.
+    /// The delays and losses of the links.
     pub links: Links,
-    /// The slow spells; `None` where servers are steady.
+    /// The slow spells; `None` if the servers have none.
     pub slow_spells: Option<SlowSpells>,
-    /// The slot time of a probe.
-    pub probe: Duration,
-    /// Time from a claim to its settlement.
-    pub claim: Duration,
+    /// The time for which a probe occupies a slot of its backend server.
+    pub probe_slot_time: Duration,
+    /// The time that claiming an idempotency key takes.
+    pub claim_time: Duration,
 }
 
 impl Deployment {
-    /// Builds the deployment of a place.
-    pub fn new(place: Place) -> Self {
-        match place {
-            Place::Teamway => Self::teamway(),
-            Place::Bern => Self::bern(),
+    /// Builds a reference deployment.
+    pub fn new(kind: DeploymentKind) -> Self {
+        match kind {
+            DeploymentKind::Teamway => Self::teamway(),
+            DeploymentKind::Bern => Self::bern(),
         }
     }
 
     /// Builds Teamway's trip service: 11 backend servers of 2 slots behind 14 VMs in 4 zones.
     pub fn teamway() -> Self {
-        Self::sized(Place::Teamway, "trip", (4, 14, 11, 2), 0.01)
+        Self::sized(DeploymentKind::Teamway, "trip", (4, 14, 11, 2), 0.01)
     }
 
     /// Builds Bern's notes portal: 11 backend servers of 4 slots behind 13 VMs in 3 zones.
     pub fn bern() -> Self {
-        Self::sized(Place::Bern, "notes", (3, 13, 11, 4), 0.005)
+        Self::sized(DeploymentKind::Bern, "notes", (3, 13, 11, 4), 0.005)
     }
 
+    /// Builds a deployment with a number of zones, VMs, backend servers and slots per backend server, and the share of
+    /// the slot time that probes may use.
     fn sized(
-        place: Place,
+        kind: DeploymentKind,
         service: &str,
-        (zones, vms, servers, slots): (usize, usize, usize, u32),
+        (zones, vm_count, servers, slots): (usize, usize, usize, u32),
         budget_share: f64,
     ) -> Self {
         let zones: Vec<AvailabilityZone> =
@@ -105,7 +107,7 @@
         let mut policy = Policy::default();
         policy.measuring.budget_share = budget_share;
         Self {
-            place,
+            kind,
             service: Service {
                 name: service.into(),
                 hosts: vec![format!("{service}.test")],
@@ -116,7 +118,7 @@
                 policy,
             },
             zones,
-            vms,
+            vm_count,
             links: Links {
                 within_zone: Duration::from_micros(150),
                 between_zones: Duration::from_millis(1),
@@ -125,12 +127,12 @@
                 peer_loss_share: 0.0,
             },
             slow_spells: Some(SlowSpells {
-                every: Duration::from_secs(4),
-                lasting: (Duration::from_millis(50), Duration::from_millis(300)),
+                mean_interval: Duration::from_secs(4),
+                duration_range: (Duration::from_millis(50), Duration::from_millis(300)),
                 factor: 10.0,
             }),
-            probe: Duration::from_millis(6),
-            claim: Duration::from_millis(4),
+            probe_slot_time: Duration::from_millis(6),
+            claim_time: Duration::from_millis(4),
         }
     }
 
@@ -139,7 +141,7 @@
         Arc::clone(&self.service.name)
     }
 
-    /// Returns how many requests the backend servers work on at once.
+    /// Returns the number of slots of all backend servers, which is how many requests run at once.
     pub fn slots(&self) -> u32 {
         self.service.backend_servers.iter().map(|s| s.slots).sum()
     }
@@ -152,12 +154,12 @@
     }
 }
 
-/// The index of the lookup rule.
-pub const LOOKUP: usize = 0;
-/// The index of the protected rule.
-pub const HOLD: usize = 1;
-/// The index of the search rule.
-pub const SEARCH: usize = 2;
+/// The index of the rule for lookups, which may be retried freely.
+pub const LOOKUP_RULE: usize = 0;
+/// The index of the rule for holds, which run at most once and need an idempotency key.
+pub const HOLD_RULE: usize = 1;
+/// The index of the rule for searches, which have background priority.
+pub const SEARCH_RULE: usize = 2;
 
 fn rules() -> Vec<Rule> {
     let rule = |name: &str, method: &str, contract, priority, deadline_ms| Rule {
--- a/crates/kingcuploft-standins/src/virtual_fleet/policies.rs
+++ b/crates/kingcuploft-standins/src/virtual_fleet/policies.rs
@@ -1,4 +1,4 @@
-//! The experiment `policies`: every policy and the ideal over the same seeded work.
+//! The experiment `policies`: compares every selection policy and the ideal queue on the same seeded workload.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use super::deployment::{Deployment, Place};
+use super::deployment::{Deployment, DeploymentKind};
 use super::outcome::Summary;
 use super::run::Run;
-use super::scenario::with;
+use super::scenario::with_changes;
 use super::workload::Stream;
 
-/// What is run: the ideal, or a fleet under some settings.
+/// A row of the comparison: the ideal queue, or a fleet with some settings.
 #[derive(Clone, Debug)]
 pub struct Variant {
     /// The name in tables.
     pub name: String,
-    /// The settings that differ from the deployment's; `None` is the ideal.
+    /// The settings that differ from the deployment's; `None` runs the ideal queue.
     pub settings: Option<Value>,
 }
 
 impl Variant {
-    /// Returns the ideal and every policy.
+    /// Returns the ideal queue and every selection policy.
     pub fn policies() -> Vec<Self> {
         let ideal = Self {
             name: "ideal".into(),
@@ -36,68 +36,76 @@
     }
 }
 
-/// The figures of one variant at one seed.
+/// The summary of one variant with one seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     /// The variant's name.
     pub policy: String,
     /// The seed.
     pub seed: u64,
-    /// The figures.
+    /// The summary of its run.
     #[serde(flatten)]
     pub summary: Summary,
 }
 
-/// Where, how full and how long.
+/// The deployment, offered load and duration of a comparison.
 #[derive(Clone, Copy, Debug)]
-pub struct Trial {
+pub struct ComparisonSettings {
     /// The deployment.
-    pub place: Place,
-    /// The share of all slots' time that is asked for.
+    pub kind: DeploymentKind,
+    /// The offered load: the requested work over the total slot time.
     pub load: f64,
     /// How long callers send requests.
     pub duration: Duration,
 }
 
-/// Runs every policy and the ideal on the same work, for each seed.
-pub fn policies(place: Place, load: f64, duration: Duration, seeds: &[u64]) -> Vec<Row> {
-    let trial = Trial {
-        place,
+/// Runs every selection policy and the ideal queue on the same workload, for each seed.
+pub fn compare_policies(
+    kind: DeploymentKind,
+    load: f64,
+    duration: Duration,
+    seeds: &[u64],
+) -> Vec<Row> {
+    let comparison = ComparisonSettings {
+        kind,
         load,
         duration,
     };
-    rows(trial, &Variant::policies(), seeds)
+    compare_variants(comparison, &Variant::policies(), seeds)
 }
 
-/// Runs variants on the same work, for each seed; the seeds run side by side.
+/// Runs variants on the same workload, for each seed; the seeds run in parallel.
 ///
 /// # Panics
 ///
-/// Panics where a variant's settings name a field that does not exist.
-pub fn rows(trial: Trial, variants: &[Variant], seeds: &[u64]) -> Vec<Row> {
+/// Panics if a variant's settings name a field that does not exist.
+pub fn compare_variants(
+    comparison: ComparisonSettings,
+    variants: &[Variant],
+    seeds: &[u64],
+) -> Vec<Row> {
     std::thread::scope(|scope| {
-        let play = |&seed: &u64| scope.spawn(move || seed_rows(trial, variants, seed));
-        let plays: Vec<_> = seeds.iter().map(play).collect();
-        let plays = plays.into_iter();
-        plays
-            .flat_map(|play| play.join().expect("A run ends."))
+        let spawn_run = |&seed: &u64| scope.spawn(move || seed_rows(comparison, variants, seed));
+        let runs: Vec<_> = seeds.iter().map(spawn_run).collect();
+        let runs = runs.into_iter();
+        runs.flat_map(|run| run.join().expect("A run ends."))
             .collect()
     })
 }
 
-fn seed_rows(trial: Trial, variants: &[Variant], seed: u64) -> Vec<Row> {
+fn seed_rows(comparison: ComparisonSettings, variants: &[Variant], seed: u64) -> Vec<Row> {
     let streams = [Stream {
-        load: trial.load,
+        load: comparison.load,
         ..Stream::default()
     }];
-    let deployment = Deployment::new(trial.place);
+    let deployment = Deployment::new(comparison.kind);
     let base = deployment.service.policy.clone();
-    let mut run = Run::new(deployment, &streams, trial.duration, seed);
+    let mut run = Run::new(deployment, &streams, comparison.duration, seed);
     let rows = variants.iter().map(|variant| {
         let outcome = match &variant.settings {
             None => super::ideal::run(&run),
             Some(settings) => {
-                run.deployment.service.policy = with(&base, settings);
+                run.deployment.service.policy = with_changes(&base, settings);
                 super::run(&run)
             }
         };
--- a/crates/kingcuploft/src/dispatcher/attempt_end.rs
+++ b/crates/kingcuploft/src/dispatcher/attempt_end.rs
@@ -1,4 +1,4 @@
-//! What a service learns of an attempt that ended, and what follows it.
+//! Updates a service's statistics when an attempt ends, and decides on a retry.
 
 use std::time::Instant;
 
@@ -11,27 +11,32 @@
 use crate::world::ids::BackendServerName;
 
 impl ServiceState {
-    /// Notes the end of an attempt; tells whether it brought news of a drain.
-    pub(super) fn ended(&mut self, now: Instant, attempt: &Attempt, report: &CallReport) -> bool {
+    /// Records the end of an attempt; returns whether it revealed that its backend server drains.
+    pub(super) fn record_attempt_end(
+        &mut self,
+        now: Instant,
+        attempt: &Attempt,
+        report: &CallReport,
+    ) -> bool {
         if matches!(report.end, CallEnd::Answered { .. } | CallEnd::TimedOut) {
-            let usual = self.admission.service_time(&attempt.rule);
+            let service_time = self.admission.service_time(&attempt.rule);
             self.hedge
-                .record_latency(&attempt.backend_server, report.latency, &usual);
+                .record_latency(&attempt.backend_server, report.latency, &service_time);
             self.admission
                 .record_service_time(&attempt.rule, report.latency);
         }
         let server = self.server_of(attempt);
         let slots = server.map_or(u32::MAX, |i| self.service.backend_servers[i].slots);
-        let usual = self.admission.service_time(&attempt.rule);
+        let service_time = self.admission.service_time(&attempt.rule);
         let requests_wait = !self.admission.is_empty();
         self.concurrency
-            .record_end(report, slots, usual, requests_wait);
+            .record_end(report, slots, service_time, requests_wait);
         let Some(server) = server else {
             return false;
         };
         self.selection.record_end(now, server, report);
-        let working = self.drain.available_servers();
-        self.outlier.record_end(now, server, report.end, working);
+        let available = self.drain.available_servers();
+        self.outlier.record_end(now, server, report.end, available);
         if let Some(load) = report.load {
             self.measuring.record_reply(now, server);
             self.notes.record_report(now, server, load.in_flight);
@@ -39,8 +44,8 @@
         report.draining && self.drain.report_draining(server)
     }
 
-    /// Decides what follows an attempt that ended.
-    pub(super) fn after(
+    /// Decides whether to answer, retry or refuse after an attempt has ended.
+    pub(super) fn decide_retry(
         &mut self,
         now: Instant,
         rng: &mut fastrand::Rng,
@@ -56,8 +61,8 @@
         self.retry.decide(now, rng, &ended)
     }
 
-    /// Lets a request wait for its next attempt.
-    pub(super) fn retry_at(
+    /// Queues a request for its next attempt.
+    pub(super) fn queue_retry(
         &mut self,
         not_before: Instant,
         waiting: QueuedRequest,
--- a/crates/kingcuploftctl/src/admin_client.rs
+++ b/crates/kingcuploftctl/src/admin_client.rs
@@ -6,23 +6,23 @@
 use ureq::Agent;
 
 /// How long a VM may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The longest answer, in bytes.
-const ANSWER_BYTES: u64 = 32 * 1024 * 1024;
+const MAX_ANSWER_BYTES: u64 = 32 * 1024 * 1024;
 
-/// Why a VM did not answer as asked.
+/// Why a VM did not answer a request as expected.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum AdminError {
-    /// No whole answer came.
+    /// There was no complete answer.
     #[error("no answer: {0}")]
     Unreachable(String),
-    /// The VM refused.
+    /// The VM refused the request, or its answer is not readable.
     #[error("refused with status {status}: {why}")]
     Refused {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// What it said.
+        /// The VM's message.
         why: String,
     },
 }
@@ -42,7 +42,7 @@
             .http_status_as_error(false)
             .max_redirects(0)
             .proxy(None)
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(ANSWER_TIMEOUT))
             .build();
         Self {
             address: address.into(),
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// [`AdminError`].
+    /// Returns [`AdminError`] if the VM does not answer or refuses.
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, AdminError> {
         let request = self.agent.get(format!("http://{}{path}", self.address));
         let request = match &self.token {
@@ -70,11 +70,11 @@
         read(request.call())
     }
 
-    /// Hands something in.
+    /// Posts a body to a page.
     ///
     /// # Errors
     ///
-    /// [`AdminError`].
+    /// Returns [`AdminError`] if the VM does not answer or refuses.
     pub fn post<T: DeserializeOwned>(&self, path: &str, body: &str) -> Result<T, AdminError> {
         let request = self.agent.post(format!("http://{}{path}", self.address));
         let request = match &self.token {
@@ -91,7 +91,7 @@
     let unreachable = |error: ureq::Error| AdminError::Unreachable(error.to_string());
     let mut answer = answer.map_err(unreachable)?;
     let status = answer.status().as_u16();
-    let body = answer.body_mut().with_config().limit(ANSWER_BYTES);
+    let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
     let body = body.read_to_string().map_err(unreachable)?;
     if status != 200 {
         let why = body.trim().to_owned();
--- a/crates/kingcuploftctl/src/apply.rs
+++ b/crates/kingcuploftctl/src/apply.rs
@@ -1,67 +1,70 @@
-//! `manifest apply`: the accepted generation, or truthfully that it is not known.
+//! `manifest apply`: checks a manifest file and writes it to the store.
+//!
+//! Failure: the store does not answer a write. The command then reports that the outcome is unknown and how to find
+//! out, and never claims a success or failure that it cannot prove.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use kingcuploft::manifest::Manifest;
 use kingcuploft::manifest::root::service_objects;
 use kingcuploft_platform::ObjectStore;
-use kingcuploft_platform::manifest_root::{self, Applied, Apply, ApplyError};
+use kingcuploft_platform::manifest_root::{self, ApplyError, ApplyOutcome, ApplyRequest};
 
 use crate::args::ApplyArgs;
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 use crate::manifest;
 
-/// How many VMs are handed an accepted manifest; they pass it on.
-const HANDED_TO: usize = 3;
+/// How many VMs an accepted manifest is uploaded to; they pass it on to the others.
+const MAX_UPLOAD_VMS: usize = 3;
 
 /// Checks and applies a manifest file.
 ///
 /// # Errors
 ///
-/// An ending that tells why it is not in force.
-pub fn apply(context: &Context<'_>, args: &ApplyArgs) -> Result<Ending, Ending> {
+/// Returns an outcome that says why the manifest was not accepted.
+pub fn apply(context: &Context<'_>, args: &ApplyArgs) -> Result<Outcome, Outcome> {
     let checked = manifest::read(context, &args.file)?;
     let store = context.store()?;
-    let apply = Apply {
+    let apply = ApplyRequest {
         manifest: checked.manifest,
         apply_id: apply_id(),
         author: args.author.clone().unwrap_or_else(author),
         applied_ms: now_ms(),
-        base: args.base,
-        above: args.above,
+        base_generation: args.base,
+        above_generation: args.above,
         verify: args.verify,
     };
     let applied = apply.run(&store).map_err(|error| match error {
-        ApplyError::TooLarge { .. } => Ending::because(Code::Wrong, error.to_string()),
+        ApplyError::TooLarge { .. } => Outcome::failure(Code::InvalidInput, error.to_string()),
         other => manifest::failed(other),
     })?;
-    let mut ending = told(context, &apply.apply_id, &applied);
-    if let Applied::Accepted(_) = applied {
-        ending.err += &hand_on(context, &store, &apply.manifest);
+    let mut outcome = describe_outcome(context, &apply.apply_id, &applied);
+    if let ApplyOutcome::Accepted(_) = applied {
+        outcome.err += &upload_to_vms(context, &store, &apply.manifest);
     }
     for warning in checked.warnings {
-        ending.err += &format!("warning: {warning}\n");
+        outcome.err += &format!("warning: {warning}\n");
     }
-    Ok(ending)
+    Ok(outcome)
 }
 
-/// Says how an apply ended.
-pub fn told(context: &Context<'_>, apply_id: &str, applied: &Applied) -> Ending {
+/// Builds the command's outcome, in text or JSON, from the result of an apply.
+pub fn describe_outcome(context: &Context<'_>, apply_id: &str, applied: &ApplyOutcome) -> Outcome {
     let (code, text, json) = match applied {
-        Applied::Accepted(generation) => (
-            Code::Done,
+        ApplyOutcome::Accepted(generation) => (
+            Code::Success,
             format!("accepted as generation {generation}"),
             serde_json::json!({ "outcome": "accepted", "generation": generation }),
         ),
-        Applied::Superseded { generation, by } => (
-            Code::Done,
+        ApplyOutcome::Superseded { generation, by } => (
+            Code::Success,
             format!("accepted as generation {generation}, then replaced by generation {by}"),
             serde_json::json!({
                 "outcome": "accepted", "generation": generation, "replaced_by": by,
             }),
         ),
-        Applied::Lost {
+        ApplyOutcome::Conflicting {
             generation,
             author,
             changes,
@@ -72,7 +75,7 @@
                 false => format!(" by {author}"),
             };
             (
-                Code::Lost,
+                Code::Conflict,
                 format!(
                     "not accepted: generation {generation}{by} came first; it changed:{}",
                     lines.concat()
@@ -83,7 +86,7 @@
                 }),
             )
         }
-        Applied::Unknown(why) => (
+        ApplyOutcome::Unknown(why) => (
             Code::Unknown,
             format!(
                 "not known whether it was accepted: {why}\nlook for apply {apply_id} in \
@@ -93,26 +96,26 @@
             serde_json::json!({ "outcome": "unknown", "why": why }),
         ),
     };
-    let mut ending = Ending::with(code, format!("{text}\n"));
+    let mut outcome = Outcome::with_code(code, format!("{text}\n"));
     if context.json() {
         let mut json = json;
         json["apply_id"] = apply_id.into();
-        ending.out = format!("{json}\n");
-    } else if code != Code::Done {
-        ending.err = std::mem::take(&mut ending.out);
+        outcome.out = format!("{json}\n");
+    } else if code != Code::Success {
+        outcome.err = std::mem::take(&mut outcome.out);
     }
-    ending
+    outcome
 }
 
-/// Hands the accepted manifest to a few VMs, where VMs were named: should the store go down before
-/// any VM has read it, they pass it on. Returns what is worth saying.
-fn hand_on(context: &Context<'_>, store: &dyn ObjectStore, manifest: &Manifest) -> String {
+/// Uploads the accepted manifest to a few VMs, if VMs were named: if the store goes down before any VM has read it,
+/// these VMs pass it on. Returns a warning if no VM received it.
+fn upload_to_vms(context: &Context<'_>, store: &dyn ObjectStore, manifest: &Manifest) -> String {
     if !context.has_vms() {
         return String::new();
     }
     let vms = match context.vms() {
         Ok(vms) => vms,
-        Err(ending) => return format!("not handed to a VM: {}\n", ending.err),
+        Err(outcome) => return format!("not handed to a VM: {}\n", outcome.err),
     };
     let root = match manifest_root::read_root(store) {
         Ok(Some((_, root))) => root,
@@ -123,17 +126,17 @@
         .map(|o| o.text)
         .collect();
     let body = serde_json::json!({ "root": root.text(), "services": services }).to_string();
-    let mut handed = 0;
+    let mut uploaded = 0;
     for vm in &vms {
-        handed += usize::from(
+        uploaded += usize::from(
             vm.post::<serde_json::Value>("/fleet/manifest", &body)
                 .is_ok(),
         );
-        if handed == HANDED_TO {
+        if uploaded == MAX_UPLOAD_VMS {
             break;
         }
     }
-    match handed {
+    match uploaded {
         0 => "not handed to a VM: none took it; the VMs read it from the store\n".into(),
         _ => String::new(),
     }
--- a/crates/kingcuploftctl/src/diff.rs
+++ b/crates/kingcuploftctl/src/diff.rs
@@ -1,4 +1,4 @@
-//! `manifest diff`: what differs between two manifests, down to the field.
+//! `manifest diff`: the differences between two manifests, field by field.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,15 +9,15 @@
 use serde_json::Value;
 
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 use crate::manifest;
 
 /// Compares the accepted manifest with a file.
 ///
 /// # Errors
 ///
-/// An ending where either is not to be had.
-pub fn with_file(context: &Context<'_>, file: &Path) -> Result<Ending, Ending> {
+/// Returns an outcome if either cannot be read.
+pub fn with_file(context: &Context<'_>, file: &Path) -> Result<Outcome, Outcome> {
     let checked = manifest::read(context, file)?;
     let store = context.store()?;
     let accepted = match manifest_root::read_root(&store).map_err(manifest::failed)? {
@@ -31,8 +31,12 @@
 ///
 /// # Errors
 ///
-/// An ending where either is not to be had.
-pub fn between(context: &Context<'_>, from: Generation, to: Generation) -> Result<Ending, Ending> {
+/// Returns an outcome if either cannot be read.
+pub fn between(
+    context: &Context<'_>,
+    from: Generation,
+    to: Generation,
+) -> Result<Outcome, Outcome> {
     let store = context.store()?;
     let read = |generation| {
         let root = manifest::root(&store, Some(generation))?;
@@ -41,19 +45,19 @@
     Ok(print(context, &lines(&read(from)?, &read(to)?)))
 }
 
-fn print(context: &Context<'_>, lines: &[String]) -> Ending {
+fn print(context: &Context<'_>, lines: &[String]) -> Outcome {
     let code = match lines.is_empty() {
-        true => Code::Done,
+        true => Code::Success,
         false => Code::Differs,
     };
     if context.json() {
-        return Ending::with(
+        return Outcome::with_code(
             code,
             format!("{}\n", serde_json::json!({ "changes": lines })),
         );
     }
     let text: Vec<String> = lines.iter().map(|line| format!("{line}\n")).collect();
-    Ending::with(code, text.concat())
+    Outcome::with_code(code, text.concat())
 }
 
 /// Returns a line for each field that differs.
@@ -73,7 +77,7 @@
     lines
 }
 
-/// Returns every field of a manifest by its path; parts of lists go by their names.
+/// Returns every field of a manifest by its path; list items appear in the path by their names.
 fn fields(manifest: &Manifest) -> BTreeMap<String, String> {
     let mut fields = BTreeMap::new();
     let value = serde_json::to_value(manifest).unwrap_or_default();
--- a/crates/kingcuploftctl/src/status.rs
+++ b/crates/kingcuploftctl/src/status.rs
@@ -1,17 +1,17 @@
-//! `status`: each VM's manifest, readiness, drains and refusals, and whether they agree.
+//! `status`: each VM's generation, readiness, drains and refusals, and whether the VMs agree.
 
 use serde_json::Value;
 
 use crate::context::Context;
-use crate::exit::{Code, Ending};
+use crate::exit::{Code, Outcome};
 
-/// Prints the state of each VM; the code tells whether all answer, are ready and have the same
-/// generation in force.
+/// Prints the state of each VM. The exit code says whether all VMs answer, are ready and have the same active
+/// generation.
 ///
 /// # Errors
 ///
-/// An ending where no VM was named.
-pub fn status(context: &Context<'_>) -> Result<Ending, Ending> {
+/// Returns an outcome if no VM was named, or the clients of the VMs cannot be built.
+pub fn status(context: &Context<'_>) -> Result<Outcome, Outcome> {
     let vms = context.vms()?;
     let read = vms
         .iter()
@@ -23,7 +23,7 @@
     generations.dedup();
     let all_ready = answered().all(|s| s["ready"] == true) && answered().count() == read.len();
     let code = match all_ready && generations.len() == 1 {
-        true => Code::Done,
+        true => Code::Success,
         false => Code::Differs,
     };
     if context.json() {
@@ -31,7 +31,7 @@
             Ok(status) => serde_json::json!({ "address": address, "status": status }),
             Err(error) => serde_json::json!({ "address": address, "error": error.to_string() }),
         });
-        return Ok(Ending::with(
+        return Ok(Outcome::with_code(
             code,
             format!("{}\n", Value::Array(lines.collect())),
         ));
@@ -49,7 +49,7 @@
     if generations.len() > 1 {
         out += &format!("generations in force: {generations:?}\n");
     }
-    Ok(Ending::with(code, out))
+    Ok(Outcome::with_code(code, out))
 }
 
 fn generation(status: &Value) -> u64 {
--- a/crates/kingcuploftd/src/admin_fleet.rs
+++ b/crates/kingcuploftd/src/admin_fleet.rs
@@ -1,5 +1,5 @@
-//! The admin pages about the fleet: members, manifest, drains and decisions, and what operators may
-//! hand in while the store is down.
+//! The admin pages about the fleet: members, manifest, drains and decisions, and the uploads of drains and manifests
+//! that operators can make while the store is down.
 
 use std::sync::Arc;
 
@@ -11,22 +11,22 @@
 use kingcuploft::manifest::root::ContentHash;
 use serde::{Deserialize, Serialize};
 
-use crate::fleet_keeper;
+use crate::fleet_state;
 use crate::shared::Shared;
 
-/// Where these pages begin.
+/// The path prefix of these pages.
 pub const PREFIX: &str = "/fleet/";
 
 /// The longest body, in bytes: an accepted manifest with every service object.
-const BODY_BYTES: usize = 32 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
-/// An accepted manifest, handed to a VM by who applied it: should the store go down before any VM
-/// has read it, the VMs pass it on all the same.
+/// An accepted manifest that the operator who applied it uploads to a VM. If the store goes down before any VM has read
+/// the manifest, the VMs still distribute it among themselves.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct HandedManifest {
+pub struct ManifestUpload {
     /// The root object's text.
     pub root: String,
-    /// The service objects' texts; those that the VM has may be left out.
+    /// The service objects' texts; those that the VM already has may be omitted.
     pub services: Vec<String>,
 }
 
@@ -47,14 +47,14 @@
             Some(delta) => json(&delta.root),
             None => (StatusCode::NOT_FOUND, "no manifest is in force\n".into()),
         },
-        (&Method::GET, ["decisions"]) => json(&shared.decisions.found(&query)),
+        (&Method::GET, ["decisions"]) => json(&shared.decisions.search(&query)),
         (&Method::POST, ["drain", service, server]) => drain(shared, service, server),
         (&Method::POST, ["manifest"]) => {
-            let body = Limited::new(request.into_body(), BODY_BYTES)
+            let body = Limited::new(request.into_body(), MAX_BODY_BYTES)
                 .collect()
                 .await;
             match body {
-                Ok(body) => handed(shared, &body.to_bytes()),
+                Ok(body) => upload_manifest(shared, &body.to_bytes()),
                 Err(_) => (
                     StatusCode::PAYLOAD_TOO_LARGE,
                     "the body is too long\n".into(),
@@ -67,9 +67,9 @@
 
 fn drain(shared: &Shared, service: &str, server: &str) -> Page {
     let manifest = Arc::clone(&shared.accepted.load().manifest);
-    match fleet_keeper::notice(&manifest, &service.into(), &server.into()) {
+    match fleet_state::drain_notice(&manifest, &service.into(), &server.into()) {
         Some(notice) => {
-            shared.fleet.drain(shared, notice.clone());
+            shared.fleet.record_drain(shared, notice.clone());
             json(&notice)
         }
         None => {
@@ -79,25 +79,25 @@
     }
 }
 
-/// Takes an accepted manifest as from any other source: by hash, and only forward.
-fn handed(shared: &Shared, body: &Bytes) -> Page {
-    let handed: HandedManifest = match serde_json::from_slice(body) {
-        Ok(handed) => handed,
+/// Adopts an uploaded manifest as from any other source: parts are checked by hash, and the generation only grows.
+fn upload_manifest(shared: &Shared, body: &Bytes) -> Page {
+    let upload: ManifestUpload = match serde_json::from_slice(body) {
+        Ok(upload) => upload,
         Err(error) => return (StatusCode::BAD_REQUEST, format!("{error}\n")),
     };
     let source = "an operator";
-    let learn = |teach: &mut dyn FnMut(&mut _) -> Result<AdoptionStep, AdoptionError>| {
+    let update = |change: &mut dyn FnMut(&mut _) -> Result<AdoptionStep, AdoptionError>| {
         shared
             .manifest
-            .learn(shared, source, |adoption| teach(adoption))
+            .update(shared, source, |adoption| change(adoption))
     };
-    if !learn(&mut |adoption| adoption.root_text(&handed.root)) {
+    if !update(&mut |adoption| adoption.root_text(&upload.root)) {
         return (StatusCode::BAD_REQUEST, "the root was not taken\n".into());
     }
-    for text in &handed.services {
-        learn(&mut |adoption| adoption.service_text(&ContentHash::of(text), text));
+    for text in &upload.services {
+        update(&mut |adoption| adoption.service_text(&ContentHash::of(text), text));
     }
-    learn(&mut |adoption| Ok(adoption.sources_asked()));
+    update(&mut |adoption| Ok(adoption.sources_asked()));
     json(&shared.manifest.read(|a| a.status()))
 }
 
--- a/crates/kingcuploftd/src/caller_edge/inspector.rs
+++ b/crates/kingcuploftd/src/caller_edge/inspector.rs
@@ -1,19 +1,19 @@
-//! Looks at the raw heads of a connection's requests for what the HTTP library resolves silently.
+//! Detects ambiguous request heads in a connection's raw bytes, as a guard against request smuggling.
 //!
-//! The library takes the first of two equal lengths, lets a transfer coding win over a length and
-//! accepts lines that end without a carriage return. Each is a valid reading, but another server
-//! on the way may read otherwise, and the bytes after one message then become a request that
-//! nobody sent (request smuggling). Such a request is refused and its connection closed. The
-//! inspector follows the same framing as the library and gives one verdict for each head.
+//! Failure: request smuggling. The HTTP library takes the first of two equal lengths, prefers a transfer coding over a
+//! length and accepts lines that end without a carriage return. Each is a valid reading, but another server on the path
+//! may read the message differently, and the bytes after it then become a request that nobody sent. So such a request
+//! is refused and its connection closed. The inspector follows the same framing as the library, so it finds every head,
+//! and gives one verdict per head.
 
 use std::collections::VecDeque;
 
-/// What is wrong with a head, if anything.
+/// Whether a request head is accepted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It has one reading.
-    Fine,
-    /// It could be read in two ways, or names no host or two.
+    /// It has exactly one reading.
+    Valid,
+    /// It has more than one reading, no host or several hosts.
     Ambiguous,
     /// It is too long.
     TooLarge,
@@ -26,7 +26,7 @@
     ChunkSize,
     Chunk(u64),
     Trailers,
-    /// The connection ends after the verdict that stands.
+    /// The connection ends after the last verdict.
     Ended,
 }
 
@@ -39,11 +39,11 @@
     length: u64,
     codings: usize,
     chunked: bool,
-    bare_line_feed: bool,
-    version_1_0: bool,
+    has_bare_line_feed: bool,
+    is_http_1_0: bool,
 }
 
-/// Follows the bytes that a connection's caller sends.
+/// Parses the framing of the bytes that a caller sends on one connection.
 #[derive(Debug)]
 pub struct Inspector {
     limit_bytes: usize,
@@ -54,7 +54,7 @@
 }
 
 impl Inspector {
-    /// Builds an inspector of heads up to a length.
+    /// Builds an inspector for heads of at most `limit_bytes` bytes.
     pub fn new(limit_bytes: usize) -> Self {
         Self {
             limit_bytes,
@@ -65,19 +65,19 @@
         }
     }
 
-    /// Takes the verdict on the next request; requests come in the order of their heads.
-    pub fn verdict(&mut self) -> Verdict {
+    /// Removes and returns the verdict on the next request, in the order of the heads.
+    pub fn next_verdict(&mut self) -> Verdict {
         self.verdicts.pop_front().unwrap_or(Verdict::Ambiguous)
     }
 
-    /// Takes in what was read.
-    pub fn feed(&mut self, mut bytes: &[u8]) {
+    /// Processes the bytes of one read.
+    pub fn process(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let used = match &mut self.phase {
                 Phase::Ended => return,
                 Phase::Body(left) => skip(left, bytes.len()),
                 Phase::Chunk(left) => skip(left, bytes.len()),
-                Phase::Head | Phase::ChunkSize | Phase::Trailers => self.take_line(bytes),
+                Phase::Head | Phase::ChunkSize | Phase::Trailers => self.read_line(bytes),
             };
             bytes = &bytes[used..];
             match self.phase {
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Takes bytes up to a line's end; returns how many.
-    fn take_line(&mut self, bytes: &[u8]) -> usize {
+    /// Reads bytes up to the end of a line; returns how many were used.
+    fn read_line(&mut self, bytes: &[u8]) -> usize {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let used = end.map_or(bytes.len(), |end| end + 1);
         self.line.extend_from_slice(&bytes[..used]);
@@ -123,12 +123,12 @@
     fn on_head_line(&mut self, text: &[u8], bare: bool) {
         let head = &mut self.head;
         head.bytes += text.len();
-        head.bare_line_feed |= bare;
+        head.has_bare_line_feed |= bare;
         if head.bytes > self.limit_bytes {
             return self.end(Verdict::TooLarge);
         }
         match text {
-            // Empty lines before a request line mean nothing.
+            // Empty lines before a request line are ignored.
             [] if head.lines == 0 => self.head = Head::default(),
             [] => self.on_head_end(),
             _ => {
@@ -140,10 +140,10 @@
 
     fn on_head_end(&mut self) {
         let head = std::mem::take(&mut self.head);
-        if head.ambiguous() {
+        if head.is_ambiguous() {
             return self.end(Verdict::Ambiguous);
         }
-        self.verdicts.push_back(Verdict::Fine);
+        self.verdicts.push_back(Verdict::Valid);
         self.phase = match (head.chunked, head.length) {
             (true, _) => Phase::ChunkSize,
             (false, 0) => Phase::Head,
@@ -160,7 +160,7 @@
 impl Head {
     fn on_line(&mut self, line: &[u8]) {
         if self.lines == 1 {
-            self.version_1_0 = line.ends_with(b"HTTP/1.0");
+            self.is_http_1_0 = line.ends_with(b"HTTP/1.0");
             return;
         }
         let Some(colon) = line.iter().position(|byte| *byte == b':') else {
@@ -179,11 +179,11 @@
         }
     }
 
-    fn ambiguous(&self) -> bool {
-        let hosts_wrong = self.hosts > 1 || (self.hosts == 0 && !self.version_1_0);
+    fn is_ambiguous(&self) -> bool {
+        let hosts_wrong = self.hosts > 1 || (self.hosts == 0 && !self.is_http_1_0);
         let coding_wrong = self.codings > 1 || (self.codings == 1 && !self.chunked);
         let both = self.codings > 0 && self.lengths > 0;
-        self.bare_line_feed || hosts_wrong || coding_wrong || both || self.lengths > 1
+        self.has_bare_line_feed || hosts_wrong || coding_wrong || both || self.lengths > 1
     }
 }
 
--- a/crates/kingcuploftd/src/claims/calls.rs
+++ b/crates/kingcuploftd/src/claims/calls.rs
@@ -1,4 +1,4 @@
-//! The ledger's calls to the store, made from threads of their own.
+//! The threads that make the ledger's calls to the store.
 
 use std::sync::Arc;
 
@@ -7,25 +7,25 @@
 use kingcuploft::decisions::claim::message::{
     Operation, Precondition, StoreAnswer, StoreFailure, StoredKind, StoredObject,
 };
-use kingcuploft_platform::{Expect, ObjectStore, StoreError};
+use kingcuploft_platform::{ObjectStore, StoreError, WriteCondition};
 
 use super::metrics::{CallKind, ClaimMetrics};
 
-/// A call of one partition.
+/// A store call of one partition.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) partition: u16,
     pub(super) operation: Operation,
 }
 
-/// How a call of one partition ended.
+/// The result of one partition's store call.
 #[derive(Debug)]
 pub(super) struct CallAnswer {
     pub(super) partition: u16,
     pub(super) answer: StoreAnswer,
 }
 
-/// Makes calls until the claims duty ends.
+/// Makes store calls until the claims thread ends.
 pub(super) fn run(
     store: &dyn ObjectStore,
     metrics: &ClaimMetrics,
@@ -35,7 +35,7 @@
     for call in calls {
         let answer = CallAnswer {
             partition: call.partition,
-            answer: make(store, metrics, call.operation),
+            answer: perform(store, metrics, call.operation),
         };
         if answers.send(answer).is_err() {
             return;
@@ -43,7 +43,7 @@
     }
 }
 
-fn make(store: &dyn ObjectStore, metrics: &ClaimMetrics, operation: Operation) -> StoreAnswer {
+fn perform(store: &dyn ObjectStore, metrics: &ClaimMetrics, operation: Operation) -> StoreAnswer {
     let (kind, answer) = match operation {
         Operation::Get { name, kind } => (CallKind::Get, get(store, &name, kind)),
         Operation::Put { name, value, when } => (CallKind::Put, put(store, &name, &value, when)),
@@ -52,8 +52,8 @@
             (CallKind::Delete, deleted.map(|()| StoreAnswer::Deleted))
         }
     };
-    metrics.called(kind, answer.as_ref().err());
-    answer.unwrap_or_else(|error| failed(&error))
+    metrics.count_call(kind, answer.as_ref().err());
+    answer.unwrap_or_else(|error| classify_error(&error))
 }
 
 fn get(store: &dyn ObjectStore, name: &str, kind: StoredKind) -> Result<StoreAnswer, StoreError> {
@@ -63,7 +63,9 @@
     Ok(match parse(&object.value, kind) {
         Ok(stored) => StoreAnswer::Found(Some((object.version as Version, stored))),
         Err(error) => {
-            tracing::error!("claims: {name} can not be read, its keys are refused: {error}.");
+            tracing::error!(
+                "claims: cannot read {name}, requests with its keys are refused: {error}."
+            );
             StoreAnswer::Failed(StoreFailure::Corrupt)
         }
     })
@@ -92,24 +94,24 @@
         return Ok(StoreAnswer::Failed(StoreFailure::NotApplied));
     };
     let expect = match when {
-        Precondition::Absent => Expect::Absent,
-        Precondition::Version(version) => Expect::Version(version),
+        Precondition::Absent => WriteCondition::Absent,
+        Precondition::Version(version) => WriteCondition::Version(version),
     };
     store.put(name, &text, expect).map(StoreAnswer::Written)
 }
 
-/// Turns the client's error into what it proves.
-fn failed(error: &StoreError) -> StoreAnswer {
+/// Converts a store client's error into what it proves about the write: not applied, or unknown.
+fn classify_error(error: &StoreError) -> StoreAnswer {
     StoreAnswer::Failed(match error {
         StoreError::Conflict { found } => return StoreAnswer::Conflict { found: *found },
-        StoreError::Silent(_) => StoreFailure::NoAnswer,
+        StoreError::NoAnswer(_) => StoreFailure::NoAnswer,
         StoreError::Down { retry_after } => StoreFailure::Down {
             retry_after: *retry_after,
         },
         StoreError::OverBudget { retry_after } => StoreFailure::OverBudget {
             retry_after: *retry_after,
         },
-        StoreError::NotSent(_) | StoreError::Refused(_) | StoreError::Lapsed => {
+        StoreError::NotSent(_) | StoreError::Refused(_) | StoreError::WatchExpired => {
             StoreFailure::NotApplied
         }
     })
--- a/crates/kingcuploftd/src/manifest_keeper.rs
+++ b/crates/kingcuploftd/src/manifest_state.rs
@@ -1,4 +1,4 @@
-//! Keeps what this VM knows of the manifest, for the duties that learn of it and tell of it.
+//! The state of the manifest's adoption, shared by the threads that receive its parts and those that pass them on.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -8,14 +8,14 @@
 
 use crate::shared::Shared;
 
-/// What this VM knows of the manifest.
+/// The state of the manifest's adoption.
 #[derive(Debug)]
-pub struct ManifestKeeper {
+pub struct ManifestState {
     adoption: Mutex<Adoption>,
     in_force: watch::Sender<Generation>,
 }
 
-impl Default for ManifestKeeper {
+impl Default for ManifestState {
     fn default() -> Self {
         Self {
             adoption: Mutex::new(Adoption::awaiting_sources()),
@@ -24,36 +24,37 @@
     }
 }
 
-impl ManifestKeeper {
-    /// Returns what a look at the adoption gives.
-    pub fn read<T>(&self, look: impl FnOnce(&Adoption) -> T) -> T {
-        look(&self.lock())
+impl ManifestState {
+    /// Returns the result of a read-only closure over the adoption.
+    pub fn read<T>(&self, inspect: impl FnOnce(&Adoption) -> T) -> T {
+        inspect(&self.lock())
     }
 
-    /// Takes something learnt from a source and puts a manifest in force that has become whole.
+    /// Applies a change from a source to the adoption, and activates the manifest if it is now complete; returns
+    /// whether the change was accepted.
     ///
-    /// The lock is held until the manifest is handed on, so two duties that complete two
-    /// generations at once hand them on in order.
-    pub fn learn(
+    /// The lock is held until the manifest is activated, so two threads that complete two generations at once activate
+    /// them in order.
+    pub fn update(
         &self,
         shared: &Shared,
         source: &str,
-        teach: impl FnOnce(&mut Adoption) -> Result<AdoptionStep, AdoptionError>,
+        apply: impl FnOnce(&mut Adoption) -> Result<AdoptionStep, AdoptionError>,
     ) -> bool {
         let mut adoption = self.lock();
-        let taught = teach(&mut adoption);
-        let learnt = match taught {
-            Ok(AdoptionStep::InForce(accepted)) => {
-                let generation = accepted.generation;
+        let result = apply(&mut adoption);
+        let accepted = match result {
+            Ok(AdoptionStep::InForce(manifest)) => {
+                let generation = manifest.generation;
                 tracing::info!("manifest: generation {generation} is in force, from {source}.");
-                shared.put_in_force(accepted);
+                shared.activate_manifest(manifest);
                 self.in_force.send_replace(generation);
                 true
             }
             Ok(AdoptionStep::Unchanged | AdoptionStep::FetchMissing) => true,
             Err(error) => {
                 shared.metrics.fleet.manifest_faults.inc();
-                tracing::warn!("manifest: a part from {source} was not taken: {error}.");
+                tracing::warn!("manifest: a part from {source} was rejected: {error}.");
                 false
             }
         };
@@ -61,10 +62,10 @@
         let metrics = &shared.metrics.fleet;
         metrics.manifest_heard.set(status.heard.cast_signed());
         metrics.manifest_missing.set(status.missing as i64);
-        learnt
+        accepted
     }
 
-    /// Returns a watch on the generation in force.
+    /// Returns a watch on the active generation.
     pub fn subscribe(&self) -> watch::Receiver<Generation> {
         self.in_force.subscribe()
     }
--- a/crates/kingcuploftd/src/metrics_service.rs
+++ b/crates/kingcuploftd/src/metrics_service.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts of each service: its queue, limit, hedges and refusals.
+//! The metrics of each service: its queue, concurrency limit, hedges, retry budget and refusals.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use prometheus_client::registry::Registry;
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct OfService {
+struct ServiceLabel {
     service: String,
 }
 
@@ -38,15 +38,15 @@
 pub struct ServiceMetrics {
     refusals: Family<RefusalLabel, Counter>,
     hedges: Family<HedgeLabel, Counter>,
-    wait: Family<OfService, Histogram>,
-    queue_length: Family<OfService, Gauge>,
-    in_flight: Family<OfService, Gauge>,
-    limit: Family<OfService, Gauge>,
-    retry_budget: Family<OfService, Gauge>,
+    wait: Family<ServiceLabel, Histogram>,
+    queue_length: Family<ServiceLabel, Gauge>,
+    in_flight: Family<ServiceLabel, Gauge>,
+    limit: Family<ServiceLabel, Gauge>,
+    retry_budget: Family<ServiceLabel, Gauge>,
 }
 
 impl ServiceMetrics {
-    /// Builds the metrics and makes them part of a registry.
+    /// Builds the metrics and adds them to a registry.
     pub fn register(registry: &mut Registry) -> Self {
         let constructor: fn() -> Histogram = || Histogram::new(WAIT_BOUNDS_S);
         let metrics = Self {
@@ -70,7 +70,7 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, service: &ServiceName, reason: RefusalReason) {
+    pub fn count_refusal(&self, service: &ServiceName, reason: RefusalReason) {
         let label = RefusalLabel {
             service: service.to_string(),
             reason: reason.label(),
@@ -79,7 +79,7 @@
     }
 
     /// Counts a step of a hedge.
-    pub fn hedged(&self, service: &ServiceName, step: HedgeStep) {
+    pub fn count_hedge(&self, service: &ServiceName, step: HedgeStep) {
         let label = HedgeLabel {
             service: service.to_string(),
             step: step.label(),
@@ -87,22 +87,22 @@
         self.hedges.get_or_create(&label).inc();
     }
 
-    /// Records the time from a request's arrival until a call.
-    pub fn waited(&self, service: &ServiceName, wait: Duration) {
-        let histogram = self.wait.get_or_create(&of(service));
+    /// Records the time from a request's arrival to the start of a call.
+    pub fn record_wait(&self, service: &ServiceName, wait: Duration) {
+        let histogram = self.wait.get_or_create(&service_label(service));
         histogram.observe(wait.as_secs_f64());
     }
 
-    /// Returns a service's queue length, calls in flight and limit, as they were last shown.
+    /// Returns a service's queue length, calls in flight and concurrency limit, as they were last set.
     pub fn load(&self, service: &ServiceName) -> [i64; 3] {
         let gauges = [&self.queue_length, &self.in_flight, &self.limit];
-        gauges.map(|gauges| gauges.get_or_create(&of(service)).get())
+        gauges.map(|gauges| gauges.get_or_create(&service_label(service)).get())
     }
 
-    /// Shows the load of a service.
-    pub fn loaded(&self, service: &ServiceName, load: &LoadSnapshot) {
-        let label = of(service);
-        let show = |gauges: &Family<OfService, Gauge>, value: u64| {
+    /// Sets the load gauges of a service.
+    pub fn set_load(&self, service: &ServiceName, load: &LoadSnapshot) {
+        let label = service_label(service);
+        let show = |gauges: &Family<ServiceLabel, Gauge>, value: u64| {
             gauges.get_or_create(&label).set(value as i64);
         };
         show(&self.queue_length, load.waiting as u64);
@@ -112,8 +112,8 @@
     }
 }
 
-fn of(service: &ServiceName) -> OfService {
-    OfService {
+fn service_label(service: &ServiceName) -> ServiceLabel {
+    ServiceLabel {
         service: service.to_string(),
     }
 }
